--- a/bench/store_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -14,8 +14,8 @@
 #include <stdexcept>
 
 #include "base/clock.hpp"
-#include "store/memory_file_system.hpp"
-#include "store/store.hpp"
+#include "storage/memory_file_system.hpp"
+#include "storage/store.hpp"
 
 namespace {
 
@@ -129,15 +129,16 @@
 
 // ---- The store -------------------------------------------------------------------------------------
 
-std::unique_ptr<store::Store> Open(store::FileSystem& files, const std::string& folder,
-                                   store::Examination& found) {
-  std::unique_ptr<store::Store> opened;
-  const auto status = store::Store::Open(files, folder, {"bench", "bench", 1 << 20, 64 << 20}, opened, found);
+std::unique_ptr<storage::Store> Open(storage::FileSystem& files, const std::string& folder,
+                                     storage::Examination& found) {
+  std::unique_ptr<storage::Store> opened;
+  const auto status =
+      storage::Store::Open(files, folder, {"bench", "bench", 1 << 20, 64 << 20}, opened, found);
   Require(status.ok(), status.Text());
   return opened;
 }
 
-bool WriteGroup(store::Store& store, int group) {
+bool WriteGroup(storage::Store& store, int group) {
   for (int i = 0; i < group; ++i) {
     if (store.Append(1, 1, kRecord) == 0) return false;
   }
@@ -152,10 +153,10 @@
 }
 
 void Run(const std::string& folder) {
-  const auto files = store::MakePosixFileSystem();
+  const auto files = storage::MakePosixFileSystem();
   fmt::print("{:44} {:>12} {:>12}\n", "", "store", "SQLite");
   for (const int group : {1, 10, 100}) {
-    store::Examination found;
+    storage::Examination found;
     const auto log = Open(*files, folder + "/groups" + std::to_string(group), found);
     Database database(folder + "/groups" + std::to_string(group) + ".db");
     const double ours = RecordsPerSecond(group, [&] {
@@ -167,7 +168,7 @@
                theirs);
   }
   {
-    store::Examination found;
+    storage::Examination found;
     const auto log = Open(*files, folder + "/all", found);
     Database database(folder + "/all.db");
     for (int i = 0; i < kRecords; i += 100) {
@@ -176,7 +177,7 @@
     }
   }
   const auto ours = [&] {
-    store::Examination found;
+    storage::Examination found;
     Open(*files, folder + "/all", found);
     Require(found.records.size() == kRecords, "records are missing");
   };
@@ -193,12 +194,12 @@
   fmt::print("{:44} {:12.1f} {:12.1f}\n", "memory for it, MB", PeakOf(ours), PeakOf(theirs));
 
   AddFaultySyncs();
-  store::FaultyFileSystem faulty(*files, [](store::FaultyFileSystem::Call call, const std::string&) {
-    const bool fails = fail_syncs && call == store::FaultyFileSystem::Call::kSync;
-    return store::FaultyFileSystem::Verdict{fails ? std::make_error_code(std::errc::io_error)
-                                                  : std::error_code()};
+  storage::FaultyFileSystem faulty(*files, [](storage::FaultyFileSystem::Call call, const std::string&) {
+    const bool fails = fail_syncs && call == storage::FaultyFileSystem::Call::kSync;
+    return storage::FaultyFileSystem::Verdict{fails ? std::make_error_code(std::errc::io_error)
+                                                    : std::error_code()};
   });
-  store::Examination found;
+  storage::Examination found;
   const auto log = Open(faulty, folder + "/faulty", found);
   Database database(folder + "/faulty.db", "faulty");
   Require(WriteGroup(*log, 1) && database.Write(1) == SQLITE_OK, "write");
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <utility>
 
-namespace elderhead::base {
+namespace gateway::base {
 namespace {
 
 std::size_t EditDistance(std::string_view a, std::string_view b) {
@@ -44,4 +44,4 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -1,13 +1,13 @@
 // src/base: what every other folder may use and what uses none of them: time, text, strict configuration
 // files and histograms. Nothing here knows of requests, hosts or gateways.
-#ifndef ELDERHEAD_BASE_BASE_HPP_
-#define ELDERHEAD_BASE_BASE_HPP_
+#ifndef GATEWAY_BASE_BASE_HPP_
+#define GATEWAY_BASE_BASE_HPP_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace elderhead::base {
+namespace gateway::base {
 
 using Millis = double;  // spans and, from a stated zero, points in time
 
@@ -18,6 +18,6 @@
 // As many descriptors as the system allows this process; fewer are no error.
 void RaiseDescriptors();
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_BASE_HPP_
+#endif  // GATEWAY_BASE_BASE_HPP_
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,13 +1,13 @@
 // The monotonic clock, read in one place: what decides is handed the time and never reads it.
-#ifndef ELDERHEAD_BASE_CLOCK_HPP_
-#define ELDERHEAD_BASE_CLOCK_HPP_
+#ifndef GATEWAY_BASE_CLOCK_HPP_
+#define GATEWAY_BASE_CLOCK_HPP_
 
 #include <chrono>
 #include <cstdint>
 
 #include "base/base.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 
 // In ms, from an unstated zero; the same for all processes of a machine.
 inline Millis Now() {
@@ -20,6 +20,6 @@
   return std::chrono::microseconds(ms > 0 ? static_cast<std::int64_t>(ms * 1000) : 0);
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_CLOCK_HPP_
+#endif  // GATEWAY_BASE_CLOCK_HPP_
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -1,6 +1,6 @@
 // Addresses as configurations, lists and calls write them.
-#ifndef ELDERHEAD_BASE_ENDPOINT_HPP_
-#define ELDERHEAD_BASE_ENDPOINT_HPP_
+#ifndef GATEWAY_BASE_ENDPOINT_HPP_
+#define GATEWAY_BASE_ENDPOINT_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <charconv>
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace elderhead::base {
+namespace gateway::base {
 
 // "10.1.0.18:3000"; nothing if it is anything else.
 inline std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text) {
@@ -23,6 +23,6 @@
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_ENDPOINT_HPP_
+#endif  // GATEWAY_BASE_ENDPOINT_HPP_
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -1,7 +1,7 @@
 // A histogram of bounded memory and bounded relative error, after Gil Tene's HDR histogram: equal buckets
 // within each power of two. Debian 12 packages that library for Java and Go only (see docs/parts.md).
-#ifndef ELDERHEAD_BASE_HISTOGRAM_HPP_
-#define ELDERHEAD_BASE_HISTOGRAM_HPP_
+#ifndef GATEWAY_BASE_HISTOGRAM_HPP_
+#define GATEWAY_BASE_HISTOGRAM_HPP_
 
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace elderhead::base {
+namespace gateway::base {
 
 // Counts whole numbers from 0 to 2^40 (microseconds: 12 days; more counts as that) with an error of at most
 // 1/32. 1,184 counters, 9.3 KB. Not thread-safe.
@@ -81,6 +81,6 @@
   double sum_ = 0;
 };
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_HISTOGRAM_HPP_
+#endif  // GATEWAY_BASE_HISTOGRAM_HPP_
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -5,7 +5,7 @@
 
 #include "base/clock.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 namespace {
 
 namespace asio = boost::asio;
@@ -87,4 +87,4 @@
                      });
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -1,6 +1,6 @@
 // HTTP/1.1 from the client's end, over Beast: for the parts that call others, and for the lab's parties.
-#ifndef ELDERHEAD_BASE_HTTP_CLIENT_HPP_
-#define ELDERHEAD_BASE_HTTP_CLIENT_HPP_
+#ifndef GATEWAY_BASE_HTTP_CLIENT_HPP_
+#define GATEWAY_BASE_HTTP_CLIENT_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -14,7 +14,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 
 using tcp = boost::asio::ip::tcp;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -58,6 +58,6 @@
   int exchanges_ = 0;
 };
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_HTTP_CLIENT_HPP_
+#endif  // GATEWAY_BASE_HTTP_CLIENT_HPP_
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -9,7 +9,7 @@
 #include <ctime>
 #include <nlohmann/json.hpp>
 
-namespace elderhead::base {
+namespace gateway::base {
 namespace {
 
 using nlohmann::ordered_json;
@@ -95,4 +95,4 @@
   static_cast<void>(written);  // a log that can't be written is no reason to stop serving
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,13 +1,13 @@
 // The log of every program: one record a line on standard error, for people or for machines.
-#ifndef ELDERHEAD_BASE_LOG_HPP_
-#define ELDERHEAD_BASE_LOG_HPP_
+#ifndef GATEWAY_BASE_LOG_HPP_
+#define GATEWAY_BASE_LOG_HPP_
 
 #include <concepts>
 #include <initializer_list>
 #include <string>
 #include <string_view>
 
-namespace elderhead::base {
+namespace gateway::base {
 
 enum class Level { kInfo, kWarning, kError };
 enum class LogForm {
@@ -40,6 +40,6 @@
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields = {});
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_LOG_HPP_
+#endif  // GATEWAY_BASE_LOG_HPP_
--- a/src/base/supervisor.cpp
+++ b/src/base/supervisor.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace elderhead::base {
+namespace gateway::base {
 
 Supervisor::Decision Supervisor::Ended(const End& end, double draw) {
   if (end.told) return {Next::kStop, 0};
@@ -20,4 +20,4 @@
   return {without ? Next::kStartWithoutState : Next::kStart, wait * (0.5 + draw / 2)};
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
--- a/src/base/supervisor.hpp
+++ b/src/base/supervisor.hpp
@@ -1,13 +1,13 @@
 // When a process that ended is started again, and when not. No I/O, no clock, no randomness: all three are
 // handed in.
-#ifndef ELDERHEAD_BASE_SUPERVISOR_HPP_
-#define ELDERHEAD_BASE_SUPERVISOR_HPP_
+#ifndef GATEWAY_BASE_SUPERVISOR_HPP_
+#define GATEWAY_BASE_SUPERVISOR_HPP_
 
 #include <deque>
 
 #include "base/base.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 
 class Supervisor {
  public:
@@ -44,6 +44,6 @@
   int in_row_ = 0, on_state_ = 0;
 };
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_SUPERVISOR_HPP_
+#endif  // GATEWAY_BASE_SUPERVISOR_HPP_
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -9,7 +9,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 namespace {
 
 constexpr Millis kMillisPerSecond = 1000;
@@ -211,4 +211,4 @@
   }
 }
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -1,6 +1,6 @@
 // Strict reading of TOML files: each key is asked for once, and one that nobody asked for is an error.
-#ifndef ELDERHEAD_BASE_TOML_READER_HPP_
-#define ELDERHEAD_BASE_TOML_READER_HPP_
+#ifndef GATEWAY_BASE_TOML_READER_HPP_
+#define GATEWAY_BASE_TOML_READER_HPP_
 
 #include <limits>
 #include <map>
@@ -13,7 +13,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::base {
+namespace gateway::base {
 
 // "FILE:LINE:COLUMN: what is wrong", one line.
 class ConfigError : public std::runtime_error {
@@ -69,6 +69,6 @@
   std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace elderhead::base
+}  // namespace gateway::base
 
-#endif  // ELDERHEAD_BASE_TOML_READER_HPP_
+#endif  // GATEWAY_BASE_TOML_READER_HPP_
--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -9,7 +9,7 @@
 
 #include "base/endpoint.hpp"
 
-namespace elderhead::cli {
+namespace gateway::cli {
 namespace {
 
 constexpr std::chrono::seconds kPatience{5};
@@ -45,4 +45,4 @@
   return answer;
 }
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
--- a/src/cli/call.hpp
+++ b/src/cli/call.hpp
@@ -1,11 +1,11 @@
 // One call to a gateway's operators' address.
-#ifndef ELDERHEAD_CLI_CALL_HPP_
-#define ELDERHEAD_CLI_CALL_HPP_
+#ifndef GATEWAY_CLI_CALL_HPP_
+#define GATEWAY_CLI_CALL_HPP_
 
 #include <stdexcept>
 #include <string>
 
-namespace elderhead::cli {
+namespace gateway::cli {
 
 struct CallAnswer {
   bool success = false;  // SUCCESS, or figures to their last line
@@ -21,6 +21,6 @@
 // Waits 5 s at most. Throws CallFailure, and std::invalid_argument for what is no address.
 CallAnswer Call(const std::string& address, const std::string& call);
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
 
-#endif  // ELDERHEAD_CLI_CALL_HPP_
+#endif  // GATEWAY_CLI_CALL_HPP_
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// src/cli: `elderhead`, the command for people. Reads arguments and files and calls the subsystems; decides
+// src/cli: `gatewayctl`, the command for people. Reads arguments and files and calls the subsystems; decides
 // nothing.
 #include <fmt/format.h>
 #include <signal.h>
@@ -14,17 +14,17 @@
 #include "cli/run.hpp"
 #include "cli/scale.hpp"
 #include "cli/state.hpp"
-#include "gateway/config.hpp"
 #include "lab/lab.hpp"
 #include "lab/registry_load.hpp"
 #include "lab/schedule.hpp"
 #include "lab/stand_in.hpp"
+#include "proxy/config.hpp"
 
 namespace {
 
-namespace base = elderhead::base;
-namespace cli = elderhead::cli;
-namespace lab = elderhead::lab;
+namespace base = gateway::base;
+namespace cli = gateway::cli;
+namespace lab = gateway::lab;
 
 constexpr int kHeld = 0, kBroken = 1, kWrongUse = 2, kNotJudged = 3;
 constexpr const char* kExitCodes =
@@ -78,11 +78,11 @@
 
 // Reads it as the gateway does at its start, but for the variables that win over its fields.
 int CheckGateway(const std::string& file) {
-  const auto config = opalswitch::gateway::LoadConfig(
+  const auto config = gateway::proxy::LoadConfig(
       [&](const char* name) { return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
   fmt::print("{}: gateway {} of {} in zone '{}': {} classes, {} tenants, {} hosts known, {} descriptors\n",
-             file, config.settings.index, config.settings.gateways, config.settings.zone,
-             config.settings.classes.size(), config.settings.tenants.size(), config.known.hosts.size(),
+             file, config.settings.gateway_index, config.settings.gateway_count, config.settings.zone,
+             config.settings.classes.size(), config.settings.tenants.size(), config.known.endpoints.size(),
              config.sockets);
   return kHeld;
 }
@@ -90,20 +90,20 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"elderhead: a gateway fleet's lab and tools"};
+  CLI::App app{"gatewayctl: a gateway fleet's lab and tools"};
   app.require_subcommand(1);
-  app.footer(std::string(kExitCodes) + "\nExample: elderhead lab run experiments/steady-3x12.toml");
+  app.footer(std::string(kExitCodes) + "\nExample: gatewayctl lab run experiments/steady-3x12.toml");
   std::function<int()> chosen;
 
   CLI::App* const lab_command =
       app.add_subcommand("lab", "Plays fleets with faults on this machine's loopback");
   lab_command->require_subcommand(1);
-  lab_command->footer("Example: elderhead lab run experiments/gateway-killed.toml --seed 3 --json out.json");
+  lab_command->footer("Example: gatewayctl lab run experiments/gateway-killed.toml --seed 3 --json out.json");
 
   std::string file, json, other;
   lab::RunOptions options;
   options.self = Self().string();
-  options.gateway = (Self().parent_path() / "forkwick").string();
+  options.gateway = (Self().parent_path() / "gateway").string();
   CLI::App* const run = lab_command->add_subcommand("run", "Plays an experiment and judges its bounds");
   run->add_option("FILE", file, "The experiment, see experiments/")->required();
   run->add_option("--seed", options.seed, "Of the schedule and all draws")->capture_default_str();
@@ -115,14 +115,14 @@
   run->add_option("--json", json, "Write all figures and series there");
   run->add_option("--logs", options.logs, "Keep the processes' logs in this folder");
   run->footer(std::string(kExitCodes) +
-              "\nExample: elderhead lab run experiments/steady-3x12.toml --repeat 3 --json steady.json");
+              "\nExample: gatewayctl lab run experiments/steady-3x12.toml --repeat 3 --json steady.json");
   run->callback([&] { chosen = [&] { return RunLab(file, options, json); }; });
 
   CLI::App* const schedule =
       lab_command->add_subcommand("schedule", "Prints the arrivals and the timeline of faults");
   schedule->add_option("FILE", file, "The experiment")->required();
   schedule->add_option("--seed", options.seed, "Of the schedule")->capture_default_str();
-  schedule->footer("Example: elderhead lab schedule experiments/steady-3x12.toml --seed 2 | sha256sum");
+  schedule->footer("Example: gatewayctl lab schedule experiments/steady-3x12.toml --seed 2 | sha256sum");
   schedule->callback([&] {
     chosen = [&] {
       if (file.ends_with(".json")) return CheckGateway(file);
@@ -137,7 +137,7 @@
   CLI::App* const compare = lab_command->add_subcommand("compare", "Sets two results side by side");
   compare->add_option("A", file, "A result of 'lab run --json'")->required();
   compare->add_option("B", other, "Another")->required();
-  compare->footer("Example: elderhead lab compare before.json after.json");
+  compare->footer("Example: gatewayctl lab compare before.json after.json");
   compare->callback([&] {
     chosen = [&] {
       fmt::print("{}", lab::Compare(lab::ResultsFromJson(ReadAll(file), file),
@@ -150,7 +150,7 @@
       lab_command->add_subcommand("plot", "Draws a result over time, and a report that holds it all");
   plot->add_option("RESULT", file, "A result of 'lab run --json'")->required();
   plot->add_option("DIR", other, "Folder for the pictures and report.html")->required();
-  plot->footer("Needs gnuplot (Debian: gnuplot-nox).\nExample: elderhead lab plot out.json report");
+  plot->footer("Needs gnuplot (Debian: gnuplot-nox).\nExample: gatewayctl lab plot out.json report");
   plot->callback([&] {
     chosen = [&] {
       lab::Plot(lab::ResultsFromJson(ReadAll(file), file), other);
@@ -175,7 +175,7 @@
   bear->add_option("--history", load.history, "Changes before the kill")
       ->check(CLI::Range(1000, 1000000))
       ->capture_default_str();
-  bear->footer("Example: elderhead lab registry --watchers 5000");
+  bear->footer("Example: gatewayctl lab registry --watchers 5000");
   bear->callback([&] {
     chosen = [&] {
       base::RaiseDescriptors();
@@ -196,16 +196,16 @@
   stand->add_option("--fault", stand_in.fault, "What it does wrong")
       ->check(CLI::IsMember(lab::StandInFaults()))
       ->capture_default_str();
-  stand->footer("Example: elderhead lab run FILE --gateway 'elderhead lab stand-in --fault twice'");
+  stand->footer("Example: gatewayctl lab run FILE --gateway 'gatewayctl lab stand-in --fault twice'");
   stand->callback([&] { chosen = [&] { return lab::ServeStandIn(stand_in); }; });
 
   CLI::App* const config = app.add_subcommand("config", "Looks at configuration files");
   config->require_subcommand(1);
-  config->footer("Example: elderhead config check experiments/steady-3x12.toml");
+  config->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
   CLI::App* const check = config->add_subcommand(
       "check", "Says whether a file is right: an experiment (.toml) or a gateway's (.json)");
   check->add_option("FILE", file, "The file")->required();
-  check->footer("Example: elderhead config check experiments/steady-3x12.toml");
+  check->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
   check->callback([&] {
     chosen = [&] {
       const lab::Experiment e = lab::ReadExperiment(file);
@@ -225,7 +225,7 @@
       ->required()
       ->check(CLI::IsMember({"check", "vars", "metrics", "drain-on", "drain-off"}));
   operators->footer(
-      "Exit codes: 0 SUCCESS or figures, 1 FAILURE or no answer, 2 wrong use.\nExample: elderhead call "
+      "Exit codes: 0 SUCCESS or figures, 1 FAILURE or no answer, 2 wrong use.\nExample: gatewayctl call "
       "127.0.0.1:3001 check");
   operators->callback([&] {
     chosen = [&] {
@@ -241,13 +241,13 @@
   keep->footer(
       "Exit codes: the command's own once it ends as told or by itself with 0, 128 + N after signal N, 4 "
       "given up on a "
-      "crash loop.\nExample: NODE_CONFIG=n3.json elderhead run");
+      "crash loop.\nExample: NODE_CONFIG=n3.json gatewayctl run");
   keep->callback([&] { chosen = [&] { return cli::KeepRunning(command); }; });
 
   CLI::App* const state =
       app.add_subcommand("state", "Looks at a folder that a program keeps its state in; never writes there");
   state->require_subcommand(1);
-  state->footer("Example: elderhead state verify /var/lib/elderhead/n3");
+  state->footer("Example: gatewayctl state verify /var/lib/elderhead/n3");
   const auto look = [&](const char* name, const char* about, const char* example,
                         int (*does)(const std::string&)) {
     CLI::App* const command = state->add_subcommand(name, about);
@@ -258,19 +258,19 @@
         example);
     command->callback([&, does] { chosen = [&, does] { return does(file); }; });
   };
-  look("inspect", "Tells what is there, file by file", "elderhead state inspect /var/lib/elderhead/n3",
+  look("inspect", "Tells what is there, file by file", "gatewayctl state inspect /var/lib/elderhead/n3",
        cli::InspectState);
-  look("verify", "Tells in a line whether all of it is whole", "elderhead state verify /var/lib/elderhead/n3",
-       cli::VerifyState);
+  look("verify", "Tells in a line whether all of it is whole",
+       "gatewayctl state verify /var/lib/elderhead/n3", cli::VerifyState);
   look("export", "Prints the believed snapshot and records as JSON, a line each",
-       "elderhead state export DIR | head -1", cli::ExportState);
+       "gatewayctl state export DIR | head -1", cli::ExportState);
 
   cli::AddRegistry(app, chosen);
 
   CLI::App* const version = app.add_subcommand("version", "Prints the version");
   version->callback([&] {
     chosen = [] {
-      fmt::print("elderhead {}\n", ELDERHEAD_VERSION);
+      fmt::print("elderhead {}\n", GATEWAY_VERSION);
       return kHeld;
     };
   });
@@ -285,14 +285,14 @@
   } catch (const base::ConfigError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kWrongUse;
-  } catch (const opalswitch::gateway::ConfigError& error) {
+  } catch (const gateway::proxy::ConfigError& error) {
     fmt::print(stderr, "{}: {}\n", file, error.what());
     return kWrongUse;
   } catch (const cli::CallFailure& error) {
-    fmt::print(stderr, "elderhead: {}\n", error.what());
+    fmt::print(stderr, "gatewayctl: {}\n", error.what());
     return kBroken;
   } catch (const std::exception& error) {
-    fmt::print(stderr, "elderhead: {}\n", error.what());
+    fmt::print(stderr, "gatewayctl: {}\n", error.what());
     return kWrongUse;
   }
 }
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -18,7 +18,7 @@
 #include "registry/form.hpp"
 #include "registry/service.hpp"
 
-namespace elderhead::cli {
+namespace gateway::cli {
 namespace {
 
 using nlohmann::json;
@@ -76,7 +76,7 @@
     if (answer.status != 0 && answer.status != 503) return answer;
     if (answer.status == 503 && service == o.services.back()) return answer;
   }
-  fmt::print(stderr, "elderhead: no service answered at {}\n", fmt::join(o.services, ", "));
+  fmt::print(stderr, "gatewayctl: no service answered at {}\n", fmt::join(o.services, ", "));
   return {};
 }
 
@@ -95,7 +95,7 @@
     fmt::print("{} {}: {}\n", name, command.member.id,
                outcome.changed ? fmt::format("revision {}", outcome.revision) : "nothing had to change");
   } else {
-    fmt::print(stderr, "elderhead: {} {}: {} ({})\n", name, command.member.id, outcome.text, outcome.code);
+    fmt::print(stderr, "gatewayctl: {} {}: {} ({})\n", name, command.member.id, outcome.text, outcome.code);
   }
   return outcome.ok() ? kDone : kRefused;
 }
@@ -136,7 +136,7 @@
   if (answer.status == 0) return kNoAnswer;
   const json list = json::parse(answer.body, nullptr, false);
   if (answer.status != 200 || !list.is_object() || !list.contains("members")) {
-    fmt::print(stderr, "elderhead: {}\n", answer.body);
+    fmt::print(stderr, "gatewayctl: {}\n", answer.body);
     return kRefused;
   }
   if (o.json) {
@@ -158,7 +158,7 @@
     if (answer.status == 0) return kNoAnswer;
     const json list = json::parse(answer.body, nullptr, false);
     if (answer.status != 200 || !list.is_object()) {
-      fmt::print(stderr, "elderhead: {}\n", answer.body);
+      fmt::print(stderr, "gatewayctl: {}\n", answer.body);
       return kRefused;
     }
     if (std::exchange(heading, false)) Heading();
@@ -186,7 +186,7 @@
   if (answer.status == 0) return kNoAnswer;
   const ordered_json status = ordered_json::parse(answer.body, nullptr, false);
   if (answer.status != 200 || !status.is_object()) {
-    fmt::print(stderr, "elderhead: {}\n", answer.body);
+    fmt::print(stderr, "gatewayctl: {}\n", answer.body);
     return kRefused;
   }
   if (o.json) {
@@ -199,7 +199,7 @@
   return kDone;
 }
 
-// Lists in the published form, or what `elderhead state export` prints of a gateway's folder: of each member
+// Lists in the published form, or what `gatewayctl state export` prints of a gateway's folder: of each member
 // what the newest list says.
 int Restore(const Options& o) {
   std::map<std::string, std::pair<registry::Revision, registry::Member>> newest;
@@ -237,14 +237,14 @@
 
 int Serve(const std::string& file) {
   registry::ServiceOptions options = registry::ReadServiceOptions(file);
-  options.program = ELDERHEAD_VERSION;
+  options.program = GATEWAY_VERSION;
   options.epoch = RandomWord();
   options.first = UnixMillis();   // above all that a lost service gave, at under 1,000 changes a second
   std::signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk
   std::signal(SIGPIPE, SIG_IGN);
   base::RaiseDescriptors();
   boost::asio::io_context io(1);
-  const auto files = store::MakePosixFileSystem();
+  const auto files = storage::MakePosixFileSystem();
   registry::Service service(io, *files, options);
   fmt::print(stderr, "registry: serves at {}:{}\n", service.address().address().to_string(),
              service.address().port());
@@ -278,11 +278,11 @@
   const auto o = std::make_shared<Options>();
   CLI::App* const registry = app.add_subcommand("registry", "The project's own list service");
   registry->require_subcommand(1);
-  registry->footer(std::string(kCodes) + "\nExample: elderhead registry members --service 127.0.0.1:8500");
+  registry->footer(std::string(kCodes) + "\nExample: gatewayctl registry members --service 127.0.0.1:8500");
   const auto add = [&, o](const char* name, const char* about, const char* example,
                           std::function<int()> does) {
     CLI::App* const command = registry->add_subcommand(name, about);
-    command->footer(std::string(kCodes) + "\nExample: elderhead registry " + example);
+    command->footer(std::string(kCodes) + "\nExample: gatewayctl registry " + example);
     command->callback([&chosen, does] { chosen = does; });
     return command;
   };
@@ -355,11 +355,11 @@
   size->add_option("SIZE", o->size, "Relative to others")->required();
   CLI::App* const restore =
       reach(add("restore", "Seeds a service that lost its disk from the gateways' lists",
-                "restore n1.json n2.json   # of: elderhead state export DIR", [o] { return Restore(*o); }));
-  restore->add_option("FILES", o->files, "Lists as published, or what 'elderhead state export' printed")
+                "restore n1.json n2.json   # of: gatewayctl state export DIR", [o] { return Restore(*o); }));
+  restore->add_option("FILES", o->files, "Lists as published, or what 'gatewayctl state export' printed")
       ->required();
   restore->add_option("--term", o->term_s, "Seconds of the leases that they get; 0: none")
       ->capture_default_str();
 }
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -19,7 +19,7 @@
 #include "base/log.hpp"
 #include "base/supervisor.hpp"
 
-namespace elderhead::cli {
+namespace gateway::cli {
 namespace {
 
 using base::Level;
@@ -109,4 +109,4 @@
   }
 }
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
--- a/src/cli/run.hpp
+++ b/src/cli/run.hpp
@@ -1,10 +1,10 @@
-// `elderhead run`: keeps one gateway alive.
-#ifndef ELDERHEAD_CLI_RUN_HPP_
-#define ELDERHEAD_CLI_RUN_HPP_
+// `gatewayctl run`: keeps one gateway alive.
+#ifndef GATEWAY_CLI_RUN_HPP_
+#define GATEWAY_CLI_RUN_HPP_
 
 #include <string>
 
-namespace elderhead::cli {
+namespace gateway::cli {
 
 inline constexpr int kGaveUp = 4;  // exit code: it crashed again and again
 
@@ -14,6 +14,6 @@
 // at all.
 int KeepRunning(const std::string& command);
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
 
-#endif  // ELDERHEAD_CLI_RUN_HPP_
+#endif  // GATEWAY_CLI_RUN_HPP_
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -22,7 +22,7 @@
 #include "lab/scale/scale_sweep.hpp"
 #include "lab/scale/storms.hpp"
 
-namespace elderhead::cli {
+namespace gateway::cli {
 namespace {
 
 constexpr int kDone = 0, kOutside = 1;
@@ -176,7 +176,7 @@
   scale->add_flag("!--no-plots", o->plots, "Draw nothing");
   scale->footer(
       "Exit codes: 0 measured, 1 nothing could be measured or hollow gateways differ from real ones, 2 wrong "
-      "use.\nExample: elderhead lab scale experiments/scale/hosts.toml --quick --json-dir /tmp/scale");
+      "use.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick --json-dir /tmp/scale");
   scale->callback([&chosen, o] { chosen = [o] { return RunFiles(*o); }; });
 
   const auto hollow = std::make_shared<lab::HollowOptions>();
@@ -189,7 +189,7 @@
       ->capture_default_str();
   serve->add_option("--first", hollow->first, "Index of the first one")->capture_default_str();
   serve->add_option("--control", *control, "Address and port where the tool asks")->required();
-  serve->footer("Example: elderhead lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
+  serve->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
   serve->callback([&chosen, hollow, control] {
     chosen = [hollow, control] {
       const auto address = base::ParseEndpoint(*control);
@@ -200,4 +200,4 @@
   });
 }
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -5,32 +5,32 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "store/store.hpp"
+#include "storage/store.hpp"
 
-namespace elderhead::cli {
+namespace gateway::cli {
 namespace {
 
 using nlohmann::ordered_json;
 
-store::Examination Look(const std::string& folder) {
-  store::Examination examination;
-  const auto files = store::MakePosixFileSystem();
-  const store::Status status = store::Examine(*files, folder, "", examination);
+storage::Examination Look(const std::string& folder) {
+  storage::Examination examination;
+  const auto files = storage::MakePosixFileSystem();
+  const storage::Status status = storage::Examine(*files, folder, "", examination);
   if (!status.ok()) throw std::runtime_error(status.Text());
   return examination;
 }
 
-const char* Words(store::Found found) {
+const char* Words(storage::Found found) {
   switch (found) {
-    case store::Found::kNothing: return "no state";
-    case store::Found::kWhole: return "whole";
-    case store::Found::kDamaged: return "damaged";
-    case store::Found::kForeign: return "of a newer program";
+    case storage::Found::kNothing: return "no state";
+    case storage::Found::kWhole: return "whole";
+    case storage::Found::kDamaged: return "damaged";
+    case storage::Found::kForeign: return "of a newer program";
   }
   return "";
 }
 
-std::string Line(const std::string& folder, const store::Examination& e) {
+std::string Line(const std::string& folder, const storage::Examination& e) {
   std::string line = fmt::format("{}: {}", folder, Words(e.found));
   if (e.manifest && !e.manifest->owner.empty()) line += fmt::format(", of {}", e.manifest->owner);
   if (e.snapshot) line += fmt::format(", snapshot up to {}", e.snapshot->sequence);
@@ -52,7 +52,7 @@
 }  // namespace
 
 int InspectState(const std::string& folder) {
-  const store::Examination e = Look(folder);
+  const storage::Examination e = Look(folder);
   fmt::print("{}\n", Line(folder, e));
   if (e.manifest) fmt::print("  begun by elderhead {}, format {}\n", e.manifest->program, e.manifest->format);
   for (const auto& file : e.files) {
@@ -64,25 +64,25 @@
 }
 
 int VerifyState(const std::string& folder) {
-  const store::Examination e = Look(folder);
+  const storage::Examination e = Look(folder);
   fmt::print("{}\n", Line(folder, e));
-  return e.found == store::Found::kWhole || e.found == store::Found::kNothing ? 0 : 1;
+  return e.found == storage::Found::kWhole || e.found == storage::Found::kNothing ? 0 : 1;
 }
 
 int ExportState(const std::string& folder) {
-  const store::Examination e = Look(folder);
+  const storage::Examination e = Look(folder);
   if (e.snapshot) {
     Print({{"snapshot", e.snapshot->sequence},
            {"version", e.snapshot->version},
            {"payload", Payload(e.snapshot->payload)}});
   }
-  for (const store::Record& record : e.records) {
+  for (const storage::Record& record : e.records) {
     Print({{"record", record.sequence},
            {"kind", record.kind},
            {"version", record.version},
            {"payload", Payload(record.payload)}});
   }
-  return e.found == store::Found::kWhole || e.found == store::Found::kNothing ? 0 : 1;
+  return e.found == storage::Found::kWhole || e.found == storage::Found::kNothing ? 0 : 1;
 }
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
--- a/src/cli/state.hpp
+++ b/src/cli/state.hpp
@@ -1,10 +1,10 @@
-// What `elderhead state` does: looks at a store's folder. Never writes there.
-#ifndef ELDERHEAD_CLI_STATE_HPP_
-#define ELDERHEAD_CLI_STATE_HPP_
+// What `gatewayctl state` does: looks at a store's folder. Never writes there.
+#ifndef GATEWAY_CLI_STATE_HPP_
+#define GATEWAY_CLI_STATE_HPP_
 
 #include <string>
 
-namespace elderhead::cli {
+namespace gateway::cli {
 
 // What is there, file by file. Exit code: 0.
 int InspectState(const std::string& folder);
@@ -13,6 +13,6 @@
 // The believed snapshot and records as JSON, a line each. Payloads that are no JSON are given as text.
 int ExportState(const std::string& folder);
 
-}  // namespace elderhead::cli
+}  // namespace gateway::cli
 
-#endif  // ELDERHEAD_CLI_STATE_HPP_
+#endif  // GATEWAY_CLI_STATE_HPP_
--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,7 +1,7 @@
 // Who is where: each run has a block 127.A.B.0/24 to itself, and in it each gateway an address at which it is
 // reached and at which it alone reaches all others, so that any pair can be cut.
-#ifndef ELDERHEAD_LAB_ADDRESSES_HPP_
-#define ELDERHEAD_LAB_ADDRESSES_HPP_
+#ifndef GATEWAY_LAB_ADDRESSES_HPP_
+#define GATEWAY_LAB_ADDRESSES_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class Addresses {
  public:
@@ -62,6 +62,6 @@
   unsigned base_ = 0;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_ADDRESSES_HPP_
+#endif  // GATEWAY_LAB_ADDRESSES_HPP_
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -6,7 +6,7 @@
 #include <boost/random/uniform_01.hpp>
 #include <cstdlib>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -208,4 +208,4 @@
   s_.recorder.Ended(flow->arrival, end, took);
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -1,6 +1,6 @@
 // The clients: send what the schedule says when it says so, whatever the answers do, and check what they get.
-#ifndef ELDERHEAD_LAB_CLIENTS_HPP_
-#define ELDERHEAD_LAB_CLIENTS_HPP_
+#ifndef GATEWAY_LAB_CLIENTS_HPP_
+#define GATEWAY_LAB_CLIENTS_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/random/mersenne_twister.hpp>
@@ -14,7 +14,7 @@
 #include "lab/rules.hpp"
 #include "lab/schedule.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class Clients {
  public:
@@ -81,6 +81,6 @@
   std::vector<std::vector<std::shared_ptr<ClientConnection>>> idle_;  // a target's, the last used last
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_CLIENTS_HPP_
+#endif  // GATEWAY_LAB_CLIENTS_HPP_
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::kAboveZero;
@@ -309,4 +309,4 @@
   return Read(TomlTable::FromText(text, name));
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -1,6 +1,6 @@
 // An experiment as its file states it (docs/design/lab.md): fleet, traffic, faults and bounds.
-#ifndef ELDERHEAD_LAB_EXPERIMENT_HPP_
-#define ELDERHEAD_LAB_EXPERIMENT_HPP_
+#ifndef GATEWAY_LAB_EXPERIMENT_HPP_
+#define GATEWAY_LAB_EXPERIMENT_HPP_
 
 #include <map>
 #include <optional>
@@ -10,7 +10,7 @@
 #include "base/base.hpp"
 #include "base/toml_reader.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -169,6 +169,6 @@
 bool IsFigure(const std::string& name);
 std::vector<std::string> FigureNames();
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_EXPERIMENT_HPP_
+#endif  // GATEWAY_LAB_EXPERIMENT_HPP_
--- a/src/lab/gateways.cpp
+++ b/src/lab/gateways.cpp
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -282,4 +282,4 @@
   }
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/gateways.hpp
+++ b/src/lab/gateways.hpp
@@ -1,7 +1,7 @@
 // The gateways of one play as processes: their configuration, their starts and ends, and what the front sees
 // of them.
-#ifndef ELDERHEAD_LAB_GATEWAYS_HPP_
-#define ELDERHEAD_LAB_GATEWAYS_HPP_
+#ifndef GATEWAY_LAB_GATEWAYS_HPP_
+#define GATEWAY_LAB_GATEWAYS_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -17,7 +17,7 @@
 #include "lab/processes.hpp"
 #include "lab/rules.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class Gateways {
  public:
@@ -93,6 +93,6 @@
   Processes processes_;  // last: its end tells of ends
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_GATEWAYS_HPP_
+#endif  // GATEWAY_LAB_GATEWAYS_HPP_
--- a/src/lab/gnuplot.cpp
+++ b/src/lab/gnuplot.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <system_error>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 // Within single quotes of the shell: a quote ends the quoted text, stands escaped, and begins it again.
@@ -44,4 +44,4 @@
                            (folder / name).string());
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/gnuplot.hpp
+++ b/src/lab/gnuplot.hpp
@@ -1,11 +1,11 @@
 // Running gnuplot, and writing what it reads. Used by every plot of the lab.
-#ifndef ELDERHEAD_LAB_GNUPLOT_HPP_
-#define ELDERHEAD_LAB_GNUPLOT_HPP_
+#ifndef GATEWAY_LAB_GNUPLOT_HPP_
+#define GATEWAY_LAB_GNUPLOT_HPP_
 
 #include <filesystem>
 #include <string>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // The text as gnuplot reads it within single quotes, with these.
 std::string GnuplotQuoted(const std::string& text);
@@ -19,6 +19,6 @@
 // Runs the script FOLDER/NAME in that folder. Throws std::runtime_error where gnuplot is missing or fails.
 void RunGnuplot(const std::filesystem::path& folder, const std::string& name);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_GNUPLOT_HPP_
+#endif  // GATEWAY_LAB_GNUPLOT_HPP_
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr double kFallSlack = 1.1;  // "a little slack for chance", by the bench's page
@@ -147,4 +147,4 @@
   Serve(now);
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -1,7 +1,7 @@
 // An emulated host without sockets: what it does with the requests that reach it, in the time that it is
 // handed.
-#ifndef ELDERHEAD_LAB_HOST_MODEL_HPP_
-#define ELDERHEAD_LAB_HOST_MODEL_HPP_
+#ifndef GATEWAY_LAB_HOST_MODEL_HPP_
+#define GATEWAY_LAB_HOST_MODEL_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -14,7 +14,7 @@
 
 #include "lab/experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // Requests take a slot or wait in order of arrival; those in slots share the cores evenly, none faster than
 // one core (so with as many slots as cores this is the queue M/M/c). A host that has just started is slower,
@@ -81,6 +81,6 @@
   bool fallen_ = false;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_HOST_MODEL_HPP_
+#endif  // GATEWAY_LAB_HOST_MODEL_HPP_
--- a/src/lab/hosts.cpp
+++ b/src/lab/hosts.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -207,4 +207,4 @@
   });
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/hosts.hpp
+++ b/src/lab/hosts.hpp
@@ -1,6 +1,6 @@
 // The emulated hosts on their sockets, hundreds in one process: HostModel decides, this listens and answers.
-#ifndef ELDERHEAD_LAB_HOSTS_HPP_
-#define ELDERHEAD_LAB_HOSTS_HPP_
+#ifndef GATEWAY_LAB_HOSTS_HPP_
+#define GATEWAY_LAB_HOSTS_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/random/mersenne_twister.hpp>
@@ -16,7 +16,7 @@
 #include "lab/http.hpp"
 #include "lab/rules.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class Hosts {
  public:
@@ -90,6 +90,6 @@
   boost::asio::steady_timer sweep_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_HOSTS_HPP_
+#endif  // GATEWAY_LAB_HOSTS_HPP_
--- a/src/lab/http.cpp
+++ b/src/lab/http.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -145,4 +145,4 @@
   }
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/http.hpp
+++ b/src/lab/http.hpp
@@ -1,6 +1,6 @@
 // HTTP/1.1 as the lab's parties speak it, over Beast: one request at a time on a connection.
-#ifndef ELDERHEAD_LAB_HTTP_HPP_
-#define ELDERHEAD_LAB_HTTP_HPP_
+#ifndef GATEWAY_LAB_HTTP_HPP_
+#define GATEWAY_LAB_HTTP_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,7 +16,7 @@
 #include "base/http_client.hpp"
 #include "lab/link.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using tcp = boost::asio::ip::tcp;
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
@@ -83,6 +83,6 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_HTTP_HPP_
+#endif  // GATEWAY_LAB_HTTP_HPP_
--- a/src/lab/lab.hpp
+++ b/src/lab/lab.hpp
@@ -3,8 +3,8 @@
 // clients' side, and figures. What decides (schedule, host model, rules, front's view) has no sockets and no
 // clock and is handed the time; what does I/O is a thin shell round it. Uses src/base; nothing of the
 // gateway: it is met on its sockets only.
-#ifndef ELDERHEAD_LAB_LAB_HPP_
-#define ELDERHEAD_LAB_LAB_HPP_
+#ifndef GATEWAY_LAB_LAB_HPP_
+#define GATEWAY_LAB_LAB_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -14,7 +14,7 @@
 #include "lab/experiment.hpp"
 #include "lab/results.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct RunOptions {
   std::uint64_t seed = 1;
@@ -34,6 +34,6 @@
 // To be called from a signal handler: the play that is on ends as soon as it can, with all its processes.
 void Interrupt();
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_LAB_HPP_
+#endif  // GATEWAY_LAB_LAB_HPP_
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -1,6 +1,6 @@
 // What lies between a gateway and another party: can be cut either way, and delays. One thread.
-#ifndef ELDERHEAD_LAB_LINK_HPP_
-#define ELDERHEAD_LAB_LINK_HPP_
+#ifndef GATEWAY_LAB_LINK_HPP_
+#define GATEWAY_LAB_LINK_HPP_
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,7 @@
 #include "base/base.hpp"
 #include "base/clock.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -84,6 +84,6 @@
   std::function<void()> watcher_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_LINK_HPP_
+#endif  // GATEWAY_LAB_LINK_HPP_
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -219,4 +219,4 @@
   watches_.push_back(watch);
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/list_service.hpp
+++ b/src/lab/list_service.hpp
@@ -1,8 +1,8 @@
 // Discovery as each gateway meets it, behind a link of its own: a stand-in by the protocol page (the whole
 // list, watches, news that come late), or a way through to the project's own list service, with the hosts'
 // addresses as this gateway reaches them.
-#ifndef ELDERHEAD_LAB_LIST_SERVICE_HPP_
-#define ELDERHEAD_LAB_LIST_SERVICE_HPP_
+#ifndef GATEWAY_LAB_LIST_SERVICE_HPP_
+#define GATEWAY_LAB_LIST_SERVICE_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -17,7 +17,7 @@
 #include "lab/http.hpp"
 #include "lab/registry_process.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class ListService {
  public:
@@ -90,6 +90,6 @@
   int answers_ = 0;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_LIST_SERVICE_HPP_
+#endif  // GATEWAY_LAB_LIST_SERVICE_HPP_
--- a/src/lab/peer_net.cpp
+++ b/src/lab/peer_net.cpp
@@ -7,7 +7,7 @@
 
 #include "base/clock.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -97,4 +97,4 @@
   });
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/peer_net.hpp
+++ b/src/lab/peer_net.hpp
@@ -1,7 +1,7 @@
 // The network between gateways: datagrams pass through the lab, which loses, repeats, reorders and delays
 // them.
-#ifndef ELDERHEAD_LAB_PEER_NET_HPP_
-#define ELDERHEAD_LAB_PEER_NET_HPP_
+#ifndef GATEWAY_LAB_PEER_NET_HPP_
+#define GATEWAY_LAB_PEER_NET_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -15,7 +15,7 @@
 #include "lab/addresses.hpp"
 #include "lab/experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // Gateway g reaches gateway p at a port of g's own address and hears it from there, so each pair has a socket
 // at either end. A datagram of over 256 bytes is not passed on and counted (PROTOCOL, "Between gateways").
@@ -63,6 +63,6 @@
   Counts counts_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_PEER_NET_HPP_
+#endif  // GATEWAY_LAB_PEER_NET_HPP_
--- a/src/lab/play.cpp
+++ b/src/lab/play.cpp
@@ -16,7 +16,7 @@
 #include "lab/peer_net.hpp"
 #include "lab/temporary_folder.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -446,4 +446,4 @@
   return results;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -11,7 +11,7 @@
 #include "lab/gnuplot.hpp"
 #include "lab/results.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 struct Chart {
@@ -137,4 +137,4 @@
   WriteTextFile(at / "report.html", html + "</pre>\n</body></html>\n");
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 // Between fork and exec: only calls that are safe there.
@@ -115,4 +115,4 @@
   }
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -1,7 +1,7 @@
 // Processes of the program under test: started, signalled, limited, and all ended with the lab, however it
 // ends.
-#ifndef ELDERHEAD_LAB_PROCESSES_HPP_
-#define ELDERHEAD_LAB_PROCESSES_HPP_
+#ifndef GATEWAY_LAB_PROCESSES_HPP_
+#define GATEWAY_LAB_PROCESSES_HPP_
 
 #include <sys/resource.h>
 #include <sys/types.h>
@@ -16,7 +16,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -56,6 +56,6 @@
   std::map<pid_t, bool> running_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_PROCESSES_HPP_
+#endif  // GATEWAY_LAB_PROCESSES_HPP_
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr Millis kFine = 100;
@@ -154,4 +154,4 @@
   }
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/recorder.hpp
+++ b/src/lab/recorder.hpp
@@ -1,6 +1,6 @@
 // Counts what became of the requests, in bounded memory whatever their number. No I/O, no clock.
-#ifndef ELDERHEAD_LAB_RECORDER_HPP_
-#define ELDERHEAD_LAB_RECORDER_HPP_
+#ifndef GATEWAY_LAB_RECORDER_HPP_
+#define GATEWAY_LAB_RECORDER_HPP_
 
 #include <memory>
 #include <vector>
@@ -9,7 +9,7 @@
 #include "lab/results.hpp"
 #include "lab/schedule.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 enum class End { kInAim, kLate, kRefused, kFailed };
 
@@ -52,6 +52,6 @@
   std::uint64_t arrived_ = 0;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_RECORDER_HPP_
+#endif  // GATEWAY_LAB_RECORDER_HPP_
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -18,9 +18,9 @@
 #include "lab/processes.hpp"
 #include "lab/temporary_folder.hpp"
 #include "registry/form.hpp"
-#include "store/file_system.hpp"
+#include "storage/file_system.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -96,8 +96,8 @@
 
   // Records as large as the service's, one sync each, for a second.
   double SyncRate() {
-    const auto files = store::MakePosixFileSystem();
-    std::unique_ptr<store::File> file;
+    const auto files = storage::MakePosixFileSystem();
+    std::unique_ptr<storage::File> file;
     if (const auto status = files->Create(folder_.path() / "syncs", file); !status.ok()) {
       throw std::runtime_error(status.Text());
     }
@@ -290,4 +290,4 @@
 
 std::map<std::string, double> MeasureRegistry(const RegistryLoad& load) { return Measurement(load).Run(); }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -1,18 +1,18 @@
 // What the list service bears: many members that renew, many watchers, changes, and a loss of its process,
 // against a real process on this machine's loopback and disk. The disk's own sync rate is measured in the
 // same run.
-#ifndef ELDERHEAD_LAB_REGISTRY_LOAD_HPP_
-#define ELDERHEAD_LAB_REGISTRY_LOAD_HPP_
+#ifndef GATEWAY_LAB_REGISTRY_LOAD_HPP_
+#define GATEWAY_LAB_REGISTRY_LOAD_HPP_
 
 #include <map>
 #include <string>
 
 #include "base/base.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct RegistryLoad {
-  std::string program;  // `elderhead`
+  std::string program;  // `gatewayctl`
   int members = 2000;   // each renews three times a term
   base::Millis term = 10000;
   int watchers = 1000;
@@ -24,6 +24,6 @@
 // Throws std::runtime_error where it can't be set up. Every figure's name ends with its unit.
 std::map<std::string, double> MeasureRegistry(const RegistryLoad& load);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_REGISTRY_LOAD_HPP_
+#endif  // GATEWAY_LAB_REGISTRY_LOAD_HPP_
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -9,7 +9,7 @@
 #include "lab/addresses.hpp"
 #include "registry/form.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
@@ -192,4 +192,4 @@
   });
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -1,7 +1,7 @@
 // The project's own list service in a play: the process, and the emulated hosts' side of it, which registers
 // and renews them. The hosts' lives are the lab's; what the service makes of them is its own.
-#ifndef ELDERHEAD_LAB_REGISTRY_PROCESS_HPP_
-#define ELDERHEAD_LAB_REGISTRY_PROCESS_HPP_
+#ifndef GATEWAY_LAB_REGISTRY_PROCESS_HPP_
+#define GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,14 +16,14 @@
 #include "lab/processes.hpp"
 #include "registry/agent.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class RegistryProcess {
  public:
   struct Setting {
     boost::asio::io_context& io;
     tcp::endpoint address;
-    std::string program;           // `elderhead`
+    std::string program;           // `gatewayctl`
     std::filesystem::path folder;  // for its configuration and state
     std::string log;
     Millis term, grace;
@@ -86,6 +86,6 @@
   Processes processes_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_REGISTRY_PROCESS_HPP_
+#endif  // GATEWAY_LAB_REGISTRY_PROCESS_HPP_
--- a/src/lab/results.cpp
+++ b/src/lab/results.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
@@ -304,4 +304,4 @@
   return text;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -1,7 +1,7 @@
 // What plays brought: figures by name, a series over time, breaches in words; as JSON, side by side, and
 // judged.
-#ifndef ELDERHEAD_LAB_RESULTS_HPP_
-#define ELDERHEAD_LAB_RESULTS_HPP_
+#ifndef GATEWAY_LAB_RESULTS_HPP_
+#define GATEWAY_LAB_RESULTS_HPP_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 
 #include "lab/experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct Window {
   Millis at = 0;  // its start, from the start of arrivals
@@ -61,6 +61,6 @@
 // means.
 std::string Compare(const Results& a, const Results& b);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_RESULTS_HPP_
+#endif  // GATEWAY_LAB_RESULTS_HPP_
--- a/src/lab/rules.cpp
+++ b/src/lab/rules.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr Millis kRemembered = 60000;  // after a request was asked: longer than any deadline and host's queue
@@ -114,4 +114,4 @@
   return silent_since_ < 0 || now < silent_since_ + notices_;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/rules.hpp
+++ b/src/lab/rules.hpp
@@ -1,6 +1,6 @@
 // The rules that no gateway may break, watched from the hosts' and the clients' side. No I/O, no clock.
-#ifndef ELDERHEAD_LAB_RULES_HPP_
-#define ELDERHEAD_LAB_RULES_HPP_
+#ifndef GATEWAY_LAB_RULES_HPP_
+#define GATEWAY_LAB_RULES_HPP_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -88,6 +88,6 @@
   Millis no_since_ = -1, silent_since_ = -1;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_RULES_HPP_
+#endif  // GATEWAY_LAB_RULES_HPP_
--- a/src/lab/scale/event_loop.hpp
+++ b/src/lab/scale/event_loop.hpp
@@ -1,7 +1,7 @@
 // The one event loop of a run: everything that the tool itself does happens in it, and every wait ends by the
 // run's deadline. One thread.
-#ifndef ELDERHEAD_LAB_SCALE_EVENT_LOOP_HPP_
-#define ELDERHEAD_LAB_SCALE_EVENT_LOOP_HPP_
+#ifndef GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
+#define GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -11,7 +11,7 @@
 
 #include "base/clock.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -52,6 +52,6 @@
   const Millis deadline_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_EVENT_LOOP_HPP_
+#endif  // GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -10,7 +10,7 @@
 
 #include "lab/scale/process_usage.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
@@ -327,4 +327,4 @@
   return Play(programs, size, windows, seed, deadline).Run();
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/fleet_measurer.hpp
+++ b/src/lab/scale/fleet_measurer.hpp
@@ -1,7 +1,7 @@
 // Measures one point with real processes: a fleet is started, looked at in windows one after the other (the
 // list service alone, at rest with watches, under changes, under changes and requests), and ended.
-#ifndef ELDERHEAD_LAB_SCALE_FLEET_MEASURER_HPP_
-#define ELDERHEAD_LAB_SCALE_FLEET_MEASURER_HPP_
+#ifndef GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
+#define GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
 
 #include <cstdint>
 
@@ -9,7 +9,7 @@
 #include "lab/scale/scale_fleet.hpp"
 #include "lab/scale/scale_sweep.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // One play of a fleet of that size. Throws as ScaleMeasurer does.
 RoleMeasures MeasureFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
@@ -33,6 +33,6 @@
   const Millis deadline_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_FLEET_MEASURER_HPP_
+#endif  // GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -8,7 +8,7 @@
 
 #include "registry/form.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::ClientConnection;
@@ -146,4 +146,4 @@
 
 std::vector<KeptChange> FleetMembers::TakeKept() { return std::exchange(kept_, {}); }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -1,7 +1,7 @@
 // The hosts of a fleet as the list service meets them: they register, hold leases and renew them, and are
 // changed by operators. Over connections that many of them share. One thread.
-#ifndef ELDERHEAD_LAB_SCALE_FLEET_MEMBERS_HPP_
-#define ELDERHEAD_LAB_SCALE_FLEET_MEMBERS_HPP_
+#ifndef GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
+#define GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include "lab/scale/scale_experiment.hpp"
 #include "registry/catalog.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using boost::asio::ip::tcp;
 
@@ -84,6 +84,6 @@
 // The address of host i, on the loopback: hosts have addresses of their own.
 std::string HostAddress(int host);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_FLEET_MEMBERS_HPP_
+#endif  // GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
--- a/src/lab/scale/gateway_configuration.cpp
+++ b/src/lab/scale/gateway_configuration.cpp
@@ -6,7 +6,7 @@
 
 #include "lab/addresses.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
@@ -72,4 +72,4 @@
   return config;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/gateway_configuration.hpp
+++ b/src/lab/scale/gateway_configuration.hpp
@@ -1,6 +1,6 @@
 // The configuration file of a gateway of a scale run, real or hollow: DEPLOY's NODE_CONFIG.
-#ifndef ELDERHEAD_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
-#define ELDERHEAD_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
+#ifndef GATEWAY_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
+#define GATEWAY_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 #include "lab/scale/scale_experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct GatewayPlace {
   int index = 0;  // in the fleet
@@ -24,6 +24,6 @@
 // Class i is named "class-i" and tenant i "tenant-i".
 nlohmann::json GatewayConfiguration(const FleetSize& size, const GatewayPlace& place);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
+#endif  // GATEWAY_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
--- a/src/lab/scale/hollow_comparison.cpp
+++ b/src/lab/scale/hollow_comparison.cpp
@@ -6,7 +6,7 @@
 
 #include "lab/scale/process_usage.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr Millis kReadyWithin = 15000;
@@ -95,4 +95,4 @@
           {"ratios", ratios}};
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/hollow_comparison.hpp
+++ b/src/lab/scale/hollow_comparison.hpp
@@ -1,8 +1,8 @@
 // Whether hollow gateways are to the list service what real ones are: the same fleet is played with the one
 // and with the other, and what the list service counted and used is set side by side. Without this no figure
 // that hollow gateways gave counts.
-#ifndef ELDERHEAD_LAB_SCALE_HOLLOW_COMPARISON_HPP_
-#define ELDERHEAD_LAB_SCALE_HOLLOW_COMPARISON_HPP_
+#ifndef GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
+#define GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -11,7 +11,7 @@
 #include "lab/scale/scale_experiment.hpp"
 #include "lab/scale/scale_fleet.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // What gateways of one kind made the list service do, over all plays.
 struct ListServiceUse {
@@ -43,6 +43,6 @@
 
 nlohmann::json ToJson(const HollowComparison& comparison);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_HOLLOW_COMPARISON_HPP_
+#endif  // GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -5,20 +5,20 @@
 #include <variant>
 
 #include "base/clock.hpp"
-#include "gateway/clock.hpp"
+#include "proxy/clock.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
-namespace gw = opalswitch::gateway;
+namespace proxy = gateway::proxy;
 using base::Millis;
 using boost::system::error_code;
 
 constexpr Millis kCheckWhileWatching = 250;
 constexpr Millis kCheckAfterFailure = 10;  // the policy's own period
 
-gw::ListFollower::Options FollowerOptions(const gw::Config& config) {
-  gw::ListFollower::Options options;
+proxy::EndpointListWatcher::Options FollowerOptions(const proxy::Config& config) {
+  proxy::EndpointListWatcher::Options options;
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
@@ -30,40 +30,41 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(boost::asio::io_context& io, const gw::Config& config, Told told)
+HollowGateway::HollowGateway(boost::asio::io_context& io, const proxy::Config& config, Told told)
     : policy_(config.settings, config.seed),
-      asks_(config.settings.ask_for_list),
+      asks_(config.settings.poll_endpoint_list),
       told_(std::move(told)),
       check_(io),
       list_(io, FollowerOptions(config),
             {[this] { heard_ = true; },
-             [this](const gw::HostList& list) {
-               Report(gw::ToNews(list));
+             [this](const proxy::EndpointList& list) {
+               Report(proxy::ToNews(list));
                if (heard_) told_(list_.revision());
              },
              [this](Millis took) {
                watching_ = false;
-               Report(opalswitch::ServerNews{opalswitch::ServerNews::Kind::kFailed, {}, took});
+               Report(gateway::policy::EndpointListEvent{
+                   gateway::policy::EndpointListEvent::Kind::kFailure, {}, took});
                CheckWithin(kCheckAfterFailure);
              }}) {
   list_.Apply(config.known);
   if (!asks_) list_.Watch();
 }
 
-void HollowGateway::Report(const opalswitch::Event& event) {
+void HollowGateway::Report(const gateway::policy::Event& event) {
   // Nothing that an action does here reports at once, so there is no event within another.
   actions_.clear();
-  policy_.handle(gw::Now(), event, actions_);
-  for (const opalswitch::Action& action : std::exchange(actions_, {})) {
+  policy_.Handle(proxy::Now(), event, actions_);
+  for (const gateway::policy::Action& action : std::exchange(actions_, {})) {
     std::visit([this](const auto& a) { Do(a); }, action);
   }
 }
 
-void HollowGateway::Do(const opalswitch::SetTimer& timer) {
+void HollowGateway::Do(const gateway::policy::SetTimer& timer) {
   CheckWithin(watching_ ? std::max(timer.delay, kCheckWhileWatching) : timer.delay);
 }
 
-void HollowGateway::Do(const opalswitch::Watch&) {
+void HollowGateway::Do(const gateway::policy::WatchEndpointList&) {
   watching_ = true;
   list_.Watch();
 }
@@ -72,8 +73,8 @@
 void HollowGateway::CheckWithin(Millis delay) {
   check_.expires_after(base::Span(delay));
   check_.async_wait([this](error_code ec) {
-    if (!ec) Report(opalswitch::TimerDue{"sweep"});
+    if (!ec) Report(gateway::policy::TimerFired{"sweep"});
   });
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,12 +1,12 @@
 // A hollow gateway: all that a gateway does towards the list service, and no request path. It is made of the
-// gateway's own parts: the watch (Discovery), the list in force (ListFollower) and the decisions on when to
-// ask again (Policy). Thousands fit in one process. One thread.
+// gateway's own parts: the watch (Discovery), the list in force (EndpointListWatcher) and the decisions on
+// when to ask again (Policy). Thousands fit in one process. One thread.
 //
 // The one difference: while a call is out, the policy's periodic check, due every 10 ms for the sake of
 // queued requests, runs four times a second, for there are none. Until the first call and after a failed one
 // it runs at its own period, so calls go out when a real gateway's would. HollowComparison proves it.
-#ifndef ELDERHEAD_LAB_SCALE_HOLLOW_GATEWAY_HPP_
-#define ELDERHEAD_LAB_SCALE_HOLLOW_GATEWAY_HPP_
+#ifndef GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
+#define GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,11 +15,11 @@
 #include <vector>
 
 #include "base/base.hpp"
-#include "gateway/config.hpp"
-#include "gateway/list_follower.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/config.hpp"
+#include "proxy/discovery/endpoint_list_watcher.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class HollowGateway {
  public:
@@ -27,7 +27,7 @@
   using Told = std::function<void(std::int64_t revision)>;
 
   // Begins as a gateway of that configuration does. Throws std::exception where its settings can't work.
-  HollowGateway(boost::asio::io_context& io, const opalswitch::gateway::Config& config, Told told);
+  HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, Told told);
 
   std::int64_t revision() const { return list_.revision(); }
   std::size_t hosts() const { return list_.hosts().size(); }
@@ -35,21 +35,21 @@
   bool heard() const { return heard_; }
 
  private:
-  void Report(const opalswitch::Event& event);
-  void Do(const opalswitch::SetTimer& timer);
-  void Do(const opalswitch::Watch&);
+  void Report(const gateway::policy::Event& event);
+  void Do(const gateway::policy::SetTimer& timer);
+  void Do(const gateway::policy::WatchEndpointList&);
   void Do(const auto&) {}  // logs; what concerns requests never comes
   void CheckWithin(base::Millis delay);
 
-  opalswitch::Policy policy_;
+  gateway::policy::Policy policy_;
   const bool asks_;  // else the list is watched from the start
   const Told told_;
   bool heard_ = false, watching_ = false;
   boost::asio::steady_timer check_;
-  std::vector<opalswitch::Action> actions_;
-  opalswitch::gateway::ListFollower list_;
+  std::vector<gateway::policy::Action> actions_;
+  gateway::proxy::EndpointListWatcher list_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_HOLLOW_GATEWAY_HPP_
+#endif  // GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -11,15 +11,15 @@
 
 #include "base/base.hpp"
 #include "base/clock.hpp"
-#include "gateway/config.hpp"
 #include "lab/http.hpp"
 #include "lab/scale/hollow_gateway.hpp"
+#include "proxy/config.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
-namespace gw = opalswitch::gateway;
+namespace proxy = gateway::proxy;
 
 class HollowFleet {
  public:
@@ -32,11 +32,11 @@
         listener_(io, options.control, nullptr, [this](tcp::socket socket) {
           std::make_shared<ServerConnection>(std::move(socket), nullptr, handlers_)->Begin();
         }) {
-    gw::Config config = gw::LoadConfig([&](const char* name) {
+    proxy::Config config = proxy::LoadConfig([&](const char* name) {
       return std::string_view(name) == "NODE_CONFIG" ? options.config.c_str() : nullptr;
     });
     for (std::size_t i = 0; i < news_.size(); ++i) {
-      config.settings.index = options.first + static_cast<int>(i);
+      config.settings.gateway_index = options.first + static_cast<int>(i);
       gateways_.push_back(std::make_unique<HollowGateway>(
           io, config, [this, i](std::int64_t revision) { Told(i, revision); }));
       ++config.seed;
@@ -126,4 +126,4 @@
   return 0;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -1,6 +1,6 @@
 // A process of many hollow gateways, and how the tool asks it what they have heard.
-#ifndef ELDERHEAD_LAB_SCALE_HOLLOW_PROCESS_HPP_
-#define ELDERHEAD_LAB_SCALE_HOLLOW_PROCESS_HPP_
+#ifndef GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
+#define GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
-// Of `elderhead lab hollow-gateways`.
+// Of `gatewayctl lab hollow-gateways`.
 struct HollowOptions {
   std::string config;  // a gateway's, in the form of NODE_CONFIG; `seed` and `selfIndex` are of the first one
   int count = 1;
@@ -20,7 +20,7 @@
   boost::asio::ip::tcp::endpoint control;  // where the tool asks
 };
 
-// Serves until SIGTERM. Returns the exit code. Throws opalswitch::gateway::ConfigError.
+// Serves until SIGTERM. Returns the exit code. Throws gateway::proxy::ConfigError.
 int ServeHollowGateways(const HollowOptions& options);
 
 // What a hollow process tells at GET /state.
@@ -42,6 +42,6 @@
 nlohmann::json ToJson(const HollowNews& news);
 HollowNews HollowNewsFromJson(const nlohmann::json& form);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_HOLLOW_PROCESS_HPP_
+#endif  // GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
--- a/src/lab/scale/process_usage.cpp
+++ b/src/lab/scale/process_usage.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <system_error>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 base::Millis CpuTimeOf(pid_t pid) {
   clockid_t clock{};
@@ -32,4 +32,4 @@
   return 0;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/request_load.cpp
+++ b/src/lab/scale/request_load.cpp
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::ClientConnection;
@@ -147,4 +147,4 @@
 
 base::Histogram RequestLoad::TakeAdded() { return std::exchange(added_, {}); }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/request_load.hpp
+++ b/src/lab/scale/request_load.hpp
@@ -1,7 +1,7 @@
 // Requests to real gateways, and the hosts that answer them: arrivals at random times at a given rate,
 // whatever the answers. Every host of the fleet is behind one listener. One thread.
-#ifndef ELDERHEAD_LAB_SCALE_REQUEST_LOAD_HPP_
-#define ELDERHEAD_LAB_SCALE_REQUEST_LOAD_HPP_
+#ifndef GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
+#define GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,7 +18,7 @@
 #include "lab/scale/event_loop.hpp"
 #include "lab/scale/scale_experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // How long each request was at its host, by request id.
 class HeldTimes {
@@ -89,6 +89,6 @@
   RequestCounts counts_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_REQUEST_LOAD_HPP_
+#endif  // GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
--- a/src/lab/scale/request_queue.cpp
+++ b/src/lab/scale/request_queue.cpp
@@ -12,7 +12,7 @@
 #include <system_error>
 #include <vector>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr std::size_t kBuffer = 256 << 10;
@@ -70,4 +70,4 @@
   }
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/request_queue.hpp
+++ b/src/lab/scale/request_queue.hpp
@@ -1,11 +1,11 @@
 // What waits at a listening process, by the kernel's socket tables (sock_diag): no packet is opened and the
 // process is not asked.
-#ifndef ELDERHEAD_LAB_SCALE_REQUEST_QUEUE_HPP_
-#define ELDERHEAD_LAB_SCALE_REQUEST_QUEUE_HPP_
+#ifndef GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
+#define GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class RequestQueue {
  public:
@@ -23,6 +23,6 @@
   int socket_ = -1;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_REQUEST_QUEUE_HPP_
+#endif  // GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::kAboveZero;
@@ -280,4 +280,4 @@
   return Read(TomlTable::FromText(text, name), name, limits);
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -1,7 +1,7 @@
-// An experiment of `elderhead lab scale` as its file states it: which size is swept over which points, what
+// An experiment of `gatewayctl lab scale` as its file states it: which size is swept over which points, what
 // stays fixed, and for how long each point is measured. docs/design/scale.md describes the files.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_EXPERIMENT_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_EXPERIMENT_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 #include "base/base.hpp"
 #include "base/toml_reader.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 using base::Millis;
 
@@ -103,6 +103,6 @@
 ScaleExperiment ParseScaleExperiment(std::string_view text, const std::string& name,
                                      const ScaleLimits& limits);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_EXPERIMENT_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr std::size_t kLeastPoints = 3;
@@ -303,4 +303,4 @@
 
 double ValueAt(const ScaleFit& fit, double x) { return fit.offset + fit.slope * Basis(fit.form, x); }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -1,7 +1,7 @@
 // Least squares of a cost over a size: how a figure grows, and what it comes to at the full size.
 // Pure functions without I/O; safe from any thread.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_FIT_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_FIT_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
 
 #include <stdexcept>
 #include <string>
@@ -9,7 +9,7 @@
 
 #include "lab/scale/scale_result.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // Why values can't be fitted.
 enum class FitProblem {
@@ -49,6 +49,6 @@
 // The fitted value at size x, in the figure's unit.
 double ValueAt(const ScaleFit& fit, double x);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_FIT_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::ClientConnection;
@@ -122,7 +122,7 @@
                             size_.gateways_real + size_.gateways_hollow + 2000, size_.whole_lists_per_s,
                             size_.lease_term / 1000));
   ProcessSpec spec;
-  spec.command = fmt::format("{} registry serve {}", programs_.elderhead, config.string());
+  spec.command = fmt::format("{} registry serve {}", programs_.gatewayctl, config.string());
   spec.log = At("registry.log").string();
   const Millis begun = base::Now();
   list_service_pid_ = processes_.Start(spec);
@@ -250,7 +250,7 @@
     Write(config, GatewayConfiguration(size_, place).dump());
     ProcessSpec spec;
     spec.command =
-        fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.elderhead,
+        fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
                     config.string(), group.gateways, place.index, Addresses::Text(group.control));
     spec.log = At(name + ".log").string();
     group.started_at = base::Now();
@@ -305,4 +305,4 @@
   return all;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -1,7 +1,7 @@
 // The processes of one point: the list service, real gateways, processes of hollow gateways, and the tool's
 // own side of hosts, operators and clients. All end with the fleet. One thread.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_FLEET_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_FLEET_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
 
 #include <sys/types.h>
 
@@ -25,7 +25,7 @@
 #include "lab/scale/scale_experiment.hpp"
 #include "lab/temporary_folder.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // The program under test does not run at this size; what() is its own message.
 class PointRefused : public std::runtime_error {
@@ -34,8 +34,8 @@
 };
 
 struct ScalePrograms {
-  std::string elderhead;  // this program: the list service and the hollow gateways
-  std::string gateway;    // the gateway under test
+  std::string gatewayctl;  // this program: the list service and the hollow gateways
+  std::string gateway;     // the gateway under test
 };
 
 // Counters of the list service.
@@ -139,6 +139,6 @@
   Processes processes_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_FLEET_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -10,7 +10,7 @@
 #include "lab/scale/scale_fit.hpp"
 #include "lab/temporary_folder.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr std::size_t kColours = 8;  // of gnuplot, before they repeat
@@ -160,4 +160,4 @@
   return written;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_plot.hpp
+++ b/src/lab/scale/scale_plot.hpp
@@ -1,13 +1,13 @@
 // Plots of a scale sweep: the measured points of each figure and the fitted curve up to the full size.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_PLOT_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_PLOT_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_PLOT_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_PLOT_HPP_
 
 #include <filesystem>
 #include <vector>
 
 #include "lab/scale/scale_result.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // Draws FOLDER/NAME-GROUP.svg for each group of figures (processor, bytes, memory ...) that the result has,
 // by gnuplot, and gives the files written. Blocking; throws std::runtime_error where the folder can't be
@@ -15,6 +15,6 @@
 std::vector<std::filesystem::path> WriteScalePlots(const ScaleResult& result,
                                                    const std::filesystem::path& folder);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_PLOT_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_PLOT_HPP_
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <utility>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
@@ -273,4 +273,4 @@
   return Field(json, "").At("storms").List(ReadStorm);
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -1,7 +1,7 @@
 // The result of a scale sweep: what each role cost at each point of one axis, and the fits over these points.
 // No I/O. Thread-compatible: plain values.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_RESULT_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_RESULT_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // How a cost y grows with the size x.
 enum class FitForm {
@@ -118,6 +118,6 @@
 // Throws ScaleFormatError.
 std::vector<StormResult> StormsFromJson(const nlohmann::json& json);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_RESULT_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -14,7 +14,7 @@
 #include "lab/scale/scale_fit.hpp"
 #include "lab/scale/scale_fleet.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 ScaleMachine ThisMachine() {
@@ -127,4 +127,4 @@
   return Sweep(experiment, measurer, options).Run();
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -1,7 +1,7 @@
 // The sweep of one size over its points: each is measured anew for every play, then every figure is fitted.
 // What measures is an interface, so that the sweep can be tested with planted costs.
-#ifndef ELDERHEAD_LAB_SCALE_SCALE_SWEEP_HPP_
-#define ELDERHEAD_LAB_SCALE_SCALE_SWEEP_HPP_
+#ifndef GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
+#define GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -11,7 +11,7 @@
 #include "lab/scale/scale_experiment.hpp"
 #include "lab/scale/scale_result.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 // The figures of one play, by role and name. A name ends with its unit.
 using RoleMeasures = std::map<std::string, std::map<std::string, double>>;
@@ -39,6 +39,6 @@
 // The load's share of a core above which a point is marked: the tool itself was in the way.
 inline constexpr double kSaturatedPercent = 90;
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_SCALE_SWEEP_HPP_
+#endif  // GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -13,7 +13,7 @@
 #include "lab/scale/process_usage.hpp"
 #include "lab/scale/request_queue.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using base::ClientConnection;
@@ -204,4 +204,4 @@
   return {std::move(starts), std::move(returns)};
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/scale/storms.hpp
+++ b/src/lab/scale/storms.hpp
@@ -1,7 +1,7 @@
 // Storms: everyone comes to the list service at once. All gateways of a zone start; or the list service comes
 // back after it was away.
-#ifndef ELDERHEAD_LAB_SCALE_STORMS_HPP_
-#define ELDERHEAD_LAB_SCALE_STORMS_HPP_
+#ifndef GATEWAY_LAB_SCALE_STORMS_HPP_
+#define GATEWAY_LAB_SCALE_STORMS_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 #include "lab/scale/scale_fleet.hpp"
 #include "lab/scale/scale_result.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct StormOptions {
   bool quick = false;
@@ -26,6 +26,6 @@
 std::vector<StormResult> PlayStorms(const ScaleExperiment& experiment, const ScalePrograms& programs,
                                     const StormOptions& options);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCALE_STORMS_HPP_
+#endif  // GATEWAY_LAB_SCALE_STORMS_HPP_
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -6,7 +6,7 @@
 #include <boost/random/exponential_distribution.hpp>
 #include <boost/random/uniform_01.hpp>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 int Pick(const std::vector<double>& shares, double draw) {
@@ -116,4 +116,4 @@
   return text;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -1,6 +1,6 @@
 // When which request arrives: fixed by the experiment and the seed, whatever the answers do.
-#ifndef ELDERHEAD_LAB_SCHEDULE_HPP_
-#define ELDERHEAD_LAB_SCHEDULE_HPP_
+#ifndef GATEWAY_LAB_SCHEDULE_HPP_
+#define GATEWAY_LAB_SCHEDULE_HPP_
 
 #include <boost/random/mersenne_twister.hpp>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 #include "lab/experiment.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct Arrival {
   std::uint64_t number = 0;
@@ -51,6 +51,6 @@
 // One line a fault, start and end: what happens when, fixed by the experiment.
 std::vector<std::string> FaultTimeline(const Experiment& experiment);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_SCHEDULE_HPP_
+#endif  // GATEWAY_LAB_SCHEDULE_HPP_
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -17,7 +17,7 @@
 
 #include "lab/http.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -236,4 +236,4 @@
   return 0;
 }
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/src/lab/stand_in.hpp
+++ b/src/lab/stand_in.hpp
@@ -1,12 +1,12 @@
 // The plainest gateways, for the lab to measure against: nothing learned, no queue, one policy. With a fault
 // built in they show that the lab catches it.
-#ifndef ELDERHEAD_LAB_STAND_IN_HPP_
-#define ELDERHEAD_LAB_STAND_IN_HPP_
+#ifndef GATEWAY_LAB_STAND_IN_HPP_
+#define GATEWAY_LAB_STAND_IN_HPP_
 
 #include <string>
 #include <vector>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 struct StandIn {
   std::string policy = "random";  // random, round_robin, least_inflight
@@ -21,6 +21,6 @@
 // Serves as the NODE_* variables say until SIGTERM. Returns the exit code.
 int ServeStandIn(const StandIn& stand_in);
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_STAND_IN_HPP_
+#endif  // GATEWAY_LAB_STAND_IN_HPP_
--- a/src/lab/temporary_folder.hpp
+++ b/src/lab/temporary_folder.hpp
@@ -1,6 +1,6 @@
 // A folder that goes with its owner.
-#ifndef ELDERHEAD_LAB_TEMPORARY_FOLDER_HPP_
-#define ELDERHEAD_LAB_TEMPORARY_FOLDER_HPP_
+#ifndef GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
+#define GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
 
 #include <stdlib.h>
 
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace elderhead::lab {
+namespace gateway::lab {
 
 class TemporaryFolder {
  public:
@@ -28,6 +28,6 @@
   std::filesystem::path path_;
 };
 
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
 
-#endif  // ELDERHEAD_LAB_TEMPORARY_FOLDER_HPP_
+#endif  // GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
--- a/src/fleet/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,11 +1,11 @@
-#include "fleet/membership.hpp"
+#include "membership/membership.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 #include <tuple>
 
-namespace elderhead::fleet {
+namespace gateway::membership {
 namespace {
 
 constexpr char kVersion = 1;
@@ -423,4 +423,4 @@
   return true;
 }
 
-}  // namespace elderhead::fleet
+}  // namespace gateway::membership
--- a/src/fleet/membership.hpp
+++ b/src/membership/membership.hpp
@@ -5,8 +5,8 @@
 // Membership is the state machine: datagrams and times in, datagrams and news out. No I/O and no clock;
 // chance is of the seed that is handed in. Times are of the caller's monotonic clock, in ms; no time of
 // another machine is used.
-#ifndef ELDERHEAD_FLEET_MEMBERSHIP_HPP_
-#define ELDERHEAD_FLEET_MEMBERSHIP_HPP_
+#ifndef GATEWAY_MEMBERSHIP_MEMBERSHIP_HPP_
+#define GATEWAY_MEMBERSHIP_MEMBERSHIP_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -20,7 +20,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::fleet {
+namespace gateway::membership {
 
 using base::Millis;
 
@@ -170,6 +170,6 @@
   std::uint64_t malformed_ = 0;
 };
 
-}  // namespace elderhead::fleet
+}  // namespace gateway::membership
 
-#endif  // ELDERHEAD_FLEET_MEMBERSHIP_HPP_
+#endif  // GATEWAY_MEMBERSHIP_MEMBERSHIP_HPP_
--- a/src/counts.cpp
+++ b/src/policy/counts.cpp
@@ -1,22 +1,22 @@
 // What a Policy tells of itself: a line for the log, and what its replacement is handed.
-#include "counts.hpp"
+#include "policy/counts.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-#include "state.hpp"
+#include "policy/state.hpp"
 
-namespace opalswitch {
+namespace gateway::policy {
 
 std::string Summary(State& s) {
   int up = 0, suspect = 0, out = 0;
   double places = 0;
   for (const auto& [id, b] : s.servers_) {
     up += b.up;
-    suspect += b.up && b.suspect;
+    suspect += b.up && b.ejected;
     out += b.in_flight;
-    if (b.up && !b.suspect) places += b.places;
+    if (b.up && !b.ejected) places += b.places;
   }
   const Counts c = std::exchange(s.counts_, {});
   char text[400];
@@ -31,14 +31,15 @@
   return text;
 }
 
-Learned Remembered(const State& s, double spent) {
-  Learned all{s.rate_, spent, s.failing_, s.mean_latency_, s.samples_, s.now_, s.set_.gateways, {}, {}, {}};
+LearnedState Remembered(const State& s, double spent) {
+  LearnedState all{s.rate_, spent, s.failing_, s.mean_latency_, s.samples_, s.now_, s.set_.gateway_count,
+                   {},      {},    {}};
   for (const Tier& c : s.classes_) all.classes.push_back(c);
-  for (const auto& [name, k] : s.kinds_) all.kinds.push_back({name, k.warm_served, k.warm_time});
+  for (const auto& [name, k] : s.kinds_) all.machine_types.push_back({name, k.served, k.endpoint_time});
   for (const auto& [id, b] : s.servers_) {
-    if (b.up) all.servers.push_back({b, id});
+    if (b.up) all.endpoints.push_back({b, id});
   }
   return all;
 }
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
--- a/src/hash.hpp
+++ b/src/policy/hash.hpp
@@ -1,11 +1,11 @@
 // Hashes that are the same in every gateway and every build.
-#ifndef OPALSWITCH_HASH_HPP_
-#define OPALSWITCH_HASH_HPP_
+#ifndef GATEWAY_POLICY_HASH_HPP_
+#define GATEWAY_POLICY_HASH_HPP_
 
 #include <cstdint>
 #include <string_view>
 
-namespace opalswitch {
+namespace gateway::policy {
 
 // FNV-1a with a final mix: all gateways must rank servers alike, so std::hash will not do.
 inline std::uint64_t Hash(std::string_view text, std::uint64_t h = 1469598103934665603ULL) {
@@ -21,6 +21,6 @@
   return (static_cast<double>((h ^ (h >> 32)) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
 
-#endif  // OPALSWITCH_HASH_HPP_
+#endif  // GATEWAY_POLICY_HASH_HPP_
--- a/src/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,12 +1,12 @@
-// The decisions of opalswitch. Their interface (settings, events, actions): include/opalswitch/policy.hpp.
-#include "opalswitch/policy.hpp"
+// The decisions of the gateway. Their interface (settings, events, actions): include/gateway/policy.hpp.
+#include "gateway/policy.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "state.hpp"
+#include "policy/state.hpp"
 
-namespace opalswitch {
+namespace gateway::policy {
 
 // ---- Constants. General choices of the mechanism, tied to no deployment. ------------------------
 
@@ -84,17 +84,18 @@
     set_ = std::move(settings);
     random_.seed(seed);
     const double worth = Validate(set_);
-    place_ = set_.index < 0 ? Uniform() : std::fmod(set_.index * 0.6180339887498949, 1.0);
+    place_ = set_.gateway_index < 0 ? Uniform() : std::fmod(set_.gateway_index * 0.6180339887498949, 1.0);
     salt_ = Hash(std::to_string(place_));
-    busy_at_ = std::ranges::find(set_.report_fields, "util") - set_.report_fields.begin();
-    for (const ClassSettings& c : set_.classes) {
+    busy_at_ = std::ranges::find(set_.load_report_fields, "util") - set_.load_report_fields.begin();
+    for (const TrafficClassSettings& c : set_.classes) {
       class_index_[c.name] = static_cast<int>(classes_.size());
       classes_.emplace_back().set = c;
       classes_.back().name = c.name;
-      classes_.back().weight = worth > 0 ? c.worth / worth : 1.0 / static_cast<double>(set_.classes.size());
+      classes_.back().weight =
+          worth > 0 ? c.priority_weight / worth : 1.0 / static_cast<double>(set_.classes.size());
     }
     for (const TenantSettings& t : set_.tenants) {
-      tenants_[t.name].per_ms = t.quota_per_s / set_.gateways / 1000;
+      tenants_[t.name].per_ms = t.quota_per_second / set_.gateway_count / 1000;
     }
   }
 
@@ -108,49 +109,51 @@
   }
 
   std::size_t Avoided() const {
-    const auto avoided = [](const auto& entry) { return entry.second.up && entry.second.suspect; };
+    const auto avoided = [](const auto& entry) { return entry.second.up && entry.second.ejected; };
     return static_cast<std::size_t>(std::ranges::count_if(servers_, avoided));
   }
 
-  Learned Remember() const { return Remembered(*this, Spent()); }
+  LearnedState Remember() const { return Remembered(*this, Spent()); }
 
-  void Adopt(Millis now, const Learned& all) {
+  void Adopt(Millis now, const LearnedState& all) {
     Refill(now);
-    const double kept = Kept(all.at, kSumsHalfLife);
-    const double part = all.gateways > 0 ? 1.0 * all.gateways / set_.gateways : 1;  // of what came here then
+    const double kept = Kept(all.exported_at, kSumsHalfLife);
+    const double part =
+        all.gateway_count > 0 ? 1.0 * all.gateway_count / set_.gateway_count : 1;  // of what came here then
     // An old rate goes back to that of the start: what it was cut for is over.
     if (all.rate > 0) rate_ = std::min(kStartRate * std::max(1, up_), all.rate * part / kept);
     tokens_ = std::min(tokens_, std::max(2.0, rate_ * kBurst / 1000));
-    spent_rate_ = all.spent * part * kept;
+    spent_rate_ = all.sent_rate * part * kept;
     spent_part_ = kept;
-    failing_ = all.failing * kept;
+    failing_ = all.failure_rate * kept;
     mean_latency_ = all.mean_latency;
     samples_ = all.samples;
-    for (const Learned::Kind& k : all.kinds) {
-      kinds_[k.name].warm_served = k.warm_served * kept * part;
-      kinds_[k.name].warm_time = k.warm_time * kept;
+    for (const LearnedState::MachineType& k : all.machine_types) {
+      kinds_[k.name].served = k.served * kept * part;
+      kinds_[k.name].endpoint_time = k.endpoint_time * kept;
     }
     swept_at_ = now_;
     LearnReference(0);
-    for (const Learned::Class& known : all.classes) {
+    for (const LearnedState::TrafficClass& known : all.classes) {
       const auto found = class_index_.find(known.name);
-      if (found != class_index_.end()) static_cast<Learned::Class&>(classes_[found->second]) = known;
+      if (found != class_index_.end())
+        static_cast<LearnedState::TrafficClass&>(classes_[found->second]) = known;
     }
     std::map<const Kind*, int> kinds;
-    for (const Learned::Server& known : all.servers) {
+    for (const LearnedState::Endpoint& known : all.endpoints) {
       const auto found = servers_.find(known.id);
       if (found == servers_.end() || !found->second.up) continue;
       Backend& b = found->second;
       b.cold_credit = 0;  // a chance part of a request was given when the server came
-      if (known.samples <= 0 || all.at > now_) continue;
-      if (b.info.started_at > 0 && b.info.started_at > known.cold_since) continue;  // it has restarted since
+      if (known.samples <= 0 || all.exported_at > now_) continue;
+      if (b.info.started_at > 0 && b.info.started_at > known.started_at) continue;  // it has restarted since
       Age(b, known);
       if (b.samples <= 0) continue;
       Kind& k = *b.kind;  // the mean of its servers
       const double share = 1.0 / ++kinds[b.kind];
       k.latency += share * (b.latency - k.latency);
-      k.steady += share * (b.steady - k.steady);
-      k.base += share * (b.base - k.base);
+      k.long_term_latency += share * (b.long_term_latency - k.long_term_latency);
+      k.base_latency += share * (b.base_latency - k.base_latency);
       k.samples += b.samples;
     }
     ChooseSubset();
@@ -162,49 +165,51 @@
   }
 
   // A verdict is tried again the sooner the older it is, and lapses; a latency gives way to fewer samples.
-  void Age(Backend& b, const Learned::Figures& known) {
-    const double kept = Kept(known.heard_at, kLatencyHalfLife);
-    const double judged = Kept(known.heard_at, kVerdictHalfLife);
-    const double limit = b.limit + kept * (known.limit - b.limit);
-    static_cast<Learned::Figures&>(b) = known;
-    b.limit = limit;
-    b.places = std::max(1.0, std::floor(b.limit));
+  void Age(Backend& b, const LearnedState::EndpointStatistics& known) {
+    const double kept = Kept(known.last_outcome_at, kLatencyHalfLife);
+    const double judged = Kept(known.last_outcome_at, kVerdictHalfLife);
+    const double limit = b.concurrency_limit + kept * (known.concurrency_limit - b.concurrency_limit);
+    static_cast<LearnedState::EndpointStatistics&>(b) = known;
+    b.concurrency_limit = limit;
+    b.places = std::max(1.0, std::floor(b.concurrency_limit));
     b.samples = static_cast<int>(kept * known.samples + 0.5);
-    if (b.samples == 0) b.latency = b.steady = b.base = b.samples = 0;
+    if (b.samples == 0) b.latency = b.long_term_latency = b.base_latency = b.samples = 0;
     if (b.samples > 0) measured_.insert(&b);
-    b.failing = judged * known.failing;
-    b.suspect = known.suspect && b.failing >= kErrBack;
-    if (b.suspect) b.next_trial = now_ + judged * b.trial_gap * (0.75 + 0.5 * Uniform());
+    b.failure_rate = judged * known.failure_rate;
+    b.ejected = known.ejected && b.failure_rate >= kErrBack;
+    if (b.ejected) b.next_trial = now_ + judged * b.trial_gap * (0.75 + 0.5 * Uniform());
   }
 
   void Scale(double part) {
-    rate_ = std::clamp(rate_ * part, 1.0 * up_ / set_.gateways, kStartRate * std::max(1, up_));
+    rate_ = std::clamp(rate_ * part, 1.0 * up_ / set_.gateway_count, kStartRate * std::max(1, up_));
     tokens_ = std::min(tokens_, std::max(2.0, rate_ * kBurst / 1000));
-    for (auto& [name, k] : kinds_) k.warm_served *= part;
+    for (auto& [name, k] : kinds_) k.served *= part;
     spent_rate_ *= part;
     for (auto& [id, b] : servers_) {
-      b.limit = std::max(LeastLimit(), b.limit * part);
-      b.places = std::max(1.0, std::floor(b.limit));
+      b.concurrency_limit = std::max(LeastLimit(), b.concurrency_limit * part);
+      b.places = std::max(1.0, std::floor(b.concurrency_limit));
     }
   }
 
  private:
   // ---- Membership ------------------------------------------------------------------------------
 
-  void On(const ServerNews& news) {
-    if (news.kind == ServerNews::Kind::kFailed) {
+  void On(const EndpointListEvent& news) {
+    if (news.kind == EndpointListEvent::Kind::kFailure) {
       // The list service may be swamped, by calls given up too: ask later each time, never all at once. But
       // what it tells must come in time, whatever failed before.
       const double jitter = ask_gap_ > 0 ? 0.75 + Uniform() / 4 : Uniform();
       ask_gap_ = std::min(std::max({kAskGap, AskSpread(), ask_gap_ * 2}),
-                          std::max(set_.ask_within / 4, 2 * AskSpread()));
-      ask_at_ = now_ + std::clamp(kAskBy - news.took, 0.0, set_.ask_for_list ? ask_gap_ : kAskGap) * jitter;
+                          std::max(set_.maximum_poll_interval / 4, 2 * AskSpread()));
+      ask_at_ =
+          now_ +
+          std::clamp(kAskBy - news.call_duration, 0.0, set_.poll_endpoint_list ? ask_gap_ : kAskGap) * jitter;
       return;
     }
     ask_gap_ = 0;
     ++lists_;
-    for (const Server& s : news.servers) Learn(s);
-    if (news.kind == ServerNews::Kind::kFull) {
+    for (const EndpointInfo& s : news.endpoints) Learn(s);
+    if (news.kind == EndpointListEvent::Kind::kSnapshot) {
       for (auto& [id, b] : servers_) SetUp(b, b.up && b.list == lists_);
     }
     up_ = static_cast<int>(ring_.size());
@@ -213,7 +218,7 @@
   }
 
   Millis AskSpread() const {
-    return std::min({kAskSpread * (set_.gateways - 1), kAskPart * set_.ask_within, kAskBy});
+    return std::min({kAskSpread * (set_.gateway_count - 1), kAskPart * set_.maximum_poll_interval, kAskBy});
   }
 
   // Servers that own requests need, however few others share them: clients may come to one gateway most.
@@ -228,9 +233,10 @@
   void ChooseSubset() {
     for (Backend* b : subset_) b->mine = false;
     subset_.clear();
-    const double part = set_.streams > 1 ? kHeldPart : 1;
-    const double wanted = used_ = part * std::max({kLeastServers, kSharers * up_ / set_.gateways, Busy()});
-    sharers_ = std::max(1.0, set_.gateways * std::min(1.0, wanted / std::max(1.0, 1.0 * up_)));
+    const double part = set_.streams_per_connection > 1 ? kHeldPart : 1;
+    const double wanted = used_ =
+        part * std::max({kLeastServers, kSharers * up_ / set_.gateway_count, Busy()});
+    sharers_ = std::max(1.0, set_.gateway_count * std::min(1.0, wanted / std::max(1.0, 1.0 * up_)));
     double chosen = 0;
     ServerRing::Walk walk(ring_, static_cast<std::size_t>(place_ * up_));
     for (std::size_t i = 0; i < 2 * ring_.size() && chosen < wanted; ++i) {
@@ -238,7 +244,7 @@
       const bool far = near_up_ > 0 && !Near(b) && Fraction(b.hash ^ salt_) > kFarShare;
       if (b.mine || (far && i < ring_.size())) continue;
       b.mine = true;
-      chosen += !b.suspect;
+      chosen += !b.ejected;
       subset_.push_back(&b);
     }
     std::ranges::sort(subset_, {}, [](const Backend* b) -> const std::string& { return b->info.id; });
@@ -246,17 +252,18 @@
   bool Near(const Backend& b) const { return b.info.zone == set_.zone; }
   bool ManySharers() const { return sharers_ > kManySharers; }
 
-  void Learn(const Server& s) {
+  void Learn(const EndpointInfo& s) {
     const auto [entry, added] = servers_.try_emplace(s.id);
     Backend& b = entry->second;
     const bool restarted = added || s.started_at > b.info.started_at;
-    if (s.kind != b.info.kind || s.zone != b.info.zone) SetUp(b, false);  // its place is another one
+    if (s.machine_type != b.info.machine_type || s.zone != b.info.zone)
+      SetUp(b, false);  // its place is another one
     b.info = s;
     b.list = lists_;
-    b.kind = &kinds_[s.kind];
+    b.kind = &kinds_[s.machine_type];
     b.zone = &zones_[s.zone];
     if (added) b.hash = Hash(s.id);
-    SetUp(b, s.state == ServerState::kUp);
+    SetUp(b, s.state == EndpointState::kUp);
     if (!(b.info.weight > 0) || !std::isfinite(b.info.weight)) b.info.weight = 1;
     if (restarted) Renew(b, s.started_at > 0 ? s.started_at : kNever);  // 0: up for long
   }
@@ -275,24 +282,25 @@
 
   // A new process: cold, and nothing known of the old one holds for it.
   void Renew(Backend& b, Millis since) {
-    b.cold_since = std::max(b.cold_since, since);
+    b.started_at = std::max(b.started_at, since);
     b.cold_credit = Uniform();
     b.credit_at = now_;
-    b.latency = b.steady = b.base = b.failing = b.busy = b.samples = 0;
-    b.limit = b.places = StartLimit();
-    b.suspect = b.lost = false;
+    b.latency = b.long_term_latency = b.base_latency = b.failure_rate = b.busy = b.samples = 0;
+    b.concurrency_limit = b.places = StartLimit();
+    b.ejected = b.restart_suspected = false;
     b.turned_away = 0;
     b.errors.assign(classes_.size(), {});
     b.trial_gap = kTrialGap;
   }
 
-  // ---- Server readiness ------------------------------------------------------------------------
+  // ---- EndpointInfo readiness ------------------------------------------------------------------------
 
   // The share of its capacity that a started server surely has by now.
   double Warmth(const Backend& b) const {
-    const Millis age = now_ - b.cold_since;
-    if (age >= set_.cold_for) return 1;
-    return set_.cold_from + (1 - set_.cold_from) * std::max(0.0, age) / set_.cold_for;
+    const Millis age = now_ - b.started_at;
+    if (age >= set_.warm_up_duration) return 1;
+    return set_.warm_up_initial_fraction +
+           (1 - set_.warm_up_initial_fraction) * std::max(0.0, age) / set_.warm_up_duration;
   }
 
   // Rule 4: a cold server earns credit by what warm ones answer here. It starts with a chance part of a
@@ -301,7 +309,7 @@
     const double warmth = Warmth(b);
     if (warmth >= 1) return true;
     const double earned =
-        kColdShare * set_.fall_multiple * warmth * b.info.weight * Bears(*b.kind) * (now_ - b.credit_at);
+        kColdShare * set_.overload_factor * warmth * b.info.weight * Bears(*b.kind) * (now_ - b.credit_at);
     b.cold_credit = std::min(1.0, b.cold_credit + earned);
     b.credit_at = now_;
     return b.cold_credit >= 1;
@@ -314,22 +322,22 @@
   void LearnReference(Millis passed) {
     double all = 0;
     const double keep = std::exp(-passed / kLongMemory);
-    for (auto& [name, k] : kinds_) k.warm_served *= keep, k.warm_time *= keep;
+    for (auto& [name, k] : kinds_) k.served *= keep, k.endpoint_time *= keep;
     for (const Backend* b : subset_) {
-      if (b->suspect) continue;
+      if (b->ejected) continue;
       all += b->info.weight;
-      if (Warmth(*b) >= 1) b->kind->warm_time += passed * b->info.weight;
+      if (Warmth(*b) >= 1) b->kind->endpoint_time += passed * b->info.weight;
     }
     double served = 0, time = 0;
-    for (const auto& [name, k] : kinds_) served += k.warm_served, time += k.warm_time;
+    for (const auto& [name, k] : kinds_) served += k.served, time += k.endpoint_time;
     const double asked = arriving_ / std::max(arriving_part_, kLeastSpent);
     reference_ = (served + kDoubt * asked) / std::max(1.0, time + kDoubt * all);
   }
   double Bears(const Kind& k) const {
-    return (k.warm_served + kKindDoubt * reference_) / (k.warm_time + kKindDoubt);
+    return (k.served + kKindDoubt * reference_) / (k.endpoint_time + kKindDoubt);
   }
 
-  double Slack() const { return set_.warm_keys ? kWarmSlack : kSlack; }
+  double Slack() const { return set_.endpoints_cache_keys ? kWarmSlack : kSlack; }
   bool Ready(Backend& b, bool in_share) {
     // Where many share a server, a limit each is a fraction of a request learned from next to nothing. There
     // the rate alone admits, and what is beyond a share goes only while all goes well: it took tokens too.
@@ -343,7 +351,7 @@
   bool Silent(const Backend& b) const { return zones_.size() > 1 && b.zone->silent.size() >= kSilentServers; }
 
   void Suspect(Backend& b) {
-    if (!std::exchange(b.suspect, true)) {
+    if (!std::exchange(b.ejected, true)) {
       Say("server " + b.info.id + " not ready: failing");
       ChooseSubset();
     }
@@ -353,7 +361,7 @@
 
   // How far it reports to be too busy for many gateways, none knowing what the others send next.
   double Overuse(const Backend& b) const {
-    return (b.busy + b.kind->busy) / 2 - (1 - kBusySpare * std::sqrt(set_.gateways));
+    return (b.busy + b.kind->busy) / 2 - (1 - kBusySpare * std::sqrt(set_.gateway_count));
   }
 
   void Hear(Backend& b, const std::vector<double>& load) {
@@ -363,45 +371,49 @@
     b.kind->busy += kBusyWeight / 3 * (busy - b.kind->busy);
   }
 
-  void Judge(Backend& b, const Flow& flow, const Outcome& outcome) {
-    const bool served = outcome.result == Result::kServed;
-    if (outcome.result == Result::kRejected) {  // full is not ill; its latency shows the crowding
-      if (b.suspect) Suspect(b);  // but one that hangs fills up: a trial that it turns away has failed
+  void Judge(Backend& b, const Flow& flow, const AttemptOutcome& outcome) {
+    const bool served = outcome.result == AttemptResult::kServed;
+    if (outcome.result == AttemptResult::kRejected) {  // full is not ill; its latency shows the crowding
+      if (b.ejected) Suspect(b);  // but one that hangs fills up: a trial that it turns away has failed
       // It needs time to work off what it has, and one that drains takes nothing more before the list tells.
       b.rests_until = now_ + std::min(kTrialGap, b.latency * std::exp2(std::min(b.turned_away++, 30)));
       return;
     }
     if (served) b.turned_away = 0;
-    b.heard_at = now_;
+    b.last_outcome_at = now_;
     // A server may fail one class alone: what only that needs is broken. The others hide it in its share.
     Backend::Errors& errors = b.errors[flow.cls];
     if (served) errors = {};
-    if (outcome.result == Result::kError) {
+    if (outcome.result == AttemptResult::kError) {
       errors.avoid_until =
           now_ + std::min(kTrialGapMost, kTrialGap * std::exp2(std::min(errors.in_a_row++, 30)));
     }
     // A crowded server fails connections too: only one that long served nothing may be a new process.
-    const bool dropped = outcome.result == Result::kConnectFailed || outcome.result == Result::kReset;
-    if (dropped && b.failing >= kErrWeight && now_ - b.last_served > kLostAfter) b.lost = true;
+    const bool dropped =
+        outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
+    if (dropped && b.failure_rate >= kErrWeight && now_ - b.last_served > kLostAfter)
+      b.restart_suspected = true;
     // One slow request among others that were answered meanwhile says nothing about the server.
-    const bool heavy = outcome.result == Result::kTimedOut && b.last_served > now_ - outcome.latency;
+    const bool heavy = outcome.result == AttemptResult::kTimedOut && b.last_served > now_ - outcome.latency;
     // A connection that broke while the process lives says little: the network may break a share of all.
-    const bool broken = outcome.result == Result::kReset && b.last_served > now_ - kLostAfter;
+    const bool broken = outcome.result == AttemptResult::kReset && b.last_served > now_ - kLostAfter;
     if (served) b.last_served = now_, b.zone->answered = now_, b.zone->silent.clear();
-    const bool mute = outcome.result == Result::kTimedOut || outcome.result == Result::kConnectFailed;
+    const bool mute =
+        outcome.result == AttemptResult::kTimedOut || outcome.result == AttemptResult::kConnectFailed;
     if (mute && now_ - outcome.latency > b.zone->answered) b.zone->silent.insert(b.info.id);
-    if (served && Warmth(b) >= 1) b.kind->warm_served += 1;
-    if (!heavy) b.failing += (broken ? kBrokenWeight : kErrWeight) * ((served ? 0.0 : 1.0) - b.failing);
-    if (served && b.suspect) {
+    if (served && Warmth(b) >= 1) b.kind->served += 1;
+    if (!heavy)
+      b.failure_rate += (broken ? kBrokenWeight : kErrWeight) * ((served ? 0.0 : 1.0) - b.failure_rate);
+    if (served && b.ejected) {
       b.next_trial = now_;
       b.trial_gap = kTrialGap;
-      b.suspect = b.failing >= kErrBack;
-      if (b.lost) Renew(b, now_);
-      if (!b.suspect) {
+      b.ejected = b.failure_rate >= kErrBack;
+      if (b.restart_suspected) Renew(b, now_);
+      if (!b.ejected) {
         Say("server " + b.info.id + " ready again");
         ChooseSubset();
       }
-    } else if (!served && !heavy && (b.failing > kErrOut || b.suspect)) {
+    } else if (!served && !heavy && (b.failure_rate > kErrOut || b.ejected)) {
       Suspect(b);
     }
     // Nor do they show crowding: a silent attempt has the length of its time-out, not of any queue.
@@ -410,9 +422,9 @@
     // A failure never lowers the latency: fast errors would look like a fast server.
     if (served || sample > b.latency) Measure(b, sample, served);
     // A few gateways may have to share a server that takes fewer requests than there are gateways.
-    if (b.limit < 1) b.rests_until = now_ + outcome.latency * (1 / b.limit - 1);
+    if (b.concurrency_limit < 1) b.rests_until = now_ + outcome.latency * (1 / b.concurrency_limit - 1);
     // Drawn anew each time: rounding up would crowd a server by a request for each gateway.
-    b.places = std::max(1.0, std::floor(b.limit + Uniform()));
+    b.places = std::max(1.0, std::floor(b.concurrency_limit + Uniform()));
   }
 
   // Learns the limit of own requests that a server takes uncrowded, from how its latency grows.
@@ -424,30 +436,35 @@
     ++k.samples;
     k.latency += std::max(kFast / 2, 1.0 / k.samples) * (sample - k.latency);
     if (served) LearnBase(b, sample);
-    if (b.base <= 0) return;
-    const double ratio = std::sqrt(b.latency / b.base * k.latency / k.base);
+    if (b.base_latency <= 0) return;
+    const double ratio = std::sqrt(b.latency / b.base_latency * k.latency / k.base_latency);
     const double overuse = Overuse(b);
     const double gradient = std::clamp(std::min(Slack() / ratio, 1 - kBusyGain * overuse), 0.2, 1.0);
-    const double growth = overuse > 0 || !served ? 0 : kHeadroom * std::sqrt(b.limit / sharers_);
-    const double target = b.limit * gradient + growth;
-    if (target > b.limit && 2.0 * (b.in_flight + 1) < b.limit) return;  // not in use: no evidence
-    b.limit = std::max(LeastLimit(), b.limit + (target - b.limit) / std::max(2.0, b.limit));
+    const double growth = overuse > 0 || !served ? 0 : kHeadroom * std::sqrt(b.concurrency_limit / sharers_);
+    const double target = b.concurrency_limit * gradient + growth;
+    if (target > b.concurrency_limit && 2.0 * (b.in_flight + 1) < b.concurrency_limit)
+      return;  // not in use: no evidence
+    b.concurrency_limit =
+        std::max(LeastLimit(),
+                 b.concurrency_limit + (target - b.concurrency_limit) / std::max(2.0, b.concurrency_limit));
   }
 
   void LearnBase(Backend& b, double sample) {
     Kind& k = *b.kind;
-    k.steady += std::max(kSteady, 1.0 / k.samples) * (sample - k.steady);
-    if (k.samples < 20 || k.steady < k.base) k.base = k.steady;
-    k.base += kBaseDrift / 4 * (k.steady - k.base);
-    b.steady += std::max(kSteady, 1.0 / b.samples) * (sample - b.steady);
+    k.long_term_latency += std::max(kSteady, 1.0 / k.samples) * (sample - k.long_term_latency);
+    if (k.samples < 20 || k.long_term_latency < k.base_latency) k.base_latency = k.long_term_latency;
+    k.base_latency += kBaseDrift / 4 * (k.long_term_latency - k.base_latency);
+    b.long_term_latency += std::max(kSteady, 1.0 / b.samples) * (sample - b.long_term_latency);
     const double known = std::min(1.0, b.samples * kSteady);
-    b.base = known < 1 ? known * b.steady + (1 - known) * k.base : std::min(b.base, b.steady);
-    b.base += kBaseDrift * (b.latency - b.base);
+    b.base_latency = known < 1 ? known * b.long_term_latency + (1 - known) * k.base_latency
+                               : std::min(b.base_latency, b.long_term_latency);
+    b.base_latency += kBaseDrift * (b.latency - b.base_latency);
   }
 
   // A server that keeps warm for its keys holds more before it is crowded, from the start on.
   double StartLimit() const {
-    return (busy_at_ < set_.report_fields.size() ? kReportStart : kStartLimit * Slack() / kSlack) / sharers_;
+    return (busy_at_ < set_.load_report_fields.size() ? kReportStart : kStartLimit * Slack() / kSlack) /
+           sharers_;
   }
   double LeastLimit() const { return kLeastLimit / sharers_; }
 
@@ -463,18 +480,19 @@
 
   // Rule 2: a keyed request that may have run stays with the servers that drop its repeats.
   bool Allowed(const Flow& flow, const Backend& b) const {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const Attempt* first = c.effect == Effect::kKeyed ? flow.FirstRun() : nullptr;
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const Attempt* first = c.idempotency == Idempotency::kIdempotencyKey ? flow.FirstRun() : nullptr;
     if (first == nullptr) return true;
     if (now_ >= flow.repeat_by) return false;
-    const Server& at = first->server->info;
-    return c.group == Group::kAll ||
-           (c.group == Group::kZone ? at.zone == b.info.zone : at.cell == b.info.cell);
+    const EndpointInfo& at = first->server->info;
+    return c.deduplication_scope == DeduplicationScope::kAll ||
+           (c.deduplication_scope == DeduplicationScope::kZone ? at.zone == b.info.zone
+                                                               : at.cell == b.info.cell);
   }
 
   // The better of two ready servers by (own in-flight + 1) x smoothed latency, or null.
   Backend* Pick(const Flow& flow) {
-    const bool safe = classes_[flow.cls].set.effect == Effect::kSafe && flow.attempts.empty();
+    const bool safe = classes_[flow.cls].set.idempotency == Idempotency::kIdempotent && flow.attempts.empty();
     const Backend* last = flow.attempts.empty() ? nullptr : flow.attempts.back().server;
     candidates_.clear();
     avoided_.clear();
@@ -482,7 +500,7 @@
     for (Backend* b : subset_) {
       if (b == last || !Allowed(flow, *b)) continue;
       // A suspect returns by one trial at a time, with a request that may run again.
-      if (b->suspect || Silent(*b)) {
+      if (b->ejected || Silent(*b)) {
         if (safe && now_ >= b->next_trial && b->in_flight == 0 && WithinBudget(*b)) trials_.push_back(b);
         continue;
       }
@@ -497,7 +515,7 @@
     }
     if (candidates_.empty()) return nullptr;
     if (candidates_.size() > 2) {
-      if (set_.warm_keys && flow.key != 0) {
+      if (set_.endpoints_cache_keys && flow.key != 0) {
         // Weighted rendezvous: lowest first; a server's coming or going moves only its own keys.
         for (auto& [rank, b] : candidates_) rank = -std::log(Fraction(flow.key ^ b->hash)) / b->info.weight;
         std::ranges::partial_sort(candidates_, candidates_.begin() + 2, {}, &Ranked::first);
@@ -536,16 +554,16 @@
 
   // Failures that one server explains eject it; only those of servers held ready move the rate. A broken
   // connection tells nothing of load: one that can't take more rejects, is late, or fails to connect.
-  void MoveRate(const Backend& b, const Flow& flow, const Outcome& outcome, Millis sent) {
-    if (b.suspect || Silent(b) || outcome.result == Result::kReset) return;
-    const bool served = outcome.result == Result::kServed;
+  void MoveRate(const Backend& b, const Flow& flow, const AttemptOutcome& outcome, Millis sent) {
+    if (b.ejected || Silent(b) || outcome.result == AttemptResult::kReset) return;
+    const bool served = outcome.result == AttemptResult::kServed;
     const bool timely = served && now_ <= flow.aim_at;
     if (!timely && sent < cut_at_) return;  // sent at the old rate: it has been cut for that
     failing_ += std::clamp(1 / (1 + rate_), kFailMemory, kErrWeight) * ((timely ? 0.0 : 1.0) - failing_);
     if (timely) {
       rate_ = std::min(rate_ + std::min(kRaise, kRaiseShare * rate_), kStartRate * std::max(1, up_));
     } else if (failing_ > (ManySharers() ? kToleratedMany : kTolerated) && now_ >= cut_after_) {
-      rate_ = std::max(1.0 * up_ / set_.gateways, std::min(rate_, Spent()) * kCut);
+      rate_ = std::max(1.0 * up_ / set_.gateway_count, std::min(rate_, Spent()) * kCut);
       cut_at_ = now_;
       cut_after_ = now_ + std::max(100.0, Median());  // one cut a round trip
       Say("rate cut to " + std::to_string(static_cast<int>(rate_)) + "/s");
@@ -570,7 +588,7 @@
   void On(const Request& r) {
     const auto found = class_index_.find(r.class_name);
     if (flows_.contains(r.id)) return;
-    if (found == class_index_.end()) return Emit(Refuse{r.id, 0});  // no such class: never sent
+    if (found == class_index_.end()) return Emit(Reject{r.id, 0});  // no such class: never sent
     Flow& flow = flows_[r.id];
     Tier& c = classes_[found->second];
     flow.id = r.id;
@@ -582,15 +600,15 @@
     flow.leaves_at = now_ + left;
     // A further try has less time left than a first one. If its aim is long past, it is worth as little
     // as what a tenant sends beyond its share: a jam would feed on answers that come too late.
-    c.most_left = std::max(c.most_left, left);
-    const Millis spent = left < kFirstTry * c.most_left ? std::max(0.0, c.set.deadline - left) : 0;
-    const bool late = spent >= c.set.aim;
+    c.longest_time_left = std::max(c.longest_time_left, left);
+    const Millis spent = left < kFirstTry * c.longest_time_left ? std::max(0.0, c.set.deadline - left) : 0;
+    const bool late = spent >= c.set.latency_objective;
     if (spent <= 0) arriving_ += 1 / kLongMemory;
-    flow.aim_at = std::min(now_ + c.set.aim, flow.leaves_at);
+    flow.aim_at = std::min(now_ + c.set.latency_objective, flow.leaves_at);
     flow.in_share = !late && InShare(r.tenant);
     retry_budget_ = std::min(retry_budget_ + kRetryShare, kRetryBurst);
     trial_budget_ = std::min(trial_budget_ + (ManySharers() ? kTrialShare : 1), kTrialBurst);
-    const bool in_vain = late && c.set.late_worth <= 0;       // worth nothing any more
+    const bool in_vain = late && c.set.late_weight <= 0;      // worth nothing any more
     if (in_vain || now_ >= flow.leaves_at - kAnswerBefore) {  // or no sweep may come in time
       ++counts_.late;
       return Answer(flow);
@@ -606,7 +624,7 @@
 
   void Enqueue(Flow& flow) {
     Tier& c = classes_[flow.cls];
-    const double most = Spent() * c.set.aim / 1000 + 32;  // more can't be served in time
+    const double most = Spent() * c.set.latency_objective / 1000 + 32;  // more can't be served in time
     if (static_cast<double>(c.Size()) >= most) {
       ++counts_.full;
       if (!flow.in_share || c.over_share.empty()) return Answer(flow);
@@ -669,8 +687,8 @@
   // ---- Attempts and answers --------------------------------------------------------------------
 
   void Dispatch(Flow& flow, Backend& b) {
-    Millis until = classes_[flow.cls].set.late_worth > 0 ? flow.leaves_at : flow.aim_at;
-    if ((b.suspect || Silent(b)) && ManySharers() && flow.attempts.empty())
+    Millis until = classes_[flow.cls].set.late_weight > 0 ? flow.leaves_at : flow.aim_at;
+    if ((b.ejected || Silent(b)) && ManySharers() && flow.attempts.empty())
       until = now_ + kTrialTime * (flow.aim_at - now_);
     tokens_ -= 1;
     spent_rate_ += 1000 / SpentMemory();
@@ -681,7 +699,7 @@
     Emit(Send{flow.id, b.info.id, std::max(1.0, until - now_), flow.repeat_by - now_});
   }
 
-  void On(Outcome o) {
+  void On(AttemptOutcome o) {
     Flow* const known = Find(o.request);
     if (!known || o.attempt < 0 || o.attempt >= static_cast<int>(known->attempts.size())) return;
     Flow& flow = *known;
@@ -689,16 +707,16 @@
     if (!std::exchange(attempt.out, false)) return;
     if (!std::isfinite(o.latency) || o.latency < 0)
       o.latency = now_ - attempt.sent;  // never into an estimate
-    attempt.may_have_run =
-        o.result != Result::kRejected && o.result != Result::kConnectFailed && o.result != Result::kNotSent;
-    const ClassSettings& c = classes_[flow.cls].set;
-    if (attempt.may_have_run && c.effect == Effect::kKeyed)
-      flow.repeat_by = std::min(flow.repeat_by, attempt.sent + c.repeat_window - kTravel);
+    attempt.may_have_run = o.result != AttemptResult::kRejected &&
+                           o.result != AttemptResult::kConnectFailed && o.result != AttemptResult::kNotSent;
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    if (attempt.may_have_run && c.idempotency == Idempotency::kIdempotencyKey)
+      flow.repeat_by = std::min(flow.repeat_by, attempt.sent + c.deduplication_window - kTravel);
     Backend& b = *attempt.server;
-    flow.held = o.held;
+    flow.held = o.request_buffered;
     if (attempt.streaming) {  // judged by its begin; an answer that broke off counts against the server still
-      if (o.result == Result::kReset || o.result == Result::kTimedOut) {
-        o.result = Result::kReset;
+      if (o.result == AttemptResult::kReset || o.result == AttemptResult::kTimedOut) {
+        o.result = AttemptResult::kReset;
         o.latency = 0;
         Judge(b, flow, o);
       }
@@ -706,19 +724,20 @@
     }
     --b.in_flight;
     Heard(flow, attempt, o);
-    if (o.finished || o.result == Result::kServed) flow.answered = true;
+    if (o.request_finished || o.result == AttemptResult::kServed) flow.answered = true;
     if (!flow.answered && !flow.AnyOut() && !flow.queued) return TryAgain(flow, o.result);
     Settle(flow);
   }
 
   // What an outcome tells of the class, of the rate and of the server.
-  void Heard(const Flow& flow, const Attempt& attempt, const Outcome& o) {
+  void Heard(const Flow& flow, const Attempt& attempt, const AttemptOutcome& o) {
     Backend& b = *attempt.server;
     ++counts_.outcomes[static_cast<int>(o.result)];
-    counts_.slow += o.result == Result::kServed && now_ > flow.aim_at;
-    if (o.result == Result::kServed) LearnClass(classes_[flow.cls], o.latency);
-    if (o.result != Result::kCancelled && o.result != Result::kNotSent) {  // these tell nothing of the server
-      MoveRate(b, flow, o, attempt.sent);  // first: by whether the server was held ready until now
+    counts_.slow += o.result == AttemptResult::kServed && now_ > flow.aim_at;
+    if (o.result == AttemptResult::kServed) LearnClass(classes_[flow.cls], o.latency);
+    if (o.result != AttemptResult::kCancelled &&
+        o.result != AttemptResult::kNotSent) {  // these tell nothing of the server
+      MoveRate(b, flow, o, attempt.sent);       // first: by whether the server was held ready until now
       Hear(b, o.load);
       Judge(b, flow, o);
     }
@@ -730,10 +749,10 @@
   }
 
   // Another attempt only where it is legal, can still be in time, and the server was to blame.
-  void TryAgain(Flow& flow, Result result) {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const bool legal = flow.NeverRan() || c.effect != Effect::kUnsafe;
-    const bool heavy = result == Result::kTimedOut && !flow.attempts.back().server->suspect;
+  void TryAgain(Flow& flow, AttemptResult result) {
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const bool legal = flow.NeverRan() || c.idempotency != Idempotency::kNotIdempotent;
+    const bool heavy = result == AttemptResult::kTimedOut && !flow.attempts.back().server->ejected;
     const bool in_time = now_ + classes_[flow.cls].latency < flow.aim_at;
     const bool more = static_cast<int>(flow.attempts.size()) < set_.max_attempts && flow.held;
     if (!legal || heavy || !in_time || !more || retry_budget_ < 1) {
@@ -746,17 +765,18 @@
 
   // The final answer to a request with no attempt out. A refusal says that trying again is harmless.
   void Answer(Flow& flow) {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const bool harmless = flow.NeverRan() || c.effect == Effect::kSafe ||
-                          (c.effect == Effect::kKeyed && c.group == Group::kAll);
-    Emit(harmless ? Action(Refuse{flow.id, RetryAfter()}) : Action(Fail{flow.id}));
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const bool harmless =
+        flow.NeverRan() || c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope == DeduplicationScope::kAll);
+    Emit(harmless ? Action(Reject{flow.id, RetryAfter()}) : Action(Fail{flow.id}));
     flow.answered = true;
     Settle(flow);
   }
 
   Millis RetryAfter() const {
-    if (!set_.retry_after) return 0;
-    return std::min(set_.max_retry_after, 1000 * static_cast<double>(queued_) / std::max(Spent(), 1.0));
+    if (!set_.send_retry_after) return 0;
+    return std::min(set_.maximum_retry_after, 1000 * static_cast<double>(queued_) / std::max(Spent(), 1.0));
   }
 
   // Forgets a request that is answered and has nothing out. `flow` may be gone afterwards.
@@ -766,20 +786,20 @@
     flows_.erase(flow.id);
   }
 
-  void On(const ClientGone& gone) {
+  void On(const ClientDisconnected& gone) {
     Flow* const known = Find(gone.request);
     if (known == nullptr) return;
     Flow& flow = *known;
     Unqueue(flow);
     flow.answered = true;
-    for (std::size_t i = 0; set_.may_cancel && i < flow.attempts.size(); ++i) {
+    for (std::size_t i = 0; set_.can_cancel_attempts && i < flow.attempts.size(); ++i) {
       if (flow.attempts[i].out) Emit(Cancel{flow.id, static_cast<int>(i)});
     }
     Settle(flow);
   }
 
   // The client owns it now, and the server has done its work: all is learned. Its outcome is still awaited.
-  void On(const StreamStarted& s) {
+  void On(const ResponseStarted& s) {
     Flow* const flow = Find(s.request);
     if (flow == nullptr) return;
     flow->answered = true;
@@ -788,29 +808,35 @@
     if (!attempt.out || std::exchange(attempt.streaming, true)) return;
     --attempt.server->in_flight;
     Heard(*flow, attempt,
-          {s.request, s.attempt, attempt.server->info.id, Result::kServed, true, now_ - attempt.sent, {}});
+          {s.request,
+           s.attempt,
+           attempt.server->info.id,
+           AttemptResult::kServed,
+           true,
+           now_ - attempt.sent,
+           {}});
   }
 
-  void On(const RequestWhole& whole) {
+  void On(const RequestComplete& whole) {
     Flow* const flow = Find(whole.request);
     if (flow == nullptr || flow->answered) return;
     flow->arrived = now_;
     flow->leaves_at = now_ + (std::isfinite(whole.time_left) ? std::max(0.0, whole.time_left) : 0.0);
-    flow->aim_at = std::min(now_ + classes_[flow->cls].set.aim, flow->leaves_at);
+    flow->aim_at = std::min(now_ + classes_[flow->cls].set.latency_objective, flow->leaves_at);
     for (Attempt& a : flow->attempts) {
       if (a.out) a.sent = now_;
     }
   }
 
-  void On(const TimerDue&) { Sweep(); }
+  void On(const TimerFired&) { Sweep(); }
 
   void Sweep() {
     Emit(SetTimer{kSweepEvery, "sweep"});
     // Gateways that start together must not ask together, but what changed while they were down binds soon.
     const Millis spread = up_ > 0 ? std::min(AskSpread(), kFirstAskBy) : 0;  // evenly, by their places
-    if (ask_at_ == kNever) ask_at_ = set_.ask_for_list ? now_ + spread * place_ : kForever;
+    if (ask_at_ == kNever) ask_at_ = set_.poll_endpoint_list ? now_ + spread * place_ : kForever;
     if (now_ >= ask_at_) {
-      Emit(Watch{});
+      Emit(WatchEndpointList{});
       ask_at_ = kForever;
     }
     const Millis last = std::exchange(swept_at_, now_);  // before the first nobody was known to be warm
@@ -818,7 +844,7 @@
     if (Busy() > kWider * used_) ChooseSubset();
     ExpireQueued();
     const bool due = now_ >= counted_at_ + kSummaryEvery;
-    if (due && std::exchange(counted_at_, now_) != kNever) Emit(Log{Summary(*this)});
+    if (due && std::exchange(counted_at_, now_) != kNever) Emit(LogLine{Summary(*this)});
   }
 
   void Emit(Action action) { out_->push_back(std::move(action)); }
@@ -827,7 +853,7 @@
   void Say(std::string text) {
     if (now_ < quiet_until_) return;
     quiet_until_ = now_ + 200;
-    Emit(Log{std::move(text)});
+    Emit(LogLine{std::move(text)});
   }
 };
 
@@ -837,13 +863,13 @@
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
 
-void Policy::handle(Millis now, const Event& event, std::vector<Action>& actions) {
+void Policy::Handle(Millis now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
 
-std::size_t Policy::avoided() const { return impl_->Avoided(); }
-Learned Policy::Remember() const { return impl_->Remember(); }
-void Policy::Adopt(Millis now, const Learned& learned) { impl_->Adopt(now, learned); }
-void Policy::Scale(double part) { impl_->Scale(part); }
+std::size_t Policy::EjectedEndpoints() const { return impl_->Avoided(); }
+LearnedState Policy::ExportState() const { return impl_->Remember(); }
+void Policy::ImportState(Millis now, const LearnedState& state) { impl_->Adopt(now, state); }
+void Policy::ScaleToShare(double factor) { impl_->Scale(factor); }
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
--- a/src/server_ring.cpp
+++ b/src/policy/server_ring.cpp
@@ -1,4 +1,4 @@
-#include "server_ring.hpp"
+#include "policy/server_ring.hpp"
 
 #include <algorithm>
 #include <boost/multi_index/identity.hpp>
@@ -8,9 +8,9 @@
 #include <tuple>
 #include <utility>
 
-#include "state.hpp"
+#include "policy/state.hpp"
 
-namespace opalswitch {
+namespace gateway::policy {
 namespace {
 
 constexpr int kHashBits = 53;  // of a hash that count: as many as a double holds exactly
@@ -119,4 +119,4 @@
   return server;
 }
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
--- a/src/server_ring.hpp
+++ b/src/policy/server_ring.hpp
@@ -4,8 +4,8 @@
 // A server's position is its rank among the servers of its kind, by hash, over their number. Positions are
 // not stored: insertion and removal cost O(log n), finding a place on the ring O(k log n) for k kinds, and
 // each further server O(log k).
-#ifndef OPALSWITCH_SERVER_RING_HPP_
-#define OPALSWITCH_SERVER_RING_HPP_
+#ifndef GATEWAY_POLICY_SERVER_RING_HPP_
+#define GATEWAY_POLICY_SERVER_RING_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,7 +13,7 @@
 #include <memory>
 #include <vector>
 
-namespace opalswitch {
+namespace gateway::policy {
 
 struct Backend;
 struct Kind;
@@ -53,6 +53,6 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
 
-#endif  // OPALSWITCH_SERVER_RING_HPP_
+#endif  // GATEWAY_POLICY_SERVER_RING_HPP_
--- a/src/state.hpp
+++ b/src/policy/state.hpp
@@ -1,6 +1,6 @@
 // What a Policy remembers: plain data without decisions, and the check of its settings.
-#ifndef OPALSWITCH_STATE_HPP_
-#define OPALSWITCH_STATE_HPP_
+#ifndef GATEWAY_POLICY_STATE_HPP_
+#define GATEWAY_POLICY_STATE_HPP_
 
 #include <algorithm>
 #include <cstdint>
@@ -15,23 +15,22 @@
 #include <utility>
 #include <vector>
 
-#include "counts.hpp"
-#include "hash.hpp"
-#include "opalswitch/policy.hpp"
-#include "server_ring.hpp"
+#include "gateway/policy.hpp"
+#include "policy/counts.hpp"
+#include "policy/hash.hpp"
+#include "policy/server_ring.hpp"
 
-namespace opalswitch {
+namespace gateway::policy {
 
-constexpr Millis kNever = -1e15;
 constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
 
 // Throws std::invalid_argument naming the field that can't work. Returns the classes' summed worth.
 double Validate(const Settings& settings);
 
 struct Kind {  // what servers of one kind have in common
-  double latency = 0, steady = 0, base = 0;
-  double busy = 0;                        // reported utilisation, smoothed
-  double warm_served = 0, warm_time = 0;  // answers of warm servers, and their time, both fading
+  double latency = 0, long_term_latency = 0, base_latency = 0;
+  double busy = 0;                       // reported utilisation, smoothed
+  double served = 0, endpoint_time = 0;  // answers of warm servers, and their time, both fading
   int samples = 0;
 };
 
@@ -41,8 +40,8 @@
   std::set<std::string> silent;  // ids of those that timed out or could not be reached since
 };
 
-struct Backend : Learned::Figures {
-  Server info;
+struct Backend : LearnedState::EndpointStatistics {
+  EndpointInfo info;
   Kind* kind = nullptr;
   Zone* zone = nullptr;
   std::uint64_t hash = 0, list = 0;  // list: the last one that named it
@@ -95,8 +94,9 @@
   bool NeverRan() const { return FirstRun() == nullptr; }
 };
 
-struct Tier : Learned::Class {  // one class: its settings, what was learned of it, credit and queues
-  ClassSettings set;
+struct Tier
+    : LearnedState::TrafficClass {  // one class: its settings, what was learned of it, credit and queues
+  TrafficClassSettings set;
   double weight = 0;
   double credit = 0;
   std::deque<Flow*> retries, in_share, over_share;
@@ -187,6 +187,6 @@
   double Uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
 };
 
-}  // namespace opalswitch
+}  // namespace gateway::policy
 
-#endif  // OPALSWITCH_STATE_HPP_
+#endif  // GATEWAY_POLICY_STATE_HPP_
--- a/src/gateway/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -1,4 +1,4 @@
-#include "management.hpp"
+#include "proxy/admin/management.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <utility>
 
-#include "clock.hpp"
-#include "listen.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/listen.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -151,4 +151,4 @@
   return false;
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/management.hpp
+++ b/src/proxy/admin/management.hpp
@@ -1,6 +1,6 @@
 // The address for operators: one line to a connection, one answer, and the connection ends.
-#ifndef OPALSWITCH_GATEWAY_MANAGEMENT_HPP_
-#define OPALSWITCH_GATEWAY_MANAGEMENT_HPP_
+#ifndef GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
+#define GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // Slow callers never block others: each has a place of its own, and when all places are taken the oldest
 // caller without a whole line gives way.
@@ -41,6 +41,6 @@
   std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_MANAGEMENT_HPP_
+#endif  // GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
--- a/src/gateway/figures.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -1,11 +1,13 @@
-#include "figures.hpp"
+#include "proxy/admin/metrics.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-namespace opalswitch::gateway {
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
 namespace {
 
 constexpr std::uint64_t kBounds[] = {1000,   2500,   5000,   10000,   25000,   50000,
@@ -47,11 +49,11 @@
 
 }  // namespace
 
-Figures::Figures(const Settings& settings) {
-  for (const ClassSettings& c : settings.classes) classes_[c.name];
+Metrics::Metrics(const policy::Settings& settings) {
+  for (const policy::TrafficClassSettings& c : settings.classes) classes_[c.name];
 }
 
-void Figures::Answered(const std::string& class_name, unsigned status, bool whole) {
+void Metrics::Answered(const std::string& class_name, unsigned status, bool whole) {
   const auto found = classes_.find(class_name);
   if (found == classes_.end()) return;
   Counts& counts = found->second;
@@ -61,7 +63,7 @@
                                       : counts.errors);
 }
 
-std::string Figures::ToJson(std::size_t active, std::size_t pool_size, std::size_t pool_ejected) const {
+std::string Metrics::ToJson(std::size_t active, std::size_t pool_size, std::size_t pool_ejected) const {
   nlohmann::ordered_json all;
   nlohmann::ordered_json& responses = all["responses"] = nlohmann::ordered_json::object();
   for (const auto& [name, c] : classes_) {
@@ -74,14 +76,14 @@
   return all.dump();
 }
 
-void Figures::Took(const std::string& class_name, Span span, Millis time) {
+void Metrics::Took(const std::string& class_name, Span span, Millis time) {
   const auto found = classes_.find(class_name);
   if (found == classes_.end()) return;
   found->second.spans[static_cast<std::size_t>(span)].Add(
       static_cast<std::uint64_t>(std::max(0.0, time * 1000)));
 }
 
-std::string Figures::ToPrometheus(const std::vector<Sample>& samples) const {
+std::string Metrics::ToPrometheus(const std::vector<Sample>& samples) const {
   std::string text;
   const std::string responses = "elderhead_responses_total";
   Head(text, responses, "counter", "Answers written, by class and result");
@@ -117,4 +119,4 @@
   return text;
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/figures.hpp
+++ b/src/proxy/admin/metrics.hpp
@@ -1,7 +1,7 @@
 // What operators read: counters and histograms, raised where the thing happens. Each process counts from 0.
 // Bounded memory: four histograms of 9 KB a class.
-#ifndef OPALSWITCH_GATEWAY_FIGURES_HPP_
-#define OPALSWITCH_GATEWAY_FIGURES_HPP_
+#ifndef GATEWAY_PROXY_ADMIN_METRICS_HPP_
+#define GATEWAY_PROXY_ADMIN_METRICS_HPP_
 
 #include <array>
 #include <cstddef>
@@ -12,13 +12,14 @@
 #include <vector>
 
 #include "base/histogram.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-class Figures {
+class Metrics {
  public:
-  explicit Figures(const Settings& settings);
+  explicit Metrics(const policy::Settings& settings);
 
   // A request of the class has ended with an answer of this status, whose last byte was written; a broken one
   // has failed whatever its status.
@@ -47,12 +48,12 @@
   static constexpr std::size_t kSpans = 4;
   struct Counts {
     std::uint64_t ok = 0, shed = 0, errors = 0;
-    std::array<elderhead::base::Histogram, kSpans> spans;  // microseconds
+    std::array<base::Histogram, kSpans> spans;  // microseconds
   };
   std::map<std::string, Counts> classes_;  // every class of the settings, from the start
   std::uint64_t tries_ = 0;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_FIGURES_HPP_
+#endif  // GATEWAY_PROXY_ADMIN_METRICS_HPP_
--- a/src/gateway/body.hpp
+++ b/src/proxy/body.hpp
@@ -1,13 +1,13 @@
 // A body on its way through the gateway.
-#ifndef OPALSWITCH_GATEWAY_BODY_HPP_
-#define OPALSWITCH_GATEWAY_BODY_HPP_
+#ifndef GATEWAY_PROXY_BODY_HPP_
+#define GATEWAY_PROXY_BODY_HPP_
 
 #include <boost/system/error_code.hpp>
 #include <cstddef>
 #include <functional>
 #include <string_view>
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 constexpr std::size_t kPiece = 16 * 1024;  // of a body that passes through, at the most
 
@@ -28,6 +28,6 @@
   virtual bool begun() const = 0;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_BODY_HPP_
+#endif  // GATEWAY_PROXY_BODY_HPP_
--- a/src/gateway/arrival.cpp
+++ b/src/proxy/client/arrival.cpp
@@ -1,11 +1,13 @@
-#include "arrival.hpp"
+#include "proxy/client/arrival.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
 
-namespace opalswitch::gateway {
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
 
 std::optional<Millis> SinceLastReceived(int socket) {
   tcp_info info{};
@@ -21,4 +23,4 @@
   return ::poll(&queue, 1, 0) > 0;
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/arrival.hpp
+++ b/src/proxy/client/arrival.hpp
@@ -1,12 +1,13 @@
 // When a request came to this machine, as opposed to when the gateway read it: its client counts from then.
-#ifndef OPALSWITCH_GATEWAY_ARRIVAL_HPP_
-#define OPALSWITCH_GATEWAY_ARRIVAL_HPP_
+#ifndef GATEWAY_PROXY_CLIENT_ARRIVAL_HPP_
+#define GATEWAY_PROXY_CLIENT_ARRIVAL_HPP_
 
 #include <optional>
 
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // Time since the last data came in on a TCP connection, be it read or not, to some milliseconds. Empty where
 // the system does not tell.
@@ -35,6 +36,6 @@
   std::optional<Millis> pending_since_;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_ARRIVAL_HPP_
+#endif  // GATEWAY_PROXY_CLIENT_ARRIVAL_HPP_
--- a/src/gateway/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -1,4 +1,4 @@
-#include "client_server.hpp"
+#include "proxy/client/client_server.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -19,10 +19,10 @@
 #include <utility>
 #include <vector>
 
-#include "clock.hpp"
-#include "listen.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/listen.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -611,17 +611,18 @@
 };
 
 ClientServer::ClientServer(asio::io_context& io, const tcp::endpoint& address, bool shared,
-                           Descriptor listener, std::size_t most_sessions, const Settings& settings,
+                           Descriptor listener, std::size_t most_sessions, const policy::Settings& settings,
                            std::size_t most_held, Handlers handlers)
     : io_(io),
       acceptor_(io),
       most_sessions_(most_sessions),
       most_held_(most_held),
       handlers_(std::move(handlers)),
-      come_back_after_(settings.retry_after ? std::min(kComeBackAfter, settings.max_retry_after) : 0),
+      come_back_after_(settings.send_retry_after ? std::min(kComeBackAfter, settings.maximum_retry_after)
+                                                 : 0),
       sweep_(io),
       accept_again_(io) {
-  for (const ClassSettings& c : settings.classes) classes_[c.name] = c.effect;
+  for (const policy::TrafficClassSettings& c : settings.classes) classes_[c.name] = c.idempotency;
   if (listener) {
     error_code ec;
     acceptor_.assign(address.protocol(), listener.get(), ec);
@@ -823,10 +824,11 @@
   if (!allowed) return fault(http::status::bad_request, "Req-Deadline is missing or malformed");
   request.allowed = *allowed;
   // A repeat of a request that is not safe must be possible to tell from its class and method alike.
-  if (http.method() != (found->second == Effect::kSafe ? http::verb::get : http::verb::post)) {
+  if (http.method() !=
+      (found->second == policy::Idempotency::kIdempotent ? http::verb::get : http::verb::post)) {
     return fault(http::status::method_not_allowed, "the class takes another method");
   }
-  if (found->second == Effect::kKeyed && http["Idempotency-Key"].empty()) {
+  if (found->second == policy::Idempotency::kIdempotencyKey && http["Idempotency-Key"].empty()) {
     return fault(http::status::bad_request, "Idempotency-Key is missing");
   }
   request.tenant = Field(http, "Req-Owner");
@@ -834,4 +836,4 @@
   return nullptr;
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -1,6 +1,6 @@
 // The side that clients see: the listener, /up, the parsing of requests, and the one answer to each.
-#ifndef OPALSWITCH_GATEWAY_CLIENT_SERVER_HPP_
-#define OPALSWITCH_GATEWAY_CLIENT_SERVER_HPP_
+#ifndef GATEWAY_PROXY_CLIENT_CLIENT_SERVER_HPP_
+#define GATEWAY_PROXY_CLIENT_CLIENT_SERVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,13 +13,14 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "arrival.hpp"
-#include "body.hpp"
-#include "handover.hpp"
-#include "http_types.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/body.hpp"
+#include "proxy/client/arrival.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+#include "proxy/restart/handover.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // A client's well-formed request; of a long body what is held so far.
 struct ClientRequest {
@@ -48,7 +49,7 @@
   // Listens at once: on the listener given, or else at the address, where others may listen too if it is to
   // be shared. Throws ConfigError if it can't.
   ClientServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, bool shared,
-               Descriptor listener, std::size_t most_sessions, const Settings& settings,
+               Descriptor listener, std::size_t most_sessions, const policy::Settings& settings,
                std::size_t most_held, Handlers handlers);
   ~ClientServer();
 
@@ -99,7 +100,7 @@
   std::size_t most_sessions_;
   const std::size_t most_held_;  // bytes of bodies, beyond which they are passed on sooner
   std::size_t held_ = 0;
-  std::unordered_map<std::string, Effect> classes_;
+  std::unordered_map<std::string, policy::Idempotency> classes_;
   const Handlers handlers_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
   const Millis come_back_after_;  // told to whoever finds no place; 0: nothing is
@@ -114,6 +115,6 @@
   Give give_;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_CLIENT_SERVER_HPP_
+#endif  // GATEWAY_PROXY_CLIENT_CLIENT_SERVER_HPP_
--- a/src/gateway/clock.hpp
+++ b/src/proxy/clock.hpp
@@ -1,13 +1,15 @@
 // The gateway's one clock: the monotonic one, shifted once at the start so that it reads Unix time.
-#ifndef OPALSWITCH_GATEWAY_CLOCK_HPP_
-#define OPALSWITCH_GATEWAY_CLOCK_HPP_
+#ifndef GATEWAY_PROXY_CLOCK_HPP_
+#define GATEWAY_PROXY_CLOCK_HPP_
 
 #include <chrono>
 
 #include "base/clock.hpp"
-#include "opalswitch/policy.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
+
+using base::Millis;
+using base::Span;
 
 // Never runs backwards, as the policy demands, and a host's up_since_ms needs no further conversion: the
 // shift stays the same, for a start that moved a little between two lists would look like a restart.
@@ -20,8 +22,6 @@
   return since(std::chrono::steady_clock::now()) + shift;
 }
 
-using elderhead::base::Span;
-
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_CLOCK_HPP_
+#endif  // GATEWAY_PROXY_CLOCK_HPP_
--- a/src/gateway/config.cpp
+++ b/src/proxy/config.cpp
@@ -1,4 +1,4 @@
-#include "config.hpp"
+#include "proxy/config.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,9 +7,9 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 using nlohmann::json;
@@ -33,14 +33,14 @@
   }
 }
 
-Settings ReadSettings(const json& file) {
+policy::Settings ReadSettings(const json& file) {
   if (!file.contains("settings") || !file["settings"].is_object()) {
     throw ConfigError("settings: missing, or not an object");
   }
   std::vector<std::string> pairs;
   Flatten(file["settings"], "", pairs);
   try {
-    return wire::ParseSettings({pairs.begin(), pairs.end()});
+    return simulator::ParseSettings({pairs.begin(), pairs.end()});
   } catch (const std::exception& error) {  // its text names the field
     throw ConfigError(std::string("settings: ") + error.what());
   }
@@ -141,10 +141,10 @@
   if (const json::json_pointer at("/log/form"); file.contains(at)) {
     const json& form = file[at];
     if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
-    if (form == "json") config.log = elderhead::base::LogForm::kJson;
+    if (form == "json") config.log = base::LogForm::kJson;
   }
   if (file.contains("known") && !file["known"].is_null()) {
-    const auto known = ParseHostList(file["known"].dump());
+    const auto known = ParseEndpointList(file["known"].dump());
     if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
     config.known = *known;
   }
@@ -155,4 +155,4 @@
   return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");  // the variable is of the start
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/config.hpp
+++ b/src/proxy/config.hpp
@@ -1,6 +1,6 @@
 // What the platform tells a gateway: the NODE_* variables and the JSON file that they name.
-#ifndef OPALSWITCH_GATEWAY_CONFIG_HPP_
-#define OPALSWITCH_GATEWAY_CONFIG_HPP_
+#ifndef GATEWAY_PROXY_CONFIG_HPP_
+#define GATEWAY_PROXY_CONFIG_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
@@ -13,10 +13,11 @@
 #include <vector>
 
 #include "base/log.hpp"
-#include "discovery.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/discovery/discovery.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // One line that names the variable or field that is missing or wrong.
 class ConfigError : public std::runtime_error {
@@ -37,15 +38,15 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;     // file descriptors that the process may hold
   std::size_t memory = 64 << 20;  // bytes
-  Settings settings;
+  policy::Settings settings;
   Millis dial_timeout = 250;
   Millis idle_timeout = 15000;  // a host closes a connection that stood idle for this long
-  HostList known;               // may be old
+  EndpointList known;           // may be old
   std::string state_folder;     // where this gateway keeps what the next process needs; empty: nowhere
   bool state_loaded = true;     // else this start goes without what stands there, and replaces it
   Millis state_sync_delay = 0;  // each of its syncs takes so much longer: for drills with a slow disk
   std::string state_owner;      // whose it is: its name and clients' address
-  elderhead::base::LogForm log = elderhead::base::LogForm::kText;
+  base::LogForm log = base::LogForm::kText;
 };
 
 // `variable` looks up an environment variable: null if it is not set. Throws ConfigError.
@@ -54,6 +55,6 @@
 // The address of discovery that the file names now: what a reload may change. Throws ConfigError.
 boost::asio::ip::tcp::endpoint LoadDiscovery(const std::function<const char*(const char*)>& variable);
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_CONFIG_HPP_
+#endif  // GATEWAY_PROXY_CONFIG_HPP_
--- a/src/gateway/discovery.cpp
+++ b/src/proxy/discovery/discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery.hpp"
+#include "proxy/discovery/discovery.hpp"
 
 #include <algorithm>
 #include <boost/asio/connect.hpp>
@@ -10,13 +10,12 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "clock.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
-namespace base = elderhead::base;
 namespace http = boost::beast::http;
 using boost::system::error_code;
 using nlohmann::json;
@@ -37,39 +36,39 @@
 constexpr Millis kMoveWithin = 200;      // to the next service after one failed
 constexpr Millis kLongestAway = 600000;  // from the first service while that answers
 
-ServerState ToState(const std::string& phase) {
-  if (phase == "up") return ServerState::kUp;
-  if (phase == "draining") return ServerState::kDraining;
-  if (phase == "removed") return ServerState::kGone;
+policy::EndpointState ToState(const std::string& phase) {
+  if (phase == "up") return policy::EndpointState::kUp;
+  if (phase == "draining") return policy::EndpointState::kDraining;
+  if (phase == "removed") return policy::EndpointState::kRemoved;
   throw std::invalid_argument("phase");
 }
 
-Host ToHost(const json& entry) {
-  Host host;
-  Server& server = host.server;
+ListedEndpoint ToHost(const json& entry) {
+  ListedEndpoint host;
+  policy::EndpointInfo& server = host.info;
   server.id = entry.at("id").get<std::string>();
   if (server.id.empty()) throw std::invalid_argument("id");
   server.state = ToState(entry.at("phase").get<std::string>());
   server.zone = entry.value("locality", "");
-  server.kind = entry.value("flavor", "");
+  server.machine_type = entry.value("flavor", "");
   if (entry.contains("cell")) server.cell = entry["cell"].dump();
   server.weight = entry.value("size", 1.0);
   server.started_at = entry.value("up_since_ms", 0.0);
   const auto address = ParseEndpoint(entry.value("host_port", ""));
-  if (!address && server.state != ServerState::kGone) throw std::invalid_argument("host_port");
+  if (!address && server.state != policy::EndpointState::kRemoved) throw std::invalid_argument("host_port");
   if (address) host.address = *address;
   return host;
 }
 
 }  // namespace
 
-std::optional<HostList> ParseHostList(std::string_view text) {
+std::optional<EndpointList> ParseEndpointList(std::string_view text) {
   try {
     const json parsed = json::parse(text);
-    HostList list;
+    EndpointList list;
     list.revision = parsed.at("revision").get<std::int64_t>();
     list.complete = parsed.at("complete").get<bool>();
-    for (const json& entry : parsed.at("members")) list.hosts.push_back(ToHost(entry));
+    for (const json& entry : parsed.at("members")) list.endpoints.push_back(ToHost(entry));
     list.epoch = parsed.value("epoch", "");  // goes into a request's target
     if (list.epoch.size() > 64 ||
         !std::ranges::all_of(list.epoch, [](unsigned char c) { return std::isalnum(c); })) {
@@ -84,18 +83,18 @@
   }
 }
 
-std::string ToText(const HostList& list) {
+std::string ToText(const EndpointList& list) {
   json members = json::array();
-  for (const Host& host : list.hosts) {
-    const Server& server = host.server;
-    const char* const phase = server.state == ServerState::kUp         ? "up"
-                              : server.state == ServerState::kDraining ? "draining"
-                                                                       : "removed";
+  for (const ListedEndpoint& host : list.endpoints) {
+    const policy::EndpointInfo& server = host.info;
+    const char* const phase = server.state == policy::EndpointState::kUp         ? "up"
+                              : server.state == policy::EndpointState::kDraining ? "draining"
+                                                                                 : "removed";
     json entry = {
         {"id", server.id},
         {"host_port", host.address.address().to_string() + ":" + std::to_string(host.address.port())},
         {"locality", server.zone},
-        {"flavor", server.kind},
+        {"flavor", server.machine_type},
         {"phase", phase},
         {"size", server.weight},
         {"up_since_ms", server.started_at}};
@@ -144,7 +143,7 @@
 }
 
 // A replica that lags would bring back hosts that are gone. Another history counts anew.
-bool Discovery::IsOlder(const HostList& list, bool sure) const {
+bool Discovery::IsOlder(const EndpointList& list, bool sure) const {
   return list.revision < revision_ && sure && list.epoch == epoch_;
 }
 
@@ -204,10 +203,10 @@
   });
 }
 
-std::optional<HostList> Discovery::Acceptable(const Call& call, bool sure, std::string& why) const {
+std::optional<EndpointList> Discovery::Acceptable(const Call& call, bool sure, std::string& why) const {
   const auto& answer = call.parser.get();
-  std::optional<HostList> list;
-  if (answer.result() == http::status::ok) list = ParseHostList(answer.body());
+  std::optional<EndpointList> list;
+  if (answer.result() == http::status::ok) list = ParseEndpointList(answer.body());
   if (answer.result() != http::status::ok) {
     why = "status " + std::to_string(answer.result_int());
   } else if (!list) {
@@ -241,7 +240,7 @@
   });
 }
 
-void Discovery::Tell(HostList list) {
+void Discovery::Tell(EndpointList list) {
   heard_at_ = Now();
   epoch_ = list.epoch;
   revision_ = list.revision;
@@ -278,9 +277,9 @@
   Close(former_socket_);
 }
 
-void Discovery::SayTold(const Call& call, const HostList& list) {
+void Discovery::SayTold(const Call& call, const EndpointList& list) {
   Say(call,
-      "revision " + std::to_string(list.revision) + ", " + std::to_string(list.hosts.size()) +
+      "revision " + std::to_string(list.revision) + ", " + std::to_string(list.endpoints.size()) +
           (list.complete ? " hosts, the whole list" : " hosts changed"),
       false);
 }
@@ -365,12 +364,12 @@
     Exchange(socket, call, [this, call, service](const std::string& why) {
       call->timer.cancel();
       if (!why.empty() || call->parser.get().result() != http::status::ok) return;
-      if (const auto list = ParseHostList(call->parser.get().body())) Looked(service, *list);
+      if (const auto list = ParseEndpointList(call->parser.get().body())) Looked(service, *list);
     });
   });
 }
 
-void Discovery::Looked(std::size_t service, const HostList& list) {
+void Discovery::Looked(std::size_t service, const EndpointList& list) {
   if (list.epoch != epoch_ || service == at_) return;
   if (service == 0 && Now() - left_first_at_ >= return_after_ && list.revision >= revision_) {
     return SwitchTo(0, "it answers again");
@@ -406,4 +405,4 @@
   Ask();
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/discovery.hpp
+++ b/src/proxy/discovery/discovery.hpp
@@ -1,6 +1,6 @@
 // The list of hosts: its form, and the watch on discovery that keeps it up to date.
-#ifndef OPALSWITCH_GATEWAY_DISCOVERY_HPP_
-#define OPALSWITCH_GATEWAY_DISCOVERY_HPP_
+#ifndef GATEWAY_PROXY_DISCOVERY_DISCOVERY_HPP_
+#define GATEWAY_PROXY_DISCOVERY_DISCOVERY_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -15,39 +15,40 @@
 #include <vector>
 
 #include "base/endpoint.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-struct Host {
-  Server server;
+struct ListedEndpoint {
+  policy::EndpointInfo info;
   boost::asio::ip::tcp::endpoint address;
 };
 
-struct HostList {
+struct EndpointList {
   std::int64_t revision = 0;
   bool complete = true;  // else only what changed
-  std::vector<Host> hosts;
+  std::vector<ListedEndpoint> endpoints;
   // Of the project's own list service; the platform's says neither.
   std::string epoch;           // of its history: revisions of another one count anew
   std::int64_t confirmed = 0;  // revision of the last removal by operators' word
 };
 
-using elderhead::base::ParseEndpoint;
+using base::ParseEndpoint;
 
 // Nothing if the text is broken in any part: half a list must not pass for a whole one.
-std::optional<HostList> ParseHostList(std::string_view text);
+std::optional<EndpointList> ParseEndpointList(std::string_view text);
 // The same form.
-std::string ToText(const HostList& list);
+std::string ToText(const EndpointList& list);
 
 class Discovery {
  public:
   struct Handlers {
-    std::function<void(HostList)> told;
+    std::function<void(EndpointList)> told;
     // The watch has ended, with a call that was begun so many ms ago; Watch() begins a new one.
     std::function<void(Millis took)> failed;
     // Why such a list must not be believed; empty: it may. None: all are.
-    std::function<std::string(const HostList&)> refused;
+    std::function<std::string(const EndpointList&)> refused;
   };
   // Several services of one list. One watch at a time: it moves on when a call fails, when the list is
   // refused or when another service has news that this one does not get, and comes back to the first.
@@ -80,15 +81,15 @@
   struct Call;
   const boost::asio::ip::tcp::endpoint& address() const { return addresses_[at_]; }
   std::string Target(Millis wait) const;
-  bool IsOlder(const HostList& list, bool sure) const;
+  bool IsOlder(const EndpointList& list, bool sure) const;
   // The list in the answer to a call; nothing, and why not, where it must not be taken.
-  std::optional<HostList> Acceptable(const Call& call, bool sure, std::string& why) const;
-  void Tell(HostList list);
+  std::optional<EndpointList> Acceptable(const Call& call, bool sure, std::string& why) const;
+  void Tell(EndpointList list);
   void MoveOn(Millis begun);
   void SwitchTo(std::size_t service, const std::string& why);
   void LookLater();
   void LookAt(std::size_t service);
-  void Looked(std::size_t service, const HostList& list);
+  void Looked(std::size_t service, const EndpointList& list);
   void Ask();
   void Connected(const std::shared_ptr<Call>& call);
   static void Exchange(const std::shared_ptr<boost::asio::ip::tcp::socket>& socket,
@@ -99,7 +100,7 @@
   void DropFormer();
   void Fail(const std::shared_ptr<Call>& call, const std::string& why);
   void Say(const Call& call, const std::string& what, bool failed);
-  void SayTold(const Call& call, const HostList& list);
+  void SayTold(const Call& call, const EndpointList& list);
   void Drop();
   static void Close(std::shared_ptr<boost::asio::ip::tcp::socket>& socket);
 
@@ -126,6 +127,6 @@
   Millis heard_at_ = 0, left_first_at_ = 0, back_at_ = 0, return_after_;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_DISCOVERY_HPP_
+#endif  // GATEWAY_PROXY_DISCOVERY_DISCOVERY_HPP_
--- a/src/gateway/list_follower.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -1,8 +1,8 @@
 // Follows the list of hosts for one gateway: keeps the watch on discovery, holds the list in force and
 // decides which lists are not to be believed. Knows nothing of requests or connections to hosts, so a gateway
 // without a request path can use it as it is. One thread.
-#ifndef OPALSWITCH_GATEWAY_LIST_FOLLOWER_HPP_
-#define OPALSWITCH_GATEWAY_LIST_FOLLOWER_HPP_
+#ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
+#define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,12 +13,13 @@
 #include <string>
 #include <vector>
 
-#include "discovery.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/discovery/discovery.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-class ListFollower {
+class EndpointListWatcher {
  public:
   struct Options {
     boost::asio::ip::tcp::endpoint service;
@@ -35,14 +36,14 @@
     // A call was answered with a list that is believed; `changed` follows.
     std::function<void()> answered;
     // The list in force has changed by this one.
-    std::function<void(const HostList&)> changed;
+    std::function<void(const EndpointList&)> changed;
     // The watch has ended, with a call that was begun so many ms ago; Watch() begins a new one.
     std::function<void(Millis took)> failed;
   };
-  ListFollower(boost::asio::io_context& io, Options options, Handlers handlers);
+  EndpointListWatcher(boost::asio::io_context& io, Options options, Handlers handlers);
 
   // Puts a list in force that did not come from a call of this process.
-  void Apply(const HostList& list);
+  void Apply(const EndpointList& list);
 
   // As in Discovery.
   void Watch() { discovery_.Watch(); }
@@ -51,24 +52,24 @@
   std::size_t service() const { return discovery_.service(); }
 
   // The list in force, draining hosts too.
-  const std::map<std::string, Host>& hosts() const { return hosts_; }
+  const std::map<std::string, ListedEndpoint>& hosts() const { return hosts_; }
   std::int64_t revision() const { return revision_; }
-  HostList Listed() const;
+  EndpointList Listed() const;
 
  private:
-  std::string Refused(const HostList& list);
+  std::string Refused(const EndpointList& list);
 
   const Handlers handlers_;
   const double most_removed_;
-  std::map<std::string, Host> hosts_;
+  std::map<std::string, ListedEndpoint> hosts_;
   std::int64_t revision_ = 0;
   std::string epoch_;  // of the revision; empty where the service has none
   Discovery discovery_;
 };
 
 // What the decisions are told of a list.
-ServerNews ToNews(const HostList& list);
+policy::EndpointListEvent ToNews(const EndpointList& list);
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_LIST_FOLLOWER_HPP_
+#endif  // GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
--- a/src/gateway/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -1,4 +1,4 @@
-#include "gateway.hpp"
+#include "proxy/gateway.hpp"
 
 #include <sys/resource.h>
 
@@ -11,14 +11,13 @@
 #include <variant>
 
 #include "base/log.hpp"
-#include "clock.hpp"
-#include "listen.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/listen.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
-namespace base = elderhead::base;
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
@@ -73,17 +72,17 @@
 }
 
 // The request that an event is about; empty if it is about none.
-std::string RequestOf(const Event& event) {
-  if (const auto* request = std::get_if<Request>(&event)) return request->id;
-  if (const auto* outcome = std::get_if<Outcome>(&event)) return outcome->request;
-  if (const auto* gone = std::get_if<ClientGone>(&event)) return gone->request;
+std::string RequestOf(const policy::Event& event) {
+  if (const auto* request = std::get_if<policy::Request>(&event)) return request->id;
+  if (const auto* outcome = std::get_if<policy::AttemptOutcome>(&event)) return outcome->request;
+  if (const auto* gone = std::get_if<policy::ClientDisconnected>(&event)) return gone->request;
   return {};
 }
 
 // The watch begins at the newest revision known. That of a list from the disk is not sure.
-ListFollower::Options FollowerOptions(const Config& config, const Inheritance& inheritance,
-                                      const std::optional<KeptState>& kept) {
-  ListFollower::Options options;
+EndpointListWatcher::Options FollowerOptions(const Config& config, const InheritedState& inheritance,
+                                             const std::optional<SavedState>& kept) {
+  EndpointListWatcher::Options options;
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
@@ -102,35 +101,38 @@
 }  // namespace
 
 Gateway::Gateway(asio::io_context& io, const Config& config)
-    : Gateway(io, config, config.handover.empty() ? Inheritance{} : Inherit(config.handover, config.listen),
+    : Gateway(io, config,
+              config.handover.empty() ? InheritedState{} : Inherit(config.handover, config.listen),
               config.state_folder.empty() || !config.state_loaded
                   ? std::nullopt
                   : LoadState(config.state_folder, config.state_owner)) {}
 
 // Hosts get a third of the descriptors, clients the rest: both sides together stay under the limit.
-Gateway::Gateway(asio::io_context& io, const Config& config, Inheritance inheritance,
-                 std::optional<KeptState> kept)
+Gateway::Gateway(asio::io_context& io, const Config& config, InheritedState inheritance,
+                 std::optional<SavedState> kept)
     : io_(io),
       settings_(config.settings),
       policy_(config.settings, config.seed),
       most_clients_(std::max<std::size_t>(1, Usable(config.sockets) * 2 / 3)),
       most_hosts_(std::max<std::size_t>(1, Usable(config.sockets) / 3)),
       hosts_(io, {config.dial_timeout, config.idle_timeout, most_hosts_, config.memory / 4}),
-      list_(io, FollowerOptions(config, inheritance, kept),
-            {[this] {
-               list_kept_ = false;
-               list_confirmed_at_ = Now();
-             },
-             [this](const HostList& list) { ApplyList(list); }, [this](Millis took) { ListFailed(took); }}),
-      figures_(config.settings),
+      list_(
+          io, FollowerOptions(config, inheritance, kept),
+          {[this] {
+             list_kept_ = false;
+             list_confirmed_at_ = Now();
+           },
+           [this](const EndpointList& list) { ApplyList(list); }, [this](Millis took) { ListFailed(took); }}),
+      metrics_(config.settings),
       stop_(io),
       counting_(io),
-      replacement_(io, config.handover, std::move(inheritance.link),
-                   !config.handover.empty() && !inheritance.listener && IsTaken(config.listen),
-                   {[this] { return Ready(); }, [this] { return stopping_; },
-                    [this] { return clients_.listener(); }, [this] { return Leave(); },
-                    [this](double factor) { policy_.Scale(factor); }, [this](bool half) { SetPlaces(half); },
-                    [this](Descriptor client) { clients_.Adopt(std::move(client)); }}),
+      replacement_(
+          io, config.handover, std::move(inheritance.link),
+          !config.handover.empty() && !inheritance.listener && IsTaken(config.listen),
+          {[this] { return Ready(); }, [this] { return stopping_; }, [this] { return clients_.listener(); },
+           [this] { return Leave(); }, [this](double factor) { policy_.ScaleToShare(factor); },
+           [this](bool half) { SetPlaces(half); },
+           [this](Descriptor client) { clients_.Adopt(std::move(client)); }}),
       keep_(io),
       list_old_after_(config.list_old_after),
       started_at_(Now()),
@@ -141,7 +143,7 @@
                 [this](const std::string& id, Millis at) { Whole(id, at); },
                 [this](const std::string& id) { Gone(id); },
                 [this](const std::string& class_name, unsigned status, bool whole) {
-                  figures_.Answered(class_name, status, whole);
+                  metrics_.Answered(class_name, status, whole);
                 }}) {
   if (config.management) {
     const std::size_t callers = std::max<std::size_t>(2, std::min(kMostCallers, config.sockets / 16));
@@ -165,29 +167,35 @@
   if (!config.state_folder.empty())
     keeper_.emplace(config.state_folder, config.state_owner, config.state_sync_delay);
   if (handed_over) {
-    policy_.Adopt(Now(), handed_over->learned);
+    policy_.ImportState(Now(), handed_over->learned);
   } else if (kept && kept->learned) {
-    policy_.Adopt(Now(), *kept->learned);
+    policy_.ImportState(Now(), *kept->learned);
     base::Log(base::Level::kInfo, "state", "learned_restored",
               Words("state kept: what was learned of %zu hosts, %.1f s ago, counts by its age",
-                    kept->learned->servers.size(), (Now() - kept->learned->at) / 1000),
-              {{"hosts", kept->learned->servers.size()}, {"age_ms", Now() - kept->learned->at}});
+                    kept->learned->endpoints.size(), (Now() - kept->learned->exported_at) / 1000),
+              {{"hosts", kept->learned->endpoints.size()}, {"age_ms", Now() - kept->learned->exported_at}});
   }
   replacement_.Begin();
-  if (!settings_.ask_for_list) list_.Watch();
-  for (const ClassSettings& c : settings_.classes) {
+  if (!settings_.poll_endpoint_list) list_.Watch();
+  for (const policy::TrafficClassSettings& c : settings_.classes) {
     base::Log(base::Level::kInfo, "start", "class",
               Words("class %s: aim %.0f ms, deadline %.0f ms, worth %.1f, late worth %.2f", c.name.c_str(),
-                    c.aim, c.deadline, c.worth, c.late_worth),
-              {{"class", c.name}, {"aim_ms", c.aim}, {"deadline_ms", c.deadline}, {"worth", c.worth}});
+                    c.latency_objective, c.deadline, c.priority_weight, c.late_weight),
+              {{"class", c.name},
+               {"aim_ms", c.latency_objective},
+               {"deadline_ms", c.deadline},
+               {"worth", c.priority_weight}});
   }
   base::Log(
       base::Level::kInfo, "start", "fleet",
       Words("fleet: gateway %d of %d in zone %s; hosts start at %.2f, warm after %.0f ms, fall at %.1f times "
             "that; ask within %.0f ms",
-            settings_.index, settings_.gateways, settings_.zone.c_str(), settings_.cold_from,
-            settings_.cold_for, settings_.fall_multiple, settings_.ask_within),
-      {{"gateway", settings_.index}, {"gateways", settings_.gateways}, {"zone", settings_.zone}});
+            settings_.gateway_index, settings_.gateway_count, settings_.zone.c_str(),
+            settings_.warm_up_initial_fraction, settings_.warm_up_duration, settings_.overload_factor,
+            settings_.maximum_poll_interval),
+      {{"gateway", settings_.gateway_index},
+       {"gateways", settings_.gateway_count},
+       {"zone", settings_.zone}});
   CountLater();
 }
 
@@ -209,7 +217,8 @@
   const Millis gives_up = request.received + request.allowed;
   active.leaves_at = gives_up - kMargin;
   if (active.whole) SetDeadline(request.id, active, gives_up);
-  Report(Request{request.id, request.class_name, request.tenant, request.key, active.leaves_at - Now()});
+  Report(
+      policy::Request{request.id, request.class_name, request.tenant, request.key, active.leaves_at - Now()});
   if (ActiveRequest* const held = Find(request.id)) held->direct = false;
 }
 
@@ -231,17 +240,17 @@
     attempt.sent = at;
     hosts_.SetDeadline(attempt.number, std::min(at + attempt.timeout, active->leaves_at));
   }
-  Report(RequestWhole{id, active->leaves_at - Now()});
+  Report(policy::RequestComplete{id, active->leaves_at - Now()});
 }
 
-void Gateway::ApplyList(const HostList& list) {
+void Gateway::ApplyList(const EndpointList& list) {
   hosts_.Update(list);  // first: nothing may be sent by the old list any more
-  listed_ = listed_ || !list.hosts.empty();
+  listed_ = listed_ || !list.endpoints.empty();
   Report(ToNews(list));
   replacement_.ReadyNow();
   // Not all of a fleet at once.
   if (keeper_ && !list_.hosts().empty()) {
-    KeepLater(kKeepWithin * (settings_.index % kKeepSteps) / kKeepSteps);
+    KeepLater(kKeepWithin * (settings_.gateway_index % kKeepSteps) / kKeepSteps);
   }
 }
 
@@ -253,7 +262,7 @@
   keep_.expires_at(due);
   keep_.async_wait([this](error_code ec) {
     if (ec || !keeper_->ok()) return;
-    keeper_->Keep({list_.Listed(), draining_, list_confirmed_at_, policy_.Remember()});
+    keeper_->Keep({list_.Listed(), draining_, list_confirmed_at_, policy_.ExportState()});
     KeepLater(kKeepEvery);  // what is learned goes on changing
   });
 }
@@ -274,10 +283,12 @@
 bool Gateway::ListOld() const { return Now() - std::max(list_.heard_at(), started_at_) > list_old_after_; }
 
 void Gateway::ListFailed(Millis took) {
-  Report(ServerNews{ServerNews::Kind::kFailed, {}, took});  // the policy says when to ask again
+  Report(policy::EndpointListEvent{
+      policy::EndpointListEvent::Kind::kFailure, {}, took});  // the policy says when to ask again
 }
 
-void Gateway::Ended(const std::string& id, std::size_t attempt, Result result, HttpResponse response) {
+void Gateway::Ended(const std::string& id, std::size_t attempt, policy::AttemptResult result,
+                    HttpResponse response) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr) return;
   Attempt& ended = active->attempts[attempt];
@@ -286,16 +297,17 @@
   // Before the request was whole the host had nothing to work on.
   const Millis latency = active->whole ? Now() - ended.sent : 0;
   const bool held = !active->rest || !active->rest->begun();
-  Outcome outcome{id,
-                  static_cast<int>(attempt),
-                  ended.host,
-                  result,
-                  false,
-                  latency,
-                  ParseLoad({report.data(), report.size()}, settings_.report_fields),
-                  held};
-  if (result == Result::kServed) figures_.Took(active->class_name, Figures::Span::kAtHost, latency);
-  if (result == Result::kServed && !active->answered) {
+  policy::AttemptOutcome outcome{id,
+                                 static_cast<int>(attempt),
+                                 ended.host,
+                                 result,
+                                 false,
+                                 latency,
+                                 ParseLoad({report.data(), report.size()}, settings_.load_report_fields),
+                                 held};
+  if (result == policy::AttemptResult::kServed)
+    metrics_.Took(active->class_name, Metrics::Span::kAtHost, latency);
+  if (result == policy::AttemptResult::kServed && !active->answered) {
     StripHopByHop(response);
     response.erase("Srv-Load");
     Answer(*active, std::move(response));
@@ -314,7 +326,7 @@
   StripHopByHop(response);
   response.erase("Srv-Load");
   Answer(*active, std::move(response), std::move(rest));
-  Report(StreamStarted{id, static_cast<int>(attempt)});
+  Report(policy::ResponseStarted{id, static_cast<int>(attempt)});
 }
 
 // The client has left: nothing is owed any more, and what was not written to a host never will be.
@@ -325,7 +337,7 @@
   ++left_;
   active->answered = true;
   active->overdue.cancel();
-  Report(ClientGone{id});
+  Report(policy::ClientDisconnected{id});
   std::vector<std::uint64_t> out;
   if (const ActiveRequest* const left = Find(id)) {
     for (const Attempt& attempt : left->attempts) {
@@ -349,7 +361,7 @@
   ActiveRequest* const active = Find(id);
   if (active == nullptr || active->answered) return;
   Answer(*active, HttpResponse(http::status::gateway_timeout, 11));
-  Report(ClientGone{id});
+  Report(policy::ClientDisconnected{id});
 }
 
 std::optional<asio::ip::tcp::endpoint> Gateway::management() const {
@@ -360,7 +372,8 @@
 // What the operators ask for, and what they are told.
 std::string Gateway::Manage(const std::string& call) {
   if (call == "vars") {
-    std::string figures = figures_.ToJson(clients_.active(), list_.hosts().size(), policy_.avoided());
+    std::string figures =
+        metrics_.ToJson(clients_.active(), list_.hosts().size(), policy_.EjectedEndpoints());
     // With no folder for states all is as before.
     if (keeper_)
       figures.insert(figures.size() - 1,
@@ -368,13 +381,13 @@
     return figures + "\nEOT\n";
   }
   if (call == "metrics") {
-    const HostPool::Counts& c = hosts_.counts();
+    const UpstreamPool::Counts& c = hosts_.counts();
     const auto number = [](auto value) { return static_cast<double>(value); };
-    return figures_.ToPrometheus(
+    return metrics_.ToPrometheus(
                {{"active_requests", "gauge", "Requests taken and not ended", number(clients_.active())},
                 {"hosts_listed", "gauge", "Hosts in the list", number(list_.hosts().size())},
                 {"hosts_avoided", "gauge", "Listed hosts that get no more than trials",
-                 number(policy_.avoided())},
+                 number(policy_.EjectedEndpoints())},
                 {"list_revision", "gauge", "Revision of the list in force", number(list_.revision())},
                 {"ready", "gauge", "1 while this process takes clients", Ready() ? 1.0 : 0.0},
                 {"client_connections", "gauge", "Connections from clients", number(clients_.sessions())},
@@ -430,8 +443,8 @@
               said_old_ ? Words("discovery: no list for %.0f s; the old one holds", list_old_after_ / 1000)
                         : "discovery: the list is fresh again");
   }
-  const HostPool::Counts& now = hosts_.counts();
-  const HostPool::Counts was = std::exchange(counted_, now);
+  const UpstreamPool::Counts& now = hosts_.counts();
+  const UpstreamPool::Counts was = std::exchange(counted_, now);
   const auto since = [](std::uint64_t a, std::uint64_t b) { return static_cast<unsigned long long>(a - b); };
   base::Log(
       base::Level::kInfo, "sockets", "counts",
@@ -444,22 +457,22 @@
   CountLater();
 }
 
-void Gateway::Report(Event event) {
+void Gateway::Report(policy::Event event) {
   events_.push_back(std::move(event));
   if (reporting_) return;
   reporting_ = true;
-  std::vector<Action> actions;
+  std::vector<policy::Action> actions;
   while (!events_.empty()) {
-    Event next = std::move(events_.front());
+    policy::Event next = std::move(events_.front());
     events_.pop_front();
     const std::string id = RequestOf(next);
-    if (auto* const outcome = std::get_if<Outcome>(&next)) {
+    if (auto* const outcome = std::get_if<policy::AttemptOutcome>(&next)) {
       const ActiveRequest* const active = Find(id);
-      outcome->finished = active == nullptr || active->answered;
+      outcome->request_finished = active == nullptr || active->answered;
     }
     actions.clear();
-    policy_.handle(Now(), next, actions);
-    for (const Action& action : actions) {
+    policy_.Handle(Now(), next, actions);
+    for (const policy::Action& action : actions) {
       std::visit([this](const auto& a) { Do(a); }, action);
     }
     Settle(id);
@@ -467,7 +480,7 @@
   reporting_ = false;
 }
 
-void Gateway::Do(const Send& send) {
+void Gateway::Do(const policy::Send& send) {
   const bool awaited = Awaited(send.request);
   ActiveRequest* const active = Find(send.request);
   const Millis now = Now();
@@ -475,21 +488,22 @@
   if (!awaited || static_cast<int>(active->attempts.size()) >= settings_.max_attempts ||
       (active->rest && active->rest->begun())) {
     const int attempt = active == nullptr ? 0 : static_cast<int>(active->attempts.size());
-    if (active != nullptr) active->attempts.push_back({send.server, now, 0, 0, false});
-    return Report(Outcome{send.request, attempt, send.server, Result::kNotSent, true, 0, {}});
+    if (active != nullptr) active->attempts.push_back({send.endpoint, now, 0, 0, false});
+    return Report(policy::AttemptOutcome{
+        send.request, attempt, send.endpoint, policy::AttemptResult::kNotSent, true, 0, {}});
   }
   const std::size_t index = active->attempts.size();
   if (index == 0) Handled(*active, now, true);
   const Millis timeout = send.timeout > 0 ? send.timeout : kMostUpload;
-  active->attempts.push_back({send.server, now, timeout});
-  HostPool::Order order;
+  active->attempts.push_back({send.endpoint, now, timeout});
+  UpstreamPool::Order order;
   order.request = active->http;
   if (!active->whole) order.rest = active->rest;
   order.deadline = active->whole ? std::min(now + timeout, active->leaves_at) : now + kMostUpload;
-  order.wanted = [this, id = send.request, write_by = now + send.written_within] {
+  order.wanted = [this, id = send.request, write_by = now + send.start_writing_within] {
     return Now() <= write_by && Awaited(id);
   };
-  order.done = [this, id = send.request, index](Result result, HttpResponse response) {
+  order.done = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
     Ended(id, index, result, std::move(response));
   };
   order.begun = [this, id = send.request, index](HttpResponse response, std::shared_ptr<BodySource> rest) {
@@ -498,18 +512,18 @@
   order.passing = [this, id = send.request] {
     if (ActiveRequest* const passing = Find(id)) passing->http.reset();
   };
-  order.written = [this] { figures_.Tried(); };
-  const std::uint64_t number = hosts_.Start(send.server, std::move(order));
+  order.written = [this] { metrics_.Tried(); };
+  const std::uint64_t number = hosts_.Start(send.endpoint, std::move(order));
   active->attempts[index].number = number;
 }
 
 // The decisions have dealt with the request for the first time.
 void Gateway::Handled(const ActiveRequest& active, Millis now, bool sent) {
-  if (sent) figures_.Took(active.class_name, Figures::Span::kFirstAttempt, now - active.received);
-  if (!active.direct) figures_.Took(active.class_name, Figures::Span::kQueued, now - active.received);
+  if (sent) metrics_.Took(active.class_name, Metrics::Span::kFirstAttempt, now - active.received);
+  if (!active.direct) metrics_.Took(active.class_name, Metrics::Span::kQueued, now - active.received);
 }
 
-void Gateway::Do(const Refuse& refuse) {
+void Gateway::Do(const policy::Reject& refuse) {
   ActiveRequest* const active = Find(refuse.request);
   if (active == nullptr) return;
   if (active->attempts.empty()) Handled(*active, Now(), false);
@@ -519,29 +533,29 @@
   Settle(refuse.request);
 }
 
-void Gateway::Do(const Fail& fail) {
+void Gateway::Do(const policy::Fail& fail) {
   ActiveRequest* const active = Find(fail.request);
   if (active == nullptr) return;
   Answer(*active, HttpResponse(http::status::bad_gateway, 11));
   Settle(fail.request);
 }
 
-void Gateway::Do(const Cancel& cancel) {
+void Gateway::Do(const policy::Cancel& cancel) {
   ActiveRequest* const active = Find(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
   if (active != nullptr && attempt < active->attempts.size()) hosts_.Cancel(active->attempts[attempt].number);
 }
 
-void Gateway::Do(const SetTimer& timer) {
+void Gateway::Do(const policy::SetTimer& timer) {
   const auto wait = std::make_shared<asio::steady_timer>(io_, Span(timer.delay));
   wait->async_wait([this, wait, name = timer.name](error_code ec) {
-    if (!ec) Report(TimerDue{name});
+    if (!ec) Report(policy::TimerFired{name});
   });
 }
 
-void Gateway::Do(const Watch&) { list_.Watch(); }
+void Gateway::Do(const policy::WatchEndpointList&) { list_.Watch(); }
 
-void Gateway::Do(const Log& log) {
+void Gateway::Do(const policy::LogLine& log) {
   const bool state = log.text.rfind("state:", 0) == 0;
   base::Log(base::Level::kInfo, "decisions", state ? "counts" : "news", log.text);
 }
@@ -554,7 +568,7 @@
 void Gateway::Answer(ActiveRequest& active, HttpResponse response, std::shared_ptr<BodySource> rest) {
   if (std::exchange(active.answered, true)) return;
   active.overdue.cancel();
-  figures_.Took(active.class_name, Figures::Span::kAll, Now() - active.received);
+  metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received);
   std::exchange(active.answer, nullptr)(std::move(response), std::move(rest));
 }
 
@@ -573,7 +587,7 @@
   hosts_.SetMost(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
 }
 
-HandoverState Gateway::Leave() const { return {list_.Listed(), policy_.Remember()}; }
+HandoverState Gateway::Leave() const { return {list_.Listed(), policy_.ExportState()}; }
 
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
@@ -605,4 +619,4 @@
   });
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -1,8 +1,8 @@
 // src/gateway: sockets, files and signals of one gateway. No decision on requests, and nothing that another
 // program needs. This: turns what sockets and timers report into the policy's events, and carries out its
 // actions.
-#ifndef OPALSWITCH_GATEWAY_GATEWAY_HPP_
-#define OPALSWITCH_GATEWAY_GATEWAY_HPP_
+#ifndef GATEWAY_PROXY_GATEWAY_HPP_
+#define GATEWAY_PROXY_GATEWAY_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,17 +16,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "client_server.hpp"
-#include "config.hpp"
-#include "figures.hpp"
-#include "host_pool.hpp"
-#include "list_follower.hpp"
-#include "management.hpp"
-#include "opalswitch/policy.hpp"
-#include "replacement.hpp"
-#include "state_keeper.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/admin/management.hpp"
+#include "proxy/admin/metrics.hpp"
+#include "proxy/client/client_server.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/config.hpp"
+#include "proxy/discovery/endpoint_list_watcher.hpp"
+#include "proxy/restart/hot_restart.hpp"
+#include "proxy/restart/state_saver.hpp"
+#include "proxy/upstream/upstream_pool.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 class Gateway {
  public:
@@ -69,8 +70,8 @@
     boost::asio::steady_timer overdue;
   };
 
-  Gateway(boost::asio::io_context& io, const Config& config, Inheritance inheritance,
-          std::optional<KeptState> kept);
+  Gateway(boost::asio::io_context& io, const Config& config, InheritedState inheritance,
+          std::optional<SavedState> kept);
 
   HandoverState Leave() const;
   void SetPlaces(bool half);
@@ -78,13 +79,13 @@
   void FinishBy(Millis time, const std::function<void()>& done);
 
   void Take(ClientRequest request);
-  void ApplyList(const HostList& list);
+  void ApplyList(const EndpointList& list);
   void ListFailed(Millis took);
   bool ListOld() const;
   void Whole(const std::string& id, Millis at);
   void Begun(const std::string& id, std::size_t attempt, HttpResponse response,
              std::shared_ptr<BodySource> rest);
-  void Ended(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
+  void Ended(const std::string& id, std::size_t attempt, policy::AttemptResult result, HttpResponse response);
   void Gone(const std::string& id);
   bool Awaited(const std::string& id);
   void Overdue(const std::string& id);
@@ -97,15 +98,15 @@
 
   // Hands an event to the policy and carries out what it says, one event after the other: what an action
   // causes at once waits in the queue.
-  void Report(Event event);
-  void Do(const Send& send);
+  void Report(policy::Event event);
+  void Do(const policy::Send& send);
   void Handled(const ActiveRequest& active, Millis now, bool sent);
-  void Do(const Refuse& refuse);
-  void Do(const Fail& fail);
-  void Do(const Cancel& cancel);
-  void Do(const SetTimer& timer);
-  void Do(const Watch& watch);
-  void Do(const Log& log);
+  void Do(const policy::Reject& refuse);
+  void Do(const policy::Fail& fail);
+  void Do(const policy::Cancel& cancel);
+  void Do(const policy::SetTimer& timer);
+  void Do(const policy::WatchEndpointList& watch);
+  void Do(const policy::LogLine& log);
 
   ActiveRequest* Find(const std::string& id);
   void Answer(ActiveRequest& active, HttpResponse response, std::shared_ptr<BodySource> rest = nullptr);
@@ -113,25 +114,25 @@
   void Settle(const std::string& id);
 
   boost::asio::io_context& io_;
-  const Settings settings_;
-  Policy policy_;
+  const policy::Settings settings_;
+  policy::Policy policy_;
   const std::size_t most_clients_, most_hosts_;  // connections, while this process is the whole gateway
-  HostPool hosts_;
-  ListFollower list_;
+  UpstreamPool hosts_;
+  EndpointListWatcher list_;
   std::unordered_map<std::string, ActiveRequest> active_requests_;
-  std::deque<Event> events_;
+  std::deque<policy::Event> events_;
   bool reporting_ = false;
   bool listed_ = false;  // some list of hosts is known
   bool stopping_ = false;
   bool draining_ = false;  // by the operators' word
-  Figures figures_;
+  Metrics metrics_;
   boost::asio::steady_timer stop_;
   boost::asio::steady_timer counting_;
-  HostPool::Counts counted_;  // as last logged
-  int gone_ = 0;              // clients that left unanswered, since then
-  std::uint64_t left_ = 0;    // and since the start
-  Replacement replacement_;
-  std::optional<StateKeeper> keeper_;
+  UpstreamPool::Counts counted_;  // as last logged
+  int gone_ = 0;                  // clients that left unanswered, since then
+  std::uint64_t left_ = 0;        // and since the start
+  HotRestart replacement_;
+  std::optional<StateSaver> keeper_;
   boost::asio::steady_timer keep_;
   const Millis list_old_after_, started_at_;
   bool said_old_ = false;
@@ -141,6 +142,6 @@
   std::optional<ManagementServer> management_;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_GATEWAY_HPP_
+#endif  // GATEWAY_PROXY_GATEWAY_HPP_
--- a/src/gateway/http_types.hpp
+++ b/src/proxy/http_types.hpp
@@ -1,6 +1,6 @@
 // The messages that clients, gateway and hosts exchange, and what they have in common.
-#ifndef OPALSWITCH_GATEWAY_HTTP_TYPES_HPP_
-#define OPALSWITCH_GATEWAY_HTTP_TYPES_HPP_
+#ifndef GATEWAY_PROXY_HTTP_TYPES_HPP_
+#define GATEWAY_PROXY_HTTP_TYPES_HPP_
 
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/string_body.hpp>
@@ -10,7 +10,7 @@
 #include <sstream>
 #include <string>
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -44,6 +44,6 @@
   return text;
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_HTTP_TYPES_HPP_
+#endif  // GATEWAY_PROXY_HTTP_TYPES_HPP_
--- a/src/gateway/listen.hpp
+++ b/src/proxy/listen.hpp
@@ -1,6 +1,6 @@
 // How the gateway's listeners are opened.
-#ifndef OPALSWITCH_GATEWAY_LISTEN_HPP_
-#define OPALSWITCH_GATEWAY_LISTEN_HPP_
+#ifndef GATEWAY_PROXY_LISTEN_HPP_
+#define GATEWAY_PROXY_LISTEN_HPP_
 
 #include <sys/socket.h>
 
@@ -8,9 +8,9 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 
-#include "config.hpp"
+#include "proxy/config.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // Whether someone listens at the address now.
 inline bool IsTaken(const boost::asio::ip::tcp::endpoint& address) {
@@ -46,6 +46,6 @@
   }
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_LISTEN_HPP_
+#endif  // GATEWAY_PROXY_LISTEN_HPP_
