--- a/src/gateway/main.cpp
+++ b/src/proxy/main.cpp
@@ -1,4 +1,4 @@
-// forkwick: one gateway on real sockets. Runs in the foreground until SIGTERM; SIGHUP reloads.
+// gateway: one gateway on real sockets. Runs in the foreground until SIGTERM; SIGHUP reloads.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -8,21 +8,21 @@
 #include <string>
 
 #include "base/log.hpp"
-#include "config.hpp"
-#include "gateway.hpp"
+#include "proxy/config.hpp"
+#include "proxy/gateway.hpp"
 
 int main() {
-  namespace gw = opalswitch::gateway;
-  namespace base = elderhead::base;
+  namespace proxy = gateway::proxy;
+  namespace base = gateway::base;
   try {
     const auto variable = [](const char* name) -> const char* { return std::getenv(name); };
-    const gw::Config config = gw::LoadConfig(variable);
+    const proxy::Config config = proxy::LoadConfig(variable);
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error of the write, and no reason to end
     std::signal(SIGPIPE, SIG_IGN);  // so is a log that nobody reads any more
     base::SetLogForm(config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-    gw::Gateway gateway(io, config);
+    proxy::Gateway gateway(io, config);
     signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (!ec) gateway.Stop([&] { io.stop(); });
     });
@@ -32,8 +32,8 @@
         [&](const boost::system::error_code& ec, int) {
           if (ec) return;
           try {
-            gateway.MoveDiscovery(gw::LoadDiscovery(variable));
-          } catch (const gw::ConfigError& error) {  // the old one stays in force
+            gateway.MoveDiscovery(proxy::LoadDiscovery(variable));
+          } catch (const proxy::ConfigError& error) {  // the old one stays in force
             base::Log(base::Level::kError, "config", "not_reloaded",
                       std::string("not reloaded: ") + error.what());
           }
@@ -43,7 +43,7 @@
     io.run();
     return 0;
   } catch (const std::exception& error) {
-    base::Log(base::Level::kError, "config", "not_started", std::string("forkwick: ") + error.what());
+    base::Log(base::Level::kError, "config", "not_started", std::string("gateway: ") + error.what());
     return 1;
   }
 }
--- a/src/gateway/handover.cpp
+++ b/src/proxy/restart/handover.cpp
@@ -1,4 +1,4 @@
-#include "handover.hpp"
+#include "proxy/restart/handover.hpp"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -16,10 +16,10 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "clock.hpp"
-#include "learned_form.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/restart/learned_state_json.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -127,12 +127,13 @@
 std::optional<HandoverState> ParseHandoverState(const std::string& text) {
   try {
     const json all = json::parse(text);
-    const auto list = ParseHostList(all.at("list").dump());
+    const auto list = ParseEndpointList(all.at("list").dump());
     if (!list) return std::nullopt;
     HandoverState handed_over{*list, LearnedFromJson(all)};
     // What a process that runs believes holds as it stands: nothing was missed.
-    handed_over.learned.at = Now();
-    for (Learned::Server& server : handed_over.learned.servers) server.heard_at = handed_over.learned.at;
+    handed_over.learned.exported_at = Now();
+    for (policy::LearnedState::Endpoint& server : handed_over.learned.endpoints)
+      server.last_outcome_at = handed_over.learned.exported_at;
     return handed_over;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -155,13 +156,13 @@
 
 int Descriptor::Release() { return std::exchange(fd_, -1); }
 
-Inheritance Inherit(const std::string& path, const tcp::endpoint& address) {
+InheritedState Inherit(const std::string& path, const tcp::endpoint& address) {
   sockaddr_un at{};
   Descriptor link = OpenUnix();
   if (!link || !ToAddress(path, at)) return {};
   if (::connect(link.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) return {};
   if (!IsSameUser(link.get()) || SendWord(link.get(), kHello, -1) != 0) return {};
-  Inheritance all;
+  InheritedState all;
   std::string word;
   const Millis until = Now() + kPatience;
   if (!AwaitWord(link.get(), until, word, all.listener) || word != "listener" || !all.listener ||
@@ -252,8 +253,8 @@
     Accept();
     return;
   }
-  elderhead::base::Log(elderhead::base::Level::kWarning, "replacement", "no_handover",
-                       "nothing can be handed over at " + path + ": " + ec.message(), {{"path", path}});
+  base::Log(base::Level::kWarning, "replacement", "no_handover",
+            "nothing can be handed over at " + path + ": " + ec.message(), {{"path", path}});
 }
 
 Handover::~Handover() { *alive_ = false; }
@@ -289,4 +290,4 @@
   });
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/handover.hpp
+++ b/src/proxy/restart/handover.hpp
@@ -1,8 +1,8 @@
 // The replacement of the process: what the old one passes to the new one over a Unix socket, which only the
 // process of the same user at the same clients' address is given. Whatever fails here, the new process starts
 // without it.
-#ifndef OPALSWITCH_GATEWAY_HANDOVER_HPP_
-#define OPALSWITCH_GATEWAY_HANDOVER_HPP_
+#ifndef GATEWAY_PROXY_RESTART_HANDOVER_HPP_
+#define GATEWAY_PROXY_RESTART_HANDOVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -17,10 +17,10 @@
 #include <string_view>
 #include <vector>
 
-#include "discovery.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/discovery/discovery.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
 // A descriptor that is closed with its owner.
 class Descriptor {
@@ -40,8 +40,8 @@
 
 // What the old process tells: its list of hosts, and what it has learned.
 struct HandoverState {
-  HostList list;
-  Learned learned;
+  EndpointList list;
+  policy::LearnedState learned;
 };
 
 // One side of the connection between both, once each has seen that the other is there.
@@ -74,14 +74,14 @@
 };
 
 // The new process at its start: all that the old one left, as far as there is one.
-struct Inheritance {
+struct InheritedState {
   Descriptor listener;
   std::optional<HandoverState> handed_over;
   Descriptor link;
 };
 
 // Asks the process that serves at `address`. Takes half a second at the most, if it hangs.
-Inheritance Inherit(const std::string& path, const boost::asio::ip::tcp::endpoint& address);
+InheritedState Inherit(const std::string& path, const boost::asio::ip::tcp::endpoint& address);
 
 // The running process: waits for the one that replaces it.
 class Handover {
@@ -109,6 +109,6 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_HANDOVER_HPP_
+#endif  // GATEWAY_PROXY_RESTART_HANDOVER_HPP_
--- a/src/gateway/replacement.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -1,15 +1,14 @@
-#include "replacement.hpp"
+#include "proxy/restart/hot_restart.hpp"
 
 #include <string_view>
 #include <utility>
 
 #include "base/log.hpp"
-#include "clock.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
-namespace base = elderhead::base;
 using boost::system::error_code;
 
 constexpr Millis kOverlap = 11000;  // both processes run for so long at most, where no link tells
@@ -17,13 +16,13 @@
 
 }  // namespace
 
-Replacement::Replacement(boost::asio::io_context& io, const std::string& path, Descriptor link, bool taken,
-                         Handlers handlers)
+HotRestart::HotRestart(boost::asio::io_context& io, const std::string& path, Descriptor link, bool taken,
+                       Handlers handlers)
     : io_(io), path_(path), taken_(taken), handlers_(std::move(handlers)), overlap_(io) {
   if (link) predecessor_ = std::make_unique<Link>(io, std::move(link));
 }
 
-void Replacement::Begin() {
+void HotRestart::Begin() {
   if (predecessor_ || taken_) {
     whole_ = false;
     handlers_.places(/*half=*/true);
@@ -45,13 +44,13 @@
                          [this](std::unique_ptr<Link> link) { ShareWithSuccessor(std::move(link)); }});
 }
 
-void Replacement::ReadyNow() {
+void HotRestart::ReadyNow() {
   if (handlers_.ready() && predecessor_ && !std::exchange(predecessor_told_, true))
     predecessor_->Say("ready");
 }
 
 // What the process leaves that this one replaces: until it is gone both are one gateway.
-void Replacement::ShareWithPredecessor() {
+void HotRestart::ShareWithPredecessor() {
   base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a process that serves");
   predecessor_->Listen({[this](std::string_view word, Descriptor with) {
                           if (word == "client" && with) handlers_.adopt(std::move(with));
@@ -65,12 +64,12 @@
 }
 
 // From here on this process acts alone. The places of the other are free once it is gone.
-void Replacement::TakeAll() {
+void HotRestart::TakeAll() {
   if (!std::exchange(whole_, true)) handlers_.scale(2);
   if (!predecessor_ && !successor_) handlers_.places(/*half=*/false);
 }
 
-void Replacement::ShareWithSuccessor(std::unique_ptr<Link> successor) {
+void HotRestart::ShareWithSuccessor(std::unique_ptr<Link> successor) {
   base::Log(base::Level::kInfo, "replacement", "successor_came", "a process that replaces this one has come");
   successor_ = std::move(successor);
   successor_ready_ = false;
@@ -87,18 +86,18 @@
                       }});
 }
 
-void Replacement::Leave() { successor_->Say("leaving"); }
+void HotRestart::Leave() { successor_->Say("leaving"); }
 
-bool Replacement::Give(Descriptor client) {
+bool HotRestart::Give(Descriptor client) {
   if (!successor_ || !successor_->open()) return false;
   successor_->Say("client", std::move(client));
   return true;
 }
 
-void Replacement::Flushed(const std::function<void()>& done) {
+void HotRestart::Flushed(const std::function<void()>& done) {
   if (!successor_ || successor_->flushed()) return done();
   overlap_.expires_after(Span(kLook));
   overlap_.async_wait([this, done](error_code) { Flushed(done); });
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/replacement.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -1,6 +1,6 @@
 // The replacement of this process by another, or of another by this one: while both run they are one gateway.
-#ifndef OPALSWITCH_GATEWAY_REPLACEMENT_HPP_
-#define OPALSWITCH_GATEWAY_REPLACEMENT_HPP_
+#ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
+#define GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -9,11 +9,11 @@
 #include <optional>
 #include <string>
 
-#include "handover.hpp"
+#include "proxy/restart/handover.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-class Replacement {
+class HotRestart {
  public:
   // What it asks of the gateway, and tells it.
   struct Handlers {
@@ -28,8 +28,8 @@
 
   // `path` of the socket on which replacements ask; empty: none comes, and nothing of the below happens.
   // `taken`: at the start another process listened at the clients' address, and handed nothing over.
-  Replacement(boost::asio::io_context& io, const std::string& path, Descriptor link, bool taken,
-              Handlers handlers);
+  HotRestart(boost::asio::io_context& io, const std::string& path, Descriptor link, bool taken,
+             Handlers handlers);
 
   // Takes its part, if there is another process. Once, when the gateway is able to act.
   void Begin();
@@ -61,6 +61,6 @@
   std::optional<Handover> handover_;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_REPLACEMENT_HPP_
+#endif  // GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
--- a/src/gateway/state_keeper.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -1,4 +1,4 @@
-#include "state_keeper.hpp"
+#include "proxy/restart/state_saver.hpp"
 
 #include <chrono>
 #include <nlohmann/json.hpp>
@@ -6,16 +6,14 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "clock.hpp"
-#include "learned_form.hpp"
-#include "store/memory_file_system.hpp"
-#include "store/store.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/restart/learned_state_json.hpp"
+#include "storage/memory_file_system.hpp"
+#include "storage/store.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
-namespace base = elderhead::base;
-namespace store = elderhead::store;
 using nlohmann::json;
 
 constexpr std::uint16_t kVersion = 1;  // of the payload
@@ -29,20 +27,20 @@
 
 }  // namespace
 
-std::string ToText(const KeptState& state) {
+std::string ToText(const SavedState& state) {
   json form = {
       {"list", json::parse(ToText(state.list))}, {"draining", state.draining}, {"kept_at_ms", state.kept_at}};
   if (state.learned) form["learned"] = ToJson(*state.learned);
   return form.dump();
 }
 
-std::optional<KeptState> ParseKeptState(const std::string& text) {
+std::optional<SavedState> ParseSavedState(const std::string& text) {
   const json parsed = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (!parsed.is_object() || !parsed.contains("list")) return std::nullopt;
   const json draining = parsed.value("draining", json()), kept_at = parsed.value("kept_at_ms", json());
-  auto list = ParseHostList(parsed["list"].dump());
+  auto list = ParseEndpointList(parsed["list"].dump());
   if (!list || !list->complete || !draining.is_boolean() || !kept_at.is_number()) return std::nullopt;
-  KeptState state{std::move(*list), draining.get<bool>(), kept_at.get<double>(), std::nullopt};
+  SavedState state{std::move(*list), draining.get<bool>(), kept_at.get<double>(), std::nullopt};
   if (parsed.contains("learned")) {  // an older program kept none
     try {
       state.learned = LearnedFromJson(parsed["learned"]);
@@ -54,10 +52,10 @@
   return state;
 }
 
-std::optional<KeptState> LoadState(const std::string& folder, const std::string& owner) {
-  const auto files = store::MakePosixFileSystem();
-  store::Examination found;
-  const store::Status status = store::Examine(*files, folder, owner, found);
+std::optional<SavedState> LoadState(const std::string& folder, const std::string& owner) {
+  const auto files = storage::MakePosixFileSystem();
+  storage::Examination found;
+  const storage::Status status = storage::Examine(*files, folder, owner, found);
   if (!status.ok()) {
     if (status.code != std::errc::no_such_file_or_directory)
       Say(base::Level::kWarning, "not_read", status.Text());
@@ -65,12 +63,12 @@
   }
   if (!found.why.empty()) Say(base::Level::kWarning, "not_read", folder + ": " + found.why);
   if (!found.snapshot) return std::nullopt;
-  auto state = found.snapshot->version > kVersion ? std::nullopt : ParseKeptState(found.snapshot->payload);
+  auto state = found.snapshot->version > kVersion ? std::nullopt : ParseSavedState(found.snapshot->payload);
   if (!state) Say(base::Level::kWarning, "not_read", folder + ": a snapshot that this program can't read");
   return state;
 }
 
-StateKeeper::StateKeeper(std::string folder, std::string owner, Millis sync_delay)
+StateSaver::StateSaver(std::string folder, std::string owner, Millis sync_delay)
     : shared_(std::make_shared<Shared>()) {
   std::thread([shared = shared_, folder = std::move(folder), owner = std::move(owner), sync_delay] {
     Write(folder, owner, sync_delay, *shared);
@@ -78,7 +76,7 @@
   }).detach();
 }
 
-StateKeeper::~StateKeeper() {
+StateSaver::~StateSaver() {
   shared_->stopping = true;
   shared_->wakes.fetch_add(1);
   shared_->wakes.notify_one();
@@ -88,27 +86,29 @@
   }
 }
 
-void StateKeeper::Keep(const KeptState& state) {
+void StateSaver::Keep(const SavedState& state) {
   if (!shared_->ok) return;
   delete shared_->newest.exchange(new std::string(ToText(state)));
   shared_->wakes.fetch_add(1);
   shared_->wakes.notify_one();
 }
 
-void StateKeeper::Write(const std::string& folder, const std::string& owner, Millis sync_delay,
-                        Shared& shared) {
-  const auto disk = store::MakePosixFileSystem();
-  store::FaultyFileSystem slow(*disk, [sync_delay](store::FaultyFileSystem::Call call, const std::string&) {
-    if (call == store::FaultyFileSystem::Call::kSync) std::this_thread::sleep_for(Span(sync_delay));
-    return store::FaultyFileSystem::Verdict{};
-  });
-  store::FileSystem* const files = sync_delay > 0 ? static_cast<store::FileSystem*>(&slow) : disk.get();
-  store::StoreOptions options;
+void StateSaver::Write(const std::string& folder, const std::string& owner, Millis sync_delay,
+                       Shared& shared) {
+  const auto disk = storage::MakePosixFileSystem();
+  storage::FaultyFileSystem slow(*disk,
+                                 [sync_delay](storage::FaultyFileSystem::Call call, const std::string&) {
+                                   if (call == storage::FaultyFileSystem::Call::kSync)
+                                     std::this_thread::sleep_for(Span(sync_delay));
+                                   return storage::FaultyFileSystem::Verdict{};
+                                 });
+  storage::FileSystem* const files = sync_delay > 0 ? static_cast<storage::FileSystem*>(&slow) : disk.get();
+  storage::StoreOptions options;
   options.owner = owner;
-  options.program = ELDERHEAD_VERSION;
+  options.program = GATEWAY_VERSION;
   options.begin_after_damage =
       true;  // a list that is newer is on its way anyway; the old files are kept aside
-  std::unique_ptr<store::Store> opened;
+  std::unique_ptr<storage::Store> opened;
   int looks = 0;
   std::string said;
   for (std::uint32_t seen = 0;;) {
@@ -120,10 +120,10 @@
       continue;
     }
     while (!opened) {
-      store::Examination found;
+      storage::Examination found;
       if (looks++ % kTryAgain == 0) {
-        const store::Status status = store::Store::Open(*files, folder, options, opened, found);
-        if (found.found == store::Found::kForeign) {
+        const storage::Status status = storage::Store::Open(*files, folder, options, opened, found);
+        if (found.found == storage::Found::kForeign) {
           Say(base::Level::kError, "not_written", status.Text() + "; it is left as it is");
           shared.ok = false;
           return;
@@ -142,7 +142,7 @@
       std::this_thread::sleep_for(kLookAgain);
     }
     // A newer one that came meanwhile is taken in the next round.
-    const store::Status status = opened->TakeSnapshot(kVersion, *state);
+    const storage::Status status = opened->TakeSnapshot(kVersion, *state);
     if (!status.ok()) {
       Say(base::Level::kError, "not_written", status.Text() + "; nothing more is kept until the next start");
       shared.ok = false;
@@ -153,4 +153,4 @@
   }
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/state_keeper.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -1,7 +1,7 @@
 // What a gateway keeps on disk for the process after it, where a folder is configured: the list of hosts, the
 // drain and what was learned.
-#ifndef OPALSWITCH_GATEWAY_STATE_KEEPER_HPP_
-#define OPALSWITCH_GATEWAY_STATE_KEEPER_HPP_
+#ifndef GATEWAY_PROXY_RESTART_STATE_SAVER_HPP_
+#define GATEWAY_PROXY_RESTART_STATE_SAVER_HPP_
 
 #include <atomic>
 #include <cstdint>
@@ -9,36 +9,37 @@
 #include <optional>
 #include <string>
 
-#include "discovery.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/discovery/discovery.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-struct KeptState {
-  HostList list;
+struct SavedState {
+  EndpointList list;
   bool draining = false;
   Millis kept_at = 0;  // Unix time at which the list was last known to hold
-  std::optional<Learned> learned;
+  std::optional<policy::LearnedState> learned;
 };
-std::string ToText(const KeptState& state);
+std::string ToText(const SavedState& state);
 // Nothing if the text is broken in any part; without what was learned if only that is.
-std::optional<KeptState> ParseKeptState(const std::string& text);
+std::optional<SavedState> ParseSavedState(const std::string& text);
 
 // What stands in the folder, of that owner. Reads only, and blocks for the disk: for the start, before
 // clients come. Nothing, with a line in the log that says why, if there is none to be believed.
-std::optional<KeptState> LoadState(const std::string& folder, const std::string& owner);
+std::optional<SavedState> LoadState(const std::string& folder, const std::string& owner);
 
 // Writes the newest state in a thread of its own, so that the event loop never waits for a disk. What was not
 // written when a newer one comes is never written. While another process holds the folder, as in a
 // replacement, it is tried again. After a failed write or sync it writes no more, for the process's life, and
 // says so in the log and in ok().
-class StateKeeper {
+class StateSaver {
  public:
-  StateKeeper(std::string folder, std::string owner, Millis sync_delay = 0);
+  StateSaver(std::string folder, std::string owner, Millis sync_delay = 0);
   // Waits a moment for the write that is on; a disk that hangs is left behind.
-  ~StateKeeper();
+  ~StateSaver();
 
   // From the event loop: takes no lock and makes no system call but a wake-up.
-  void Keep(const KeptState& state);
+  void Keep(const SavedState& state);
 
   bool ok() const { return shared_->ok; }
   std::uint64_t written() const { return shared_->written; }
@@ -57,6 +58,6 @@
   const std::shared_ptr<Shared> shared_;  // the thread may outlive this
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_STATE_KEEPER_HPP_
+#endif  // GATEWAY_PROXY_RESTART_STATE_SAVER_HPP_
--- a/src/gateway/host_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "host_pool.hpp"
+#include "proxy/upstream/upstream_pool.hpp"
 
 #include <sys/socket.h>
 
@@ -17,13 +17,12 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "clock.hpp"
+#include "proxy/clock.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 namespace {
 
 namespace asio = boost::asio;
-namespace base = elderhead::base;
 namespace http = boost::beast::http;
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
@@ -42,26 +41,27 @@
 }
 
 // Only 503 and 504 with Srv-Declined prove that a request never ran.
-Result ToResult(const HttpResponse& response) {
+policy::AttemptResult ToResult(const HttpResponse& response) {
   const http::status status = response.result();
-  if (status == http::status::ok) return Result::kServed;
+  if (status == http::status::ok) return policy::AttemptResult::kServed;
   const bool declines =
       status == http::status::service_unavailable || status == http::status::gateway_timeout;
-  return declines && response["Srv-Declined"] == "1" ? Result::kRejected : Result::kError;
+  return declines && response["Srv-Declined"] == "1" ? policy::AttemptResult::kRejected
+                                                     : policy::AttemptResult::kError;
 }
 
 }  // namespace
 
 // A connection, from its dial to its close. A read is always on, so that a close by the host is noticed while
 // the connection stands idle. Of an answer that is too long to be held it is the source.
-class HostPool::Connection : public BodySource, public std::enable_shared_from_this<Connection> {
+class UpstreamPool::Connection : public BodySource, public std::enable_shared_from_this<Connection> {
  public:
   struct Job {
     std::uint64_t attempt;
     Order order;
   };
 
-  Connection(HostPool& pool, std::string host, tcp::endpoint address)
+  Connection(UpstreamPool& pool, std::string host, tcp::endpoint address)
       : pool_(pool), host_(std::move(host)), address_(address), socket_(pool.io_), timer_(pool.io_) {}
 
   // False if no descriptor is to be had.
@@ -106,7 +106,7 @@
   bool dialling() const { return dialling_; }
 
   // Ends the job, if there is one, and the connection with it.
-  void End(Result result) {
+  void End(policy::AttemptResult result) {
     Close();
     Finish(result, {});
   }
@@ -127,7 +127,7 @@
     ReadPiece();
   }
   void Drop() override {
-    if (job_ && passing_) End(Result::kCancelled);
+    if (job_ && passing_) End(policy::AttemptResult::kCancelled);
   }
   bool begun() const override { return passing_; }
 
@@ -140,7 +140,7 @@
     pool_.active_[job_->attempt] = shared_from_this();
   }
 
-  void Finish(Result result, HttpResponse response) {
+  void Finish(policy::AttemptResult result, HttpResponse response) {
     if (!job_) return;
     const Job job = *std::exchange(job_, std::nullopt);
     pool_.active_.erase(job.attempt);
@@ -174,15 +174,15 @@
       pool_.Forget(host_, this);
       return Close();
     }
-    End(written_ ? Result::kTimedOut : Result::kConnectFailed);
+    End(written_ ? policy::AttemptResult::kTimedOut : policy::AttemptResult::kConnectFailed);
   }
 
   void Dialled(error_code ec) {
     dialling_ = false;
-    if (ec) return End(Result::kConnectFailed);
+    if (ec) return End(policy::AttemptResult::kConnectFailed);
     // The dial took time: the host may have begun to drain, or may have moved, and the client may have left.
     const auto wanted = job_->order.wanted;  // the job may end while it is asked
-    if (!pool_.MayUse(host_, address_) || (wanted && !wanted())) return End(Result::kNotSent);
+    if (!pool_.MayUse(host_, address_) || (wanted && !wanted())) return End(policy::AttemptResult::kNotSent);
     Arm(job_->order.deadline);
     Read();
     Write();
@@ -221,7 +221,7 @@
         socket_, parts,
         [self = shared_from_this(), attempt = job_->attempt, head, held](error_code ec, std::size_t) {
           if (!self->job_ || self->job_->attempt != attempt) return;
-          if (ec) return self->End(Result::kConnectFailed);
+          if (ec) return self->End(policy::AttemptResult::kConnectFailed);
           self->job_->order.request.reset();
           if (self->job_->order.passing) self->job_->order.passing();
           self->Pull();
@@ -233,7 +233,7 @@
     job_->order.rest->Next([self = shared_from_this(), attempt = job_->attempt](
                                const error_code& ec, std::string_view piece, bool last) {
       if (!self->job_ || self->job_->attempt != attempt || !self->open_) return;
-      if (ec) return self->End(Result::kCancelled);  // the client has not sent it all
+      if (ec) return self->End(policy::AttemptResult::kCancelled);  // the client has not sent it all
       self->WritePiece(piece, last);
     });
   }
@@ -266,7 +266,7 @@
   std::int64_t Left() const { return static_cast<std::int64_t>(job_->order.deadline - Now()); }
 
   void Written(error_code ec) {
-    if (ec) return End(Result::kConnectFailed);  // its last byte never left: it can't have run
+    if (ec) return End(policy::AttemptResult::kConnectFailed);  // its last byte never left: it can't have run
     written_ = true;
     if (job_->order.rest) Arm(job_->order.deadline);
     if (job_->order.written) job_->order.written();
@@ -293,7 +293,7 @@
                  {"rested_ms", rested},
                  {"after_ms", after}});
     }
-    End(Result::kReset);
+    End(policy::AttemptResult::kReset);
   }
 
   void Read() {
@@ -336,11 +336,12 @@
       broken_ = true;
       return;
     }
-    if (ec) return End(Result::kConnectFailed);
+    if (ec) return End(policy::AttemptResult::kConnectFailed);
     HttpResponse answer;
     answer.base() = parser_->get().base();
-    const Result result = ToResult(answer);
-    End(result == Result::kServed ? Result::kError : result);  // it can't be the answer to all of it
+    const policy::AttemptResult result = ToResult(answer);
+    End(result == policy::AttemptResult::kServed ? policy::AttemptResult::kError
+                                                 : result);  // it can't be the answer to all of it
   }
 
   void ReadPiece() {
@@ -397,15 +398,15 @@
                  taken({}, {piece->data(), got}, true);
                });
     Reuse();
-    Finish(Result::kServed, {});
+    Finish(policy::AttemptResult::kServed, {});
   }
 
   void Answered() {
     HttpResponse response = std::exchange(answer_, {});
     // Back to the pool before the outcome is told, for it may lead to the next send.
     Reuse();
-    const Result result = ToResult(response);
-    if (result == Result::kError && Now() >= pool_.quiet_until_) {
+    const policy::AttemptResult result = ToResult(response);
+    if (result == policy::AttemptResult::kError && Now() >= pool_.quiet_until_) {
       pool_.quiet_until_ = Now() + kQuiet;
       base::Log(base::Level::kWarning, "hosts", "error_answer",
                 "answer " + std::to_string(response.result_int()) + " by " + host_,
@@ -432,7 +433,7 @@
     pool_.hosts_[host_].idle.push_back(shared_from_this());
   }
 
-  HostPool& pool_;
+  UpstreamPool& pool_;
   const std::string host_;
   const tcp::endpoint address_;
   tcp::socket socket_;
@@ -457,13 +458,13 @@
   Millis taken_at_ = 0, rests_at_ = 0;
 };
 
-HostPool::HostPool(asio::io_context& io, Limits limits) : io_(io), limits_(limits) {}
+UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits) : io_(io), limits_(limits) {}
 
-void HostPool::Update(const HostList& list) {
+void UpstreamPool::Update(const EndpointList& list) {
   if (list.complete) {
     for (auto& [id, host] : hosts_) host.up = false;
   }
-  for (const Host& entry : list.hosts) UpdateHost(entry);
+  for (const ListedEndpoint& entry : list.endpoints) UpdateHost(entry);
   if (!list.complete) return;
   for (auto& [id, host] : hosts_) {
     if (!host.up) CloseIdle(host);
@@ -472,21 +473,21 @@
 }
 
 // The cost of a change does not grow with the list: a host that is not up any more is removed at once.
-void HostPool::UpdateHost(const Host& entry) {
-  const auto found = hosts_.try_emplace(entry.server.id).first;
+void UpstreamPool::UpdateHost(const ListedEndpoint& entry) {
+  const auto found = hosts_.try_emplace(entry.info.id).first;
   HostState& host = found->second;
-  host.up = entry.server.state == ServerState::kUp;
+  host.up = entry.info.state == policy::EndpointState::kUp;
   if (!host.up || host.address != entry.address) CloseIdle(host);
   host.address = entry.address;
   if (!host.up) hosts_.erase(found);
 }
 
-std::uint64_t HostPool::Start(const std::string& host, Order order) {
+std::uint64_t UpstreamPool::Start(const std::string& host, Order order) {
   const std::uint64_t attempt = next_attempt_++;
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || Now() >= order.deadline) {
     ++counts_.unusable;
-    order.done(Result::kNotSent, {});
+    order.done(policy::AttemptResult::kNotSent, {});
     return attempt;
   }
   Connection::Job job{attempt, std::move(order)};
@@ -504,7 +505,7 @@
   }
   if (connections_ >= limits_.connections && !EvictIdle()) {
     ++counts_.unusable;
-    job.order.done(Result::kNotSent, {});
+    job.order.done(policy::AttemptResult::kNotSent, {});
     return attempt;
   }
   const auto connection = std::make_shared<Connection>(*this, host, found->second.address);
@@ -513,36 +514,36 @@
     connection->Dial(std::move(job));
   } else {
     ++counts_.unusable;
-    job.order.done(Result::kNotSent, {});
+    job.order.done(policy::AttemptResult::kNotSent, {});
   }
   return attempt;
 }
 
-void HostPool::SetDeadline(std::uint64_t attempt, Millis deadline) {
+void UpstreamPool::SetDeadline(std::uint64_t attempt, Millis deadline) {
   const auto found = active_.find(attempt);
   if (found != active_.end()) found->second->SetDeadline(deadline);
 }
 
-void HostPool::Withdraw(std::uint64_t attempt) {
+void UpstreamPool::Withdraw(std::uint64_t attempt) {
   const auto found = active_.find(attempt);
   if (found == active_.end() || !found->second->dialling()) return;
   const auto connection = found->second;  // End takes it out of the map
-  connection->End(Result::kNotSent);
+  connection->End(policy::AttemptResult::kNotSent);
 }
 
-void HostPool::Cancel(std::uint64_t attempt) {
+void UpstreamPool::Cancel(std::uint64_t attempt) {
   const auto found = active_.find(attempt);
   if (found == active_.end()) return;
   const auto connection = found->second;  // End takes it out of the map
-  connection->End(Result::kCancelled);
+  connection->End(policy::AttemptResult::kCancelled);
 }
 
-void HostPool::CloseIdle(HostState& host) {
+void UpstreamPool::CloseIdle(HostState& host) {
   for (const auto& connection : std::exchange(host.idle, {})) connection->Close();
 }
 
 // Makes room by closing the connection of another host that was used longest ago there.
-bool HostPool::EvictIdle() {
+bool UpstreamPool::EvictIdle() {
   for (auto& [id, host] : hosts_) {
     if (host.idle.empty()) continue;
     host.idle.front()->Close();
@@ -552,20 +553,20 @@
   return false;
 }
 
-void HostPool::SetMost(std::size_t connections) {
+void UpstreamPool::SetMost(std::size_t connections) {
   limits_.connections = connections;
   while (connections_ > connections && EvictIdle()) continue;
 }
 
-bool HostPool::MayUse(const std::string& host, const tcp::endpoint& address) const {
+bool UpstreamPool::MayUse(const std::string& host, const tcp::endpoint& address) const {
   const auto found = hosts_.find(host);
   return found != hosts_.end() && found->second.address == address;
 }
 
-void HostPool::Forget(const std::string& host, const Connection* connection) {
+void UpstreamPool::Forget(const std::string& host, const Connection* connection) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return;
   std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == connection; });
 }
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
--- a/src/gateway/host_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -1,6 +1,6 @@
 // Connections to hosts: one request on each at a time, the most recently used first.
-#ifndef OPALSWITCH_GATEWAY_HOST_POOL_HPP_
-#define OPALSWITCH_GATEWAY_HOST_POOL_HPP_
+#ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
+#define GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,14 +13,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "body.hpp"
-#include "discovery.hpp"
-#include "http_types.hpp"
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
+#include "proxy/body.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/discovery/discovery.hpp"
+#include "proxy/http_types.hpp"
 
-namespace opalswitch::gateway {
+namespace gateway::proxy {
 
-class HostPool {
+class UpstreamPool {
  public:
   struct Limits {
     Millis dial_timeout = 250;
@@ -35,7 +36,7 @@
     Millis deadline = 0;
     std::function<bool()> wanted;  // asked behind a dial: whether it is to be written still
     // How it ended, once; the answer is that of the host, if there was one and it was held.
-    std::function<void(Result, HttpResponse)> done;
+    std::function<void(policy::AttemptResult, HttpResponse)> done;
     // A served answer that is too long to be held has begun: its head, what is there of its body, and the
     // rest.
     std::function<void(HttpResponse, std::shared_ptr<BodySource>)> begun;
@@ -43,11 +44,11 @@
     std::function<void()> written;  // the request's last byte was
   };
 
-  HostPool(boost::asio::io_context& io, Limits limits);
+  UpstreamPool(boost::asio::io_context& io, Limits limits);
 
   // Takes effect at once: a host that drains or is gone is sent nothing more, not even on a connection that
   // is being dialled.
-  void Update(const HostList& list);
+  void Update(const EndpointList& list);
 
   // Sends the request unless the host is not to be used any more. Returns a number for Cancel.
   std::uint64_t Start(const std::string& host, Order order);
@@ -78,7 +79,7 @@
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
   };
 
-  void UpdateHost(const Host& entry);
+  void UpdateHost(const ListedEndpoint& entry);
   void CloseIdle(HostState& host);
   bool EvictIdle();
   bool MayUse(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
@@ -95,6 +96,6 @@
   std::uint64_t next_attempt_ = 1;
 };
 
-}  // namespace opalswitch::gateway
+}  // namespace gateway::proxy
 
-#endif  // OPALSWITCH_GATEWAY_HOST_POOL_HPP_
+#endif  // GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
--- a/src/registry/admission.cpp
+++ b/src/registry/admission.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 constexpr base::Millis kMillisPerSecond = 1000;
@@ -39,4 +39,4 @@
   return 1 + static_cast<int>(turned_away_ % kRetrySpreadSeconds);
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/admission.hpp
+++ b/src/registry/admission.hpp
@@ -1,7 +1,7 @@
 // Admission control of the registry service: places for callers, and the rate of full lists. No I/O and no
 // clock: times are handed in, in ms of the caller's monotonic clock.
-#ifndef ELDERHEAD_REGISTRY_ADMISSION_HPP_
-#define ELDERHEAD_REGISTRY_ADMISSION_HPP_
+#ifndef GATEWAY_REGISTRY_ADMISSION_HPP_
+#define GATEWAY_REGISTRY_ADMISSION_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class Session;
 
@@ -47,6 +47,6 @@
   std::uint64_t turned_away_ = 0;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_ADMISSION_HPP_
+#endif  // GATEWAY_REGISTRY_ADMISSION_HPP_
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -11,7 +11,7 @@
 #include "base/toml_reader.hpp"
 #include "registry/form.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 using base::Level;
@@ -220,4 +220,4 @@
       });
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -1,7 +1,7 @@
 // Keeps one server listed: registers it, renews its lease while it answers, and at the end drains and removes
 // it.
-#ifndef ELDERHEAD_REGISTRY_AGENT_HPP_
-#define ELDERHEAD_REGISTRY_AGENT_HPP_
+#ifndef GATEWAY_REGISTRY_AGENT_HPP_
+#define GATEWAY_REGISTRY_AGENT_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -14,7 +14,7 @@
 #include "base/http_client.hpp"
 #include "registry/catalog.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 struct AgentOptions {
   std::vector<boost::asio::ip::tcp::endpoint> services;  // in the order in which they are tried
@@ -82,6 +82,6 @@
   bool calling_ = false, finished_ = false;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_AGENT_HPP_
+#endif  // GATEWAY_REGISTRY_AGENT_HPP_
--- a/src/registry/bytes.hpp
+++ b/src/registry/bytes.hpp
@@ -1,13 +1,13 @@
 // Numbers and texts in a row of bytes, for records: little-endian, texts behind their length.
-#ifndef ELDERHEAD_REGISTRY_BYTES_HPP_
-#define ELDERHEAD_REGISTRY_BYTES_HPP_
+#ifndef GATEWAY_REGISTRY_BYTES_HPP_
+#define GATEWAY_REGISTRY_BYTES_HPP_
 
 #include <bit>
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class Writer {
  public:
@@ -61,6 +61,6 @@
   bool ok_ = true;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_BYTES_HPP_
+#endif  // GATEWAY_REGISTRY_BYTES_HPP_
--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -6,7 +6,7 @@
 
 #include "registry/bytes.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 Outcome Refused(std::string code, std::string field, std::string text) {
@@ -260,4 +260,4 @@
   return command;
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -4,8 +4,8 @@
 //
 // Catalog: the replicated part. The same commands in the same order give the same catalog on every machine,
 // so a command is applied once it is on the disk and never before. docs/design/registry.md says why.
-#ifndef ELDERHEAD_REGISTRY_CATALOG_HPP_
-#define ELDERHEAD_REGISTRY_CATALOG_HPP_
+#ifndef GATEWAY_REGISTRY_CATALOG_HPP_
+#define GATEWAY_REGISTRY_CATALOG_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 #include "base/base.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 using Revision = std::int64_t;     // of the whole list; strictly rises
 using Incarnation = std::int64_t;  // when a member's process started: Unix time in ms; 0: long ago
@@ -134,6 +134,6 @@
 std::string ToRecord(const Command& command);
 std::optional<Command> CommandFromRecord(std::string_view bytes);
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_CATALOG_HPP_
+#endif  // GATEWAY_REGISTRY_CATALOG_HPP_
--- a/src/registry/commit_notifier.cpp
+++ b/src/registry/commit_notifier.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/read.hpp>
 #include <utility>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 constexpr useconds_t kPollMicroseconds = 200;
@@ -50,4 +50,4 @@
   return std::exchange(written_, std::nullopt);
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/commit_notifier.hpp
+++ b/src/registry/commit_notifier.hpp
@@ -1,6 +1,6 @@
 // Hands the results of commits from the journal's thread to the thread of an io_context, over an eventfd.
-#ifndef ELDERHEAD_REGISTRY_COMMIT_NOTIFIER_HPP_
-#define ELDERHEAD_REGISTRY_COMMIT_NOTIFIER_HPP_
+#ifndef GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
+#define GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
@@ -11,7 +11,7 @@
 
 #include "registry/journal.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // Holds one result at a time: the next batch is written only after the last result was received.
 class CommitNotifier {
@@ -36,6 +36,6 @@
   std::optional<Journal::Written> written_;  // guarded by mutex_
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_COMMIT_NOTIFIER_HPP_
+#endif  // GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -9,7 +9,7 @@
 #include "base/clock.hpp"
 #include "base/log.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 using base::Level;
@@ -21,8 +21,8 @@
 constexpr std::uint64_t kLeastFolderBytes = 16 << 20;  // room for the log, at least
 constexpr std::uint64_t kFolderBytesPerSnapshot = 4;   // room for the log, times `snapshot_after`
 
-store::StoreOptions FolderOptions(const ServiceOptions& options) {
-  store::StoreOptions folder;
+storage::StoreOptions FolderOptions(const ServiceOptions& options) {
+  storage::StoreOptions folder;
   folder.owner = options.owner;
   folder.program = options.program;
   folder.most_bytes = std::max(kFolderBytesPerSnapshot * options.snapshot_after, kLeastFolderBytes);
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-DurableCatalog::DurableCatalog(boost::asio::io_context& io, store::FileSystem& files,
+DurableCatalog::DurableCatalog(boost::asio::io_context& io, storage::FileSystem& files,
                                const ServiceOptions& options, CatalogObserver& observer)
     : options_(options),
       observer_(observer),
@@ -45,8 +45,8 @@
 
 // Also after the disk failed: commands that were refused may be found there, and count.
 void DurableCatalog::Recover() {
-  store::Examination found;
-  if (const store::Status status = journal_.Open(found); !status.ok()) {
+  storage::Examination found;
+  if (const storage::Status status = journal_.Open(found); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
   const Millis begun = Now();
@@ -59,7 +59,7 @@
   if (fresh && found.records.empty()) CommitFirstSnapshot();
 }
 
-void DurableCatalog::LoadSnapshot(const store::Snapshot& snapshot) {
+void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
   std::string why;
   if (snapshot.version > kSnapshotVersion) {
     why = "of a newer program";
@@ -72,9 +72,9 @@
   applied_ = snapshot.sequence;
 }
 
-std::size_t DurableCatalog::Replay(const std::vector<store::Record>& records) {
+std::size_t DurableCatalog::Replay(const std::vector<storage::Record>& records) {
   std::size_t replayed = 0;
-  for (const store::Record& record : records) {
+  for (const storage::Record& record : records) {
     if (record.sequence <= applied_) continue;
     const auto command = record.version > kCommandVersion ? std::nullopt : CommandFromRecord(record.payload);
     if (!command) {
@@ -162,7 +162,7 @@
 
 std::string DurableCatalog::RefusalText() const { return "nothing can be kept now: " + storage_error_; }
 
-void DurableCatalog::OnStorageFailed(const store::Status& status) {
+void DurableCatalog::OnStorageFailed(const storage::Status& status) {
   storage_error_ = status.Text();
   base::Log(
       Level::kError, "registry", "storage_failed",
@@ -193,4 +193,4 @@
   if (catalog_->revision() != before) observer_.OnNewRevision();
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -1,8 +1,8 @@
 // The Catalog on a disk: proposed commands are logged in batches (group commit), and applied and answered
 // once they are on the disk. While the disk fails, commands are refused and the folder is opened anew at
 // intervals.
-#ifndef ELDERHEAD_REGISTRY_DURABLE_CATALOG_HPP_
-#define ELDERHEAD_REGISTRY_DURABLE_CATALOG_HPP_
+#ifndef GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
+#define GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -17,9 +17,9 @@
 #include "registry/commit_notifier.hpp"
 #include "registry/journal.hpp"
 #include "registry/service_options.hpp"
-#include "store/file_system.hpp"
+#include "storage/file_system.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // What a DurableCatalog tells its owner. Called in the thread of the io_context.
 class CatalogObserver {
@@ -41,7 +41,7 @@
 
   // Recovers from the folder. Throws std::runtime_error if it can't. `files` and `observer` outlive it; the
   // observer is not called before the constructor has returned.
-  DurableCatalog(boost::asio::io_context& io, store::FileSystem& files, const ServiceOptions& options,
+  DurableCatalog(boost::asio::io_context& io, storage::FileSystem& files, const ServiceOptions& options,
                  CatalogObserver& observer);
 
   const Catalog& catalog() const { return *catalog_; }
@@ -64,8 +64,8 @@
   };
 
   void Recover();
-  void LoadSnapshot(const store::Snapshot& snapshot);
-  std::size_t Replay(const std::vector<store::Record>& records);
+  void LoadSnapshot(const storage::Snapshot& snapshot);
+  std::size_t Replay(const std::vector<storage::Record>& records);
   void LogRecovery(std::size_t replayed, base::Millis took) const;
   void CommitFirstSnapshot();
 
@@ -74,14 +74,14 @@
   void Apply(const Proposal& proposal);
   void Refuse(const std::vector<Proposal>& proposals, const char* code, const std::string& text);
   std::string RefusalText() const;
-  void OnStorageFailed(const store::Status& status);
+  void OnStorageFailed(const storage::Status& status);
   void ReopenLater();
   void Reopen();
 
   const ServiceOptions options_;
   CatalogObserver& observer_;
   std::optional<Catalog> catalog_;
-  store::Sequence applied_ = 0;  // of the last record applied
+  storage::Sequence applied_ = 0;  // of the last record applied
   std::vector<Proposal> waiting_;
   std::vector<Proposal> committing_;  // with the journal now
   std::string storage_error_;
@@ -94,6 +94,6 @@
   Journal journal_;  // last: its thread ends before what it uses
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_DURABLE_CATALOG_HPP_
+#endif  // GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
--- a/src/registry/form.cpp
+++ b/src/registry/form.cpp
@@ -8,7 +8,7 @@
 
 #include "base/endpoint.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 using nlohmann::json;
@@ -277,4 +277,4 @@
   return list;
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/form.hpp
+++ b/src/registry/form.hpp
@@ -1,7 +1,7 @@
 // What is said on the sockets: the published list (PROTOCOL, "Discovery"), and this service's own calls, as
 // JSON.
-#ifndef ELDERHEAD_REGISTRY_FORM_HPP_
-#define ELDERHEAD_REGISTRY_FORM_HPP_
+#ifndef GATEWAY_REGISTRY_FORM_HPP_
+#define GATEWAY_REGISTRY_FORM_HPP_
 
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 
 #include "registry/catalog.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // One member, in the published form and with what this service adds: gateways pass over what they don't know.
 std::string ToText(const Member& member);
@@ -53,6 +53,6 @@
 };
 std::optional<PublishedList> ParseList(const std::string& text, std::string& why);
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_FORM_HPP_
+#endif  // GATEWAY_REGISTRY_FORM_HPP_
--- a/src/registry/journal.cpp
+++ b/src/registry/journal.cpp
@@ -5,9 +5,9 @@
 #include "base/clock.hpp"
 #include "registry/catalog.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
-Journal::Journal(store::FileSystem& files, std::string folder, store::StoreOptions options,
+Journal::Journal(storage::FileSystem& files, std::string folder, storage::StoreOptions options,
                  std::function<void(Written)> done)
     : files_(files),
       folder_(std::move(folder)),
@@ -24,9 +24,9 @@
   thread_.join();
 }
 
-store::Status Journal::Open(store::Examination& found) {
+storage::Status Journal::Open(storage::Examination& found) {
   store_.reset();  // its lock, too
-  return store::Store::Open(files_, folder_, options_, store_, found);
+  return storage::Store::Open(files_, folder_, options_, store_, found);
 }
 
 void Journal::Write(Batch batch) {
@@ -60,7 +60,7 @@
   if (batch.snapshot) written.status = store_->TakeSnapshot(kSnapshotVersion, *batch.snapshot);
   for (const std::string& record : batch.records) {
     if (!written.status.ok()) break;
-    const store::Sequence sequence = store_->Append(1, kCommandVersion, record);
+    const storage::Sequence sequence = store_->Append(1, kCommandVersion, record);
     if (sequence == 0) written.status = {{}, folder_ + ": no room for a record"};
     written.sequences.push_back(sequence);
   }
@@ -70,4 +70,4 @@
   return written;
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/journal.hpp
+++ b/src/registry/journal.hpp
@@ -1,7 +1,7 @@
 // The commands of a list service on their way to the disk: a thread of its own writes them, one sync for all
 // that came together (group commit).
-#ifndef ELDERHEAD_REGISTRY_JOURNAL_HPP_
-#define ELDERHEAD_REGISTRY_JOURNAL_HPP_
+#ifndef GATEWAY_REGISTRY_JOURNAL_HPP_
+#define GATEWAY_REGISTRY_JOURNAL_HPP_
 
 #include <condition_variable>
 #include <cstdint>
@@ -13,9 +13,9 @@
 #include <thread>
 #include <vector>
 
-#include "store/store.hpp"
+#include "storage/store.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class Journal {
  public:
@@ -24,20 +24,20 @@
     std::vector<std::string> records;
   };
   struct Written {
-    store::Status status;  // once bad nothing more is written until Open() again
-    std::vector<store::Sequence> sequences;
+    storage::Status status;  // once bad nothing more is written until Open() again
+    std::vector<storage::Sequence> sequences;
     double took_ms = 0;  // of it
     std::uint64_t log_bytes = 0;
   };
 
   // `files` outlives it. `done` is called in the thread.
-  Journal(store::FileSystem& files, std::string folder, store::StoreOptions options,
+  Journal(storage::FileSystem& files, std::string folder, storage::StoreOptions options,
           std::function<void(Written)> done);
   ~Journal();
 
   // Recovers, in the caller's thread, while no batch is on. Also after a failure: what is found then may hold
   // records that were not answered for.
-  store::Status Open(store::Examination& found);
+  storage::Status Open(storage::Examination& found);
   // One at a time: the next after `done`.
   void Write(Batch batch);
 
@@ -45,11 +45,11 @@
   void Run();
   Written Do(const Batch& batch);
 
-  store::FileSystem& files_;
+  storage::FileSystem& files_;
   const std::string folder_;
-  const store::StoreOptions options_;
+  const storage::StoreOptions options_;
   const std::function<void(Written)> done_;
-  std::unique_ptr<store::Store> store_;
+  std::unique_ptr<storage::Store> store_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::optional<Batch> next_;
@@ -57,6 +57,6 @@
   std::thread thread_;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_JOURNAL_HPP_
+#endif  // GATEWAY_REGISTRY_JOURNAL_HPP_
--- a/src/registry/leases.cpp
+++ b/src/registry/leases.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 void Leases::Changed(const Member& member, Millis now) {
   if (member.removed || member.term <= 0) {
@@ -121,4 +121,4 @@
       std::ranges::count_if(leases_, [now](const auto& entry) { return entry.second.until < now; }));
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/leases.hpp
+++ b/src/registry/leases.hpp
@@ -3,8 +3,8 @@
 //
 // Self-preservation, as Netflix's Eureka has it: where many lapse together the cause is between them and this
 // service, or is this service, and nobody is removed for it.
-#ifndef ELDERHEAD_REGISTRY_LEASES_HPP_
-#define ELDERHEAD_REGISTRY_LEASES_HPP_
+#ifndef GATEWAY_REGISTRY_LEASES_HPP_
+#define GATEWAY_REGISTRY_LEASES_HPP_
 
 #include <deque>
 #include <map>
@@ -14,7 +14,7 @@
 
 #include "registry/catalog.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 using base::Millis;
 
@@ -82,6 +82,6 @@
   int absences_ = 0;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_LEASES_HPP_
+#endif  // GATEWAY_REGISTRY_LEASES_HPP_
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -6,7 +6,7 @@
 
 #include "registry/form.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 constexpr std::size_t kMostChangesBeyondList = 64;  // more changes than members and these: the full list
@@ -46,4 +46,4 @@
   return std::make_shared<const std::string>(ListText(catalog_, complete, members));
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/list_cache.hpp
+++ b/src/registry/list_cache.hpp
@@ -1,6 +1,6 @@
 // Encoded answers about the newest revision: each is made once and shared by all callers that need it.
-#ifndef ELDERHEAD_REGISTRY_LIST_CACHE_HPP_
-#define ELDERHEAD_REGISTRY_LIST_CACHE_HPP_
+#ifndef GATEWAY_REGISTRY_LIST_CACHE_HPP_
+#define GATEWAY_REGISTRY_LIST_CACHE_HPP_
 
 #include <cstdint>
 #include <map>
@@ -8,7 +8,7 @@
 #include "registry/catalog.hpp"
 #include "registry/response.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class ListCache {
  public:
@@ -34,6 +34,6 @@
   std::uint64_t encoded_ = 0;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_LIST_CACHE_HPP_
+#endif  // GATEWAY_REGISTRY_LIST_CACHE_HPP_
--- a/src/registry/response.cpp
+++ b/src/registry/response.cpp
@@ -6,7 +6,7 @@
 
 #include "registry/form.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 constexpr int kRetryAfterSeconds = 2;
@@ -58,4 +58,4 @@
   return head + "\r\n";
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/response.hpp
+++ b/src/registry/response.hpp
@@ -1,13 +1,13 @@
 // HTTP responses of the registry service.
-#ifndef ELDERHEAD_REGISTRY_RESPONSE_HPP_
-#define ELDERHEAD_REGISTRY_RESPONSE_HPP_
+#ifndef GATEWAY_REGISTRY_RESPONSE_HPP_
+#define GATEWAY_REGISTRY_RESPONSE_HPP_
 
 #include <memory>
 #include <string>
 
 #include "registry/catalog.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // Encoded response body; sessions that send the same one share it.
 using Body = std::shared_ptr<const std::string>;
@@ -30,6 +30,6 @@
 // Status line and headers, with the empty line that ends them.
 std::string ResponseHead(const Response& response, bool keep_alive);
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_RESPONSE_HPP_
+#endif  // GATEWAY_REGISTRY_RESPONSE_HPP_
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -9,7 +9,7 @@
 #include "base/clock.hpp"
 #include "base/log.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 namespace http = boost::beast::http;
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-Service::Service(boost::asio::io_context& io, store::FileSystem& files, ServiceOptions options)
+Service::Service(boost::asio::io_context& io, storage::FileSystem& files, ServiceOptions options)
     : io_(io),
       options_(std::move(options)),
       leases_(options_.leases),
@@ -302,4 +302,4 @@
   held_zones_ = std::move(held_zones);
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -1,7 +1,7 @@
 // The registry service as a process: HTTP calls in front of a DurableCatalog and its Leases. A change is told
 // to anyone only once it is on the disk. One thread, and the journal's.
-#ifndef ELDERHEAD_REGISTRY_SERVICE_HPP_
-#define ELDERHEAD_REGISTRY_SERVICE_HPP_
+#ifndef GATEWAY_REGISTRY_SERVICE_HPP_
+#define GATEWAY_REGISTRY_SERVICE_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -22,14 +22,14 @@
 #include "registry/service_report.hpp"
 #include "registry/session.hpp"
 #include "registry/watches.hpp"
-#include "store/file_system.hpp"
+#include "storage/file_system.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class Service final : private SessionHandler, private CatalogObserver {
  public:
   // Recovers and listens. Throws std::runtime_error if either can't be. `io` and `files` outlive it.
-  Service(boost::asio::io_context& io, store::FileSystem& files, ServiceOptions options);
+  Service(boost::asio::io_context& io, storage::FileSystem& files, ServiceOptions options);
   ~Service() override;
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
@@ -83,6 +83,6 @@
   const base::Millis started_;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_SERVICE_HPP_
+#endif  // GATEWAY_REGISTRY_SERVICE_HPP_
--- a/src/registry/service_options.cpp
+++ b/src/registry/service_options.cpp
@@ -3,7 +3,7 @@
 #include "base/endpoint.hpp"
 #include "base/toml_reader.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 constexpr base::Range kTermSeconds{0.5, 3600};
@@ -53,4 +53,4 @@
   return options;
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/service_options.hpp
+++ b/src/registry/service_options.hpp
@@ -1,6 +1,6 @@
 // Settings of the registry service and their TOML form.
-#ifndef ELDERHEAD_REGISTRY_SERVICE_OPTIONS_HPP_
-#define ELDERHEAD_REGISTRY_SERVICE_OPTIONS_HPP_
+#ifndef GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
+#define GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
@@ -10,7 +10,7 @@
 #include "registry/catalog.hpp"
 #include "registry/leases.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 struct ServiceOptions {
   boost::asio::ip::tcp::endpoint listen;
@@ -31,6 +31,6 @@
 // caller.
 ServiceOptions ReadServiceOptions(const std::string& path);
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_SERVICE_OPTIONS_HPP_
+#endif  // GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 using nlohmann::json;
@@ -120,4 +120,4 @@
   return metrics.Take();
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/service_report.hpp
+++ b/src/registry/service_report.hpp
@@ -1,6 +1,6 @@
 // What the registry service says of itself: its status as JSON, its metrics in Prometheus' text format.
-#ifndef ELDERHEAD_REGISTRY_SERVICE_REPORT_HPP_
-#define ELDERHEAD_REGISTRY_SERVICE_REPORT_HPP_
+#ifndef GATEWAY_REGISTRY_SERVICE_REPORT_HPP_
+#define GATEWAY_REGISTRY_SERVICE_REPORT_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include "registry/leases.hpp"
 #include "registry/session.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // Totals since the service's start.
 struct ServiceCounts {
@@ -37,6 +37,6 @@
 std::string StatusText(const ServiceView& view);
 std::string MetricsText(const ServiceView& view);
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_SERVICE_REPORT_HPP_
+#endif  // GATEWAY_REGISTRY_SERVICE_REPORT_HPP_
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -6,7 +6,7 @@
 
 #include "base/clock.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 namespace asio = boost::asio;
@@ -108,4 +108,4 @@
   handler_.OnClosed(shared_from_this(), reason);
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -1,6 +1,6 @@
 // One HTTP/1.1 connection of the registry service: reads a request, hands it over, writes the response.
-#ifndef ELDERHEAD_REGISTRY_SESSION_HPP_
-#define ELDERHEAD_REGISTRY_SESSION_HPP_
+#ifndef GATEWAY_REGISTRY_SESSION_HPP_
+#define GATEWAY_REGISTRY_SESSION_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 #include "base/base.hpp"
 #include "registry/response.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 class Session;
 
@@ -83,6 +83,6 @@
   bool keep_alive_ = true;
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_SESSION_HPP_
+#endif  // GATEWAY_REGISTRY_SESSION_HPP_
--- a/src/registry/watches.cpp
+++ b/src/registry/watches.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 void Watches::Add(const std::shared_ptr<Session>& session, Revision after, base::Millis wait) {
   waiting_.emplace(session, after);
@@ -20,4 +20,4 @@
   }
 }
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/src/registry/watches.hpp
+++ b/src/registry/watches.hpp
@@ -1,6 +1,6 @@
 // Sessions that wait for the next revision of the list (long polling).
-#ifndef ELDERHEAD_REGISTRY_WATCHES_HPP_
-#define ELDERHEAD_REGISTRY_WATCHES_HPP_
+#ifndef GATEWAY_REGISTRY_WATCHES_HPP_
+#define GATEWAY_REGISTRY_WATCHES_HPP_
 
 #include <cstddef>
 #include <memory>
@@ -9,7 +9,7 @@
 #include "registry/list_cache.hpp"
 #include "registry/session.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 
 // Must outlive the open sessions that wait.
 class Watches {
@@ -31,6 +31,6 @@
   std::unordered_map<std::shared_ptr<Session>, Revision> waiting_;  // the revision that the caller has
 };
 
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
 
-#endif  // ELDERHEAD_REGISTRY_WATCHES_HPP_
+#endif  // GATEWAY_REGISTRY_WATCHES_HPP_
--- a/src/simhost_main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// opalswitch_simhost: hosts Policies on the simulator's wire, standard input to standard output.
+// simulator_adapter: hosts Policies on the simulator's wire, standard input to standard output.
 #include <unistd.h>
 
 #include <cerrno>
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
 namespace {
 
@@ -23,7 +23,7 @@
 }  // namespace
 
 int main() {
-  opalswitch::wire::Host host;
+  gateway::simulator::Host host;
   std::string pending;
   std::string chunk(1 << 16, '\0');
   unsigned long long line_number = 0;
@@ -31,7 +31,7 @@
     const ssize_t got = read(STDIN_FILENO, chunk.data(), chunk.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) {
-      std::perror("opalswitch_simhost: standard input");
+      std::perror("simulator_adapter: standard input");
       return 1;
     }
     if (got == 0) break;
@@ -42,7 +42,7 @@
       try {
         host.Line(std::string_view(pending).substr(start, end - start));
       } catch (const std::exception& error) {
-        std::fprintf(stderr, "opalswitch_simhost: line %llu: %s\n", line_number, error.what());
+        std::fprintf(stderr, "simulator_adapter: line %llu: %s\n", line_number, error.what());
         return 1;
       }
       if (const std::string reply = host.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
@@ -50,11 +50,11 @@
     pending.erase(0, start);
   }
   if (!pending.empty()) {
-    std::fprintf(stderr, "opalswitch_simhost: line %llu: input ends inside a line\n", line_number + 1);
+    std::fprintf(stderr, "simulator_adapter: line %llu: input ends inside a line\n", line_number + 1);
     return 1;
   }
   if (host.InBatch()) {
-    std::fprintf(stderr, "opalswitch_simhost: line %llu: input ends inside a batch\n", line_number);
+    std::fprintf(stderr, "simulator_adapter: line %llu: input ends inside a batch\n", line_number);
     return 1;
   }
   return 0;
--- a/src/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <charconv>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-namespace opalswitch::wire {
+namespace gateway::simulator {
 namespace {
 
 using Parts = std::vector<std::string_view>;
@@ -54,16 +54,16 @@
   throw WireError(std::string(what) + " is not a flag: '" + std::string(text) + "'");
 }
 
-Result ToResult(std::string_view code) {
+policy::AttemptResult ToResult(std::string_view code) {
   switch (Number<int>(code, "rc")) {
-    case 10: return Result::kServed;
-    case 20: return Result::kError;
-    case 30: return Result::kRejected;
-    case 40: return Result::kTimedOut;
-    case 50: return Result::kConnectFailed;
-    case 60: return Result::kReset;
-    case 70: return Result::kCancelled;
-    case 80: return Result::kNotSent;
+    case 10: return policy::AttemptResult::kServed;
+    case 20: return policy::AttemptResult::kError;
+    case 30: return policy::AttemptResult::kRejected;
+    case 40: return policy::AttemptResult::kTimedOut;
+    case 50: return policy::AttemptResult::kConnectFailed;
+    case 60: return policy::AttemptResult::kReset;
+    case 70: return policy::AttemptResult::kCancelled;
+    case 80: return policy::AttemptResult::kNotSent;
     default: throw WireError("unknown rc " + std::string(code));
   }
 }
@@ -80,17 +80,17 @@
   return load;
 }
 
-Server ToServer(const Parts& parts) {
-  Server server;
+policy::EndpointInfo ToServer(const Parts& parts) {
+  policy::EndpointInfo server;
   server.id = Need(parts, 1, "host");
   server.zone = Optional(parts, 2);
-  server.kind = Optional(parts, 3);
+  server.machine_type = Optional(parts, 3);
   server.cell = Optional(parts, 4);
   const std::string_view health = Need(parts, 5, "health");
   if (health == "draining") {
-    server.state = ServerState::kDraining;
+    server.state = policy::EndpointState::kDraining;
   } else if (health == "removed") {
-    server.state = ServerState::kGone;
+    server.state = policy::EndpointState::kRemoved;
   } else if (health != "up") {
     throw WireError("unknown health '" + std::string(health) + "'");
   }
@@ -115,41 +115,45 @@
   return &items[i];
 }
 
-void ParseClass(ClassSettings& c, std::string_view field, std::string_view value) {
+void ParseClass(policy::TrafficClassSettings& c, std::string_view field, std::string_view value) {
   if (field == "name") {
     c.name = value;
   } else if (field == "sloMs") {
-    c.aim = Number<double>(value, "sloMs");
+    c.latency_objective = Number<double>(value, "sloMs");
   } else if (field == "deadlineMs") {
     c.deadline = Number<double>(value, "deadlineMs");
   } else if (field == "importance") {
-    c.worth = Number<double>(value, "importance");
+    c.priority_weight = Number<double>(value, "importance");
   } else if (field == "lateWorth") {
-    c.late_worth = Number<double>(value, "lateWorth");
+    c.late_weight = Number<double>(value, "lateWorth");
   } else if (field == "repeatWindowMs") {
-    c.repeat_window = Number<double>(value, "repeatWindowMs");
+    c.deduplication_window = Number<double>(value, "repeatWindowMs");
   } else if (field == "idempotency") {
     if (value != "pure" && value != "token" && value != "side_effect") {
-      throw std::invalid_argument("classes.effect: unknown '" + std::string(value) + "'");
+      throw std::invalid_argument("classes.idempotency: unknown '" + std::string(value) + "'");
     }
-    c.effect = value == "pure" ? Effect::kSafe : value == "token" ? Effect::kKeyed : Effect::kUnsafe;
+    c.idempotency = value == "pure"    ? policy::Idempotency::kIdempotent
+                    : value == "token" ? policy::Idempotency::kIdempotencyKey
+                                       : policy::Idempotency::kNotIdempotent;
   } else if (field == "group") {
     if (value != "all" && value != "zone" && value != "cell") {
-      throw std::invalid_argument("classes.group: unknown '" + std::string(value) + "'");
+      throw std::invalid_argument("classes.deduplication_scope: unknown '" + std::string(value) + "'");
     }
-    c.group = value == "all" ? Group::kAll : value == "zone" ? Group::kZone : Group::kCell;
+    c.deduplication_scope = value == "all"    ? policy::DeduplicationScope::kAll
+                            : value == "zone" ? policy::DeduplicationScope::kZone
+                                              : policy::DeduplicationScope::kCell;
   }
 }
 
-void ParseTenant(TenantSettings& t, std::string_view field, std::string_view value) {
+void ParseTenant(policy::TenantSettings& t, std::string_view field, std::string_view value) {
   if (field == "name") {
     t.name = value;
   } else if (field == "quotaPerS") {
-    t.quota_per_s = Number<double>(value, "quotaPerS");
+    t.quota_per_second = Number<double>(value, "quotaPerS");
   }
 }
 
-void ParseSetting(Settings& s, const Parts& path, std::string_view key, std::string_view value) {
+void ParseSetting(policy::Settings& s, const Parts& path, std::string_view key, std::string_view value) {
   const auto number = [&] { return Number<double>(value, std::string(key).c_str()); };
   const auto flag = [&] { return Flag(value, std::string(key).c_str()); };
   if (path.size() == 3 && path[0] == "categories") {
@@ -159,44 +163,44 @@
   } else if (key == "zone") {
     s.zone = value;
   } else if (key == "peersTotal") {
-    s.gateways = static_cast<int>(number());
+    s.gateway_count = static_cast<int>(number());
   } else if (key == "selfIndex") {
-    s.index = static_cast<int>(number());
+    s.gateway_index = static_cast<int>(number());
   } else if (key == "membershipMode") {
-    s.ask_for_list = value == "ask";
+    s.poll_endpoint_list = value == "ask";
   } else if (key == "limits.maxAttempts") {
     s.max_attempts = static_cast<int>(number());
   } else if (key == "limits.multiplex") {
-    s.streams = static_cast<int>(number());
+    s.streams_per_connection = static_cast<int>(number());
   } else if (key == "limits.cancelling") {
-    s.may_cancel = flag();
+    s.can_cancel_attempts = flag();
   } else if (key == "limits.retryAfter") {
-    s.retry_after = flag();
+    s.send_retry_after = flag();
   } else if (key == "limits.maxRetryAfterMs") {
-    s.max_retry_after = number();
+    s.maximum_retry_after = number();
   } else if (key == "rules.askWithinMs") {
-    s.ask_within = number();
+    s.maximum_poll_interval = number();
   } else if (key == "rules.coldFrom") {
-    s.cold_from = number();
+    s.warm_up_initial_fraction = number();
   } else if (key == "rules.coldMs") {
-    s.cold_for = number();
+    s.warm_up_duration = number();
   } else if (key == "rules.fallMultiple") {
-    s.fall_multiple = number();
+    s.overload_factor = number();
   } else if (key == "familyInfo.warmKeys") {
-    s.warm_keys = flag();
+    s.endpoints_cache_keys = flag();
   } else if (key == "report.fields") {
     Parts fields;
     Split(value, ',', fields);
     for (const auto field : fields) {
-      if (!field.empty() && field != "-") s.report_fields.emplace_back(field);
+      if (!field.empty() && field != "-") s.load_report_fields.emplace_back(field);
     }
   }
 }
 
 }  // namespace
 
-Settings ParseSettings(const Parts& pairs) {
-  Settings settings;
+policy::Settings ParseSettings(const Parts& pairs) {
+  policy::Settings settings;
   Parts path;
   for (const auto pair : pairs) {
     const std::size_t equals = pair.find('=');
@@ -255,7 +259,7 @@
   const auto seed = Number<std::uint64_t>(Need(parts, 1, "nonce64"), "nonce64");
   policies_.erase(*at_);
   try {
-    Policy policy(ParseSettings(Parts(parts.begin() + 2, parts.end())), seed);
+    policy::Policy policy(ParseSettings(Parts(parts.begin() + 2, parts.end())), seed);
     policies_.emplace(*at_, std::move(policy));
   } catch (const std::invalid_argument& error) {
     throw WireError(std::string("settings that cannot work: ") + error.what());
@@ -268,7 +272,7 @@
   if (word == "CREATE") return Create(parts);
   if (!policies_.contains(*at_)) throw WireError("instance " + std::to_string(*at_) + " does not exist");
   if (word == "KNOCK") {
-    Request request;
+    policy::Request request;
     request.id = Need(parts, 1, "ticket");
     request.class_name = Need(parts, 2, "qos");
     request.tenant = Optional(parts, 3);
@@ -277,36 +281,37 @@
     NumberOr<unsigned>(parts, 7, "opts", 0);  // checked; no decision uses it
     Deliver(request);
   } else if (word == "COMPLETED") {
-    Outcome outcome;
+    policy::AttemptOutcome outcome;
     outcome.request = Need(parts, 1, "ticket");
     outcome.attempt = Number<int>(Need(parts, 2, "trial"), "trial");
-    outcome.server = Need(parts, 3, "host");
+    outcome.endpoint = Need(parts, 3, "host");
     outcome.result = ToResult(Need(parts, 4, "rc"));
-    outcome.finished = Flag(Need(parts, 5, "ended"), "ended");
+    outcome.request_finished = Flag(Need(parts, 5, "ended"), "ended");
     outcome.latency = NumberOr(parts, 6, "costTimeMs", 0.0);
     outcome.load = ToLoad(Optional(parts, 7));
     Deliver(outcome);
   } else if (word == "FIRED") {
-    Deliver(TimerDue{std::string(Need(parts, 1, "keyBack"))});
+    Deliver(policy::TimerFired{std::string(Need(parts, 1, "keyBack"))});
   } else if (word == "EXPIRED") {
-    Deliver(ClientGone{std::string(Need(parts, 1, "ticket"))});
+    Deliver(policy::ClientDisconnected{std::string(Need(parts, 1, "ticket"))});
   } else if (word == "REGISTRY") {
     const std::string_view kind = Need(parts, 3, "kind");
-    ServerNews news;
+    policy::EndpointListEvent news;
     if (kind == "X") {
-      news.kind = ServerNews::Kind::kFailed;
+      news.kind = policy::EndpointListEvent::Kind::kFailure;
     } else if (kind == "D" || kind == "F" || kind == "C") {
       const auto list = Number<std::size_t>(Need(parts, 1, "list"), "list");
       if (list >= lists_.size()) throw WireError("list number above 15");
-      news.kind = kind == "D" ? ServerNews::Kind::kDelta : ServerNews::Kind::kFull;
-      news.servers = lists_[list];
+      news.kind =
+          kind == "D" ? policy::EndpointListEvent::Kind::kDelta : policy::EndpointListEvent::Kind::kSnapshot;
+      news.endpoints = lists_[list];
     } else {
       throw WireError("unknown list kind '" + std::string(kind) + "'");
     }
     Deliver(news);
   } else if (word == "FLOWING") {
-    Deliver(
-        StreamStarted{std::string(Need(parts, 1, "ticket")), Number<int>(Need(parts, 3, "trial"), "trial")});
+    Deliver(policy::ResponseStarted{std::string(Need(parts, 1, "ticket")),
+                                    Number<int>(Need(parts, 3, "trial"), "trial")});
   } else if (word == "ECHO") {
     ToResult(Need(parts, 2, "rc"));  // the module never probes: checked and dropped
     NumberOr(parts, 3, "costTimeMs", 0.0);
@@ -320,11 +325,11 @@
   }
 }
 
-void Host::Deliver(const opalswitch::Event& event) {
+void Host::Deliver(const gateway::policy::Event& event) {
   actions_.clear();
   std::optional<std::string> fault;
   try {
-    policies_.at(*at_).handle(now_, event, actions_);
+    policies_.at(*at_).Handle(now_, event, actions_);
   } catch (const std::exception& error) {
     actions_.clear();
     fault = error.what();
@@ -332,33 +337,35 @@
   if (actions_.empty() && !fault) return;
   if (context_ != at_) body_ += "CONTEXT " + std::to_string(*at_) + "\n";
   context_ = at_;
-  for (const Action& action : actions_) Print(action);
+  for (const policy::Action& action : actions_) Print(action);
   if (fault) body_ += "BAIL_OUT " + *fault + "\n";
 }
 
-void Host::Print(const Action& action) {
+void Host::Print(const policy::Action& action) {
   struct Printer {
     std::string& out;
-    void operator()(const Send& a) {
-      out += "PASS_ON " + a.request + ' ' + a.server + ' ';
+    void operator()(const policy::Send& a) {
+      out += "PASS_ON " + a.request + ' ' + a.endpoint + ' ';
       Append(out, a.timeout);
     }
-    void operator()(const Refuse& a) {
+    void operator()(const policy::Reject& a) {
       out += "PUSH_BACK " + a.request + ' ';
       Append(out, a.retry_after);
     }
-    void operator()(const Fail& a) { out += "ERROR " + a.request; }
-    void operator()(const Cancel& a) { out += "UNDO_SEND " + a.request + ' ' + std::to_string(a.attempt); }
-    void operator()(const SetTimer& a) {
+    void operator()(const policy::Fail& a) { out += "ERROR " + a.request; }
+    void operator()(const policy::Cancel& a) {
+      out += "UNDO_SEND " + a.request + ' ' + std::to_string(a.attempt);
+    }
+    void operator()(const policy::SetTimer& a) {
       out += "AFTER ";
       Append(out, a.delay);
       out += ' ' + a.name;
     }
-    void operator()(const Watch&) { out += "LISTEN 1"; }
-    void operator()(const Log& a) { out += "PRINT " + a.text; }
+    void operator()(const policy::WatchEndpointList&) { out += "LISTEN 1"; }
+    void operator()(const policy::LogLine& a) { out += "PRINT " + a.text; }
   };
   std::visit(Printer{body_}, action);
   body_ += '\n';
 }
 
-}  // namespace opalswitch::wire
+}  // namespace gateway::simulator
--- a/src/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -1,6 +1,6 @@
-// The quartz-d56c dialect: text lines to opalswitch events, actions to text lines. No decisions.
-#ifndef OPALSWITCH_WIRE_HPP_
-#define OPALSWITCH_WIRE_HPP_
+// The quartz-d56c dialect: text lines to policy events, actions to text lines. No decisions.
+#ifndef GATEWAY_SIMULATOR_WIRE_HPP_
+#define GATEWAY_SIMULATOR_WIRE_HPP_
 
 #include <cstdint>
 #include <map>
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
 
-namespace opalswitch::wire {
+namespace gateway::simulator {
 
 // A line that breaks the dialect; the text names the fault.
 class WireError : public std::runtime_error {
@@ -21,7 +21,7 @@
 };
 
 // The values of a CREATE line's settings. Unknown keys are skipped; missing ones keep defaults.
-Settings ParseSettings(const std::vector<std::string_view>& pairs);
+policy::Settings ParseSettings(const std::vector<std::string_view>& pairs);
 
 // Hosts the instances of one process. Feed it line after line; after EOF_BATCH it has a reply.
 // The instances share the process and the numbered lists of the wire, and nothing else.
@@ -39,23 +39,23 @@
  private:
   void Event(const std::vector<std::string_view>& parts);
   void Create(const std::vector<std::string_view>& parts);
-  void Deliver(const opalswitch::Event& event);
-  void Print(const Action& action);
+  void Deliver(const gateway::policy::Event& event);
+  void Print(const policy::Action& action);
 
   double now_ = 0;
   bool in_batch_ = false;
   std::optional<std::int64_t> at_;  // the instance that events are addressed to
-  std::map<std::int64_t, Policy> policies_;
-  std::vector<std::vector<Server>> lists_ = std::vector<std::vector<Server>>(16);
+  std::map<std::int64_t, policy::Policy> policies_;
+  std::vector<std::vector<policy::EndpointInfo>> lists_ = std::vector<std::vector<policy::EndpointInfo>>(16);
   std::size_t open_list_ = 0;
   std::size_t entries_due_ = 0;          // ENTRY lines still to come for the open list
   std::optional<std::int64_t> context_;  // the instance the reply's actions are addressed to
-  std::vector<Action> actions_;
+  std::vector<policy::Action> actions_;
   std::vector<std::string_view> parts_;
   std::string body_;
   std::string reply_;
 };
 
-}  // namespace opalswitch::wire
+}  // namespace gateway::simulator
 
-#endif  // OPALSWITCH_WIRE_HPP_
+#endif  // GATEWAY_SIMULATOR_WIRE_HPP_
--- a/src/store/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -3,8 +3,8 @@
 //
 // This seam holds all that the store asks of a file system, so that power loss, full disks and failing syncs
 // can be played. Not thread-safe: one thread owns a store and all below it.
-#ifndef ELDERHEAD_STORE_FILE_SYSTEM_HPP_
-#define ELDERHEAD_STORE_FILE_SYSTEM_HPP_
+#ifndef GATEWAY_STORAGE_FILE_SYSTEM_HPP_
+#define GATEWAY_STORAGE_FILE_SYSTEM_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <vector>
 
-namespace elderhead::store {
+namespace gateway::storage {
 
 // An error with the path and the call that it came from; none by default.
 struct [[nodiscard]] Status {
@@ -58,6 +58,6 @@
 // The machine's own. Calls block as long as the disk does.
 std::unique_ptr<FileSystem> MakePosixFileSystem();
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
 
-#endif  // ELDERHEAD_STORE_FILE_SYSTEM_HPP_
+#endif  // GATEWAY_STORAGE_FILE_SYSTEM_HPP_
--- a/src/store/memory_file_system.cpp
+++ b/src/storage/memory_file_system.cpp
@@ -1,6 +1,6 @@
-#include "store/memory_file_system.hpp"
+#include "storage/memory_file_system.hpp"
 
-namespace elderhead::store {
+namespace gateway::storage {
 namespace {
 
 Status Missing(const std::string& path) {
@@ -205,4 +205,4 @@
   return Ask(Call::kLock, path, [&] { return below_.TakeLock(path, lock); });
 }
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
--- a/src/store/memory_file_system.hpp
+++ b/src/storage/memory_file_system.hpp
@@ -1,6 +1,6 @@
 // A file system in memory that knows what a loss of power would leave, and one that fails on demand.
-#ifndef ELDERHEAD_STORE_MEMORY_FILE_SYSTEM_HPP_
-#define ELDERHEAD_STORE_MEMORY_FILE_SYSTEM_HPP_
+#ifndef GATEWAY_STORAGE_MEMORY_FILE_SYSTEM_HPP_
+#define GATEWAY_STORAGE_MEMORY_FILE_SYSTEM_HPP_
 
 #include <cstddef>
 #include <functional>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "store/file_system.hpp"
+#include "storage/file_system.hpp"
 
-namespace elderhead::store {
+namespace gateway::storage {
 
 // Bytes are on the disk once their file is synced, names once their folder is; what a loss of power leaves of
 // the rest is for the caller to choose. Folders are one deep and are there once they are listed with `make`.
@@ -87,6 +87,6 @@
   const Hook hook_;
 };
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
 
-#endif  // ELDERHEAD_STORE_MEMORY_FILE_SYSTEM_HPP_
+#endif  // GATEWAY_STORAGE_MEMORY_FILE_SYSTEM_HPP_
--- a/src/store/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -9,9 +9,9 @@
 #include <filesystem>
 #include <utility>
 
-#include "store/file_system.hpp"
+#include "storage/file_system.hpp"
 
-namespace elderhead::store {
+namespace gateway::storage {
 namespace {
 
 Status Failed(const char* call, const std::string& path, int error = errno) {
@@ -141,4 +141,4 @@
 
 std::unique_ptr<FileSystem> MakePosixFileSystem() { return std::make_unique<PosixFileSystem>(); }
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
--- a/src/store/record.cpp
+++ b/src/storage/record.cpp
@@ -1,11 +1,11 @@
-#include "store/record.hpp"
+#include "storage/record.hpp"
 
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <charconv>
 #include <cstdio>
 
-namespace elderhead::store {
+namespace gateway::storage {
 namespace {
 
 constexpr std::string_view kSegmentMagic("elhlog\0\1", 8);
@@ -206,4 +206,4 @@
   return sequence;
 }
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
--- a/src/store/record.hpp
+++ b/src/storage/record.hpp
@@ -1,7 +1,7 @@
 // The bytes of a store's files, without I/O: how records, segments, snapshots and the manifest are written
 // and read. All numbers are little-endian; every part carries a CRC32C (Castagnoli) of all its other bytes.
-#ifndef ELDERHEAD_STORE_RECORD_HPP_
-#define ELDERHEAD_STORE_RECORD_HPP_
+#ifndef GATEWAY_STORAGE_RECORD_HPP_
+#define GATEWAY_STORAGE_RECORD_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace elderhead::store {
+namespace gateway::storage {
 
 using Sequence = std::uint64_t;  // of records, from 1; 2^64 lasts 10 years at 58 billion a second
 
@@ -71,6 +71,6 @@
 std::string FileName(std::string_view stem, Sequence sequence);
 std::optional<Sequence> ParseFileName(std::string_view stem, std::string_view name);
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
 
-#endif  // ELDERHEAD_STORE_RECORD_HPP_
+#endif  // GATEWAY_STORAGE_RECORD_HPP_
--- a/src/store/store.cpp
+++ b/src/storage/store.cpp
@@ -1,8 +1,8 @@
-#include "store/store.hpp"
+#include "storage/store.hpp"
 
 #include <algorithm>
 
-namespace elderhead::store {
+namespace gateway::storage {
 namespace {
 
 constexpr const char* kManifest = "MANIFEST";
@@ -325,4 +325,4 @@
   return {};
 }
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
--- a/src/store/store.hpp
+++ b/src/storage/store.hpp
@@ -1,7 +1,7 @@
 // A store: an append-only log with snapshots in one folder. What Commit() has answered well for is there
 // after any crash.
-#ifndef ELDERHEAD_STORE_STORE_HPP_
-#define ELDERHEAD_STORE_STORE_HPP_
+#ifndef GATEWAY_STORAGE_STORE_HPP_
+#define GATEWAY_STORAGE_STORE_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
-#include "store/file_system.hpp"
-#include "store/record.hpp"
+#include "storage/file_system.hpp"
+#include "storage/record.hpp"
 
-namespace elderhead::store {
+namespace gateway::storage {
 
 enum class Found {
   kNothing,  // no state yet
@@ -107,6 +107,6 @@
   Status error_;
 };
 
-}  // namespace elderhead::store
+}  // namespace gateway::storage
 
-#endif  // ELDERHEAD_STORE_STORE_HPP_
+#endif  // GATEWAY_STORAGE_STORE_HPP_
--- a/tests/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -24,7 +24,7 @@
 #include "lab/rules.hpp"
 #include "lab/schedule.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 const std::string kSmall = R"(name = "small"
@@ -473,7 +473,7 @@
 
 // The program, with its output.
 std::pair<int, std::string> Elderhead(const std::string& arguments) {
-  std::FILE* const pipe = popen((std::string(ELDERHEAD_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
+  std::FILE* const pipe = popen((std::string(GATEWAYCTL_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   std::string text;
   char part[4096];
   while (const std::size_t got = std::fread(part, 1, sizeof part, pipe)) text.append(part, got);
@@ -558,7 +558,7 @@
   for (const Case& c :
        {Case{"none", nullptr}, Case{"twice", "ran_twice"}, Case{"ignores_drain", "late_sends"},
         Case{"loses", "lost"}, Case{"forges", "forged"}, Case{"dies", "crashed"}}) {
-    const auto [code, out] = Elderhead("lab run " + file + " --gateway '" + ELDERHEAD_PROGRAM +
+    const auto [code, out] = Elderhead("lab run " + file + " --gateway '" + GATEWAYCTL_PROGRAM +
                                        " lab stand-in --fault " + c.fault + "'");
     if (c.rule == nullptr) {
       EXPECT_EQ(code, 0) << out;
@@ -655,7 +655,7 @@
   std::ofstream(file) << text.replace(text.find("within_s = 1"), 12, "within_s = 60");
   const pid_t lab = fork();
   if (lab == 0) {
-    execl(ELDERHEAD_PROGRAM, "elderhead", "lab", "run", file.c_str(), "--gateway", sleep.c_str(), nullptr);
+    execl(GATEWAYCTL_PROGRAM, "gatewayctl", "lab", "run", file.c_str(), "--gateway", sleep.c_str(), nullptr);
     _exit(1);
   }
   for (int i = 0; i < 200 && !left(); ++i) usleep(50000);
@@ -668,4 +668,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/tests/scale_fit_test.cpp
+++ b/tests/lab/scale_fit_test.cpp
@@ -15,7 +15,7 @@
 #include "lab/scale/scale_result.hpp"
 #include "lab/temporary_folder.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 using nlohmann::json;
@@ -308,4 +308,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/tests/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -18,8 +18,6 @@
 #include <string>
 #include <vector>
 
-#include "gateway/config.hpp"
-#include "gateway/gateway.hpp"
 #include "lab/http.hpp"
 #include "lab/scale/fleet_measurer.hpp"
 #include "lab/scale/gateway_configuration.hpp"
@@ -31,13 +29,15 @@
 #include "lab/scale/scale_sweep.hpp"
 #include "lab/scale/storms.hpp"
 #include "lab/temporary_folder.hpp"
+#include "proxy/config.hpp"
+#include "proxy/gateway.hpp"
 
-namespace elderhead::lab {
+namespace gateway::lab {
 namespace {
 
 constexpr Millis kTestWithin = 120000;
 const ScaleLimits kLimits{12000, 300, 20000};
-const ScalePrograms kPrograms{ELDERHEAD_PROGRAM, FORKWICK_PROGRAM};
+const ScalePrograms kPrograms{GATEWAYCTL_PROGRAM, GATEWAY_PROGRAM};
 
 const std::string kSweep = R"(
 name = "small"
@@ -121,7 +121,7 @@
   const TemporaryFolder folder;
   const std::string output = (folder.path() / "output").string();
   const int status =
-      std::system((std::string(ELDERHEAD_PROGRAM) + " " + arguments + " >" + output + " 2>&1").c_str());
+      std::system((std::string(GATEWAYCTL_PROGRAM) + " " + arguments + " >" + output + " 2>&1").c_str());
   std::stringstream text;
   text << std::ifstream(output).rdbuf();
   return {WEXITSTATUS(status), text.str()};
@@ -333,7 +333,7 @@
   Listener listener_;
 };
 
-opalswitch::gateway::Config ConfigAt(const FailingListService& service) {
+gateway::proxy::Config ConfigAt(const FailingListService& service) {
   const TemporaryFolder folder;
   const std::string file = (folder.path() / "config.json").string();
   GatewayPlace place;
@@ -341,7 +341,7 @@
   place.list_service = service.address();
   place.seed = 5;
   std::ofstream(file) << GatewayConfiguration({}, place).dump();
-  return opalswitch::gateway::LoadConfig(
+  return gateway::proxy::LoadConfig(
       [&](const char* name) { return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
 }
 
@@ -350,7 +350,7 @@
   constexpr Millis kSameMoment = 150;
   boost::asio::io_context io(1);
   FailingListService for_real(io), for_hollow(io);
-  opalswitch::gateway::Gateway real(io, ConfigAt(for_real));
+  gateway::proxy::Gateway real(io, ConfigAt(for_real));
   HollowGateway hollow(io, ConfigAt(for_hollow), [](std::int64_t) {});
   io.run_for(std::chrono::seconds(6));
   const std::size_t both = std::min(for_real.calls.size(), for_hollow.calls.size());
@@ -401,4 +401,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::lab
+}  // namespace gateway::lab
--- a/tests/fleet_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,6 @@
 // Membership in simulated time: joins, losses, crashes, stops, cuts, and news in any order.
+#include "membership/membership.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -7,9 +9,7 @@
 #include <memory>
 #include <set>
 
-#include "fleet/membership.hpp"
-
-namespace elderhead::fleet {
+namespace gateway::membership {
 namespace {
 
 constexpr Millis kStep = 10, kTickEvery = 50;
@@ -330,4 +330,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::fleet
+}  // namespace gateway::membership
--- a/tests/play.sh
+++ b/tests/play.sh
@@ -5,5 +5,5 @@
 name=${1:-rules-restart}
 shift || true
 cmake -B build-lab -DCMAKE_BUILD_TYPE=Release >/dev/null
-cmake --build build-lab -j"$(nproc)" --target elderhead forkwick
-exec build-lab/elderhead lab run "experiments/$name.toml" "$@"
+cmake --build build-lab -j"$(nproc)" --target gatewayctl gateway
+exec build-lab/gatewayctl lab run "experiments/$name.toml" "$@"
--- a/tests/gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -1,43 +1,45 @@
 // A gateway for tests: hands events to a Policy, keeps the clock and sorts what comes back.
-#ifndef OPALSWITCH_TESTS_GATEWAY_HPP_
-#define OPALSWITCH_TESTS_GATEWAY_HPP_
+#ifndef GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
+#define GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 
 #include <algorithm>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "opalswitch/policy.hpp"
+#include "gateway/policy.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::policy::testing {
 
-inline ClassSettings MakeClass(std::string name, Effect effect = Effect::kSafe, double worth = 1) {
-  ClassSettings c;
+inline TrafficClassSettings MakeClass(std::string name, Idempotency effect = Idempotency::kIdempotent,
+                                      double worth = 1) {
+  TrafficClassSettings c;
   c.name = std::move(name);
-  c.aim = 1000;
+  c.latency_objective = 1000;
   c.deadline = 2000;
-  c.worth = worth;
-  c.effect = effect;
-  c.group = Group::kCell;
-  c.repeat_window = 5000;
+  c.priority_weight = worth;
+  c.idempotency = effect;
+  c.deduplication_scope = DeduplicationScope::kCell;
+  c.deduplication_window = 5000;
   return c;
 }
 
 inline Settings MakeSettings() {
   Settings s;
-  s.classes = {MakeClass("view"), MakeClass("key", Effect::kKeyed), MakeClass("pay", Effect::kUnsafe)};
+  s.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
+               MakeClass("pay", Idempotency::kNotIdempotent)};
   s.max_attempts = 3;
-  s.may_cancel = true;
-  s.cold_from = 0.2;
-  s.cold_for = 10000;
+  s.can_cancel_attempts = true;
+  s.warm_up_initial_fraction = 0.2;
+  s.warm_up_duration = 10000;
   return s;
 }
 
-inline Server MakeServer(std::string id, std::string cell = "0", Millis started_at = 0) {
-  Server s;
+inline EndpointInfo MakeServer(std::string id, std::string cell = "0", Millis started_at = 0) {
+  EndpointInfo s;
   s.id = std::move(id);
   s.zone = "z" + cell;
-  s.kind = "k";
+  s.machine_type = "k";
   s.cell = std::move(cell);
   s.started_at = started_at;
   return s;
@@ -49,18 +51,20 @@
 
   std::vector<Action> Do(const Event& event) {
     std::vector<Action> actions;
-    policy.handle(now, event, actions);
+    policy.Handle(now, event, actions);
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) sent.push_back(*send);
     }
     return actions;
   }
 
-  void List(std::vector<Server> servers) { Do(ServerNews{ServerNews::Kind::kFull, std::move(servers)}); }
+  void List(std::vector<EndpointInfo> servers) {
+    Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, std::move(servers)});
+  }
 
   // Brings `n` servers named s0, s1 ... that have been up for long.
   void Servers(int n) {
-    std::vector<Server> servers;
+    std::vector<EndpointInfo> servers;
     for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
     List(servers);
   }
@@ -75,16 +79,16 @@
     return Do(r);
   }
 
-  std::vector<Action> End(const std::string& id, const std::string& server, Result result, Millis latency,
-                          int attempt = 0) {
-    return Do(Outcome{id, attempt, server, result, result == Result::kServed, latency, {}});
+  std::vector<Action> End(const std::string& id, const std::string& server, AttemptResult result,
+                          Millis latency, int attempt = 0) {
+    return Do(AttemptOutcome{id, attempt, server, result, result == AttemptResult::kServed, latency, {}});
   }
 
   std::vector<Action> Pass(Millis ms) {  // lets time go by, sweeping as the timer would
     std::vector<Action> all;
     for (const Millis until = now + ms; now < until;) {
       now = std::min(until, now + 10);
-      for (auto& a : Do(TimerDue{"sweep"})) all.push_back(a);
+      for (auto& a : Do(TimerFired{"sweep"})) all.push_back(a);
     }
     return all;
   }
@@ -98,22 +102,22 @@
       const std::string server = SentTo(Ask(id, cls));
       ++taken[server];
       now += latency;
-      Do(TimerDue{"sweep"});
-      if (!server.empty()) End(id, server, Result::kServed, latency);
+      Do(TimerFired{"sweep"});
+      if (!server.empty()) End(id, server, AttemptResult::kServed, latency);
     }
     return taken;
   }
 
   static std::string SentTo(const std::vector<Action>& actions) {
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) return send->server;
+      if (const auto* send = std::get_if<Send>(&a)) return send->endpoint;
     }
     return "";
   }
 
   static bool Logged(const std::vector<Action>& actions, const std::string& words) {
     return std::any_of(actions.begin(), actions.end(), [&](const Action& a) {
-      const auto* log = std::get_if<Log>(&a);
+      const auto* log = std::get_if<LogLine>(&a);
       return log != nullptr && log->text.find(words) != std::string::npos;
     });
   }
@@ -130,6 +134,6 @@
   std::vector<Send> sent;
 };
 
-}  // namespace opalswitch::testing
+}  // namespace gateway::policy::testing
 
-#endif  // OPALSWITCH_TESTS_GATEWAY_HPP_
+#endif  // GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
--- a/tests/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <stdexcept>
 
-#include "gateway.hpp"
+#include "fake_gateway.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::policy::testing {
 namespace {
 
 TEST(Settings, ThatCannotWorkNameTheField) {
@@ -27,9 +27,10 @@
   };
   EXPECT_NE(fault([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.classes[0].deadline = 0; }).find("deadline"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.classes[0].aim = -1; }).find("aim"), std::string::npos);
+  EXPECT_NE(fault([](Settings& s) { s.classes[0].latency_objective = -1; }).find("latency_objective"),
+            std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.tenants = {{"t", -1}}; }).find("quota"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.gateways = 0; }).find("gateways"), std::string::npos);
+  EXPECT_NE(fault([](Settings& s) { s.gateway_count = 0; }).find("gateway_count"), std::string::npos);
   EXPECT_EQ(fault([](Settings&) {}), "");
 }
 
@@ -42,33 +43,33 @@
 TEST(Direct, NothingIsSentBeforeTheListAndTheHeldRequestIsRefusedInTime) {
   Gateway g;
   EXPECT_EQ(Gateway::Count<Send>(g.Ask("a")), 0);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(990)) + Gateway::Count<Refuse>(g.Pass(20)), 1);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(990)) + Gateway::Count<Reject>(g.Pass(20)), 1);
 }
 
 TEST(Queues, HeldRequestOfAnUnmeasuredClassIsAnsweredBeforeItsClientLeaves) {
   for (const Millis left : {0.0, 1.0, 9.0, 21.0, 33.0, 456.6}) {  // no server: nothing can be sent
     Gateway g;
-    int answered = Gateway::Count<Refuse>(g.Ask("a", "view", left));
-    if (left > 0) answered += Gateway::Count<Refuse>(g.Pass(left));
+    int answered = Gateway::Count<Reject>(g.Ask("a", "view", left));
+    if (left > 0) answered += Gateway::Count<Reject>(g.Pass(left));
     EXPECT_EQ(answered, 1) << left;
   }
 }
 
 TEST(Queues, HeldRequestWithLessTimeBehindOthersIsAnsweredInItsTime) {
   Settings s = MakeSettings();
-  s.classes[0].late_worth = 0.5;
+  s.classes[0].late_weight = 0.5;
   Gateway g(s);
   g.Ask("long", "view", 2000);
   g.Ask("short", "view", 100);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(110)), 1);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(110)), 1);
 }
 
 TEST(Queues, UnknownClassIsRefusedAndUnknownIdsAreIgnored) {
   Gateway g;
   g.Servers(2);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Ask("a", "no such class")), 1);
-  EXPECT_TRUE(g.End("ghost", "s0", Result::kServed, 10).empty());
-  EXPECT_TRUE(g.Do(ClientGone{"ghost"}).empty());
+  EXPECT_EQ(Gateway::Count<Reject>(g.Ask("a", "no such class")), 1);
+  EXPECT_TRUE(g.End("ghost", "s0", AttemptResult::kServed, 10).empty());
+  EXPECT_TRUE(g.Do(ClientDisconnected{"ghost"}).empty());
 }
 
 // Fills one server to its limit, then frees it answer by answer, and counts who is released.
@@ -88,7 +89,7 @@
   for (int i = 0; i < releases && !out.empty(); ++i) {
     const std::string id = out.front();
     out.erase(out.begin());
-    for (const Action& a : g.End(id, "s0", Result::kServed, 10)) {
+    for (const Action& a : g.End(id, "s0", AttemptResult::kServed, 10)) {
       if (const auto* send = std::get_if<Send>(&a)) {
         out.push_back(send->request);
         released[send->request.substr(0, 3)]++;
@@ -100,7 +101,7 @@
 
 TEST(MostCreditFirst, ReleasesBackloggedClassesByWeight) {
   Settings s = MakeSettings();
-  s.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 3)};
+  s.classes = {MakeClass("view", Idempotency::kIdempotent, 1), MakeClass("pay", Idempotency::kIdempotent, 3)};
   // The fill requests are of class view too and stand before its others.
   const auto released = ReleasedByClass(s, 24);
   int view = 0, pay = 0;
@@ -111,7 +112,8 @@
 
 TEST(MostCreditFirst, OneBackloggedClassInDebtStillMoves) {
   Settings s = MakeSettings();
-  s.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 99)};
+  s.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
+               MakeClass("pay", Idempotency::kIdempotent, 99)};
   Gateway g(s);
   g.Servers(1);
   std::vector<std::string> out;
@@ -123,7 +125,7 @@
     const std::string id = out.back();
     out.pop_back();
     ++served;
-    for (const Action& a : g.End(id, "s0", Result::kServed, 10)) {
+    for (const Action& a : g.End(id, "s0", AttemptResult::kServed, 10)) {
       if (const auto* send = std::get_if<Send>(&a)) out.push_back(send->request);
     }
   }
@@ -133,7 +135,7 @@
 TEST(Queues, FullOneRefuses) {
   Gateway g;
   int refused = 0;
-  for (int i = 0; i < 5000; ++i) refused += Gateway::Count<Refuse>(g.Ask("r" + std::to_string(i)));
+  for (int i = 0; i < 5000; ++i) refused += Gateway::Count<Reject>(g.Ask("r" + std::to_string(i)));
   EXPECT_GT(refused, 4000);
 }
 
@@ -150,7 +152,7 @@
   std::vector<std::string> order;
   for (std::size_t i = 0; i < g.sent.size(); ++i) {
     order.push_back(g.sent[i].request);
-    g.End(g.sent[i].request, "s0", Result::kServed, 20);
+    g.End(g.sent[i].request, "s0", AttemptResult::kServed, 20);
   }
   const auto at = std::find(order.begin(), order.end(), "small") - order.begin();
   EXPECT_LE(at, 12);
@@ -171,7 +173,7 @@
 
 TEST(Events, NonFiniteNumbersNeverReachAnEstimate) {
   Gateway g;
-  Server odd = MakeServer("s0");
+  EndpointInfo odd = MakeServer("s0");
   odd.weight = std::numeric_limits<double>::quiet_NaN();
   g.List({odd, MakeServer("s1")});
   Request r;
@@ -179,7 +181,7 @@
   r.class_name = "view";
   r.time_left = std::numeric_limits<double>::infinity();
   const std::string server = Gateway::SentTo(g.Do(r));
-  g.End("nan", server, Result::kServed, std::numeric_limits<double>::quiet_NaN());
+  g.End("nan", server, AttemptResult::kServed, std::numeric_limits<double>::quiet_NaN());
   g.Serve(50);
   EXPECT_GE(g.sent.size(), 50u);
   for (const Send& send : g.sent) EXPECT_TRUE(send.timeout > 0 && send.timeout < 1e6);
@@ -189,14 +191,14 @@
   Gateway g;
   g.Servers(2);
   const std::string server = Gateway::SentTo(g.Ask("a", "pay"));
-  EXPECT_EQ(Gateway::Count<Fail>(g.End("a", server, Result::kError, 5)), 1);
-  EXPECT_TRUE(g.End("a", server, Result::kError, 5).empty());
+  EXPECT_EQ(Gateway::Count<Fail>(g.End("a", server, AttemptResult::kError, 5)), 1);
+  EXPECT_TRUE(g.End("a", server, AttemptResult::kError, 5).empty());
   const std::string other = Gateway::SentTo(g.Ask("b"));
   for (const int attempt : {-1, 1, 1000000})
-    EXPECT_TRUE(g.End("b", other, Result::kServed, 5, attempt).empty());
-  g.End("b", other, Result::kServed, 5);
-  EXPECT_TRUE(g.Do(ClientGone{"b"}).empty());
-  EXPECT_TRUE(g.Do(StreamStarted{"b", 0}).empty());
+    EXPECT_TRUE(g.End("b", other, AttemptResult::kServed, 5, attempt).empty());
+  g.End("b", other, AttemptResult::kServed, 5);
+  EXPECT_TRUE(g.Do(ClientDisconnected{"b"}).empty());
+  EXPECT_TRUE(g.Do(ResponseStarted{"b", 0}).empty());
 }
 
 TEST(Events, OddTimesNeitherStopTheClockNorLoseARequest) {
@@ -209,11 +211,11 @@
     const std::string server = Gateway::SentTo(g.Ask("a"));
     ASSERT_FALSE(server.empty());
     g.now = odd;
-    g.End("a", server, Result::kServed, -7);
+    g.End("a", server, AttemptResult::kServed, -7);
     g.List({});
     EXPECT_EQ(Gateway::Count<Send>(g.Ask("held")), 0);
     g.now = 5000;
-    EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(300)), 1);
+    EXPECT_EQ(Gateway::Count<Reject>(g.Pass(300)), 1);
   }
 }
 
@@ -224,12 +226,12 @@
   for (int i = 0; i < 3000; ++i) {
     for (const Action& a : g.Ask("r" + std::to_string(i))) {
       sent += std::holds_alternative<Send>(a);
-      refused += std::holds_alternative<Refuse>(a);
+      refused += std::holds_alternative<Reject>(a);
     }
   }
   EXPECT_GT(sent, 0);
   EXPECT_GT(refused, 0);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(300)), 3000 - sent - refused);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(300)), 3000 - sent - refused);
 }
 
 TEST(Events, EmptyAndStaleListsSendNothingToWhoeverIsGone) {
@@ -238,8 +240,8 @@
   g.List({});
   EXPECT_EQ(Gateway::SentTo(g.Ask("a")), "");
   g.List({MakeServer("s1", "0", 50)});
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(300)) + static_cast<int>(g.sent.size()), 1);
-  g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(300)) + static_cast<int>(g.sent.size()), 1);
+  g.Do(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
   EXPECT_NE(Gateway::SentTo(g.Ask("b")), "s0");
 }
 
@@ -253,7 +255,7 @@
     const Millis latency = server == "s0" ? 20 : 200;
     taken[server]++;
     g.now += latency;
-    g.End(id, server, Result::kServed, latency);
+    g.End(id, server, AttemptResult::kServed, latency);
   }
   EXPECT_GT(taken["s0"], 5 * taken["s1"]);
 }
@@ -269,7 +271,8 @@
     const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
     bad += server == "s1";
     g.now += server == "s1" ? 1 : 50;
-    g.End(id, server, server == "s1" ? Result::kError : Result::kServed, server == "s1" ? 1 : 50);
+    g.End(id, server, server == "s1" ? AttemptResult::kError : AttemptResult::kServed,
+          server == "s1" ? 1 : 50);
   }
   EXPECT_LT(bad, 10);
 }
@@ -306,11 +309,11 @@
         stuck.emplace_back(g.now + 80, id);
         last += round >= 100;
       } else {
-        cut |= Gateway::Logged(g.End(id, to, Result::kServed, 20), "rate cut");
+        cut |= Gateway::Logged(g.End(id, to, AttemptResult::kServed, 20), "rate cut");
       }
     }
     for (; !stuck.empty() && stuck.front().first <= g.now; stuck.pop_front()) {
-      cut |= Gateway::Logged(g.End(stuck.front().second, "s0", Result::kTimedOut, 100), "rate cut");
+      cut |= Gateway::Logged(g.End(stuck.front().second, "s0", AttemptResult::kTimedOut, 100), "rate cut");
     }
   }
   return {last, cut};
@@ -342,9 +345,9 @@
       }
     }
     g.Pass(10);
-    for (const auto& [id, to] : sent) g.End(id, to, Result::kServed, 10);
+    for (const auto& [id, to] : sent) g.End(id, to, AttemptResult::kServed, 10);
     for (; !silent.empty() && std::get<0>(silent.front()) <= g.now; silent.pop_front()) {
-      g.End(std::get<1>(silent.front()), std::get<2>(silent.front()), Result::kTimedOut, 250);
+      g.End(std::get<1>(silent.front()), std::get<2>(silent.front()), AttemptResult::kTimedOut, 250);
     }
   }
   EXPECT_GE(direct, asked * 99 / 100);
@@ -362,9 +365,9 @@
     if (to == "s0") {  // silent at first, then full
       const bool silent = ++hung < 4;
       if (silent) g.now += 200;
-      g.End(id, to, silent ? Result::kTimedOut : Result::kRejected, silent ? 200 : 1);
+      g.End(id, to, silent ? AttemptResult::kTimedOut : AttemptResult::kRejected, silent ? 200 : 1);
     } else if (!to.empty()) {
-      g.End(id, to, Result::kServed, 10);
+      g.End(id, to, AttemptResult::kServed, 10);
     }
   }
   EXPECT_LT(hung, 15);
@@ -380,7 +383,8 @@
     const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
     g.now += 30;
     if (server.empty()) continue;
-    cut |= Gateway::Logged(g.End(id, server, i % 2 ? Result::kError : Result::kServed, 30), "rate cut");
+    cut |= Gateway::Logged(g.End(id, server, i % 2 ? AttemptResult::kError : AttemptResult::kServed, 30),
+                           "rate cut");
   }
   EXPECT_TRUE(cut);
 }
@@ -404,7 +408,7 @@
     cuts += Gateway::Logged(g.Pass(10), "rate cut");
     for (; !out.empty() && out.begin()->first <= g.now; out.erase(out.begin())) {
       for (const auto& [id, to, takes] : out.begin()->second) {
-        const Result result = takes > 20 ? Result::kTimedOut : Result::kServed;
+        const AttemptResult result = takes > 20 ? AttemptResult::kTimedOut : AttemptResult::kServed;
         cuts += Gateway::Logged(g.End(id, to, result, takes), "rate cut");
       }
     }
@@ -423,7 +427,7 @@
   int last = 0;
   const auto keep = [&](const std::vector<Action>& actions) {
     for (const Action& a : actions) {
-      if (const auto* log = std::get_if<Log>(&a); log && !log->text.starts_with("state")) {
+      if (const auto* log = std::get_if<LogLine>(&a); log && !log->text.starts_with("state")) {
         lines.push_back(log->text);
       }
     }
@@ -438,7 +442,7 @@
     for (const auto& [id, to] : sent) {
       last += round >= 350 && to == "s0";
       const bool broken = dice() % 100 < (to == "s0" ? of_s0 : of_others);
-      keep(g.End(id, to, broken ? Result::kReset : Result::kServed, 20));
+      keep(g.End(id, to, broken ? AttemptResult::kReset : AttemptResult::kServed, 20));
     }
   }
   return {lines, last};
@@ -471,7 +475,7 @@
       std::string to = Gateway::SentTo(g.Ask(id));
       for (int attempt = 0; to == "s0"; ++attempt) {
         ++rejected;
-        const auto then = g.End(id, to, Result::kRejected, 1, attempt);
+        const auto then = g.End(id, to, AttemptResult::kRejected, 1, attempt);
         cut |= Gateway::Logged(then, "rate cut");
         to = Gateway::SentTo(then);
       }
@@ -481,7 +485,7 @@
     for (const auto& [id, to] : sent) {
       const auto done =
           std::count_if(g.sent.begin(), g.sent.end(), [&](const Send& s) { return s.request == id; });
-      g.End(id, to, Result::kServed, 20, static_cast<int>(done) - 1);
+      g.End(id, to, AttemptResult::kServed, 20, static_cast<int>(done) - 1);
     }
   }
   EXPECT_LE(rejected, 20);  // 3 s
@@ -508,7 +512,7 @@
       const bool fails = pays && round < 400 && to < "s2";
       failed += fails;
       later += pays && round >= 400 && to == "s0";
-      g.End(id, to, fails ? Result::kError : Result::kServed, 20);
+      g.End(id, to, fails ? AttemptResult::kError : AttemptResult::kServed, 20);
     }
   }
   return {failed, later};
@@ -530,7 +534,7 @@
     const std::string to = Gateway::SentTo(g.Ask(id, "pay"));
     ASSERT_NE(to, "") << i;
     EXPECT_EQ(failed.insert(to).second, i < 4) << i;  // each once, within the 300 ms that one is spared
-    g.End(id, to, Result::kError, 1);
+    g.End(id, to, AttemptResult::kError, 1);
   }
 }
 
@@ -538,7 +542,7 @@
   Gateway g;
   g.Servers(2);
   const std::string first = Gateway::SentTo(g.Ask("a", "pay"));
-  const std::string second = Gateway::SentTo(g.End("a", first, Result::kRejected, 1));
+  const std::string second = Gateway::SentTo(g.End("a", first, AttemptResult::kRejected, 1));
   EXPECT_FALSE(second.empty());
   EXPECT_NE(first, second);
 }
@@ -547,7 +551,7 @@
   Gateway g;
   g.Servers(2);
   const std::string first = Gateway::SentTo(g.Ask("a", "pay"));
-  const auto actions = g.End("a", first, Result::kError, 1);
+  const auto actions = g.End("a", first, AttemptResult::kError, 1);
   EXPECT_EQ(Gateway::Count<Send>(actions), 0);
   EXPECT_EQ(Gateway::Count<Fail>(actions), 1);
 }
@@ -557,7 +561,7 @@
     Gateway g(MakeSettings(), seed);
     g.List({MakeServer("a0", "0"), MakeServer("a1", "0"), MakeServer("b0", "1"), MakeServer("b1", "1")});
     const std::string first = Gateway::SentTo(g.Ask("a", "key"));
-    const std::string second = Gateway::SentTo(g.End("a", first, Result::kError, 1));
+    const std::string second = Gateway::SentTo(g.End("a", first, AttemptResult::kError, 1));
     ASSERT_FALSE(second.empty());
     EXPECT_EQ(first[0], second[0]);
     EXPECT_NE(first, second);
@@ -566,9 +570,9 @@
 
 TEST(Retry, KeyedRequestOfAZoneGroupStaysInItsZone) {
   Settings s = MakeSettings();
-  s.classes[1].group = Group::kZone;
+  s.classes[1].deduplication_scope = DeduplicationScope::kZone;
   const auto server = [](std::string id, std::string zone, std::string cell) {
-    Server made = MakeServer(std::move(id), std::move(cell));
+    EndpointInfo made = MakeServer(std::move(id), std::move(cell));
     made.zone = std::move(zone);
     return made;
   };
@@ -578,11 +582,11 @@
     g.List({server("a0", "a", "0"), server("a1", "a", "1"), server("b0", "b", "0"), server("b1", "b", "1")});
     const std::string first = Gateway::SentTo(g.Ask("r", "key"));
     g.now += 20;
-    g.End("r", first, Result::kError, 20);
+    g.End("r", first, AttemptResult::kError, 20);
     if (g.sent.size() < 2) continue;
     ++moved;
-    EXPECT_EQ(g.sent[1].server[0], first[0]) << "another zone does not drop the repeat";
-    EXPECT_NE(g.sent[1].server, first);
+    EXPECT_EQ(g.sent[1].endpoint[0], first[0]) << "another zone does not drop the repeat";
+    EXPECT_NE(g.sent[1].endpoint, first);
   }
   EXPECT_GT(moved, 10);
 }
@@ -599,14 +603,14 @@
     if (server.empty()) continue;
     ++first;
     std::string next;
-    for (const Action& a : g.End(id, server, Result::kRejected, 20)) {
+    for (const Action& a : g.End(id, server, AttemptResult::kRejected, 20)) {
       const auto* send = std::get_if<Send>(&a);
-      if (send != nullptr && send->request == id) next = send->server;
+      if (send != nullptr && send->request == id) next = send->endpoint;
     }
     if (next.empty()) continue;
     ++further;
     g.now += 20;
-    g.End(id, next, Result::kServed, 20, 1);
+    g.End(id, next, AttemptResult::kServed, 20, 1);
   }
   EXPECT_GT(first, 100);
   EXPECT_GT(further, 0);
@@ -616,9 +620,9 @@
 TEST(Drain, NothingNewGoesToDrainingOrGoneOrUnlistedServers) {
   Gateway g;
   g.Servers(3);
-  Server draining = MakeServer("s0");
-  draining.state = ServerState::kDraining;
-  g.Do(ServerNews{ServerNews::Kind::kDelta, {draining}});
+  EndpointInfo draining = MakeServer("s0");
+  draining.state = EndpointState::kDraining;
+  g.Do(EndpointListEvent{EndpointListEvent::Kind::kDelta, {draining}});
   for (int i = 0; i < 6; ++i) EXPECT_NE(Gateway::SentTo(g.Ask("a" + std::to_string(i))), "s0");
   g.List({MakeServer("s2")});
   for (int i = 0; i < 4; ++i) {
@@ -650,7 +654,7 @@
     const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
     g.now += 10;
     if (server == "s0") ++failed;
-    g.End(id, server, server == "s0" ? Result::kConnectFailed : Result::kServed, 10);
+    g.End(id, server, server == "s0" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 10);
   }
   g.now += 1000;
   auto taken = g.Serve(300, 10);
@@ -671,10 +675,10 @@
     if (i >= 300) taken += server == "s0";
     if (server == "s0" && failed < 2) {
       ++failed;
-      const std::string next = Gateway::SentTo(g.End(id, server, Result::kConnectFailed, 10));
-      if (!next.empty()) g.End(id, next, Result::kServed, 10, 1);
+      const std::string next = Gateway::SentTo(g.End(id, server, AttemptResult::kConnectFailed, 10));
+      if (!next.empty()) g.End(id, next, AttemptResult::kServed, 10, 1);
     } else if (!server.empty()) {
-      g.End(id, server, Result::kServed, 10);
+      g.End(id, server, AttemptResult::kServed, 10);
     }
   }
   EXPECT_EQ(failed, 2);
@@ -684,7 +688,7 @@
 TEST(Ready, SpareTrafficLeavesBusyServersAlone) {
   Settings s = MakeSettings();
   s.tenants = {{"small", 1000}, {"big", 0.001}};
-  s.report_fields = {"util"};
+  s.load_report_fields = {"util"};
   const auto taken = [&](const char* tenant, double utilisation) {
     Gateway g(s);
     g.Servers(1);
@@ -692,11 +696,11 @@
       const std::string id = "w" + std::to_string(i);
       g.Ask(id, "view", 2000, "small");
       g.now += 20;
-      g.Do(Outcome{id, 0, "s0", Result::kServed, true, 20, {utilisation}});
+      g.Do(AttemptOutcome{id, 0, "s0", AttemptResult::kServed, true, 20, {utilisation}});
     }
     int out = 0;
     g.Ask("own", "view", 2000, "big");  // uses up big's share, if any
-    g.End("own", "s0", Result::kServed, 20);
+    g.End("own", "s0", AttemptResult::kServed, 20);
     for (int i = 0; i < 30; ++i) {
       out += Gateway::Count<Send>(g.Ask("r" + std::to_string(i), "view", 2000, tenant));
     }
@@ -712,7 +716,7 @@
 int TakenAfterReports(double utilisation, double first = 0.5) {
   constexpr int kReports = 60;
   Settings s = MakeSettings();
-  s.report_fields = {"inflight", "util"};
+  s.load_report_fields = {"inflight", "util"};
   Gateway g(s);
   g.Servers(1);
   int given = 0;
@@ -721,7 +725,8 @@
     const bool sent = !Gateway::SentTo(g.Ask(id)).empty();
     g.Pass(50);
     if (!sent) continue;
-    g.Do(Outcome{id, 0, "s0", Result::kServed, true, 50, {3, given == 0 ? first : utilisation}});
+    g.Do(
+        AttemptOutcome{id, 0, "s0", AttemptResult::kServed, true, 50, {3, given == 0 ? first : utilisation}});
     ++given;
   }
   g.Pass(5000);
@@ -741,8 +746,8 @@
   // 0.85 busy is fine for few gateways, and too much where eight decide without each other.
   const auto sends = [](double utilisation) {
     Settings s = MakeSettings();
-    s.gateways = 8;
-    s.report_fields = {"util"};
+    s.gateway_count = 8;
+    s.load_report_fields = {"util"};
     Gateway g(s);
     g.Servers(1);
     std::size_t answered = 0;
@@ -750,7 +755,8 @@
       g.Ask("r" + std::to_string(i));
       g.Pass(50);
       for (; answered < g.sent.size(); ++answered) {
-        g.Do(Outcome{g.sent[answered].request, 0, "s0", Result::kServed, true, 50, {utilisation}});
+        g.Do(AttemptOutcome{
+            g.sent[answered].request, 0, "s0", AttemptResult::kServed, true, 50, {utilisation}});
       }
     }
     return answered;
@@ -763,19 +769,19 @@
   EXPECT_EQ(TakenAfterReports(1.0, nan), 1);  // later reports still count
   EXPECT_EQ(TakenAfterReports(1.0, -1e9), 1);
   Settings s = MakeSettings();
-  s.report_fields = {"inflight", "util"};
+  s.load_report_fields = {"inflight", "util"};
   Gateway g(s);
   g.Servers(1);
   g.Ask("short");
-  g.Do(Outcome{"short", 0, "s0", Result::kServed, true, 50, {3}});
+  g.Do(AttemptOutcome{"short", 0, "s0", AttemptResult::kServed, true, 50, {3}});
   EXPECT_FALSE(Gateway::SentTo(g.Ask("next")).empty());
 }
 
 TEST(Ready, FirstLimitIsHigherWhereKeysWarmServersAndLowWhereReportsSoonShowRoom) {
-  const auto taken = [](bool warm_keys, bool reports) {
+  const auto taken = [](bool endpoints_cache_keys, bool reports) {
     Settings s = MakeSettings();
-    s.warm_keys = warm_keys;
-    if (reports) s.report_fields = {"util"};
+    s.endpoints_cache_keys = endpoints_cache_keys;
+    if (reports) s.load_report_fields = {"util"};
     Gateway g(s);
     g.Servers(1);
     int out = 0;
@@ -788,7 +794,7 @@
 
 TEST(Queues, FurtherTryWhoseAimHasPassedGoesLast) {
   Settings s = MakeSettings();  // aim 1000 of a deadline of 2000
-  s.classes[0].late_worth = 0.5;
+  s.classes[0].late_weight = 0.5;
   Gateway g(s);
   g.Ask("first", "view", 2000);
   g.Ask("late", "view", 900);    // 1100 have passed since its first try
@@ -799,7 +805,7 @@
   for (int i = 0; i < 40 && g.sent.size() < 4; ++i) {
     const std::string id = g.sent.back().request;
     g.now += 20;
-    g.End(id, "s0", Result::kServed, 20);
+    g.End(id, "s0", AttemptResult::kServed, 20);
   }
   ASSERT_EQ(g.sent.size(), 4u);
   EXPECT_EQ(g.sent[0].request, "first");
@@ -813,9 +819,9 @@
   Gateway g(s);
   g.Servers(3);
   g.Serve(5);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Ask("late", "view", 900)), 1);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Ask("late", "view", 900)), 1);
   EXPECT_EQ(Gateway::Count<Send>(g.Ask("again", "view", 1500)), 1);
-  s.classes[0].late_worth = 0.5;
+  s.classes[0].late_weight = 0.5;
   Gateway earns(s);
   earns.Servers(3);
   earns.Serve(5);
@@ -824,7 +830,7 @@
 
 TEST(Tenants, SmallShareOfOneGatewayOfManyBearsChance) {
   Settings s = MakeSettings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   s.tenants = {{"t", 30}};  // 0.1 a second here
   Gateway g(s);
   g.Servers(3);
@@ -833,7 +839,7 @@
     const std::string id = "f" + std::to_string(i);
     if (const std::string to = Gateway::SentTo(g.Ask(id, "pay", 2000, "other")); !to.empty()) {
       g.now += 50;
-      g.End(id, to, Result::kError, 50);
+      g.End(id, to, AttemptResult::kError, 50);
     }
   }
   g.now += 20000;
@@ -844,7 +850,7 @@
 
 TEST(Queues, FirstTriesThatAreAllShortAreNotTakenForFurtherOnes) {
   Settings s = MakeSettings();
-  s.classes[0].late_worth = 0.5;
+  s.classes[0].late_weight = 0.5;
   Gateway g(s);
   g.Ask("short", "view", 900);  // a gateway whose clients all give up early
   g.Ask("longer", "view", 902);
@@ -854,7 +860,7 @@
   g.Pass(10);
   for (int i = 0; i < 40 && g.sent.size() < 4; ++i) {
     g.now += 20;
-    g.End(g.sent.back().request, "s0", Result::kServed, 20);
+    g.End(g.sent.back().request, "s0", AttemptResult::kServed, 20);
   }
   ASSERT_EQ(g.sent.size(), 4u);
   EXPECT_EQ(g.sent[2].request, "last");
@@ -863,13 +869,14 @@
 
 TEST(List, FailedWatchIsAskedForAgainWithoutAStampede) {
   Settings s = MakeSettings();
-  s.ask_for_list = true;
+  s.poll_endpoint_list = true;
   Gateway g(s);
-  int watches = Gateway::Count<Watch>(g.Do(ServerNews{ServerNews::Kind::kFull, {}}));
+  int watches =
+      Gateway::Count<WatchEndpointList>(g.Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}}));
   EXPECT_EQ(watches, 1);
   for (int i = 0; i < 6; ++i) {
-    g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
-    const int asked = Gateway::Count<Watch>(g.Pass(5000));
+    g.Do(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
+    const int asked = Gateway::Count<WatchEndpointList>(g.Pass(5000));
     EXPECT_EQ(asked, 1);
   }
 }
@@ -879,16 +886,16 @@
 // failed and however many gateways there are; still not by all of them in one moment.
 TEST(List, PushedOneIsAskedForAgainAtOnceAndAtTimesOfItsOwn) {
   Settings s = MakeSettings();
-  s.gateways = 300;
+  s.gateway_count = 300;
   std::set<int> at;
-  for (s.index = 0; s.index < 40; ++s.index) {
-    Gateway g(s, s.index);
+  for (s.gateway_index = 0; s.gateway_index < 40; ++s.gateway_index) {
+    Gateway g(s, s.gateway_index);
     g.Servers(3);
-    EXPECT_EQ(Gateway::Count<Watch>(g.Pass(5000)), 0);
+    EXPECT_EQ(Gateway::Count<WatchEndpointList>(g.Pass(5000)), 0);
     for (int failure = 0; failure < 6; ++failure) {
-      g.Do(ServerNews{ServerNews::Kind::kFailed, {}, failure < 3 ? 0.0 : 3500.0});
+      g.Do(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}, failure < 3 ? 0.0 : 3500.0});
       int waited = 0;
-      while (waited < 20 && Gateway::Count<Watch>(g.Pass(10)) == 0) ++waited;
+      while (waited < 20 && Gateway::Count<WatchEndpointList>(g.Pass(10)) == 0) ++waited;
       EXPECT_LT(waited, 11) << "hundredths of a second, failure " << failure;
       if (failure == 0) at.insert(waited);
     }
@@ -901,19 +908,20 @@
 // many.
 TEST(List, FailedCallIsMadeAgainInTimeHoweverItFailed) {
   Settings s = MakeSettings();
-  s.ask_for_list = true;
-  for (const Millis ask_within : {5000.0, 10000.0, 60000.0}) {
-    s.ask_within = ask_within;
-    for (s.gateways = 1; s.gateways <= 1000; s.gateways *= 10) {
+  s.poll_endpoint_list = true;
+  for (const Millis maximum_poll_interval : {5000.0, 10000.0, 60000.0}) {
+    s.maximum_poll_interval = maximum_poll_interval;
+    for (s.gateway_count = 1; s.gateway_count <= 1000; s.gateway_count *= 10) {
       for (const Millis took : {0.0, 1000.0, 2000.0, 3500.0, 9000.0}) {
         Gateway g(s, 7);
         g.Servers(3);
-        EXPECT_LE(Gateway::Count<Watch>(g.Pass(4510)), 1);
+        EXPECT_LE(Gateway::Count<WatchEndpointList>(g.Pass(4510)), 1);
         for (int failure = 0; failure < 8; ++failure) {
           g.now += took;
-          g.Do(ServerNews{ServerNews::Kind::kFailed, {}, took});
-          const int asked = Gateway::Count<Watch>(g.Pass(std::max(0.0, 4500 - took) + 20));
-          EXPECT_EQ(asked, 1) << s.gateways << " gateways, failure " << failure << " after " << took << " ms";
+          g.Do(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}, took});
+          const int asked = Gateway::Count<WatchEndpointList>(g.Pass(std::max(0.0, 4500 - took) + 20));
+          EXPECT_EQ(asked, 1) << s.gateway_count << " gateways, failure " << failure << " after " << took
+                              << " ms";
         }
       }
     }
@@ -925,8 +933,8 @@
 TEST(Rules, KeyedRepeatArrivesWithinItsWindow) {
   for (const Millis window : {50.0, 400.0, 5000.0}) {
     Settings s = MakeSettings();
-    s.classes[1].repeat_window = window;
-    s.classes[1].group = Group::kAll;
+    s.classes[1].deduplication_window = window;
+    s.classes[1].deduplication_scope = DeduplicationScope::kAll;
     for (Millis taken = 10; taken < window + 200; taken += window / 8) {
       Gateway g(s);
       g.Servers(3);
@@ -934,13 +942,13 @@
       const std::string first = Gateway::SentTo(g.Ask("k", "key", 20000));
       const std::size_t sent = g.sent.size();
       g.now += taken;
-      g.End("k", first, Result::kReset, taken);
+      g.End("k", first, AttemptResult::kReset, taken);
       g.Pass(20);
       if (taken >= window - 100) {
         EXPECT_EQ(g.sent.size(), sent) << window << " " << taken;
       }
       if (g.sent.size() == sent) continue;
-      EXPECT_LE(taken + g.sent.back().written_within, window - 100 + 20) << window << " " << taken;
+      EXPECT_LE(taken + g.sent.back().start_writing_within, window - 100 + 20) << window << " " << taken;
     }
   }
 }
@@ -950,16 +958,17 @@
 // older than their processes, and binds them 6 s after its changes were made.
 TEST(List, ManyGatewaysThatStartTogetherSpreadTheirCalls) {
   Settings s = MakeSettings();
-  s.ask_for_list = true;
-  s.gateways = 100;
+  s.poll_endpoint_list = true;
+  s.gateway_count = 100;
   std::vector<int> started(10), again(100);  // calls in each 100 ms
   int quick = 0;
-  for (s.index = 0; s.index < s.gateways; ++s.index) {
-    Gateway g(s, s.index);
-    quick += Gateway::Count<Watch>(g.Do(ServerNews{ServerNews::Kind::kFull, {MakeServer("s0")}}));
-    for (int& calls : started) calls += Gateway::Count<Watch>(g.Pass(100));
-    g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
-    for (int& calls : again) calls += Gateway::Count<Watch>(g.Pass(100));
+  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
+    Gateway g(s, s.gateway_index);
+    quick += Gateway::Count<WatchEndpointList>(
+        g.Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeServer("s0")}}));
+    for (int& calls : started) calls += Gateway::Count<WatchEndpointList>(g.Pass(100));
+    g.Do(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
+    for (int& calls : again) calls += Gateway::Count<WatchEndpointList>(g.Pass(100));
   }
   EXPECT_LT(quick, 5);
   EXPECT_EQ(quick + std::accumulate(started.begin(), started.end(), 0), 100);  // each once, within a second
@@ -967,10 +976,14 @@
   EXPECT_EQ(std::accumulate(again.begin(), again.end(), 0), 100);  // each once, within 10 s
   EXPECT_LT(*std::max_element(again.begin(), again.end()), 10);
   Gateway unlisted(s);  // can serve nobody: asks at once
-  EXPECT_EQ(Gateway::Count<Watch>(unlisted.Do(ServerNews{ServerNews::Kind::kFull, {}})), 1);
-  s.gateways = 1;
+  EXPECT_EQ(Gateway::Count<WatchEndpointList>(
+                unlisted.Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
+            1);
+  s.gateway_count = 1;
   Gateway alone(s);
-  EXPECT_EQ(Gateway::Count<Watch>(alone.Do(ServerNews{ServerNews::Kind::kFull, {MakeServer("s0")}})), 1);
+  EXPECT_EQ(Gateway::Count<WatchEndpointList>(
+                alone.Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeServer("s0")}})),
+            1);
 }
 
 // A zone is lost for 5 s. Its hosts leave the list 1 s into that; its gateways start anew at the end with the
@@ -978,19 +991,20 @@
 TEST(List, IsAskedForInTimeByGatewaysThatWereDownWhenItChanged) {
   constexpr Millis kDown = 5000, kRemovedAt = 1000, kBinds = 6000, kGrace = 500;
   Settings s = MakeSettings();
-  s.ask_for_list = true;
-  s.gateways = 3100;
-  for (s.index = 0; s.index < s.gateways; s.index += 31) {
-    Gateway g(s, s.index);
-    int calls = Gateway::Count<Watch>(g.Do(ServerNews{ServerNews::Kind::kFull, {MakeServer("lost")}}));
-    calls += Gateway::Count<Watch>(g.Pass(kRemovedAt + kBinds + kGrace - kDown));
-    EXPECT_EQ(calls, 1) << "gateway " << s.index;
+  s.poll_endpoint_list = true;
+  s.gateway_count = 3100;
+  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; s.gateway_index += 31) {
+    Gateway g(s, s.gateway_index);
+    int calls = Gateway::Count<WatchEndpointList>(
+        g.Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeServer("lost")}}));
+    calls += Gateway::Count<WatchEndpointList>(g.Pass(kRemovedAt + kBinds + kGrace - kDown));
+    EXPECT_EQ(calls, 1) << "gateway " << s.gateway_index;
   }
 }
 
 TEST(WarmKeys, SameKeyKeepsToTheSameServersAtEveryGateway) {
   Settings s = MakeSettings();
-  s.warm_keys = true;
+  s.endpoints_cache_keys = true;
   std::map<std::string, std::set<std::string>> homes;
   for (int seed = 0; seed < 8; ++seed) {
     Gateway g(s, seed);
@@ -1000,7 +1014,7 @@
       const std::string server = Gateway::SentTo(g.Do(r));
       homes[r.key].insert(server);
       g.now += 20;
-      g.End(r.id, server, Result::kServed, 20);
+      g.End(r.id, server, AttemptResult::kServed, 20);
     }
   }
   for (const auto& [key, servers] : homes) EXPECT_LE(servers.size(), 2u) << key;
@@ -1009,12 +1023,12 @@
 TEST(Queues, NoRequestWaitsMoreThanAQuarterOfItsTime) {
   Gateway g;  // no server yet; aim 1000
   g.Ask("a");
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(200)), 0);
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(70)), 1);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(200)), 0);
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(70)), 1);
 }
 
-std::vector<Server> Fleet(int n) {
-  std::vector<Server> servers;
+std::vector<EndpointInfo> Fleet(int n) {
+  std::vector<EndpointInfo> servers;
   for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
   return servers;
 }
@@ -1023,9 +1037,9 @@
   std::map<std::string, int> users;
   std::size_t most = 0;
   Settings s = MakeSettings();
-  s.gateways = 300;
-  for (s.index = 0; s.index < s.gateways; ++s.index) {
-    Gateway g(s, s.index);
+  s.gateway_count = 300;
+  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
+    Gateway g(s, s.gateway_index);
     g.List(Fleet(60));
     const auto taken = g.Serve(60, 200);
     for (const auto& [id, n] : taken) ++users[id];
@@ -1041,20 +1055,20 @@
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       Settings s = MakeSettings();
-      s.gateways = gateways;
+      s.gateway_count = gateways;
       Gateway g(s, seed);
       auto fleet = Fleet(5);
-      fleet[4].kind = "slow";
+      fleet[4].machine_type = "slow";
       g.List(fleet);
       const auto serve = [&](const std::string& id) {
         const std::string to = Gateway::SentTo(g.Ask(id));
         g.Pass(100);
-        if (!to.empty()) g.End(id, to, Result::kServed, to < "s4" ? 20 : 100);
+        if (!to.empty()) g.End(id, to, AttemptResult::kServed, to < "s4" ? 20 : 100);
         return to;
       };
       for (int i = 0; i < 40; ++i) serve("w" + std::to_string(i));
       fleet.push_back(MakeServer("s5"));
-      fleet[5].kind = "slow";
+      fleet[5].machine_type = "slow";
       g.List(fleet);
       for (int i = 0; i < 3; ++i) sent += serve("r" + std::to_string(i)) == "s5";
     }
@@ -1067,7 +1081,7 @@
 // A few servers are learned from a few requests; a gateway that most clients come to must not crowd them.
 TEST(Subset, IsSmallForFewRequestsAndGrowsWithThoseThatAreOut) {
   Settings s = MakeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   Gateway g(s);
   g.List(Fleet(60));
   EXPECT_LE(g.Serve(300, 66).size(), 8u);
@@ -1076,10 +1090,10 @@
   for (int i = 0; i < 500; ++i) {  // 20 at a time
     g.Ask("busy" + std::to_string(i));
     g.now += 20;
-    g.Do(TimerDue{"sweep"});
+    g.Do(TimerFired{"sweep"});
     for (; ended + 20 < g.sent.size(); ++ended) {
-      g.End(g.sent[ended].request, g.sent[ended].server, Result::kServed, 400);
-      if (i > 400) used.insert(g.sent[ended].server);
+      g.End(g.sent[ended].request, g.sent[ended].endpoint, AttemptResult::kServed, 400);
+      if (i > 400) used.insert(g.sent[ended].endpoint);
     }
   }
   EXPECT_GT(used.size(), 30u);
@@ -1088,19 +1102,19 @@
 // Crossings are priced; but no server may be left to few gateways, or to many, for where it stands.
 TEST(Subset, HoldsMoreOfItsOwnZoneAndLoadsTheServersAlike) {
   Settings s = MakeSettings();
-  s.gateways = 99;
+  s.gateway_count = 99;
   auto fleet = Fleet(60);
   for (int i = 0; i < 60; ++i) fleet[i].zone = "z" + std::to_string(i / 20);
   std::map<std::string, int> taken;
   int near = 0, all = 0;
-  for (s.index = 0; s.index < s.gateways; ++s.index) {
-    s.zone = "z" + std::to_string(s.index % 3);
-    Gateway g(s, s.index);
+  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
+    s.zone = "z" + std::to_string(s.gateway_index % 3);
+    Gateway g(s, s.gateway_index);
     g.List(fleet);
     for (const auto& [id, n] : g.Serve(100, 50)) {
       taken[id] += n;
       all += n;
-      near += std::stoi(id.substr(1)) / 20 == s.index % 3 ? n : 0;
+      near += std::stoi(id.substr(1)) / 20 == s.gateway_index % 3 ? n : 0;
     }
   }
   EXPECT_GT(near, 0.7 * all);
@@ -1113,11 +1127,11 @@
 
 TEST(Subset, IsHalfAsLargeWhereConnectionsStayOpen) {
   Settings s = MakeSettings();
-  s.gateways = 100;
-  s.index = 7;
+  s.gateway_count = 100;
+  s.gateway_index = 7;
   Gateway one(s);
   one.List(Fleet(30));
-  s.streams = 100;
+  s.streams_per_connection = 100;
   Gateway held(s);
   held.List(Fleet(30));
   EXPECT_EQ(one.Serve(100, 200).size(), 2 * held.Serve(100, 200).size());
@@ -1125,10 +1139,10 @@
 
 TEST(Cold, HundredsOfGatewaysTogetherDoNotPushItOver) {
   Settings s = MakeSettings();  // 0.2 of its capacity at first, all after 10 s
-  s.gateways = 200;
+  s.gateway_count = 200;
   int cold = 0, all = 0, later = 0;
-  for (s.index = 0; s.index < s.gateways; ++s.index) {
-    Gateway g(s, s.index);
+  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
+    Gateway g(s, s.gateway_index);
     g.now = 100000;
     auto fleet = Fleet(20);
     g.List(fleet);
@@ -1149,12 +1163,12 @@
 // gateway that has known warm ones for a moment only goes by what it is asked for.
 TEST(Cold, GatewaysOfASubsetTogetherSendItsPart) {
   Settings s = MakeSettings();  // 0.2 of its capacity at first, all after 10 s
-  s.gateways = 100;
+  s.gateway_count = 100;
   double cold = 0, warm = 0;
   for (const bool fresh : {false, true}) {
     cold = warm = 0;
-    for (s.index = 0; s.index < s.gateways; ++s.index) {
-      Gateway g(s, s.index);
+    for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
+      Gateway g(s, s.gateway_index);
       g.now = 100000;
       auto fleet = Fleet(60);
       g.List(fleet);
@@ -1177,15 +1191,15 @@
   Gateway g;
   g.now = 100000;
   auto fleet = Fleet(12);
-  for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].kind = i % 2 ? "slow" : "fast";
+  for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].machine_type = i % 2 ? "slow" : "fast";
   std::map<std::string, int> taken;
   const auto serve = [&](int n) {
     for (int i = 0; i < n; ++i) {
       const std::string id = "r" + std::to_string(g.warmed++), server = Gateway::SentTo(g.Ask(id));
       g.now += 10;
-      g.Do(TimerDue{"sweep"});
+      g.Do(TimerFired{"sweep"});
       const bool fast = server[0] != 'c' && std::stoi(server.substr(1)) % 2 == 0;
-      g.End(id, server, Result::kServed, server[0] == 'c' ? 1 : fast ? 20 : 60);
+      g.End(id, server, AttemptResult::kServed, server[0] == 'c' ? 1 : fast ? 20 : 60);
       ++taken[server];
     }
   };
@@ -1193,7 +1207,7 @@
   serve(2000);
   for (const char* kind : {"slow", "fast"}) {
     fleet.push_back(MakeServer(std::string("cold-") + kind, "0", g.now));
-    fleet.back().kind = kind;
+    fleet.back().machine_type = kind;
   }
   g.List(fleet);
   taken.clear();
@@ -1206,14 +1220,14 @@
 // another server, and never a reason to send nothing.
 TEST(Trials, TakeASmallPartOfTheRequestsAndOfTheirTime) {
   Settings s = MakeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   Gateway g(s);
   g.List(Fleet(60));
   int tried = 0, sent = 0, whole = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "r" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
     g.now += 66;
-    g.Do(TimerDue{"sweep"});
+    g.Do(TimerFired{"sweep"});
     if (server.empty()) continue;
     const bool bad = std::stoi(server.substr(1)) % 3 == 0;
     if (i >= 300) {
@@ -1221,13 +1235,13 @@
       tried += bad;
       whole += bad && g.sent.back().timeout > 500;  // of 1000 to its aim
     }
-    g.End(id, server, bad && i % 4 ? Result::kError : Result::kServed, 66);
+    g.End(id, server, bad && i % 4 ? AttemptResult::kError : AttemptResult::kServed, 66);
   }
   EXPECT_GT(tried, 2);
   EXPECT_LT(tried, 0.08 * sent);
   EXPECT_LT(whole, tried / 2);
   s.max_attempts = 1;
-  s.gateways = 1;
+  s.gateway_count = 1;
   Gateway alone(s);  // with one server, that has failed and is well again
   alone.Servers(1);
   std::size_t ended = 0;
@@ -1235,7 +1249,8 @@
     alone.Ask("r" + std::to_string(i));
     alone.Pass(300);
     for (; ended < alone.sent.size(); ++ended) {
-      alone.End(alone.sent[ended].request, "s0", ended < 4 ? Result::kError : Result::kServed, 100);
+      alone.End(alone.sent[ended].request, "s0", ended < 4 ? AttemptResult::kError : AttemptResult::kServed,
+                100);
     }
   }
   EXPECT_GT(ended, 45);
@@ -1244,7 +1259,7 @@
 // A zone that is lost says nothing at any of its servers: three tell, not each by itself; one answer ends it.
 TEST(Zones, ThatFallSilentAreLeftAfterAFewRequestsAndTakenBackByAnAnswer) {
   Settings s = MakeSettings();
-  s.gateways = 30;
+  s.gateway_count = 30;
   s.max_attempts = 1;
   auto fleet = Fleet(60);
   for (int i = 0; i < 60; ++i) fleet[i].zone = "z" + std::to_string(i % 3);
@@ -1255,11 +1270,11 @@
     for (int i = 0; i < 240; ++i) {
       const std::string id = "r" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
       g.now += 66;
-      g.Do(TimerDue{"sweep"});
+      g.Do(TimerFired{"sweep"});
       if (server.empty()) continue;
       const bool there = std::stoi(server.substr(1)) % 3 == 1, silent = i >= 60 && i < 120;
       (i < 60 ? before : silent ? lost : after) += there;
-      g.End(id, server, there && silent ? Result::kConnectFailed : Result::kServed, 66);
+      g.End(id, server, there && silent ? AttemptResult::kConnectFailed : AttemptResult::kServed, 66);
     }
   }
   EXPECT_GT(before, 10 * 10);
@@ -1271,7 +1286,7 @@
 // would stand idle while its clients wait for tokens.
 TEST(Rate, FewAnswersASecondAreNotCutForOneLateAmongEight) {
   Settings s = MakeSettings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   const auto cuts = [&](int one_in) {
     Gateway g(s);
     g.List(Fleet(60));
@@ -1280,7 +1295,7 @@
       const std::string id = "r" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
       g.now += 66;
       if (server.empty()) continue;
-      const auto said = g.End(id, server, i % one_in ? Result::kServed : Result::kTimedOut, 66);
+      const auto said = g.End(id, server, i % one_in ? AttemptResult::kServed : AttemptResult::kTimedOut, 66);
       cut += Gateway::Logged(said, "rate cut");
     }
     return cut;
@@ -1296,7 +1311,7 @@
   a.Serve(100);
   b.Serve(100);
   ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].server, b.sent[i].server);
+  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].endpoint, b.sent[i].endpoint);
 }
 
 // Guards what a replacement takes over: it avoids whom the old process avoided, goes by what that measured,
@@ -1305,31 +1320,31 @@
   Gateway old;
   old.Servers(3);
   old.Serve(200, 50);
-  for (int i = 0; i < 40 && old.policy.avoided() == 0; ++i) {
+  for (int i = 0; i < 40 && old.policy.EjectedEndpoints() == 0; ++i) {
     const std::string id = "f" + std::to_string(i);
     const std::string server = Gateway::SentTo(old.Ask(id));
     old.now += 1;
-    old.End(id, server, server == "s1" ? Result::kConnectFailed : Result::kServed, 50);
+    old.End(id, server, server == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 50);
   }
-  ASSERT_EQ(old.policy.avoided(), 1u);
-  const Learned learned = old.policy.Remember();
+  ASSERT_EQ(old.policy.EjectedEndpoints(), 1u);
+  const LearnedState learned = old.policy.ExportState();
   Gateway next;
   next.now = old.now;
   next.Servers(3);
-  next.policy.Adopt(next.now, learned);
-  EXPECT_EQ(next.policy.avoided(), 1u);
+  next.policy.ImportState(next.now, learned);
+  EXPECT_EQ(next.policy.EjectedEndpoints(), 1u);
   for (int i = 0; i < 10; ++i) EXPECT_NE(Gateway::SentTo(next.Ask("n" + std::to_string(i))), "s1");
-  const Learned again = next.policy.Remember();
-  ASSERT_EQ(again.servers.size(), 3u);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(again.servers[i].latency, learned.servers[i].latency);
+  const LearnedState again = next.policy.ExportState();
+  ASSERT_EQ(again.endpoints.size(), 3u);
+  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(again.endpoints[i].latency, learned.endpoints[i].latency);
   EXPECT_EQ(again.rate, learned.rate);
-  next.policy.Scale(0.5);
-  EXPECT_DOUBLE_EQ(next.policy.Remember().rate, learned.rate / 2);
-  ASSERT_EQ(learned.kinds.size(), 1u);
-  EXPECT_GT(learned.kinds[0].warm_served, 0);
-  EXPECT_DOUBLE_EQ(next.policy.Remember().kinds.at(0).warm_served, learned.kinds[0].warm_served / 2);
-  next.policy.Scale(2);
-  EXPECT_DOUBLE_EQ(next.policy.Remember().rate, learned.rate);
+  next.policy.ScaleToShare(0.5);
+  EXPECT_DOUBLE_EQ(next.policy.ExportState().rate, learned.rate / 2);
+  ASSERT_EQ(learned.machine_types.size(), 1u);
+  EXPECT_GT(learned.machine_types[0].served, 0);
+  EXPECT_DOUBLE_EQ(next.policy.ExportState().machine_types.at(0).served, learned.machine_types[0].served / 2);
+  next.policy.ScaleToShare(2);
+  EXPECT_DOUBLE_EQ(next.policy.ExportState().rate, learned.rate);
 }
 
 // Guards a cold server during a replacement: the chance part of a request that a new one starts with was
@@ -1339,37 +1354,38 @@
   Gateway old;
   old.Servers(1);
   old.Serve(100, 50);
-  const Learned learned = old.policy.Remember();
+  const LearnedState learned = old.policy.ExportState();
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Gateway next(MakeSettings(), seed);
     next.now = old.now;
     next.List({MakeServer("s0", "0", next.now - 1)});  // cold
-    next.policy.Adopt(next.now, learned);
-    EXPECT_EQ(next.policy.Remember().servers[0].latency, 0);  // nothing holds of the process before
+    next.policy.ImportState(next.now, learned);
+    EXPECT_EQ(next.policy.ExportState().endpoints[0].latency, 0);  // nothing holds of the process before
     sent += !Gateway::SentTo(next.Ask("r")).empty();
   }
   EXPECT_EQ(sent, 0);
 }
 
 // What a gateway learned of five servers, of which s1 fails and s2 takes four times as long.
-Learned LearnedOfFive(Gateway& old) {
+LearnedState LearnedOfFive(Gateway& old) {
   old.Servers(5);
   for (int i = 0; i < 400; ++i) {
     const std::string id = "f" + std::to_string(i), server = Gateway::SentTo(old.Ask(id));
     old.Pass(10);
     if (server.empty()) continue;
-    old.End(id, server, server == "s1" ? Result::kConnectFailed : Result::kServed, server == "s2" ? 200 : 50);
+    old.End(id, server, server == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed,
+            server == "s2" ? 200 : 50);
   }
-  return old.policy.Remember();
+  return old.policy.ExportState();
 }
 
 // Guards what comes back from a disk: believed at once after a moment, less the older it is, and not at all
 // from a clock that was set back.
 TEST(Ageing, LetsVerdictsLatenciesAndRatesLapse) {
   Gateway old;
-  const Learned learned = LearnedOfFive(old);
-  ASSERT_TRUE(learned.servers[1].suspect);
+  const LearnedState learned = LearnedOfFive(old);
+  ASSERT_TRUE(learned.endpoints[1].ejected);
   struct Row {
     Millis down;
     bool avoided, measured;
@@ -1377,55 +1393,55 @@
   };
   for (const Row& row : {Row{1000, true, true, 1}, Row{30000, true, true, 2.5}, Row{120000, false, true, 5},
                          Row{600000, false, false, 5}, Row{-1000, false, false, 5}}) {
-    Learned then = learned;
+    LearnedState then = learned;
     then.rate = 10;  // after a cut
     Gateway next;
     next.now = old.now + row.down;
     next.Servers(5);
-    next.policy.Adopt(next.now, then);
-    const Learned now = next.policy.Remember();
-    EXPECT_EQ(next.policy.avoided(), row.avoided ? 1u : 0u) << row.down;
-    EXPECT_EQ(now.servers[0].latency > 0, row.measured) << row.down;
+    next.policy.ImportState(next.now, then);
+    const LearnedState now = next.policy.ExportState();
+    EXPECT_EQ(next.policy.EjectedEndpoints(), row.avoided ? 1u : 0u) << row.down;
+    EXPECT_EQ(now.endpoints[0].latency > 0, row.measured) << row.down;
     EXPECT_GE(now.rate, 10 * row.least_rate) << row.down;
-    for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(now.servers[i].samples, then.servers[i].samples);
+    for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(now.endpoints[i].samples, then.endpoints[i].samples);
   }
 }
 
 // Guards the fleet's rate where the number of gateways changed: each takes its part of what came.
 TEST(Ageing, SharesTheRateAmongAsManyGatewaysAsThereAreNow) {
   Gateway old;
-  Learned learned = LearnedOfFive(old);
-  learned.rate = 60, learned.gateways = 2;
+  LearnedState learned = LearnedOfFive(old);
+  learned.rate = 60, learned.gateway_count = 2;
   Settings settings = MakeSettings();
-  settings.gateways = 6;
+  settings.gateway_count = 6;
   Gateway next(settings);
   next.now = old.now;
   next.Servers(5);
-  next.policy.Adopt(next.now, learned);
-  EXPECT_DOUBLE_EQ(next.policy.Remember().rate, 20);
+  next.policy.ImportState(next.now, learned);
+  EXPECT_DOUBLE_EQ(next.policy.ExportState().rate, 20);
 }
 
 // What ageing is worth: the gateway was down, and meanwhile s1 and s2 became well. How many of the next 300
 // requests these two get, of 120 that are their part: with ages as they are, and as if all were news.
 TEST(Ageing, FindsServersThatBecameWell) {
   Gateway old;
-  const Learned learned = LearnedOfFive(old);
+  const LearnedState learned = LearnedOfFive(old);
   for (const Millis down : {1000.0, 30000.0, 600000.0}) {
     int taken[2] = {};
     for (const bool aged : {false, true}) {
-      Learned then = learned;
-      for (auto& s : then.servers) s.heard_at += aged ? 0 : down;
-      then.at += aged ? 0 : down;
+      LearnedState then = learned;
+      for (auto& s : then.endpoints) s.last_outcome_at += aged ? 0 : down;
+      then.exported_at += aged ? 0 : down;
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Gateway next(MakeSettings(), seed);
         next.now = old.now + down;
         next.Servers(5);
-        next.policy.Adopt(next.now, then);
+        next.policy.ImportState(next.now, then);
         for (int i = 0; i < 300; ++i) {
           const std::string id = std::to_string(i), server = Gateway::SentTo(next.Ask(id));
           next.Pass(10);
           taken[aged] += server == "s1" || server == "s2";
-          if (!server.empty()) next.End(id, server, Result::kServed, 50);
+          if (!server.empty()) next.End(id, server, AttemptResult::kServed, 50);
         }
       }
     }
@@ -1446,9 +1462,10 @@
     g.Servers(2);
     g.Serve(100, 50);
     const std::string server = Gateway::SentTo(g.Ask("r", "pay"));
-    const auto actions = g.Do(Outcome{"r", 0, server, Result::kConnectFailed, false, 0, {}, held});
+    const auto actions =
+        g.Do(AttemptOutcome{"r", 0, server, AttemptResult::kConnectFailed, false, 0, {}, held});
     EXPECT_EQ(Gateway::Count<Send>(actions), held ? 1 : 0);
-    EXPECT_EQ(Gateway::Count<Refuse>(actions), held ? 0 : 1);  // it never ran
+    EXPECT_EQ(Gateway::Count<Reject>(actions), held ? 0 : 1);  // it never ran
   }
 }
 
@@ -1458,21 +1475,21 @@
   Gateway g;
   g.Servers(2);
   g.Serve(100, 50);
-  const Learned before = g.policy.Remember();
+  const LearnedState before = g.policy.ExportState();
   for (int i = 0; i < 40; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = Gateway::SentTo(g.Ask(id, "view", 2000));
     ASSERT_FALSE(server.empty());
     g.Pass(3000);  // the client sends
-    g.Do(RequestWhole{id, 2000});
+    g.Do(RequestComplete{id, 2000});
     g.Pass(50);
-    g.Do(StreamStarted{id, 0});
+    g.Do(ResponseStarted{id, 0});
     g.Pass(5000);  // the client reads
-    g.Do(Outcome{id, 0, server, Result::kServed, true, 5050, {}});
+    g.Do(AttemptOutcome{id, 0, server, AttemptResult::kServed, true, 5050, {}});
   }
-  const Learned after = g.policy.Remember();
+  const LearnedState after = g.policy.ExportState();
   EXPECT_GE(after.rate, before.rate);
-  for (const auto& s : after.servers) EXPECT_LT(s.latency, 100);
+  for (const auto& s : after.endpoints) EXPECT_LT(s.latency, 100);
 }
 
 // Guards the other side of it: answers that break off on their way count against their server.
@@ -1480,15 +1497,15 @@
   Gateway g;
   g.Servers(2);
   g.Serve(100, 50);
-  for (int i = 0; i < 200 && g.policy.avoided() == 0; ++i) {
+  for (int i = 0; i < 200 && g.policy.EjectedEndpoints() == 0; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = Gateway::SentTo(g.Ask(id));
     g.Pass(50);
-    g.Do(StreamStarted{id, 0});
+    g.Do(ResponseStarted{id, 0});
     g.Pass(1500);  // nothing else was served meanwhile
-    g.Do(Outcome{id, 0, server, Result::kReset, true, 1550, {}});
+    g.Do(AttemptOutcome{id, 0, server, AttemptResult::kReset, true, 1550, {}});
   }
-  EXPECT_GT(g.policy.avoided(), 0u);
+  EXPECT_GT(g.policy.EjectedEndpoints(), 0u);
 }
 
 // Guards the first second of a process: a cut leaves the rate near what was sent, though that was not sent
@@ -1504,15 +1521,16 @@
     ASSERT_FALSE(out.back().second.empty());
     g.now += 5;
     if (out.size() > 10) {
-      cut = Gateway::Logged(g.End(out.front().first, out.front().second, Result::kTimedOut, 50), "rate cut");
+      cut = Gateway::Logged(g.End(out.front().first, out.front().second, AttemptResult::kTimedOut, 50),
+                            "rate cut");
       out.pop_front();
     }
   }
   ASSERT_TRUE(cut);
   EXPECT_LT(g.now, 1400);
-  EXPECT_GT(g.policy.Remember().rate, 120);
-  EXPECT_LT(g.policy.Remember().rate, 220);
+  EXPECT_GT(g.policy.ExportState().rate, 120);
+  EXPECT_LT(g.policy.ExportState().rate, 220);
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::policy::testing
--- a/tests/server_ring_test.cpp
+++ b/tests/policy/server_ring_test.cpp
@@ -1,5 +1,5 @@
 // The ring of servers against a plain reference that sorts all of them anew.
-#include "server_ring.hpp"
+#include "policy/server_ring.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <vector>
 
-#include "state.hpp"
+#include "policy/state.hpp"
 
-namespace opalswitch {
+namespace gateway::policy {
 namespace {
 
 // Positions of all servers as ServerRing defines them, worked out from the whole list.
@@ -104,4 +104,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch
+}  // namespace gateway::policy
--- a/tests/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -8,9 +8,9 @@
 #include <random>
 #include <vector>
 
-#include "gateway.hpp"
+#include "fake_gateway.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::policy::testing {
 namespace {
 
 constexpr Millis kTick = 10;
@@ -36,28 +36,28 @@
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> uniform(0, 1);
   Settings settings = MakeSettings();
-  settings.gateways = play.gateways;
-  settings.ask_for_list = true;
-  settings.fall_multiple = 2.5;
-  settings.cold_from = 0.12;
-  settings.cold_for = 24000;
+  settings.gateway_count = play.gateways;
+  settings.poll_endpoint_list = true;
+  settings.overload_factor = 2.5;
+  settings.warm_up_initial_fraction = 0.12;
+  settings.warm_up_duration = 24000;
   const Millis start = 30000, end = start + 12000;
   std::vector<std::unique_ptr<Gateway>> all;
   std::vector<Millis> told_at;
   const auto list = [&](Millis started_at) {
-    std::vector<Server> servers;
+    std::vector<EndpointInfo> servers;
     for (int i = 0; i < kServers; ++i)
       servers.push_back(MakeServer("s" + std::to_string(i), "0", i < kRestarted ? started_at : 0));
     return servers;
   };
-  for (settings.index = 0; settings.index < play.gateways; ++settings.index) {
+  for (settings.gateway_index = 0; settings.gateway_index < play.gateways; ++settings.gateway_index) {
     all.push_back(std::make_unique<Gateway>(settings, random()));
     told_at.push_back(start + play.told_within * uniform(random));
   }
   struct Answer {
     Millis at;
     std::size_t gateway;
-    std::string request, server;
+    std::string request, endpoint;
     int attempt;
   };
   std::deque<Answer> answers;  // in the order of their times: each takes as long
@@ -70,9 +70,9 @@
       for (const Action& action : actions) {
         const auto* send = std::get_if<Send>(&action);
         if (send == nullptr) continue;
-        const int server = std::stoi(send->server.substr(1));
+        const int server = std::stoi(send->endpoint.substr(1));
         if (server < kRestarted && now >= start && told[g]) got[server].push_back(now);
-        answers.push_back({now + kLatency, g, send->request, send->server, attempts[g][send->request]++});
+        answers.push_back({now + kLatency, g, send->request, send->endpoint, attempts[g][send->request]++});
       }
     };
     for (std::size_t g = 0; g < all.size(); ++g) {
@@ -83,13 +83,13 @@
         told[g] = true;
         gateway.List(list(start));
       }
-      take(g, gateway.Do(TimerDue{"sweep"}));
+      take(g, gateway.Do(TimerFired{"sweep"}));
     }
     while (!answers.empty() && answers.front().at <= now) {
       const Answer answer = answers.front();
       answers.pop_front();
-      take(answer.gateway, all[answer.gateway]->End(answer.request, answer.server, Result::kServed, kLatency,
-                                                    answer.attempt));
+      take(answer.gateway, all[answer.gateway]->End(answer.request, answer.endpoint, AttemptResult::kServed,
+                                                    kLatency, answer.attempt));
     }
     for (std::size_t g = 0; g < all.size(); ++g) {
       const std::size_t from = play.shifts && now >= start ? all.size() - 1 - g : g;
@@ -107,8 +107,9 @@
         // What the settings allow in the window: its warmth is that of its middle, but not before the start.
         const Millis begun = std::max(start, sends[last] - window);
         const Millis age = (begun + sends[last] + kTick) / 2 - start;
-        const double warmth = settings.cold_from + (1 - settings.cold_from) * age / settings.cold_for;
-        const double n = settings.fall_multiple * warmth * kBears * (sends[last] + kTick - begun);
+        const double warmth = settings.warm_up_initial_fraction +
+                              (1 - settings.warm_up_initial_fraction) * age / settings.warm_up_duration;
+        const double n = settings.overload_factor * warmth * kBears * (sends[last] + kTick - begun);
         ramp.worst = std::max(ramp.worst, static_cast<double>(last - first + 1) / (n + 2 * std::sqrt(n) + 2));
       }
     }
@@ -164,4 +165,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::policy::testing
--- a/tests/arrival_test.cpp
+++ b/tests/proxy/arrival_test.cpp
@@ -1,5 +1,5 @@
 // The time that a request spends in the system's queues before the gateway reads it: its client counts it.
-#include "gateway/arrival.hpp"
+#include "proxy/client/arrival.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "gateway/clock.hpp"
+#include "proxy/clock.hpp"
 #include "world.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
-using gateway::Now;
+using proxy::Now;
 
 constexpr Millis kAllowed = 5000;  // the deadline of the requests below
 constexpr Millis kWait = 400;      // before the gateway reads them: far more than its own margins
@@ -116,15 +116,15 @@
 
 // Guards systems that don't tell when data came: without a connection, or of another kind.
 TEST(Arrival, IsUnknownWhereTheSystemDoesNotTell) {
-  EXPECT_EQ(gateway::SinceLastReceived(-1), std::nullopt);
+  EXPECT_EQ(proxy::SinceLastReceived(-1), std::nullopt);
   asio::io_context io;
   asio::ip::udp::socket other(io, asio::ip::udp::v4());
-  EXPECT_EQ(gateway::SinceLastReceived(other.native_handle()), std::nullopt);
+  EXPECT_EQ(proxy::SinceLastReceived(other.native_handle()), std::nullopt);
 }
 
 // Guards the bound that stands in there: a queue is as old as the last moment at which it was empty.
 TEST(AcceptQueue, BoundsTheWaitByWhenItWasLastEmpty) {
-  gateway::AcceptQueue queue;
+  proxy::AcceptQueue queue;
   EXPECT_EQ(queue.LongestWait(1000), 0);
   queue.Observe(1000, true);
   queue.Observe(1200, true);
@@ -138,13 +138,13 @@
 TEST(AcceptQueue, IsSeenOnTheListener) {
   asio::io_context io;
   tcp::acceptor listener(io, Loopback());
-  EXPECT_FALSE(gateway::HasPending(listener.native_handle()));
+  EXPECT_FALSE(proxy::HasPending(listener.native_handle()));
   tcp::socket client(io);
   client.connect(listener.local_endpoint());
-  EXPECT_TRUE(gateway::HasPending(listener.native_handle()));
+  EXPECT_TRUE(proxy::HasPending(listener.native_handle()));
   listener.accept();
-  EXPECT_FALSE(gateway::HasPending(listener.native_handle()));
+  EXPECT_FALSE(proxy::HasPending(listener.native_handle()));
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -3,7 +3,7 @@
 
 #include "world.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
 std::string Body(std::size_t size) {
@@ -359,4 +359,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -1,7 +1,7 @@
 // The ends of a client's connection that rests: what crosses a close is served once or sent again, and takes
 // nothing along. Each order of events is forced: the kernel's answer to the look before the close is the
 // moment in which the client writes.
-#include "gateway/client_server.hpp"
+#include "proxy/client/client_server.hpp"
 
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -15,13 +15,13 @@
 
 #include "peers.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
-using gateway::BodySource;
-using gateway::ClientRequest;
-using gateway::ClientServer;
-using gateway::Descriptor;
+using proxy::BodySource;
+using proxy::ClientRequest;
+using proxy::ClientServer;
+using proxy::Descriptor;
 
 // What happens right before and right behind the next look at how much the client of that port has sent.
 struct LookHook {
@@ -39,16 +39,16 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
 
 // In place of the C library's, for this program.
 extern "C" int ioctl(int descriptor, unsigned long request, ...) noexcept {
-  using opalswitch::testing::look_hook;
+  using gateway::proxy::testing::look_hook;
   va_list rest;
   va_start(rest, request);
   void* const argument = va_arg(rest, void*);
   va_end(rest);
-  if (!opalswitch::testing::IsHooked(descriptor, request)) {
+  if (!gateway::proxy::testing::IsHooked(descriptor, request)) {
     return static_cast<int>(syscall(SYS_ioctl, descriptor, request, argument));
   }
   const auto hook = std::exchange(look_hook, {});
@@ -58,14 +58,14 @@
   return result;
 }
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
-Settings OneClass() {
-  ClassSettings view;
+policy::Settings OneClass() {
+  policy::TrafficClassSettings view;
   view.name = "view";
-  view.effect = Effect::kSafe;
-  Settings settings;
+  view.idempotency = policy::Idempotency::kIdempotent;
+  policy::Settings settings;
   settings.classes = {view};
   return settings;
 }
@@ -396,4 +396,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -4,11 +4,11 @@
 #include "base/clock.hpp"
 #include "world.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
-using gateway::Discovery;
-using gateway::HostList;
+using proxy::Discovery;
+using proxy::EndpointList;
 
 // Two services that say what the test sets, and the watch on them.
 struct TwoServices {
@@ -42,8 +42,8 @@
     several.return_after = 150;
     discovery.emplace(
         io, first.peer.address(), 0, true,
-        Discovery::Handlers{[this](const HostList& list) { told.push_back(list.revision); },
-                            [this](Millis) { ++failed; }, [this](const HostList&) { return refuse; }},
+        Discovery::Handlers{[this](const EndpointList& list) { told.push_back(list.revision); },
+                            [this](Millis) { ++failed; }, [this](const EndpointList&) { return refuse; }},
         several);
     discovery->Watch();
   }
@@ -88,8 +88,8 @@
   ASSERT_TRUE(w.Until([&] { return w.told.back() == 52; }));
   EXPECT_EQ(w.discovery->service(), 1u);
   // The first one, which lags, is not gone back to: it would tell an older list.
-  const Millis until = elderhead::base::Now() + 500;
-  ASSERT_TRUE(w.Until([&] { return elderhead::base::Now() > until; }));
+  const Millis until = base::Now() + 500;
+  ASSERT_TRUE(w.Until([&] { return base::Now() > until; }));
   EXPECT_EQ(w.discovery->service(), 1u);
   EXPECT_EQ(w.told.back(), 52);
 }
@@ -162,9 +162,9 @@
       answer(0, "up");
       ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
     }
-    const Millis begun = elderhead::base::Now();
+    const Millis begun = base::Now();
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == silent + 2; }));
-    EXPECT_LT(elderhead::base::Now() - begun, 5000) << "call " << silent;
+    EXPECT_LT(base::Now() - begun, 5000) << "call " << silent;
     EXPECT_NE(world.discovery.requests[silent].on, world.discovery.requests[silent + 1].on);
     answer(silent + 1, "draining");
     const std::string told = "list_revision " + std::to_string(43 + silent) + "\n";
@@ -278,9 +278,9 @@
   MovingWorld silent;
   ASSERT_TRUE(silent.Asked());
   silent.Move();
-  const Millis moved_at = elderhead::base::Now();
+  const Millis moved_at = base::Now();
   ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
-  EXPECT_GE(elderhead::base::Now() - moved_at, 1400);
+  EXPECT_GE(base::Now() - moved_at, 1400);
   ASSERT_TRUE(silent.Until([&] { return silent.moved.requests.size() == 2; }));  // the next call, by 4.5 s
 }
 
@@ -296,4 +296,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -1,25 +1,25 @@
 // The gateway over loopback sockets. Each test says what it guards against.
-#include "gateway/gateway.hpp"
+#include "proxy/gateway.hpp"
 
 #include <gtest/gtest.h>
 
-#include "gateway/clock.hpp"
+#include "proxy/clock.hpp"
 #include "world.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
-gateway::HostPool::Order MakeOrder(std::shared_ptr<const HttpRequest> request, Millis deadline,
-                                   std::function<void(Result)> done) {
-  gateway::HostPool::Order order;
+proxy::UpstreamPool::Order MakeOrder(std::shared_ptr<const HttpRequest> request, Millis deadline,
+                                     std::function<void(policy::AttemptResult)> done) {
+  proxy::UpstreamPool::Order order;
   order.request = std::move(request);
   order.deadline = deadline;
-  order.done = [done = std::move(done)](Result result, HttpResponse) { done(result); };
+  order.done = [done = std::move(done)](policy::AttemptResult result, HttpResponse) { done(result); };
   return order;
 }
 
-Server MakeHost(const std::string& id) {
-  Server server;
+policy::EndpointInfo MakeHost(const std::string& id) {
+  policy::EndpointInfo server;
   server.id = id;
   return server;
 }
@@ -313,9 +313,9 @@
     client->Send(on);
     world.Call("check\n");  // the gateway has seen that more came
     client->Leave();
-    const Millis left = gateway::Now();
+    const Millis left = proxy::Now();
     EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; })) << more;
-    EXPECT_LT(gateway::Now() - left, 5000) << more;  // not by the request's own time
+    EXPECT_LT(proxy::Now() - left, 5000) << more;  // not by the request's own time
     EXPECT_EQ(world.host().requests.size(), 1u);
     EXPECT_EQ(world.host().connections.size(), 1u);
   }
@@ -438,7 +438,7 @@
 
 // Guards the gap between a dial and its write: a host that began to drain meanwhile gets no byte. The dial
 // hangs because the listener's queue is full, and comes up when there is room.
-TEST(HostPool, WritesNothingToAHostThatDrainedDuringTheDial) {
+TEST(UpstreamPool, WritesNothingToAHostThatDrainedDuringTheDial) {
   asio::io_context io;
   tcp::acceptor listener(io, tcp::v4());
   listener.bind(Loopback());
@@ -447,14 +447,14 @@
   const auto at = listener.local_endpoint();
   tcp::socket fill(io);
   fill.connect(at);  // takes the one place in the queue
-  gateway::HostPool pool(io, {20000, 60000, 10});
-  gateway::HostList list;
-  list.hosts.push_back({MakeHost("h0"), at});
+  proxy::UpstreamPool pool(io, {20000, 60000, 10});
+  proxy::EndpointList list;
+  list.endpoints.push_back({MakeHost("h0"), at});
   pool.Update(list);
-  std::optional<Result> result;
+  std::optional<policy::AttemptResult> result;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
-  pool.Start("h0", MakeOrder(request, gateway::Now() + 20000, [&](Result r) { result = r; }));
-  list.hosts[0].server.state = ServerState::kDraining;
+  pool.Start("h0", MakeOrder(request, proxy::Now() + 20000, [&](policy::AttemptResult r) { result = r; }));
+  list.endpoints[0].info.state = policy::EndpointState::kDraining;
   pool.Update(list);
   std::vector<tcp::socket> accepted;
   ASSERT_TRUE(RunUntil(io, [&] {
@@ -463,7 +463,7 @@
     if (!ec) accepted.push_back(std::move(socket));
     return result.has_value();
   }));
-  EXPECT_EQ(*result, Result::kNotSent);
+  EXPECT_EQ(*result, policy::AttemptResult::kNotSent);
   EXPECT_EQ(pool.connections(), 0u);
   for (auto& socket : accepted) {
     error_code ec;
@@ -473,18 +473,18 @@
 
 // Guards the question behind a dial whether the attempt is wanted still: its answer may be that attempt's
 // end.
-TEST(HostPool, EndsAnAttemptThatIsFoundUnwantedBehindItsDial) {
+TEST(UpstreamPool, EndsAnAttemptThatIsFoundUnwantedBehindItsDial) {
   asio::io_context io;
   Peer host(io);
-  gateway::HostPool pool(io, {5000, 60000, 2});
-  gateway::HostList list;
-  list.hosts = {{MakeHost("h1"), host.address()}};
+  proxy::UpstreamPool pool(io, {5000, 60000, 2});
+  proxy::EndpointList list;
+  list.endpoints = {{MakeHost("h1"), host.address()}};
   pool.Update(list);
   for (const bool cancelled : {true, false}) {
-    std::vector<Result> results;
+    std::vector<policy::AttemptResult> results;
     std::uint64_t attempt = 0;
     auto order = MakeOrder(std::make_shared<const HttpRequest>(http::verb::get, "/api", 11),
-                           gateway::Now() + 60000, [&](Result r) { results.push_back(r); });
+                           proxy::Now() + 60000, [&](policy::AttemptResult r) { results.push_back(r); });
     const std::string held(100, 'x');  // on the heap, so that a sanitizer sees it freed too soon
     order.wanted = [&, held] {
       if (cancelled) pool.Cancel(attempt);
@@ -492,65 +492,66 @@
     };
     attempt = pool.Start("h1", std::move(order));
     ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
-    EXPECT_EQ(results, std::vector<Result>{cancelled ? Result::kCancelled : Result::kNotSent});
+    EXPECT_EQ(results, std::vector<policy::AttemptResult>{cancelled ? policy::AttemptResult::kCancelled
+                                                                    : policy::AttemptResult::kNotSent});
     EXPECT_EQ(pool.connections(), 0u);
   }
   EXPECT_TRUE(host.requests.empty());
 }
 
 // Guards the limit on connections: beyond it an attempt is told as never sent, and one that idles makes room.
-TEST(HostPool, KeepsToItsLimit) {
+TEST(UpstreamPool, KeepsToItsLimit) {
   asio::io_context io;
   Peer one(io), two(io);
-  gateway::HostPool pool(io, {5000, 60000, 2});
-  gateway::HostList list;
-  list.hosts = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
+  proxy::UpstreamPool pool(io, {5000, 60000, 2});
+  proxy::EndpointList list;
+  list.endpoints = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
   pool.Update(list);
-  std::vector<Result> results;
+  std::vector<policy::AttemptResult> results;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
   const auto start = [&](const char* host) {
-    return pool.Start(host,
-                      MakeOrder(request, gateway::Now() + 60000, [&](Result r) { results.push_back(r); }));
+    return pool.Start(host, MakeOrder(request, proxy::Now() + 60000,
+                                      [&](policy::AttemptResult r) { results.push_back(r); }));
   };
   start("h1");
   const auto second = start("h1");
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests.size() == 2; }));
   start("h2");
-  EXPECT_EQ(results, std::vector<Result>{Result::kNotSent});
+  EXPECT_EQ(results, std::vector<policy::AttemptResult>{policy::AttemptResult::kNotSent});
   one.requests[0].Answer(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
   start("h2");
   EXPECT_TRUE(RunUntil(io, [&] { return two.requests.size() == 1; }));
   EXPECT_EQ(pool.connections(), 2u);
   pool.Cancel(second);
-  EXPECT_EQ(results.back(), Result::kCancelled);
+  EXPECT_EQ(results.back(), policy::AttemptResult::kCancelled);
   EXPECT_EQ(pool.connections(), 1u);
 }
 
 // Guards an attempt that is given up before its write was told of: what is written must stay until then.
-TEST(HostPool, CancelsAnAttemptThatIsBeingWritten) {
+TEST(UpstreamPool, CancelsAnAttemptThatIsBeingWritten) {
   asio::io_context io;
   Peer host(io);
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
-  gateway::HostPool pool(io, {5000, 60000, 2});
-  gateway::HostList list;
-  list.hosts = {{MakeHost("h1"), host.address()}};
+  proxy::UpstreamPool pool(io, {5000, 60000, 2});
+  proxy::EndpointList list;
+  list.endpoints = {{MakeHost("h1"), host.address()}};
   pool.Update(list);
-  std::vector<Result> results;
+  std::vector<policy::AttemptResult> results;
   HttpRequest get(http::verb::get, "/api", 11);
   get.set("Req-Id", "r1");
   const auto request = std::make_shared<const HttpRequest>(std::move(get));
   const auto start = [&] {
-    return pool.Start("h1",
-                      MakeOrder(request, gateway::Now() + 60000, [&](Result r) { results.push_back(r); }));
+    return pool.Start("h1", MakeOrder(request, proxy::Now() + 60000,
+                                      [&](policy::AttemptResult r) { results.push_back(r); }));
   };
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
   pool.Cancel(start());  // on the connection that is open: the write has begun
-  EXPECT_EQ(results.back(), Result::kCancelled);
+  EXPECT_EQ(results.back(), policy::AttemptResult::kCancelled);
   start();
   EXPECT_TRUE(RunUntil(io, [&] { return results.size() == 3; }));
-  EXPECT_EQ(results.back(), Result::kServed);
+  EXPECT_EQ(results.back(), policy::AttemptResult::kServed);
 }
 
 // Guards the watch: it starts from the known list, goes on from each answer, and a call that fails in any way
@@ -745,4 +746,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/replacement_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -9,13 +9,13 @@
 
 #include "process.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
 // What both processes share: discovery, one host, the clients' address and the folder.
 struct Platform {
   Platform() {
-    folder = std::filesystem::path(::testing::TempDir()) / ("forkwick-tmp-" + std::to_string(getpid()));
+    folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
     host.serve = [this](const Peer::Taken& taken) {
@@ -78,7 +78,7 @@
 
 // Guards a replacement as the platform does it: the connection that a client holds idle outlives the old
 // process, so does one whose request is under way, that request is answered, and nobody is refused meanwhile.
-TEST(Replacement, TakesOverWithoutTurningAnyoneBack) {
+TEST(HotRestart, TakesOverWithoutTurningAnyoneBack) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -112,7 +112,7 @@
 }
 
 // Guards a drain of the old process while the new one is there: it says no for as long as it is drained.
-TEST(Replacement, LeavesADrainItsNo) {
+TEST(HotRestart, LeavesADrainItsNo) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -128,7 +128,7 @@
 
 // Guards against an old process that is killed in the middle, and against a new one that dies: the other goes
 // on.
-TEST(Replacement, OutlivesTheEndOfEitherSide) {
+TEST(HotRestart, OutlivesTheEndOfEitherSide) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -152,7 +152,7 @@
 
 // Guards the start against whatever lies in the common folder, and against an old process that hangs: the
 // address is shared all the same.
-TEST(Replacement, StartsWithoutTheHandover) {
+TEST(HotRestart, StartsWithoutTheHandover) {
   for (const std::string there : {"file", "folder", "stale socket", "hung process"}) {
     SCOPED_TRACE(there);
     Platform platform;
@@ -185,4 +185,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -6,11 +6,11 @@
 #include <sstream>
 
 #include "base/log.hpp"
-#include "gateway/state_keeper.hpp"
-#include "store/store.hpp"
+#include "proxy/restart/state_saver.hpp"
+#include "storage/store.hpp"
 #include "world.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
 // Guards what operators are told: the answer's first word, for good calls and for any others.
@@ -59,7 +59,7 @@
 }
 
 // Guards the figures: each counter against one request or attempt of its kind, for each class from the start.
-TEST(Figures, CountWhatHappened) {
+TEST(Metrics, CountWhatHappened) {
   World world(2);
   const nlohmann::json none = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
   EXPECT_EQ(world.Vars(), nlohmann::json({{"responses", {{"view", none}, {"key", none}, {"pay", none}}},
@@ -104,7 +104,7 @@
 
 // Guards the scraped form: every sample once under a type, buckets that only grow, and the spans of what was
 // played.
-TEST(Figures, AreTheSameInPrometheusForm) {
+TEST(Metrics, AreTheSameInPrometheusForm) {
   World world(2);
   for (auto& host : world.hosts) {
     host->serve = [](const Peer::Taken& taken) {
@@ -158,7 +158,7 @@
 struct StateFolder {
   StateFolder() { std::filesystem::remove_all(path); }
   ~StateFolder() { std::filesystem::remove_all(path); }
-  const std::string path = ::testing::TempDir() + "forkwick-state-" + std::to_string(getpid());
+  const std::string path = ::testing::TempDir() + "gateway-state-" + std::to_string(getpid());
 };
 
 // The listeners get free ports, so the owner is named here only.
@@ -182,13 +182,13 @@
              world.Call("metrics\n").find("elderhead_state_writes_total 2\n") != std::string::npos;
     }));
     ASSERT_TRUE(world.Until([&] {
-      const auto kept = gateway::LoadState(folder.path, world.owner());
+      const auto kept = proxy::LoadState(folder.path, world.owner());
       return kept && kept->draining && kept->list.revision == 42;
     }));
     EXPECT_EQ(world.Vars()["list_from"], "discovery");
     world.gateway.reset();
-    EXPECT_FALSE(gateway::LoadState(folder.path, "another"));
-    const auto kept = gateway::LoadState(folder.path, world.owner());
+    EXPECT_FALSE(proxy::LoadState(folder.path, "another"));
+    const auto kept = proxy::LoadState(folder.path, world.owner());
     ASSERT_TRUE(kept);
     world.Restart(/*with_state=*/false);  // as after two crashes upon it
     EXPECT_EQ(world.Vars()["pool_size"], 2);
@@ -216,7 +216,7 @@
     World world(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
     world.discovery.requests[0].Answer(200, List(42, true, {Member("h0", world.host().address())}).dump());
-    ASSERT_TRUE(world.Until([&] { return gateway::LoadState(folder.path, world.owner()).has_value(); }));
+    ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
     world.gateway.reset();
     for (const auto& entry : std::filesystem::directory_iterator(folder.path)) {
       if (damage == 0) std::ofstream(entry.path()) << "not what was written";
@@ -227,7 +227,7 @@
       std::filesystem::remove_all(folder.path);
       std::ofstream(folder.path) << "a file stands where the folder was";
     }
-    EXPECT_FALSE(gateway::LoadState(folder.path, world.owner()));
+    EXPECT_FALSE(proxy::LoadState(folder.path, world.owner()));
     world.Restart();
     EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
     world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -241,10 +241,10 @@
 TEST(State, OfAnOlderProgramIsRead) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
-  const auto kept = gateway::LoadState(folder.path, "n1 at 127.0.0.1:18080");
+  const auto kept = proxy::LoadState(folder.path, "n1 at 127.0.0.1:18080");
   ASSERT_TRUE(kept);
   EXPECT_TRUE(kept->draining);
-  EXPECT_EQ(kept->list.hosts.size(), 2u);
+  EXPECT_EQ(kept->list.endpoints.size(), 2u);
   EXPECT_FALSE(kept->learned);
 }
 
@@ -254,13 +254,13 @@
   const std::string newer = R"({"draining":"maybe"})";
   World world(1, TestSettings(), 300, WithState(folder));
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
-  ASSERT_TRUE(world.Until([&] { return gateway::LoadState(folder.path, world.owner()).has_value(); }));
+  ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
   world.gateway.reset();
-  const auto files = elderhead::store::MakePosixFileSystem();
-  elderhead::store::Examination found;
+  const auto files = storage::MakePosixFileSystem();
+  storage::Examination found;
   {
-    std::unique_ptr<elderhead::store::Store> store;
-    ASSERT_TRUE(elderhead::store::Store::Open(*files, folder.path, {world.owner(), "9"}, store, found).ok());
+    std::unique_ptr<storage::Store> store;
+    ASSERT_TRUE(storage::Store::Open(*files, folder.path, {world.owner(), "9"}, store, found).ok());
     ASSERT_TRUE(store->TakeSnapshot(7, newer).ok());
   }
   world.Restart();
@@ -269,7 +269,7 @@
   ASSERT_TRUE(world.Until(
       [&] { return world.Call("metrics\n").find("elderhead_state_ok 0\n") != std::string::npos; }));
   world.gateway.reset();
-  ASSERT_TRUE(elderhead::store::Examine(*files, folder.path, world.owner(), found).ok());
+  ASSERT_TRUE(storage::Examine(*files, folder.path, world.owner(), found).ok());
   ASSERT_TRUE(found.snapshot);
   EXPECT_EQ(found.snapshot->payload, newer);
 }
@@ -286,37 +286,37 @@
   }
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
   const auto samples = [&] {
-    const auto kept = gateway::LoadState(folder.path, world.owner());
-    return kept && kept->learned && !kept->learned->servers.empty() ? kept->learned->servers[0].samples : 0;
+    const auto kept = proxy::LoadState(folder.path, world.owner());
+    return kept && kept->learned && !kept->learned->endpoints.empty() ? kept->learned->endpoints[0].samples
+                                                                      : 0;
   };
   ASSERT_TRUE(world.Until([&] { return samples() == 5; }));
   world.Restart();  // discovery says nothing; what it writes next is what it began with
   EXPECT_TRUE(world.Call("drain-off\n").starts_with("SUCCESS"));
   ASSERT_TRUE(world.Until([&] {
-    const auto kept = gateway::LoadState(folder.path, world.owner());
+    const auto kept = proxy::LoadState(folder.path, world.owner());
     return kept && !kept->draining;
   }));
   EXPECT_EQ(samples(), 5);
 }
 
 TEST(State, IsReadWholeOrNotAtAll) {
-  const std::string good = ToText(gateway::KeptState{{42, true, {}, {}, 0}, true, 5, {}});
-  ASSERT_TRUE(gateway::ParseKeptState(good));
-  EXPECT_TRUE(gateway::ParseKeptState(good)->draining);
+  const std::string good = ToText(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
+  ASSERT_TRUE(proxy::ParseSavedState(good));
+  EXPECT_TRUE(proxy::ParseSavedState(good)->draining);
   for (const char* bad :
        {"", "[]", "{}", R"({"list":{"revision":1,"complete":true,"members":[]}})",
         R"({"list":{"revision":1,"complete":false,"members":[]},"draining":false,"kept_at_ms":1})",
         R"({"list":{"revision":1,"complete":true,"members":[{}]},"draining":false,"kept_at_ms":1})",
         R"({"list":7,"draining":false,"kept_at_ms":1})",
         R"({"list":{"revision":1,"complete":true,"members":[]},"draining":"no","kept_at_ms":1})"}) {
-    EXPECT_FALSE(gateway::ParseKeptState(bad)) << bad;
+    EXPECT_FALSE(proxy::ParseSavedState(bad)) << bad;
   }
 }
 
 // Guards the log's two forms: the words stay, and what is named in them are fields for a machine, on one
 // line.
 TEST(Log, IsTextOrOneObjectALine) {
-  namespace base = elderhead::base;
   const std::string words = "sockets: hosts 7 clients 3 left 0 | dialled 4 reused 9 | reset new 1 reused 2";
   EXPECT_EQ(base::FormatRecord(base::LogForm::kText, 1780000000123.0, base::Level::kInfo, "sockets", "counts",
                                words),
@@ -342,7 +342,7 @@
 }
 
 // Guards the figures on hosts: what is listed, drained or not, and what the module avoids.
-TEST(Figures, TellListedAndAvoidedHosts) {
+TEST(Metrics, TellListedAndAvoidedHosts) {
   World world(2);
   for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(500, ""); };
   const auto client = world.Connect();
@@ -413,4 +413,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/peers.hpp
+++ b/tests/proxy/peers.hpp
@@ -1,7 +1,7 @@
 // The other side of the gateway's sockets, for tests: scripted servers and clients on loopback. They share
 // the gateway's event loop, and tests wait for what they expect instead of for time to pass.
-#ifndef OPALSWITCH_TESTS_PEERS_HPP_
-#define OPALSWITCH_TESTS_PEERS_HPP_
+#ifndef GATEWAY_TESTS_PROXY_PEERS_HPP_
+#define GATEWAY_TESTS_PROXY_PEERS_HPP_
 
 #include <gtest/gtest.h>
 
@@ -16,15 +16,15 @@
 #include <string>
 #include <vector>
 
-#include "gateway/http_types.hpp"
+#include "proxy/http_types.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::system::error_code;
-using gateway::HttpRequest;
-using gateway::HttpResponse;
+using proxy::HttpRequest;
+using proxy::HttpResponse;
 using tcp = asio::ip::tcp;
 
 inline tcp::endpoint Loopback(unsigned short port = 0) { return {asio::ip::address_v4::loopback(), port}; }
@@ -242,6 +242,6 @@
           {"somethingNew", {{"never", "heard of"}}}};
 }
 
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
 
-#endif  // OPALSWITCH_TESTS_PEERS_HPP_
+#endif  // GATEWAY_TESTS_PROXY_PEERS_HPP_
--- a/tests/process.hpp
+++ b/tests/proxy/process.hpp
@@ -1,6 +1,6 @@
 // The program as a process, for tests.
-#ifndef OPALSWITCH_TESTS_PROCESS_HPP_
-#define OPALSWITCH_TESTS_PROCESS_HPP_
+#ifndef GATEWAY_TESTS_PROXY_PROCESS_HPP_
+#define GATEWAY_TESTS_PROXY_PROCESS_HPP_
 
 #include <signal.h>
 #include <sys/resource.h>
@@ -14,7 +14,7 @@
 
 #include "peers.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 
 // A loopback address with a port that is free now.
 inline tcp::endpoint FreeAddress(asio::io_context& io) {
@@ -27,7 +27,7 @@
   // Starts the program with the variables given, and no more descriptors if that is not 0; its standard error
   // goes to a file.
   explicit Process(const std::vector<std::pair<std::string, std::string>>& variables, rlim_t descriptors = 0)
-      : errors_(::testing::TempDir() + "forkwick-err-" + std::to_string(getpid()) + "-" +
+      : errors_(::testing::TempDir() + "gateway-err-" + std::to_string(getpid()) + "-" +
                 std::to_string(++started_)),
         pid_(fork()) {
     if (pid_ != 0) return;
@@ -38,7 +38,7 @@
       setrlimit(RLIMIT_NOFILE, &limit);
     }
     if (std::freopen(errors_.c_str(), "w", stderr) == nullptr) _exit(99);
-    execl(FORKWICK_PROGRAM, FORKWICK_PROGRAM, nullptr);
+    execl(GATEWAY_PROGRAM, GATEWAY_PROGRAM, nullptr);
     _exit(98);
   }
   ~Process() {
@@ -75,13 +75,13 @@
 
 struct File {
   explicit File(const std::string& text)
-      : path(::testing::TempDir() + "forkwick-process-" + std::to_string(getpid()) + ".json") {
+      : path(::testing::TempDir() + "gateway-process-" + std::to_string(getpid()) + ".json") {
     std::ofstream(path) << text;
   }
   ~File() { std::remove(path.c_str()); }
   const std::string path;
 };
 
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
 
-#endif  // OPALSWITCH_TESTS_PROCESS_HPP_
+#endif  // GATEWAY_TESTS_PROXY_PROCESS_HPP_
--- a/tests/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -5,7 +5,7 @@
 
 #include <fstream>
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 namespace {
 
 // Guards the operator at a broken deployment: one line that names what is wrong, and no running gateway.
@@ -305,4 +305,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
--- a/tests/world.hpp
+++ b/tests/proxy/world.hpp
@@ -1,6 +1,6 @@
 // A gateway on loopback with the other side of all its sockets.
-#ifndef OPALSWITCH_TESTS_WORLD_HPP_
-#define OPALSWITCH_TESTS_WORLD_HPP_
+#ifndef GATEWAY_TESTS_PROXY_WORLD_HPP_
+#define GATEWAY_TESTS_PROXY_WORLD_HPP_
 
 #include <cstdio>
 #include <fstream>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "gateway/config.hpp"
-#include "gateway/gateway.hpp"
 #include "peers.hpp"
+#include "proxy/config.hpp"
+#include "proxy/gateway.hpp"
 
-namespace opalswitch::testing {
+namespace gateway::proxy::testing {
 
 // One gateway, its discovery and some hosts.
 struct World {
@@ -32,12 +32,12 @@
                            {"mgmt", "127.0.0.1:0"},
                            {"settings", std::move(settings)}};
     file.update(more);
-    const std::string path = ::testing::TempDir() + "forkwick-" + std::to_string(getpid()) + ".json";
+    const std::string path = ::testing::TempDir() + "gateway-" + std::to_string(getpid()) + ".json";
     std::ofstream(path) << file;
     const std::map<std::string, std::string> variables = {{"NODE_CONFIG", path},
                                                           {"NODE_LISTEN", "127.0.0.1:0"},
                                                           {"NODE_DISCOVERY", ToText(discovery.address())}};
-    const auto config = gateway::LoadConfig([&](const char* name) {
+    const auto config = proxy::LoadConfig([&](const char* name) {
       const auto found = variables.find(name);
       return found == variables.end() ? nullptr : found->second.c_str();
     });
@@ -88,12 +88,12 @@
   asio::io_context io;
   Peer discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
-  std::optional<gateway::Gateway> gateway;
+  std::optional<proxy::Gateway> gateway;
 
  private:
-  ::opalswitch::gateway::Config config_;
+  ::gateway::proxy::Config config_;
 };
 
-}  // namespace opalswitch::testing
+}  // namespace gateway::proxy::testing
 
-#endif  // OPALSWITCH_TESTS_WORLD_HPP_
+#endif  // GATEWAY_TESTS_PROXY_WORLD_HPP_
--- a/tests/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -11,9 +11,9 @@
 #include "base/http_client.hpp"
 #include "registry/agent.hpp"
 #include "registry/service.hpp"
-#include "store/memory_file_system.hpp"
+#include "storage/memory_file_system.hpp"
 
-namespace elderhead::registry {
+namespace gateway::registry {
 namespace {
 
 using nlohmann::json;
@@ -196,8 +196,8 @@
   const auto crash_at = *rc::gen::inRange<int>(0, 60);
   const auto power = *rc::gen::arbitrary<bool>();
   const auto keep = *rc::gen::inRange<int>(0, 3);
-  store::MemoryFileSystem disk;
-  std::unique_ptr<store::MemoryFileSystem> after;
+  storage::MemoryFileSystem disk;
+  std::unique_ptr<storage::MemoryFileSystem> after;
   int calls = 0;
   const auto crash = [&] {
     if (!power) return after = disk.AfterProcessDeath(), void();
@@ -205,15 +205,15 @@
         {[keep](std::size_t change) { return keep == 2 || (keep == 1 && change % 2 == 0); },
          [keep](std::string tail) { return tail.substr(0, tail.size() * keep / 2); }});
   };
-  store::FaultyFileSystem files(disk, [&](store::FaultyFileSystem::Call, const std::string&) {
+  storage::FaultyFileSystem files(disk, [&](storage::FaultyFileSystem::Call, const std::string&) {
     if (++calls == crash_at + 1 && !after) crash();
-    return store::FaultyFileSystem::Verdict{};
+    return storage::FaultyFileSystem::Verdict{};
   });
   std::size_t acknowledged = 0;
   {
-    std::unique_ptr<store::Store> log;
-    store::Examination found;
-    RC_ASSERT(store::Store::Open(files, "r", {"registry", "test", 600}, log, found).ok());
+    std::unique_ptr<storage::Store> log;
+    storage::Examination found;
+    RC_ASSERT(storage::Store::Open(files, "r", {"registry", "test", 600}, log, found).ok());
     Catalog catalog("e", kFirst);
     for (std::size_t i = 0; i < commands.size();) {
       const std::size_t group = 1 + i % 3;
@@ -227,9 +227,9 @@
     if (!after) crash();
   }
   for (int again = 0; again < 2; ++again) {  // a second recovery gives the same
-    std::unique_ptr<store::Store> log;
-    store::Examination found;
-    RC_ASSERT(store::Store::Open(*after, "r", {"registry", "test", 600}, log, found).ok());
+    std::unique_ptr<storage::Store> log;
+    storage::Examination found;
+    RC_ASSERT(storage::Store::Open(*after, "r", {"registry", "test", 600}, log, found).ok());
     std::string why;
     std::size_t held = 0;
     std::optional<Catalog> catalog;
@@ -240,7 +240,7 @@
     } else {
       catalog.emplace("e", kFirst);
     }
-    for (const store::Record& record : found.records) {
+    for (const storage::Record& record : found.records) {
       const auto command = CommandFromRecord(record.payload);
       RC_ASSERT(command.has_value());
       RC_ASSERT(*command == commands[record.sequence - 1]);
@@ -432,10 +432,10 @@
 
 struct ServiceWorld {
   explicit ServiceWorld(std::size_t callers = 100, double whole_lists = 1000)
-      : files(disk, [this](store::FaultyFileSystem::Call call, const std::string&) {
-          const bool writes = call == store::FaultyFileSystem::Call::kAppend ||
-                              call == store::FaultyFileSystem::Call::kCreate;
-          return store::FaultyFileSystem::Verdict{
+      : files(disk, [this](storage::FaultyFileSystem::Call call, const std::string&) {
+          const bool writes = call == storage::FaultyFileSystem::Call::kAppend ||
+                              call == storage::FaultyFileSystem::Call::kCreate;
+          return storage::FaultyFileSystem::Verdict{
               full && writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code()};
         }) {
     options.listen = {boost::asio::ip::make_address("127.0.0.1"), 0};
@@ -488,9 +488,9 @@
     return Ask("POST", "/registry/register", body);
   }
 
-  store::MemoryFileSystem disk;
+  storage::MemoryFileSystem disk;
   bool full = false;
-  store::FaultyFileSystem files;
+  storage::FaultyFileSystem files;
   boost::asio::io_context io{1};
   ServiceOptions options;
   std::optional<Service> service;
@@ -620,4 +620,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::registry
+}  // namespace gateway::registry
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -31,7 +31,7 @@
 bash -c "$(setting build)"
 
 step "clang-tidy"
-cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DOPALSWITCH_TESTS=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
+cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DGATEWAY_TESTS=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
 bash tests/lint.sh build-tests
 
 step "tests, Release"
@@ -39,12 +39,12 @@
 bash tests/ctest_known_red.sh build-tests
 
 step "tests, address and undefined-behaviour sanitizers"
-cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DOPALSWITCH_TESTS=ON -DOPALSWITCH_SANITIZE=ON >/dev/null
+cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DGATEWAY_TESTS=ON -DGATEWAY_SANITIZE=ON >/dev/null
 cmake --build build-sanitize -j"$(nproc)"
 bash tests/ctest_known_red.sh build-sanitize
 
 step "fuzzer on the readers of a store's files, 30 s"
-clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc tests/store_fuzz.cpp src/store/record.cpp -o build-tests/store_fuzz
+clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc tests/storage/store_fuzz.cpp src/storage/record.cpp -o build-tests/store_fuzz
 corpus=$(mktemp -d)
 cp tests/fixtures/state-0.1.0/* "$corpus"
 build-tests/store_fuzz -max_total_time=30 -verbosity=0 -print_final_stats=1 "$corpus" 2>&1 | grep -v '^#'
--- a/tests/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -1,9 +1,9 @@
 // The dialect: what is read, what is printed, and what is said of malformed lines.
-#include "wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <gtest/gtest.h>
 
-namespace opalswitch::wire {
+namespace gateway::simulator {
 namespace {
 
 std::string Play(Host& host, std::initializer_list<const char*> lines) {
@@ -92,19 +92,19 @@
 }
 
 TEST(Wire, SettingsAreReadAndUnknownOnesSkipped) {
-  const Settings s =
+  const policy::Settings s =
       ParseSettings({"categories.1.name=b", "categories.0.name=a", "categories.count=2",
                      "categories.0.idempotency=token", "categories.0.group=cell", "projects.0.quotaPerS=12.5",
                      "limits.retryAfter=true", "limits.maxRetryAfterMs=600.0", "familyInfo.warmKeys=true",
                      "report.fields=inflight,util", "who.knows=this"});
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "a");
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].group, Group::kCell);
-  EXPECT_EQ(s.tenants.at(0).quota_per_s, 12.5);
-  EXPECT_EQ(s.max_retry_after, 600);
-  EXPECT_TRUE(s.retry_after && s.warm_keys);
-  EXPECT_EQ(s.report_fields, (std::vector<std::string>{"inflight", "util"}));
+  EXPECT_EQ(s.classes[0].idempotency, policy::Idempotency::kIdempotencyKey);
+  EXPECT_EQ(s.classes[0].deduplication_scope, policy::DeduplicationScope::kCell);
+  EXPECT_EQ(s.tenants.at(0).quota_per_second, 12.5);
+  EXPECT_EQ(s.maximum_retry_after, 600);
+  EXPECT_TRUE(s.send_retry_after && s.endpoints_cache_keys);
+  EXPECT_EQ(s.load_report_fields, (std::vector<std::string>{"inflight", "util"}));
 }
 
 TEST(Wire, KillWithAttemptsOutLeavesNothingBehind) {
@@ -143,4 +143,4 @@
 }
 
 }  // namespace
-}  // namespace opalswitch::wire
+}  // namespace gateway::simulator
--- a/tests/store_fuzz.cpp
+++ b/tests/storage/store_fuzz.cpp
@@ -4,11 +4,11 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "store/record.hpp"
+#include "storage/record.hpp"
 
 namespace {
 
-using namespace elderhead::store;
+using namespace gateway::storage;
 
 void Require(bool good) {
   if (!good) std::abort();
