--- a/tests/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -1,6 +1,6 @@
 // The store: every crash that the model knows, every byte damaged, disks that fail, and the machine's own
 // file system.
-#include "store/store.hpp"
+#include "storage/store.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -11,9 +11,9 @@
 #include <filesystem>
 #include <map>
 
-#include "store/memory_file_system.hpp"
+#include "storage/memory_file_system.hpp"
 
-namespace elderhead::store {
+namespace gateway::storage {
 namespace {
 
 using Call = FaultyFileSystem::Call;
@@ -366,4 +366,4 @@
 }
 
 }  // namespace
-}  // namespace elderhead::store
+}  // namespace gateway::storage
