--- /dev/null
+++ b/src/policy/admission_rate.cpp
@@ -0,0 +1,99 @@
+#include "policy/admission_rate.hpp"
+
+#include <algorithm>
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second, above what any endpoint serves
+constexpr double kIncrease = 0.3;                 // tokens per second, for each response within its objective
+constexpr double kMaximumRelativeIncrease = 0.05;
+constexpr double kDecreaseFactor = 0.85;
+constexpr Millis kMinimumDecreaseInterval = 100;
+constexpr Millis kBucketPeriod = 50;       // the bucket holds the tokens of this time
+constexpr double kMinimumBucket = 2;       // tokens
+constexpr Millis kSentMemory = 1000;       // time constant of the rate of sent attempts
+constexpr double kSharedMemoryFactor = 4;  // times that, where a gateway sends each endpoint little
+
+// Failure rate above which the rate is decreased. It is higher where many gateways share an endpoint, since
+// the decreases of all of them add up.
+constexpr double kFailureThreshold = 0.2;
+constexpr double kSharedFailureThreshold = 0.25;
+
+// The weight of an outcome in the failure rate, so that the estimate covers about a second of traffic.
+constexpr double kMinimumOutcomeWeight = 0.05;
+constexpr double kMaximumOutcomeWeight = 0.2;
+
+}  // namespace
+
+double AdmissionRate::MaximumRate(const Fleet& fleet) {
+  return kInitialRatePerEndpoint * std::max(1, fleet.endpoints_up);
+}
+
+double AdmissionRate::MinimumRate(const Fleet& fleet) {
+  return 1.0 * fleet.endpoints_up / fleet.gateway_count;
+}
+
+Millis AdmissionRate::SentMemory(const Fleet& fleet) {
+  return kSentMemory * (fleet.many_gateways_per_endpoint ? kSharedMemoryFactor : 1);
+}
+
+double AdmissionRate::BucketCapacity() const {
+  return std::max(kMinimumBucket, rate_ * kBucketPeriod / 1000);
+}
+
+void AdmissionRate::Advance(Millis passed, const Fleet& fleet) {
+  const bool first = rate_ <= 0 && fleet.endpoints_up > 0;
+  if (first) rate_ = kInitialRatePerEndpoint * fleet.endpoints_up;
+  const double capacity = BucketCapacity();
+  tokens_ = first ? capacity : std::min(tokens_ + rate_ * passed / 1000, capacity);
+  sent_.Advance(passed, SentMemory(fleet));
+}
+
+void AdmissionRate::TakeToken(const Fleet& fleet) {
+  tokens_ -= 1;
+  sent_.Add(1000 / SentMemory(fleet));
+}
+
+bool AdmissionRate::RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet) {
+  if (!within_objective && sent_at < decreased_at_) return false;
+  const double weight = std::clamp(1 / (1 + rate_), kMinimumOutcomeWeight, kMaximumOutcomeWeight);
+  failure_rate_ += weight * ((within_objective ? 0.0 : 1.0) - failure_rate_);
+  if (within_objective) {
+    const double increase = std::min(kIncrease, kMaximumRelativeIncrease * rate_);
+    rate_ = std::min(rate_ + increase, MaximumRate(fleet));
+    return false;
+  }
+  const double threshold = fleet.many_gateways_per_endpoint ? kSharedFailureThreshold : kFailureThreshold;
+  return failure_rate_ > threshold && now >= next_decrease_at_;
+}
+
+void AdmissionRate::Decrease(Millis now, Millis round_trip, const Fleet& fleet) {
+  rate_ = std::max(MinimumRate(fleet), std::min(rate_, SentPerSecond()) * kDecreaseFactor);
+  decreased_at_ = now;
+  next_decrease_at_ = now + std::max(kMinimumDecreaseInterval, round_trip);
+}
+
+bool AdmissionRate::AdmitsBeyondQuota() const { return failure_rate_ < kSharedFailureThreshold; }
+
+void AdmissionRate::Export(LearnedState& state) const {
+  state.rate = rate_;
+  state.sent_rate = SentPerSecond();
+  state.failure_rate = failure_rate_;
+}
+
+void AdmissionRate::Import(const LearnedState& state, double kept, double share, const Fleet& fleet) {
+  // The older a rate is, the more of the initial rate returns: the overload that decreased it is over.
+  if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * share / kept);
+  tokens_ = std::min(tokens_, BucketCapacity());
+  sent_.Restore(state.sent_rate * share * kept, kept);
+  failure_rate_ = state.failure_rate * kept;
+}
+
+void AdmissionRate::Scale(double factor, const Fleet& fleet) {
+  rate_ = std::clamp(rate_ * factor, MinimumRate(fleet), MaximumRate(fleet));
+  tokens_ = std::min(tokens_, BucketCapacity());
+  sent_.Scale(factor);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/concurrency_limit.cpp
@@ -0,0 +1,161 @@
+#include "policy/concurrency_limit.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "policy/endpoint.hpp"
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kLatencySampleWeight = 0.1;    // least weight of a sample in an endpoint's latency
+constexpr double kLongTermSampleWeight = 0.02;  // the same in its long-term latency
+constexpr double kBaseDrift = 0.001;            // share by which the base latency follows upwards
+constexpr int kMinimumBaseSamples = 20;        // before which the base latency of a type is its long-term one
+constexpr double kLatencyTolerance = 1.1;      // times the base latency that is no queueing yet
+constexpr double kCachedLatencyTolerance = 2;  // the same where latency depends on the keys too
+constexpr double kMinimumGradient = 0.2;
+constexpr double kGrowth = 0.7;                 // of a limit, times its square root
+constexpr double kInitialLimit = 8;             // attempts over all gateways
+constexpr double kInitialLimitWithReports = 2;  // the same where utilisation soon shows how much is free
+constexpr double kMinimumLimit = 1;             // attempts over all gateways
+
+constexpr double kUtilizationReserve = 0.07;  // kept free, times the square root of the gateways
+constexpr double kUtilizationGain = 4;        // decrease of a limit by utilisation beyond that
+constexpr double kUtilizationSampleWeight = 0.3;
+constexpr double kMaximumUtilization = 1.1;    // reports are noisy
+constexpr double kBusyUtilization = 0.6;       // of the machine type
+constexpr double kBusyShareBeyondQuota = 0.3;  // of the slots, for requests beyond their tenant's quota
+
+constexpr Millis kMaximumBackoff = 300;
+constexpr int kMaximumBackoffDoublings = 30;
+
+const char* const kUtilizationField = "util";
+
+void RecordTypeLatency(LatencyEstimate& type, double sample) {
+  ++type.samples;
+  type.current += std::max(kLatencySampleWeight / 2, 1.0 / type.samples) * (sample - type.current);
+}
+
+void UpdateTypeBase(LatencyEstimate& type, double sample) {
+  type.long_term += std::max(kLongTermSampleWeight, 1.0 / type.samples) * (sample - type.long_term);
+  if (type.samples < kMinimumBaseSamples || type.long_term < type.base) type.base = type.long_term;
+  type.base += kBaseDrift / 4 * (type.long_term - type.base);
+}
+
+// With few samples the base latency of an endpoint leans on that of its machine type.
+void UpdateBase(LatencyEstimate& own, const LatencyEstimate& type, double sample) {
+  own.long_term += std::max(kLongTermSampleWeight, 1.0 / own.samples) * (sample - own.long_term);
+  const double confidence = std::min(1.0, own.samples * kLongTermSampleWeight);
+  own.base = confidence < 1 ? confidence * own.long_term + (1 - confidence) * type.base
+                            : std::min(own.base, own.long_term);
+  own.base += kBaseDrift * (own.current - own.base);
+}
+
+std::size_t FindUtilization(const Settings& settings) {
+  const auto& fields = settings.load_report_fields;
+  return static_cast<std::size_t>(std::ranges::find(fields, kUtilizationField) - fields.begin());
+}
+
+}  // namespace
+
+ConcurrencyLimit::ConcurrencyLimit(const Settings& settings)
+    : endpoints_cache_keys_(settings.endpoints_cache_keys),
+      gateway_count_(settings.gateway_count),
+      utilization_index_(FindUtilization(settings)),
+      reports_utilization_(utilization_index_ < settings.load_report_fields.size()) {}
+
+double ConcurrencyLimit::LatencyTolerance() const {
+  return endpoints_cache_keys_ ? kCachedLatencyTolerance : kLatencyTolerance;
+}
+
+// An endpoint that caches keys takes more before it queues, from the start on.
+double ConcurrencyLimit::InitialLimit(double gateways_per_endpoint) const {
+  const double limit = reports_utilization_ ? kInitialLimitWithReports
+                                            : kInitialLimit * LatencyTolerance() / kLatencyTolerance;
+  return limit / gateways_per_endpoint;
+}
+
+void ConcurrencyLimit::Reset(ConcurrencyState& state, double gateways_per_endpoint) const {
+  state.latency = {};
+  state.utilization = 0;
+  state.limit = state.slots = InitialLimit(gateways_per_endpoint);
+  state.consecutive_rejections = 0;
+}
+
+bool ConcurrencyLimit::HasSlot(const Endpoint& endpoint, bool within_quota, Millis now) const {
+  const ConcurrencyState& state = endpoint.concurrency;
+  if (now < state.backing_off_until) return false;
+  const bool all_slots = within_quota || endpoint.machine_type->utilization < kBusyUtilization;
+  return endpoint.in_flight < state.slots * (all_slots ? 1 : kBusyShareBeyondQuota);
+}
+
+void ConcurrencyLimit::RecordLoadReport(Endpoint& endpoint, const std::vector<double>& load) const {
+  if (utilization_index_ >= load.size() || !(load[utilization_index_] >= 0)) return;
+  const double reported = std::min(load[utilization_index_], kMaximumUtilization);
+  double& own = endpoint.concurrency.utilization;
+  own += kUtilizationSampleWeight * (reported - own);
+  double& type = endpoint.machine_type->utilization;
+  type += kUtilizationSampleWeight / 3 * (reported - type);
+}
+
+void ConcurrencyLimit::RecordRejection(ConcurrencyState& state, Millis now) const {
+  const int doublings = std::min(state.consecutive_rejections++, kMaximumBackoffDoublings);
+  state.backing_off_until = now + std::min(kMaximumBackoff, state.latency.current * std::exp2(doublings));
+}
+
+void ConcurrencyLimit::RecordLatency(Endpoint& endpoint, const Sample& sample, double gateways_per_endpoint,
+                                     RandomSource& random, Millis now) const {
+  ConcurrencyState& state = endpoint.concurrency;
+  const double relative = sample.latency / sample.relative_latency;
+  // A failure never lowers the latency: an endpoint whose errors are fast is not a fast endpoint.
+  if (sample.served || relative > state.latency.current) {
+    UpdateLimit(endpoint, relative, sample.served, gateways_per_endpoint);
+  }
+  if (state.limit < 1) state.backing_off_until = now + sample.latency * (1 / state.limit - 1);
+  // Random rounding: if all gateways rounded up, the endpoint would get one attempt more from each.
+  state.slots = std::max(1.0, std::floor(state.limit + random.Uniform()));
+}
+
+void ConcurrencyLimit::UpdateLimit(Endpoint& endpoint, double sample, bool served,
+                                   double gateways_per_endpoint) const {
+  ConcurrencyState& state = endpoint.concurrency;
+  LatencyEstimate& own = state.latency;
+  LatencyEstimate& type = endpoint.machine_type->latency;
+  ++own.samples;
+  own.current += std::max(kLatencySampleWeight, 1.0 / own.samples) * (sample - own.current);
+  RecordTypeLatency(type, sample);
+  if (served) {
+    UpdateTypeBase(type, sample);
+    UpdateBase(own, type, sample);
+  }
+  if (own.base <= 0) return;
+  const double ratio = std::sqrt(own.current / own.base * type.current / type.base);
+  const double excess = ExcessUtilization(endpoint);
+  const double gradient =
+      std::clamp(std::min(LatencyTolerance() / ratio, 1 - kUtilizationGain * excess), kMinimumGradient, 1.0);
+  const double growth = excess > 0 || !served ? 0 : kGrowth * std::sqrt(state.limit / gateways_per_endpoint);
+  const double target = state.limit * gradient + growth;
+  const bool in_use = 2.0 * (endpoint.in_flight + 1) >= state.limit;
+  if (target > state.limit && !in_use) return;  // an unused limit has not shown that it can grow
+  const double minimum = kMinimumLimit / gateways_per_endpoint;
+  state.limit = std::max(minimum, state.limit + (target - state.limit) / std::max(2.0, state.limit));
+}
+
+// How far the endpoint exceeds the utilisation that leaves room for what the other gateways send next.
+double ConcurrencyLimit::ExcessUtilization(const Endpoint& endpoint) const {
+  const double mean = (endpoint.concurrency.utilization + endpoint.machine_type->utilization) / 2;
+  return mean - (1 - kUtilizationReserve * std::sqrt(gateway_count_));
+}
+
+void ConcurrencyLimit::Scale(ConcurrencyState& state, double factor, double gateways_per_endpoint) const {
+  state.limit = std::max(kMinimumLimit / gateways_per_endpoint, state.limit * factor);
+  state.slots = std::max(1.0, std::floor(state.limit));
+}
+
+void ConcurrencyLimit::Restore(ConcurrencyState& state, double learned_limit, double kept) {
+  state.limit = state.limit + kept * (learned_limit - state.limit);
+  state.slots = std::max(1.0, std::floor(state.limit));
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/endpoint_ring.cpp
@@ -0,0 +1,124 @@
+#include "policy/endpoint_ring.hpp"
+
+#include <algorithm>
+#include <boost/multi_index/identity.hpp>
+#include <boost/multi_index/ranked_index.hpp>
+#include <boost/multi_index_container.hpp>
+#include <cmath>
+#include <tuple>
+#include <utility>
+
+#include "policy/endpoint.hpp"
+
+namespace gateway::policy {
+namespace {
+
+constexpr int kHashBits = 53;  // used of a hash: as many as a double holds exactly
+
+std::uint64_t OrderingHash(const Endpoint& endpoint) { return endpoint.hash >> (64 - kHashBits); }
+
+}  // namespace
+
+// Endpoints by hash; the id decides between equal ones, so that all gateways agree.
+struct EndpointRing::Order {
+  struct ByHash {
+    bool operator()(const Endpoint* a, const Endpoint* b) const {
+      const std::uint64_t left = OrderingHash(*a);
+      const std::uint64_t right = OrderingHash(*b);
+      return left != right ? left < right : a->info.id < b->info.id;
+    }
+  };
+  using Endpoints = boost::multi_index_container<
+      Endpoint*, boost::multi_index::indexed_by<
+                     boost::multi_index::ranked_unique<boost::multi_index::identity<Endpoint*>, ByHash>>>;
+  Endpoints endpoints;
+
+  double Position(std::size_t rank) const {
+    return static_cast<double>(rank) / static_cast<double>(endpoints.size());
+  }
+  // The number of these endpoints before `position`.
+  std::size_t CountBefore(double position) const {
+    const std::size_t all = endpoints.size();
+    const double wanted = std::ceil(position * static_cast<double>(all));
+    auto count = static_cast<std::size_t>(std::clamp(wanted, 0.0, static_cast<double>(all)));
+    while (count > 0 && Position(count - 1) >= position) --count;  // `wanted` is rounded
+    while (count < all && Position(count) < position) ++count;
+    return count;
+  }
+};
+
+EndpointRing::EndpointRing() = default;
+EndpointRing::~EndpointRing() = default;
+EndpointRing::EndpointRing(EndpointRing&&) noexcept = default;
+EndpointRing& EndpointRing::operator=(EndpointRing&&) noexcept = default;
+
+void EndpointRing::Insert(Endpoint& endpoint) {
+  std::unique_ptr<Order>& order = orders_[endpoint.machine_type];
+  if (!order) order = std::make_unique<Order>();
+  size_ += order->endpoints.insert(&endpoint).second;
+}
+
+void EndpointRing::Erase(Endpoint& endpoint) {
+  const auto found = orders_.find(endpoint.machine_type);
+  if (found == orders_.end()) return;
+  size_ -= found->second->endpoints.erase(&endpoint);
+  if (found->second->endpoints.empty()) orders_.erase(found);
+}
+
+struct EndpointRing::Walk::Cursor {
+  const Order* order;
+  Order::Endpoints::const_iterator at;
+  std::size_t rank;
+  int lap = 0;  // completed rounds of the walk
+
+  void Advance() {
+    ++at;
+    ++rank;
+    Wrap();
+  }
+  void Wrap() {
+    if (rank < order->endpoints.size()) return;
+    at = order->endpoints.begin();
+    rank = 0;
+    ++lap;
+  }
+  // Whether `other` comes first. Types whose endpoints share a position take turns by hash.
+  bool operator<(const Cursor& other) const { return Key() > other.Key(); }
+
+ private:
+  std::tuple<int, double, std::uint64_t> Key() const {
+    return {lap, order->Position(rank), OrderingHash(**at)};
+  }
+};
+
+EndpointRing::Walk::Walk(const EndpointRing& ring, std::size_t first) : ring_(ring) {
+  // Before a position each type has less than one endpoint beyond its even part; one more for rounding.
+  const double types = static_cast<double>(ring.orders_.size());
+  const double all = static_cast<double>(ring.size_);
+  std::size_t passed = BeginAt((static_cast<double>(first) - types - 1) / all);
+  for (; passed < first; ++passed) Next();
+}
+
+EndpointRing::Walk::~Walk() = default;
+
+std::size_t EndpointRing::Walk::BeginAt(double position) {
+  std::size_t passed = 0;
+  for (const auto& [type, order] : ring_.orders_) {
+    const std::size_t rank = order->CountBefore(position);
+    passed += rank;
+    heap_.push_back({order.get(), order->endpoints.nth(rank), rank});
+    heap_.back().Wrap();
+  }
+  std::make_heap(heap_.begin(), heap_.end());
+  return passed;
+}
+
+Endpoint& EndpointRing::Walk::Next() {
+  std::pop_heap(heap_.begin(), heap_.end());
+  Endpoint& endpoint = **heap_.back().at;
+  heap_.back().Advance();
+  std::push_heap(heap_.begin(), heap_.end());
+  return endpoint;
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/outlier_detection.cpp
@@ -0,0 +1,151 @@
+#include "policy/outlier_detection.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "policy/endpoint.hpp"
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kOutcomeWeight = 0.2;  // of a new outcome in the failure rate
+constexpr double kBrokenConnectionWeight = 0.05;
+constexpr double kEjectionThreshold = 0.3;     // failure rate
+constexpr double kReadmissionThreshold = 0.1;  // failure rate, after successful probes
+
+constexpr Millis kInitialProbeBackoff = 300;
+constexpr Millis kMaximumProbeBackoff = 4000;
+constexpr double kProbesPerRequest = 0.05;  // where many gateways share an endpoint
+constexpr double kMaximumSavedProbes = 2;
+constexpr double kProbeTimeShare = 0.5;  // of the time left to the latency objective
+
+constexpr Millis kClassErrorBackoff = 300;
+constexpr Millis kMaximumClassErrorBackoff = 4000;
+constexpr int kMaximumBackoffDoublings = 30;
+
+constexpr std::size_t kLostZoneEndpoints = 3;  // unresponsive ones, with no response from the zone since
+constexpr Millis kRestartSilence = 1000;  // without a response, after which failed connections mean a restart
+
+// Spreads a backoff over 75 to 125%.
+Millis WithJitter(Millis backoff, RandomSource& random) { return backoff * (0.75 + 0.5 * random.Uniform()); }
+
+}  // namespace
+
+void OutlierDetection::Reset(OutlierState& state) const {
+  state.failure_rate = 0;
+  state.ejected = false;
+  state.restart_suspected = false;
+  state.probe_backoff = kInitialProbeBackoff;
+  state.class_errors.assign(class_count_, {});
+}
+
+OutlierDetection::Assessment OutlierDetection::RecordOutcome(Endpoint& endpoint, const Outcome& outcome,
+                                                             Millis now, RandomSource& random) const {
+  OutlierState& state = endpoint.outlier;
+  const bool served = outcome.result == AttemptResult::kServed;
+  state.last_outcome_at = now;
+  RecordClassError(state, outcome, now);
+  // An overloaded endpoint fails connections too: only one that has served nothing for long may have
+  // restarted.
+  const bool dropped =
+      outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
+  const bool silent = now - state.last_served_at > kRestartSilence;
+  if (dropped && silent && state.failure_rate >= kOutcomeWeight) state.restart_suspected = true;
+  // A time-out while other attempts were served shows a slow request, not a failing endpoint.
+  const bool isolated_timeout =
+      outcome.result == AttemptResult::kTimedOut && state.last_served_at > now - outcome.latency;
+  // A connection that breaks while the endpoint serves others shows a fault of the network.
+  const bool served_lately = state.last_served_at > now - kRestartSilence;
+  const bool broken_connection = outcome.result == AttemptResult::kReset && served_lately;
+  if (served) state.last_served_at = now;
+  RecordZone(endpoint, outcome, now);
+  if (!isolated_timeout) {
+    const double weight = broken_connection ? kBrokenConnectionWeight : kOutcomeWeight;
+    state.failure_rate += weight * ((served ? 0.0 : 1.0) - state.failure_rate);
+  }
+  Assessment assessment;
+  assessment.shows_latency = !isolated_timeout && !broken_connection;
+  if (served && state.ejected) {
+    assessment.change = Readmit(state, now);
+  } else if (!served && !isolated_timeout && (state.failure_rate > kEjectionThreshold || state.ejected)) {
+    if (Eject(state, now, random)) assessment.change = Change::kEjected;
+  }
+  return assessment;
+}
+
+void OutlierDetection::RecordRejection(Endpoint& endpoint, Millis now, RandomSource& random) const {
+  if (endpoint.outlier.ejected) Eject(endpoint.outlier, now, random);
+}
+
+void OutlierDetection::RecordClassError(OutlierState& state, const Outcome& outcome, Millis now) const {
+  OutlierState::ClassErrors& errors = state.class_errors[outcome.class_index];
+  if (outcome.result == AttemptResult::kServed) errors = {};
+  if (outcome.result != AttemptResult::kError) return;
+  const int doublings = std::min(errors.consecutive++, kMaximumBackoffDoublings);
+  errors.avoid_until = now + std::min(kMaximumClassErrorBackoff, kClassErrorBackoff * std::exp2(doublings));
+}
+
+void OutlierDetection::RecordZone(Endpoint& endpoint, const Outcome& outcome, Millis now) const {
+  Zone& zone = *endpoint.zone;
+  if (outcome.result == AttemptResult::kServed) {
+    zone.last_response_at = now;
+    zone.unresponsive.clear();
+  }
+  const bool unresponsive =
+      outcome.result == AttemptResult::kTimedOut || outcome.result == AttemptResult::kConnectFailed;
+  const Millis sent_at = now - outcome.latency;
+  if (unresponsive && sent_at > zone.last_response_at) zone.unresponsive.insert(endpoint.info.id);
+}
+
+// Ejects the endpoint, or lengthens the backoff of one whose probe failed. Returns whether it was not
+// ejected.
+bool OutlierDetection::Eject(OutlierState& state, Millis now, RandomSource& random) const {
+  const bool newly_ejected = !std::exchange(state.ejected, true);
+  state.next_probe_at = now + WithJitter(state.probe_backoff, random);
+  state.probe_backoff = std::min(state.probe_backoff * 2, kMaximumProbeBackoff);
+  return newly_ejected;
+}
+
+OutlierDetection::Change OutlierDetection::Readmit(OutlierState& state, Millis now) const {
+  state.next_probe_at = now;
+  state.probe_backoff = kInitialProbeBackoff;
+  state.ejected = state.failure_rate >= kReadmissionThreshold;
+  if (state.restart_suspected) return Change::kRestarted;
+  return state.ejected ? Change::kNone : Change::kReadmitted;
+}
+
+bool OutlierDetection::IsAvoidedForClass(const OutlierState& state, std::size_t class_index,
+                                         Millis now) const {
+  return now < state.class_errors[class_index].avoid_until;
+}
+
+bool OutlierDetection::IsZoneLost(const Zone& zone, std::size_t zone_count) const {
+  return zone_count > 1 && zone.unresponsive.size() >= kLostZoneEndpoints;
+}
+
+bool OutlierDetection::IsProbeDue(const Endpoint& endpoint, Millis now) const {
+  return now >= endpoint.outlier.next_probe_at && endpoint.in_flight == 0;
+}
+
+void OutlierDetection::EarnProbe(bool many_gateways_per_endpoint) {
+  const double earned = many_gateways_per_endpoint ? kProbesPerRequest : 1;
+  probe_budget_ = std::min(probe_budget_ + earned, kMaximumSavedProbes);
+}
+
+void OutlierDetection::TakeProbe() { probe_budget_ = std::max(0.0, probe_budget_ - 1); }
+
+Millis OutlierDetection::ProbeDeadline(Millis now, Millis objective_at) const {
+  return now + kProbeTimeShare * (objective_at - now);
+}
+
+void OutlierDetection::Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned,
+                               double kept, Millis now, RandomSource& random) const {
+  state.failure_rate = kept * learned.failure_rate;
+  state.ejected = learned.ejected && state.failure_rate >= kReadmissionThreshold;
+  state.restart_suspected = learned.restart_suspected;
+  state.last_outcome_at = learned.last_outcome_at;
+  if (state.ejected) state.next_probe_at = now + WithJitter(kept * state.probe_backoff, random);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/policy_log.cpp
@@ -0,0 +1,51 @@
+#include "policy/policy_log.hpp"
+
+#include <algorithm>
+#include <cstdio>
+#include <utility>
+
+namespace gateway::policy {
+namespace {
+
+constexpr Millis kStatusInterval = 5000;
+constexpr Millis kMinimumEventInterval = 200;
+constexpr std::size_t kMaximumLine = 400;  // bytes
+
+std::string Format(const PolicyStatus& status, const PolicyCounters& counters) {
+  const auto outcomes = [&counters](AttemptResult result) {
+    return counters.outcomes[static_cast<std::size_t>(result)];
+  };
+  char text[kMaximumLine];
+  std::snprintf(
+      text, sizeof text,
+      "state: rate %.0f spent %.0f tokens %.1f failing %.2f queued %zu servers %d suspect %d out %d "
+      "places %.0f latency %.1f | arrived %d direct %d released %d held %.1f full %d waited %d late %d "
+      "spoiled %d | served %d slow %d error %d rejected %d timeout %d connect %d reset %d",
+      status.rate, status.sent_rate, status.tokens, status.failure_rate, status.queued, status.endpoints_up,
+      status.endpoints_ejected, status.attempts_in_flight, status.slots, status.latency, counters.arrived,
+      counters.sent_directly, counters.released, counters.time_in_queue / std::max(1, counters.released),
+      counters.rejected_full, counters.rejected_waited, counters.rejected_late, counters.failed_attempts,
+      outcomes(AttemptResult::kServed), counters.served_late, outcomes(AttemptResult::kError),
+      outcomes(AttemptResult::kRejected), outcomes(AttemptResult::kTimedOut),
+      outcomes(AttemptResult::kConnectFailed), outcomes(AttemptResult::kReset));
+  return text;
+}
+
+}  // namespace
+
+void PolicyLog::WriteEvent(EventContext& context, std::string text) {
+  if (context.now < next_event_at_) return;
+  next_event_at_ = context.now + kMinimumEventInterval;
+  context.Emit(LogLine{std::move(text)});
+}
+
+bool PolicyLog::IsStatusDue(Millis now) {
+  if (now < last_status_at_ + kStatusInterval) return false;
+  return std::exchange(last_status_at_, now) != kNever;
+}
+
+void PolicyLog::WriteStatus(EventContext& context, const PolicyStatus& status) {
+  context.Emit(LogLine{Format(status, std::exchange(counters_, {}))});
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/request_controller.hpp
@@ -0,0 +1,93 @@
+// The admission side of a Policy: each request from its arrival to its final answer.
+//
+// A request is sent at once if nothing is queued and a token and an endpoint are free; else it waits in the
+// queue of its class. Failed attempts are retried within the rules of retry_policy.hpp.
+#ifndef GATEWAY_POLICY_REQUEST_CONTROLLER_HPP_
+#define GATEWAY_POLICY_REQUEST_CONTROLLER_HPP_
+
+#include <cstddef>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "gateway/events.hpp"
+#include "gateway/learned_state.hpp"
+#include "gateway/settings.hpp"
+#include "policy/active_request.hpp"
+#include "policy/admission_rate.hpp"
+#include "policy/class_queues.hpp"
+#include "policy/event_context.hpp"
+#include "policy/policy_log.hpp"
+#include "policy/retry_policy.hpp"
+#include "policy/tenant_quotas.hpp"
+#include "policy/traffic_statistics.hpp"
+#include "policy/upstream_controller.hpp"
+
+namespace gateway::policy {
+
+class RequestController {
+ public:
+  // Keeps references to all of its arguments.
+  RequestController(const Settings& settings, TrafficStatistics& traffic, UpstreamController& upstream,
+                    PolicyLog& log);
+
+  // Refills the token bucket.
+  void Advance(Millis passed) { rate_.Advance(passed, GetFleet()); }
+
+  void Handle(EventContext& context, const Request& request);
+  void Handle(EventContext& context, const RequestComplete& complete);
+  void Handle(EventContext& context, const ResponseStarted& started);
+  void Handle(EventContext& context, const AttemptOutcome& outcome);
+  void Handle(EventContext& context, const ClientDisconnected& disconnected);
+
+  // Answers the queued requests whose queue deadline has passed.
+  void ExpireQueued(EventContext& context);
+  // Spends tokens on queued requests, by Most Credit First.
+  void ReleaseQueued(EventContext& context);
+
+  void FillStatus(PolicyStatus& status) const;
+
+  void Export(LearnedState& state) const { rate_.Export(state); }
+  // `kept` and `share` as in AdmissionRate::Import.
+  void Import(const LearnedState& state, double kept, double share) {
+    rate_.Import(state, kept, share, GetFleet());
+  }
+  void Scale(double factor) { rate_.Scale(factor, GetFleet()); }
+
+ private:
+  AdmissionRate::Fleet GetFleet() const;
+  const TrafficClassSettings& ClassOf(const ActiveRequest& request) const {
+    return settings_.classes[request.class_index];
+  }
+
+  void Begin(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
+  void Enqueue(EventContext& context, ActiveRequest& request);
+  void Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint);
+  void RecordEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
+                 const AttemptOutcome& outcome);
+  void RecordStreamEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
+                       AttemptResult result);
+  void RecordForRate(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
+                     AttemptResult result);
+  void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
+  void Answer(EventContext& context, ActiveRequest& request);
+  Millis RetryAfter() const;
+  // Forgets the request if it is answered and none of its attempts is in flight; it may be gone afterwards.
+  void EraseIfEnded(ActiveRequest& request);
+
+  const Settings& settings_;
+  TrafficStatistics& traffic_;
+  UpstreamController& upstream_;
+  PolicyLog& log_;
+  std::unordered_map<std::string, std::size_t> class_indices_;  // looked up, never iterated
+  ActiveRequests requests_;
+  AdmissionRate rate_;
+  TenantQuotas quotas_;
+  ClassQueues queues_;
+  RetryBudget retry_budget_;
+  std::vector<ActiveRequest*> expired_;  // kept for its memory
+};
+
+}  // namespace gateway::policy
+
+#endif  // GATEWAY_POLICY_REQUEST_CONTROLLER_HPP_
--- /dev/null
+++ b/src/policy/slow_start.cpp
@@ -0,0 +1,85 @@
+#include "policy/slow_start.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "policy/endpoint.hpp"
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kSafetyShare = 0.7;  // of the overload factor that an endpoint is sent
+constexpr double kMaximumCredit = 1;  // attempts
+constexpr Millis kThroughputMemory = 10000;
+constexpr Millis kArrivalPriorMs = 500;        // endpoint time for which arrivals stand in for responses
+constexpr Millis kMachineTypePriorMs = 20000;  // endpoint time for which the mean of all stands in
+
+}  // namespace
+
+SlowStart::SlowStart(const Settings& settings)
+    : initial_fraction_(settings.warm_up_initial_fraction),
+      duration_(settings.warm_up_duration),
+      overload_factor_(settings.overload_factor) {}
+
+void SlowStart::Begin(SlowStartState& state, Millis started_at, double initial_credit, Millis now) const {
+  state.started_at = std::max(state.started_at, started_at);
+  state.credit = initial_credit;
+  state.credited_at = now;
+}
+
+double SlowStart::WarmUpFraction(const SlowStartState& state, Millis now) const {
+  const Millis age = now - state.started_at;
+  if (age >= duration_) return 1;
+  return initial_fraction_ + (1 - initial_fraction_) * std::max(0.0, age) / duration_;
+}
+
+bool SlowStart::HasCredit(Endpoint& endpoint, Millis now) const {
+  SlowStartState& state = endpoint.slow_start;
+  const double fraction = WarmUpFraction(state, now);
+  if (fraction >= 1) return true;
+  const double earned = kSafetyShare * overload_factor_ * fraction * endpoint.info.weight *
+                        ServiceRatePerMs(endpoint.machine_type->throughput) * (now - state.credited_at);
+  state.credit = std::min(kMaximumCredit, state.credit + earned);
+  state.credited_at = now;
+  return state.credit >= 1;
+}
+
+void SlowStart::RecordSend(SlowStartState& state, Millis now) const {
+  if (!IsWarm(state, now)) state.credit -= 1;
+}
+
+void SlowStart::RecordServed(Endpoint& endpoint, Millis now) const {
+  if (IsWarm(endpoint.slow_start, now)) endpoint.machine_type->throughput.served += 1;
+}
+
+// Only the subset counts: with the responses of all gateways that use an endpoint, the parts granted to one
+// that warms up would add up to more than the whole.
+void SlowStart::UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset,
+                                   Millis passed, double arrivals_per_ms, Millis now) {
+  const double kept = std::exp(-passed / kThroughputMemory);
+  for (auto& [name, machine_type] : machine_types) {
+    machine_type.throughput.served *= kept;
+    machine_type.throughput.endpoint_time *= kept;
+  }
+  double weight = 0;
+  for (const Endpoint* const endpoint : subset) {
+    if (endpoint->outlier.ejected) continue;
+    weight += endpoint->info.weight;
+    if (!IsWarm(endpoint->slow_start, now)) continue;
+    endpoint->machine_type->throughput.endpoint_time += passed * endpoint->info.weight;
+  }
+  Throughput sum;
+  for (const auto& [name, machine_type] : machine_types) {
+    sum.served += machine_type.throughput.served;
+    sum.endpoint_time += machine_type.throughput.endpoint_time;
+  }
+  mean_rate_per_ms_ = (sum.served + kArrivalPriorMs * arrivals_per_ms) /
+                      std::max(1.0, sum.endpoint_time + kArrivalPriorMs * weight);
+}
+
+double SlowStart::ServiceRatePerMs(const Throughput& throughput) const {
+  return (throughput.served + kMachineTypePriorMs * mean_rate_per_ms_) /
+         (throughput.endpoint_time + kMachineTypePriorMs);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/tenant_quotas.cpp
@@ -0,0 +1,33 @@
+#include "policy/tenant_quotas.hpp"
+
+#include <algorithm>
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kMinimumBurst = 3;  // tokens that every bucket can hold: a gateway's part may be a fraction
+constexpr Millis kBurstPeriod = 1000;  // a bucket holds the tokens of this time, if that is more
+
+}  // namespace
+
+TenantQuotas::TenantQuotas(const Settings& settings) {
+  for (const TenantSettings& tenant : settings.tenants) {
+    buckets_[tenant.name].tokens_per_ms = tenant.quota_per_second / settings.gateway_count / 1000;
+  }
+}
+
+bool TenantQuotas::TakeToken(const std::string& tenant, Millis now) {
+  if (buckets_.empty()) return true;
+  const auto found = buckets_.find(tenant);
+  if (found == buckets_.end()) return false;
+  Bucket& bucket = found->second;
+  if (bucket.tokens_per_ms <= 0) return true;
+  const double capacity = std::max(kMinimumBurst, bucket.tokens_per_ms * kBurstPeriod);
+  bucket.tokens = std::min(bucket.tokens + (now - bucket.refilled_at) * bucket.tokens_per_ms, capacity);
+  bucket.refilled_at = now;
+  if (bucket.tokens < 1) return false;
+  bucket.tokens -= 1;
+  return true;
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/upstream_learned_state.cpp
@@ -0,0 +1,104 @@
+// Export, import and scaling of what an UpstreamController has learned.
+#include <algorithm>
+#include <map>
+
+#include "policy/learned_state_age.hpp"
+#include "policy/upstream_controller.hpp"
+
+namespace gateway::policy {
+namespace {
+
+LearnedState::Endpoint ExportEndpoint(const Endpoint& endpoint) {
+  LearnedState::Endpoint learned;
+  learned.id = endpoint.info.id;
+  const LatencyEstimate& latency = endpoint.concurrency.latency;
+  learned.latency = latency.current;
+  learned.long_term_latency = latency.long_term;
+  learned.base_latency = latency.base;
+  learned.samples = latency.samples;
+  learned.concurrency_limit = endpoint.concurrency.limit;
+  learned.failure_rate = endpoint.outlier.failure_rate;
+  learned.ejected = endpoint.outlier.ejected;
+  learned.restart_suspected = endpoint.outlier.restart_suspected;
+  learned.last_outcome_at = endpoint.outlier.last_outcome_at;
+  learned.started_at = endpoint.slow_start.started_at;
+  return learned;
+}
+
+LatencyEstimate AgedLatency(const LearnedState::Endpoint& learned, double kept) {
+  LatencyEstimate latency;
+  latency.samples = static_cast<int>(kept * learned.samples + 0.5);
+  if (latency.samples == 0) return {};
+  latency.current = learned.latency;
+  latency.long_term = learned.long_term_latency;
+  latency.base = learned.base_latency;
+  return latency;
+}
+
+// The latency of a machine type is the mean of its endpoints, of which this is number `count`.
+void AddToMean(LatencyEstimate& type, const LatencyEstimate& own, int count) {
+  const double weight = 1.0 / count;
+  type.current += weight * (own.current - type.current);
+  type.long_term += weight * (own.long_term - type.long_term);
+  type.base += weight * (own.base - type.base);
+  type.samples += own.samples;
+}
+
+}  // namespace
+
+void UpstreamController::Export(LearnedState& state) const {
+  for (const auto& [name, type] : table_.machine_types()) {
+    state.machine_types.push_back({name, type.throughput.served, type.throughput.endpoint_time});
+  }
+  for (const auto& [id, endpoint] : table_.endpoints()) {
+    if (endpoint.up) state.endpoints.push_back(ExportEndpoint(endpoint));
+  }
+}
+
+void UpstreamController::Import(const LearnedState& state, double kept, double share, Millis now) {
+  for (const LearnedState::MachineType& learned : state.machine_types) {
+    Throughput& throughput = table_.machine_types()[learned.name].throughput;
+    throughput.served = learned.served * kept * share;
+    throughput.endpoint_time = learned.endpoint_time * kept;
+  }
+  swept_at_ = now;
+  slow_start_.UpdateServiceRates(table_.machine_types(), subset_.endpoints(), 0, traffic_.ArrivalsPerMs(),
+                                 now);
+  std::map<const MachineType*, int> imported;
+  for (const LearnedState::Endpoint& learned : state.endpoints) {
+    Endpoint* const endpoint = table_.Find(learned.id);
+    if (endpoint == nullptr || !endpoint->up) continue;
+    if (!ImportEndpoint(*endpoint, learned, state.exported_at, now)) continue;
+    AddToMean(endpoint->machine_type->latency, endpoint->concurrency.latency,
+              ++imported[endpoint->machine_type]);
+  }
+  ChooseSubset();
+}
+
+// Returns whether a latency was taken over.
+bool UpstreamController::ImportEndpoint(Endpoint& endpoint, const LearnedState::Endpoint& learned,
+                                        Millis exported_at, Millis now) {
+  endpoint.slow_start.credit = 0;  // initial credit was granted by the former process already
+  if (learned.samples <= 0 || exported_at > now) return false;
+  const Millis started_at = endpoint.info.started_at;
+  const bool restarted_since = started_at > 0 && started_at > learned.started_at;
+  if (restarted_since) return false;
+  const double kept_latency = RemainingWeight(learned.last_outcome_at, now, kLatencyHalfLife);
+  const double kept_failures = RemainingWeight(learned.last_outcome_at, now, kFailureHalfLife);
+  endpoint.slow_start.started_at = learned.started_at;
+  ConcurrencyLimit::Restore(endpoint.concurrency, learned.concurrency_limit, kept_latency);
+  endpoint.concurrency.latency = AgedLatency(learned, kept_latency);
+  outliers_.Restore(endpoint.outlier, learned, kept_failures, now, random_);
+  if (endpoint.concurrency.latency.samples <= 0) return false;
+  table_.MarkMeasured(endpoint);
+  return true;
+}
+
+void UpstreamController::Scale(double factor) {
+  for (auto& [name, type] : table_.machine_types()) type.throughput.served *= factor;
+  for (auto& [id, endpoint] : table_.endpoints()) {
+    limits_.Scale(endpoint.concurrency, factor, subset_.gateways_per_endpoint());
+  }
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -0,0 +1,109 @@
+// The ring of endpoints against a plain reference that sorts all of them anew.
+#include "policy/endpoint_ring.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <memory>
+#include <random>
+#include <string>
+#include <tuple>
+#include <vector>
+
+#include "policy/endpoint.hpp"
+#include "policy/hash.hpp"
+
+namespace gateway::policy {
+namespace {
+
+// Positions of all endpoints as EndpointRing defines them, worked out from the whole list.
+std::vector<const Endpoint*> SortedByPosition(const std::vector<Endpoint*>& endpoints) {
+  std::map<const MachineType*, std::vector<const Endpoint*>> types;
+  for (const Endpoint* endpoint : endpoints) types[endpoint->machine_type].push_back(endpoint);
+  std::vector<std::tuple<double, std::uint64_t, const Endpoint*>> placed;
+  for (auto& [type, members] : types) {
+    std::ranges::sort(members, {}, [](const Endpoint* b) { return std::pair(b->hash >> 11, b->info.id); });
+    for (std::size_t rank = 0; rank < members.size(); ++rank) {
+      const double position = static_cast<double>(rank) / static_cast<double>(members.size());
+      placed.emplace_back(position, members[rank]->hash >> 11, members[rank]);
+    }
+  }
+  std::ranges::sort(placed);
+  std::vector<const Endpoint*> sorted;
+  for (const auto& [position, hash, endpoint] : placed) sorted.push_back(endpoint);
+  return sorted;
+}
+
+class EndpointRingTest : public testing::Test {
+ protected:
+  Endpoint& Add(int number, MachineType& type) {
+    endpoints_.push_back(std::make_unique<Endpoint>());
+    Endpoint& endpoint = *endpoints_.back();
+    endpoint.info.id = "host-" + std::to_string(number);
+    endpoint.hash = Hash(endpoint.info.id);
+    endpoint.machine_type = &type;
+    return endpoint;
+  }
+  void ExpectWalksAsSorted(const EndpointRing& ring, const std::vector<Endpoint*>& on_ring,
+                           std::size_t first) {
+    const std::vector<const Endpoint*> sorted = SortedByPosition(on_ring);
+    ASSERT_EQ(ring.size(), sorted.size());
+    EndpointRing::Walk walk(ring, first);
+    for (std::size_t i = 0; i < 2 * sorted.size() + 1; ++i) {
+      ASSERT_EQ(&walk.Next(), sorted[(first + i) % sorted.size()]) << "from " << first << ", step " << i;
+    }
+  }
+
+  std::vector<std::unique_ptr<Endpoint>> endpoints_;
+};
+
+TEST_F(EndpointRingTest, WalksInTheOrderOfPositionsWhateverCameAndWent) {
+  constexpr int kSeeds = 200, kMostServers = 60, kMostKinds = 9;
+  for (int seed = 1; seed <= kSeeds; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    std::mt19937 random(static_cast<std::mt19937::result_type>(seed));
+    std::vector<MachineType> types(1 + random() % kMostKinds);
+    std::vector<Endpoint*> on_ring;
+    EndpointRing ring;
+    endpoints_.clear();
+    const int all = 1 + static_cast<int>(random() % kMostServers);
+    for (int number = 0; number < all; ++number) {
+      Endpoint& endpoint = Add(number, types[random() % types.size()]);
+      ring.Insert(endpoint);
+      on_ring.push_back(&endpoint);
+      if (random() % 3 > 0) continue;
+      const std::size_t leaving = random() % on_ring.size();
+      ring.Erase(*on_ring[leaving]);
+      on_ring.erase(on_ring.begin() + static_cast<std::ptrdiff_t>(leaving));
+    }
+    for (std::size_t first = 0; first < on_ring.size(); ++first) ExpectWalksAsSorted(ring, on_ring, first);
+    if (HasFatalFailure()) return;
+  }
+}
+
+TEST_F(EndpointRingTest, HoldsNothingOnceAllHaveLeft) {
+  MachineType type;
+  EndpointRing ring;
+  Endpoint& endpoint = Add(1, type);
+  ring.Insert(endpoint);
+  ring.Erase(endpoint);
+  ring.Erase(endpoint);  // not on the ring: nothing happens
+  EXPECT_EQ(ring.size(), 0u);
+  const EndpointRing::Walk walk(ring, 0);  // of an empty ring: may be made, has no next endpoint
+}
+
+TEST_F(EndpointRingTest, ManyKindsOfOneServerEachKeepTheirOrderByHash) {
+  std::vector<MachineType> types(910);
+  std::vector<Endpoint*> on_ring;
+  EndpointRing ring;
+  for (std::size_t i = 0; i < types.size(); ++i) {
+    on_ring.push_back(&Add(static_cast<int>(i), types[i]));
+    ring.Insert(*on_ring.back());
+  }
+  ExpectWalksAsSorted(ring, on_ring, 0);
+  ExpectWalksAsSorted(ring, on_ring, 500);
+}
+
+}  // namespace
+}  // namespace gateway::policy
