--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -9,6 +9,14 @@
 setting() { sed -n "s/^$1 = \"\(.*\)\".*/\1/p" deploy/balancer.toml; }
 step() { printf '\n== %s\n' "$*"; }
 
+# The builds of the tests use ccache where it is installed. Paths below the checkout count as relative to it, so that a
+# clone in another folder finds what was compiled in this one.
+launcher=$(command -v ccache >/dev/null && echo ccache || true)
+export CCACHE_BASEDIR=$PWD CCACHE_NOHASHDIR=1
+configure_tests() {  # configure_tests BUILD OPTION...
+  cmake -B "$1" -DCMAKE_CXX_COMPILER_LAUNCHER="$launcher" -DOPALSWITCH_TESTS=ON "${@:2}" >/dev/null
+}
+
 step "format and length of lines"
 find src include tests examples -name '*.?pp' -print0 | xargs -0 clang-format --dry-run -Werror
 # Characters, not bytes.
@@ -32,7 +40,7 @@
 bash -c "$(setting build)"
 
 step "clang-tidy"
-cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DOPALSWITCH_TESTS=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
+configure_tests build-tests -DCMAKE_BUILD_TYPE=Release -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
 bash tests/lint.sh build-tests
 
 step "tests, Release"
@@ -40,7 +48,7 @@
 bash tests/ctest_known_red.sh build-tests
 
 step "tests, address and undefined-behaviour sanitizers"
-cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DOPALSWITCH_TESTS=ON -DOPALSWITCH_SANITIZE=ON >/dev/null
+configure_tests build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DOPALSWITCH_SANITIZE=ON
 cmake --build build-sanitize -j"$(nproc)"
 bash tests/ctest_known_red.sh build-sanitize
 
