--- /dev/null
+++ b/tests/registry_compatibility_test.cpp
@@ -0,0 +1,246 @@
+// A data folder of the list service that program 0.1.0 wrote (fixtures/registry-0.1.0): its snapshot and the
+// log behind it mean the same to this program, which would write the same bytes.
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <boost/asio/io_context.hpp>
+#include <chrono>
+#include <filesystem>
+#include <initializer_list>
+#include <memory>
+#include <optional>
+#include <ostream>
+#include <string>
+#include <vector>
+
+#include "registry/durable_catalog.hpp"
+#include "registry/leases.hpp"
+#include "store/store.hpp"
+
+namespace elderhead::registry {
+namespace {
+
+constexpr const char* kFixture = FIXTURES "/registry-0.1.0";
+constexpr const char* kOwner = "registry fixture";
+constexpr const char* kEpoch = "6040907ebed6cefb";
+constexpr Revision kFirstRevision = 1796285512975;           // before the first change
+constexpr Revision kSnapshotRevision = kFirstRevision + 12;  // of the snapshot
+constexpr Revision kLastRevision = kFirstRevision + 25;
+constexpr base::Millis kHour = 3600000;
+
+// A copy, since a service that opens a folder writes there.
+class FolderCopy {
+ public:
+  FolderCopy() { std::filesystem::copy(kFixture, path); }
+  ~FolderCopy() { std::filesystem::remove_all(path); }
+  FolderCopy(const FolderCopy&) = delete;
+  FolderCopy& operator=(const FolderCopy&) = delete;
+
+  const std::string path = ::testing::TempDir() + "registry-0.1.0-" + std::to_string(getpid());
+};
+
+class IgnoringObserver : public CatalogObserver {
+ public:
+  void OnApplied(const Command&, const Outcome&) override {}
+  void OnRefused(const Command&) override {}
+  void OnReopened(const std::vector<const Member*>&) override {}
+  void OnNewRevision() override {}
+};
+
+// The durable catalog over a copy of the fixture.
+struct OpenedCatalog {
+  OpenedCatalog() {
+    ServiceOptions options;
+    options.state_folder = folder.path;
+    options.owner = kOwner;
+    options.program = "test";
+    options.epoch = "epoch of a new history";
+    options.bounds = {100, 100};
+    durable.emplace(io, *files, options, observer);
+  }
+  const Catalog& catalog() const { return durable->catalog(); }
+  Outcome Propose(const Command& command) {
+    std::optional<Outcome> outcome;
+    durable->Propose(command, [&outcome](const Outcome& answered) { outcome = answered; });
+    while (!outcome && io.run_one_for(std::chrono::seconds(10)) > 0) {
+    }
+    return outcome.value_or(Outcome{"no answer", "", ""});
+  }
+
+  const FolderCopy folder;
+  const std::unique_ptr<store::FileSystem> files = store::MakePosixFileSystem();
+  boost::asio::io_context io{1};
+  IgnoringObserver observer;
+  std::optional<DurableCatalog> durable;
+};
+
+// What stands in the fixture, read only.
+store::Examination ExamineFixture() {
+  const auto files = store::MakePosixFileSystem();
+  store::Examination found;
+  EXPECT_TRUE(store::Examine(*files, kFixture, kOwner, found).ok());
+  return found;
+}
+
+Member MakeMember(const std::string& id, const std::string& address, Incarnation incarnation,
+                  Revision changes) {
+  Member member;
+  member.id = id;
+  member.address = address;
+  member.incarnation = incarnation;
+  member.revision = kFirstRevision + changes;
+  member.term = kHour;
+  return member;
+}
+
+// In the order of their names.
+std::vector<Member> ExpectedMembers() {
+  Member web1 = MakeMember("web-1", "10.1.0.1:3001", 1764600000101, 16);
+  web1.zone = "a";
+  web1.kind = "m2";
+  web1.cell = "3";
+  web1.version = "1.5.0";
+  Member web10 = MakeMember("web-10", "10.1.0.10:3000", 1764600000010, 25);
+  web10.zone = "c";
+  web10.kind = "m2";
+  web10.term = 500;
+  web10.suspect = true;
+  Member web2 = MakeMember("web-2", "10.1.0.2:3000", 1764600000002, 17);
+  web2.zone = "a";
+  web2.kind = "m2";
+  web2.cell = "\"north\"";
+  web2.version = "1.4.0";
+  web2.size = 0.75;
+  Member web4 = MakeMember("web-4", "10.1.0.4:3000", 1764600000004, 8);
+  web4.zone = "b";
+  web4.kind = "m4";
+  web4.draining = true;
+  Member web7 = MakeMember("web-7", "10.1.0.7:3000", 1764600000007, 23);
+  web7.zone = "c";
+  web7.kind = "m2";
+  web7.cell = "4";
+  web7.version = "1.5.0";
+  web7.size = 1.5;
+  web7.term = kHour / 2;
+  web7.held_out = true;
+  return {web1, web10, web2, web4, web7};
+}
+
+// A change of the list, as far as it is compared.
+struct HistoryEntry {
+  Revision change = 0;  // counted from the first revision
+  std::string id, phase;
+  bool suspect = false, expired = false;
+  bool operator==(const HistoryEntry&) const = default;
+};
+
+void PrintTo(const HistoryEntry& entry, std::ostream* out) {
+  *out << entry.change << " " << entry.id << " " << entry.phase << (entry.suspect ? " suspect" : "")
+       << (entry.expired ? " expired" : "");
+}
+
+std::vector<HistoryEntry> ExpectedHistory() {
+  return {{1, "web-1", "up", false, false},        {2, "web-2", "up", false, false},
+          {3, "web-3", "up", false, false},        {4, "web-4", "up", false, false},
+          {5, "web-5", "up", false, false},        {6, "web-6", "up", false, false},
+          {7, "web-2", "draining", false, false},  {8, "web-4", "draining", false, false},
+          {9, "web-5", "removed", false, false},   {10, "web-1", "up", false, false},
+          {11, "web-6", "up", true, false},        {12, "web-6", "removed", true, true},
+          {13, "web-7", "up", false, false},       {14, "web-3", "removed", false, false},
+          {15, "web-2", "up", false, false},       {16, "web-1", "up", false, false},
+          {17, "web-2", "up", false, false},       {18, "web-8", "up", false, false},
+          {19, "web-8", "up", true, false},        {20, "web-8", "removed", true, true},
+          {21, "web-9", "up", false, false},       {22, "web-9", "removed", false, false},
+          {23, "web-7", "draining", false, false}, {24, "web-10", "up", false, false},
+          {25, "web-10", "up", true, false}};
+}
+
+TEST(RegistryCompatibility, RecoversMembersLeasesAndRevisions) {
+  const OpenedCatalog opened;
+  const Catalog& catalog = opened.catalog();
+  EXPECT_EQ(catalog.epoch(), kEpoch);
+  EXPECT_EQ(catalog.revision(), kLastRevision);
+  EXPECT_EQ(catalog.oldest(), kFirstRevision);
+  EXPECT_EQ(catalog.confirmed(), kFirstRevision + 14);
+  std::vector<Member> members;
+  for (const auto& [id, member] : catalog.members()) {
+    EXPECT_EQ(id, member.id);
+    members.push_back(member);
+  }
+  EXPECT_EQ(members, ExpectedMembers());
+  Leases leases({});
+  for (const Member& member : members) leases.Changed(member, 0);
+  EXPECT_EQ(leases.count(), 5u);
+}
+
+TEST(RegistryCompatibility, RecoversHistory) {
+  const OpenedCatalog opened;
+  std::vector<HistoryEntry> history;
+  for (const Member& member : opened.catalog().history()) {
+    history.push_back(
+        {member.revision - kFirstRevision, member.id, member.phase(), member.suspect, member.expired});
+  }
+  EXPECT_EQ(history, ExpectedHistory());
+}
+
+// Outcomes of keyed requests, from the snapshot and from the log.
+TEST(RegistryCompatibility, RecoversOutcomesOfKeyedRequests) {
+  OpenedCatalog opened;
+  struct KeyedRequest {
+    const char* key;
+    const char* id;
+    Action action;
+    Revision change;
+  };
+  for (const KeyedRequest& request :
+       std::initializer_list<KeyedRequest>{{"start-web-1", "web-1", Action::kRegister, 1},
+                                           {"drain-2", "web-2", Action::kDrain, 7},
+                                           {"remove-5", "web-5", Action::kRemove, 9},
+                                           {"size-1", "web-1", Action::kSetSize, 10},
+                                           {"start-web-7", "web-7", Action::kRegister, 13},
+                                           {"remove-3", "web-3", Action::kRemove, 14},
+                                           {"undrain-2", "web-2", Action::kUndrain, 15},
+                                           {"drain-7", "web-7", Action::kDrain, 23}}) {
+    SCOPED_TRACE(request.key);
+    Command command;
+    command.key = request.key;
+    command.action = request.action;
+    command.member.id = request.id;
+    const Outcome outcome = opened.Propose(command);
+    EXPECT_TRUE(outcome.ok()) << outcome.code;
+    EXPECT_FALSE(outcome.changed);
+    EXPECT_EQ(outcome.revision, kFirstRevision + request.change);
+    command.member.id = "another";
+    EXPECT_EQ(opened.Propose(command).code, "key_reused");
+  }
+  EXPECT_EQ(opened.catalog().revision(), kLastRevision);
+}
+
+// Reading and writing again gives the bytes that the older program wrote.
+TEST(RegistryCompatibility, WritesSnapshotAndRecordsInTheSameForm) {
+  const store::Examination found = ExamineFixture();
+  EXPECT_EQ(found.found, store::Found::kWhole) << found.why;
+  ASSERT_TRUE(found.manifest);
+  EXPECT_EQ(found.manifest->owner, kOwner);
+  EXPECT_EQ(found.manifest->program, "0.1.0");
+  ASSERT_TRUE(found.snapshot);
+  EXPECT_EQ(found.snapshot->version, 1);
+  EXPECT_EQ(kSnapshotVersion, 1);
+  std::string why;
+  const auto catalog = Catalog::FromSnapshot(found.snapshot->payload, {100, 100}, why);
+  ASSERT_TRUE(catalog) << why;
+  EXPECT_EQ(catalog->revision(), kSnapshotRevision);
+  EXPECT_EQ(catalog->Snapshot(), found.snapshot->payload);
+  EXPECT_EQ(found.records.size(), 14u);
+  EXPECT_EQ(kCommandVersion, 1);
+  for (const store::Record& record : found.records) {
+    EXPECT_EQ(record.kind, 1);
+    EXPECT_EQ(record.version, 1);
+    const auto command = CommandFromRecord(record.payload);
+    ASSERT_TRUE(command) << record.sequence;
+    EXPECT_EQ(ToRecord(*command), record.payload) << record.sequence;
+  }
+}
+
+}  // namespace
+}  // namespace elderhead::registry
