--- /dev/null
+++ b/src/proxy/admin/management_commands.hpp
@@ -0,0 +1,43 @@
+// The calls of operators: check, vars, metrics, drain-on and drain-off.
+#ifndef GATEWAY_PROXY_ADMIN_MANAGEMENT_COMMANDS_HPP_
+#define GATEWAY_PROXY_ADMIN_MANAGEMENT_COMMANDS_HPP_
+
+#include <string>
+
+#include "proxy/admin/gateway_status.hpp"
+#include "proxy/admin/metrics.hpp"
+
+namespace gateway::proxy {
+
+// What the calls act on.
+class ManagedGateway {
+ public:
+  virtual GatewayStatus Status() const = 0;
+  virtual void SetDraining(bool draining) = 0;
+
+ protected:
+  ~ManagedGateway() = default;
+};
+
+class ManagementCommands {
+ public:
+  // Keeps references to both arguments.
+  ManagementCommands(ManagedGateway& gateway, const Metrics& metrics)
+      : gateway_(gateway), metrics_(metrics) {}
+
+  // Carries out a call and returns its whole answer, with line ends.
+  std::string Run(const std::string& call);
+
+ private:
+  std::string Check() const;
+  std::string Vars() const;
+  std::string PrometheusMetrics() const;
+  std::string SetDraining(const std::string& call, bool draining);
+
+  ManagedGateway& gateway_;
+  const Metrics& metrics_;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_ADMIN_MANAGEMENT_COMMANDS_HPP_
--- /dev/null
+++ b/src/proxy/admin/status_log.cpp
@@ -0,0 +1,59 @@
+#include "proxy/admin/status_log.hpp"
+
+#include <utility>
+
+#include "base/log.hpp"
+#include "proxy/format.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+constexpr Millis kInterval = 5000;
+
+unsigned long long Since(std::uint64_t now, std::uint64_t before) { return now - before; }
+
+}  // namespace
+
+StatusLog::StatusLog(boost::asio::io_context& io, Millis list_stale_after,
+                     std::function<GatewayStatus()> status)
+    : timer_(io), list_stale_after_(list_stale_after), status_(std::move(status)) {}
+
+void StatusLog::Start() {
+  timer_.expires_after(Span(kInterval));
+  timer_.async_wait([this](boost::system::error_code ec) {
+    if (!ec) Write();
+  });
+}
+
+void StatusLog::Write() {
+  const GatewayStatus status = status_();
+  WriteListAge(status);
+  WriteConnections(status);
+  Start();
+}
+
+void StatusLog::WriteListAge(const GatewayStatus& status) {
+  if (std::exchange(list_stale_, status.list_stale) == status.list_stale) return;
+  if (list_stale_) {
+    base::Log(base::Level::kWarning, "discovery", "list_old",
+              Format("discovery: no list for %.0f s; the old one holds", list_stale_after_ / 1000));
+  } else {
+    base::Log(base::Level::kInfo, "discovery", "list_fresh", "discovery: the list is fresh again");
+  }
+}
+
+void StatusLog::WriteConnections(const GatewayStatus& status) {
+  const UpstreamPool::Counts& now = status.upstream_counts;
+  const UpstreamPool::Counts before = std::exchange(counts_, now);
+  const std::uint64_t disconnected_before = std::exchange(disconnected_clients_, status.disconnected_clients);
+  base::Log(base::Level::kInfo, "sockets", "counts",
+            Format("sockets: hosts %zu clients %zu left %llu | dialled %llu reused %llu stale %llu "
+                   "unusable %llu reset new %llu reused %llu",
+                   status.upstream_connections, status.client_connections,
+                   Since(status.disconnected_clients, disconnected_before),
+                   Since(now.dialled, before.dialled), Since(now.reused, before.reused),
+                   Since(now.stale, before.stale), Since(now.unusable, before.unusable),
+                   Since(now.reset_new, before.reset_new), Since(now.reset_reused, before.reset_reused)));
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/descriptor_budget.cpp
@@ -0,0 +1,36 @@
+#include "proxy/descriptor_budget.hpp"
+
+#include <sys/resource.h>
+
+#include <algorithm>
+
+namespace gateway::proxy {
+namespace {
+
+constexpr std::size_t kReserved = 40;  // listeners, operators, discovery, the event loop, and some to spare
+
+std::size_t AllowedBySystem(std::size_t configured) {
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
+  return std::min<std::size_t>(configured, limit.rlim_cur);
+}
+
+}  // namespace
+
+DescriptorBudget MakeDescriptorBudget(std::size_t configured) {
+  const std::size_t allowed = AllowedBySystem(configured);
+  const std::size_t usable = allowed > 2 * kReserved ? allowed - kReserved : allowed / 2;
+  DescriptorBudget budget;
+  budget.client_connections = std::max<std::size_t>(1, usable * 2 / 3);
+  budget.upstream_connections = std::max<std::size_t>(1, usable / 3);
+  return budget;
+}
+
+DescriptorBudget DescriptorBudget::Half() const {
+  DescriptorBudget half;
+  half.client_connections = std::max<std::size_t>(1, client_connections / 2);
+  half.upstream_connections = std::max<std::size_t>(1, upstream_connections / 2);
+  return half;
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/load_report.hpp
@@ -0,0 +1,17 @@
+// The load report that endpoints add to their responses.
+#ifndef GATEWAY_PROXY_LOAD_REPORT_HPP_
+#define GATEWAY_PROXY_LOAD_REPORT_HPP_
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+namespace gateway::proxy {
+
+// Parses "inflight=7,util=0.61" into values in the order of `fields`. A field that is missing or malformed is
+// NaN; unknown ones are skipped. Empty for an empty text.
+std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_LOAD_REPORT_HPP_
--- /dev/null
+++ b/src/proxy/policy_driver.cpp
@@ -0,0 +1,66 @@
+#include "proxy/policy_driver.hpp"
+
+#include <boost/asio/steady_timer.hpp>
+#include <memory>
+#include <utility>
+#include <variant>
+
+#include "base/log.hpp"
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+// The request that an event is about; empty if it is about none.
+std::string RequestOf(const policy::Event& event) {
+  if (const auto* request = std::get_if<policy::Request>(&event)) return request->id;
+  if (const auto* outcome = std::get_if<policy::AttemptOutcome>(&event)) return outcome->request;
+  if (const auto* disconnected = std::get_if<policy::ClientDisconnected>(&event))
+    return disconnected->request;
+  return {};
+}
+
+}  // namespace
+
+PolicyDriver::PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
+                           RequestActions& requests, std::function<void()> watch_list)
+    : io_(io), policy_(settings, seed), requests_(requests), watch_list_(std::move(watch_list)) {}
+
+void PolicyDriver::Report(policy::Event event) {
+  events_.push_back(std::move(event));
+  if (handling_) return;
+  handling_ = true;
+  while (!events_.empty()) {
+    policy::Event next = std::move(events_.front());
+    events_.pop_front();
+    Handle(std::move(next));
+  }
+  handling_ = false;
+}
+
+void PolicyDriver::Handle(policy::Event event) {
+  const std::string request = RequestOf(event);
+  if (auto* const outcome = std::get_if<policy::AttemptOutcome>(&event)) {
+    outcome->request_finished = requests_.IsFinished(request);
+  }
+  actions_.clear();
+  policy_.Handle(Now(), event, actions_);
+  for (const policy::Action& action : actions_) {
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
+  }
+  requests_.OnEventHandled(request);
+}
+
+void PolicyDriver::Execute(const policy::SetTimer& timer) {
+  const auto wait = std::make_shared<boost::asio::steady_timer>(io_, Span(timer.delay));
+  wait->async_wait([this, wait, name = timer.name](boost::system::error_code ec) {
+    if (!ec) Report(policy::TimerFired{name});
+  });
+}
+
+void PolicyDriver::Execute(const policy::LogLine& line) {
+  const bool is_status = line.text.starts_with("state:");
+  base::Log(base::Level::kInfo, "decisions", is_status ? "counts" : "news", line.text);
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/policy_driver.hpp
@@ -0,0 +1,72 @@
+// Runs the policy: hands it events one after the other and carries out the actions that it returns.
+//
+// One thread: that of the event loop.
+#ifndef GATEWAY_PROXY_POLICY_DRIVER_HPP_
+#define GATEWAY_PROXY_POLICY_DRIVER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "gateway/policy.hpp"
+
+namespace gateway::proxy {
+
+// Carries out the actions that concern requests.
+class RequestActions {
+ public:
+  virtual void Execute(const policy::Send& send) = 0;
+  virtual void Execute(const policy::Reject& reject) = 0;
+  virtual void Execute(const policy::Fail& fail) = 0;
+  virtual void Execute(const policy::Cancel& cancel) = 0;
+
+  // Whether the request has its answer, so that its client needs no other one.
+  virtual bool IsFinished(const std::string& request) const = 0;
+
+  // Called after the actions of an event that was about the request.
+  virtual void OnEventHandled(const std::string& request) = 0;
+
+ protected:
+  ~RequestActions() = default;
+};
+
+class PolicyDriver {
+ public:
+  // `requests` and `io` must outlive the driver's last call. `watch_list` begins a watch of the endpoint
+  // list.
+  PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
+               RequestActions& requests, std::function<void()> watch_list);
+
+  // Hands the event to the policy and carries out its actions. An event that an action causes at once is
+  // handled after the remaining actions, before the outermost call returns.
+  void Report(policy::Event event);
+
+  policy::Policy& policy() { return policy_; }
+  const policy::Policy& policy() const { return policy_; }
+
+ private:
+  void Handle(policy::Event event);
+
+  void Execute(const policy::Send& send) { requests_.Execute(send); }
+  void Execute(const policy::Reject& reject) { requests_.Execute(reject); }
+  void Execute(const policy::Fail& fail) { requests_.Execute(fail); }
+  void Execute(const policy::Cancel& cancel) { requests_.Execute(cancel); }
+  void Execute(const policy::SetTimer& timer);
+  void Execute(const policy::WatchEndpointList&) { watch_list_(); }
+  void Execute(const policy::LogLine& line);
+
+  boost::asio::io_context& io_;
+  policy::Policy policy_;
+  RequestActions& requests_;
+  const std::function<void()> watch_list_;
+  std::deque<policy::Event> events_;
+  std::vector<policy::Action> actions_;
+  bool handling_ = false;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_POLICY_DRIVER_HPP_
--- /dev/null
+++ b/src/proxy/request_forwarder.cpp
@@ -0,0 +1,265 @@
+#include "proxy/request_forwarder.hpp"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "proxy/load_report.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+
+constexpr unsigned kHttpVersion = 11;       // HTTP/1.1
+constexpr Millis kAnswerMargin = 10;        // before the client gives up: answers travel, timers are late
+constexpr Millis kFinalAnswerMargin = 4;    // before it gives up: what the policy has not answered times out
+constexpr Millis kMaximumUpload = 1200000;  // a body of the largest size at the lowest accepted rate
+const char* const kLoadReportField = "Srv-Load";
+
+void StripUpstreamFields(HttpResponse& response) {
+  StripHopByHop(response);
+  response.erase(kLoadReportField);
+}
+
+}  // namespace
+
+RequestForwarder::RequestForwarder(asio::io_context& io, const policy::Settings& settings,
+                                   PolicyDriver& driver, UpstreamPool& upstream, Metrics& metrics)
+    : io_(io), settings_(settings), driver_(driver), upstream_(upstream), metrics_(metrics) {}
+
+void RequestForwarder::OnRequest(ClientRequest request) {
+  if (requests_.contains(request.id)) {  // outcomes of both could not be told apart
+    HttpResponse response(http::status::conflict, kHttpVersion);
+    response.body() = "Req-Id is in use\n";
+    return request.answer(std::move(response), nullptr);
+  }
+  const ActiveRequest& active = Add(request);
+  driver_.Report(
+      policy::Request{request.id, request.class_name, request.tenant, request.key, active.answer_by - Now()});
+  if (ActiveRequest* const waiting = Find(request.id)) waiting->handled_on_arrival = false;
+}
+
+RequestForwarder::ActiveRequest& RequestForwarder::Add(ClientRequest& request) {
+  ActiveRequest& active = requests_.try_emplace(request.id, io_).first->second;
+  active.http = std::make_shared<const HttpRequest>(std::move(request.http));
+  active.answer = std::move(request.answer);
+  active.has_disconnected = std::move(request.left);
+  active.rest = std::move(request.rest);
+  active.complete = active.rest == nullptr;
+  active.allowed = request.allowed;
+  active.class_name = request.class_name;
+  active.received_at = request.received;
+  const Millis client_gives_up_at = request.received + request.allowed;
+  active.answer_by = client_gives_up_at - kAnswerMargin;
+  if (active.complete) SetDeadline(request.id, active, client_gives_up_at);
+  return active;
+}
+
+void RequestForwarder::SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at) {
+  active.answer_by = client_gives_up_at - kAnswerMargin;
+  active.overdue.expires_after(Span(client_gives_up_at - kFinalAnswerMargin - Now()));
+  active.overdue.async_wait([this, id](boost::system::error_code ec) {
+    if (!ec) TimeOut(id);
+  });
+}
+
+// The time of the request and of its attempt begins now: before, the endpoint had nothing to work on.
+void RequestForwarder::OnRequestComplete(const std::string& id, Millis at) {
+  ActiveRequest* const active = Find(id);
+  if (active == nullptr || std::exchange(active->complete, true)) return;
+  SetDeadline(id, *active, at + active->allowed);
+  for (Attempt& attempt : active->attempts) {
+    if (!attempt.in_flight) continue;
+    attempt.sent_at = at;
+    upstream_.SetDeadline(attempt.number, std::min(at + attempt.timeout, active->answer_by));
+  }
+  driver_.Report(policy::RequestComplete{id, active->answer_by - Now()});
+}
+
+void RequestForwarder::OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
+                                      HttpResponse response) {
+  ActiveRequest* const active = Find(id);
+  if (active == nullptr) return;
+  Attempt& attempt = active->attempts[index];
+  attempt.in_flight = false;
+  const auto load_report = response[kLoadReportField];
+  policy::AttemptOutcome outcome;
+  outcome.request = id;
+  outcome.attempt = static_cast<int>(index);
+  outcome.endpoint = attempt.endpoint;
+  outcome.result = result;
+  outcome.latency = active->complete ? Now() - attempt.sent_at : 0;
+  outcome.load = ParseLoadReport({load_report.data(), load_report.size()}, settings_.load_report_fields);
+  outcome.request_buffered = !active->rest || !active->rest->begun();
+  if (result == policy::AttemptResult::kServed) {
+    metrics_.Took(active->class_name, Metrics::Span::kAtHost, outcome.latency);
+    if (!active->answered) {
+      StripUpstreamFields(response);
+      Answer(*active, std::move(response));
+    }
+  }
+  driver_.Report(std::move(outcome));
+}
+
+void RequestForwarder::OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
+                                         std::shared_ptr<BodySource> rest) {
+  ActiveRequest* const active = Find(id);
+  if (active == nullptr || active->answered) {
+    asio::post(io_, [rest] { rest->Drop(); });
+    return;
+  }
+  StripUpstreamFields(response);
+  Answer(*active, std::move(response), std::move(rest));
+  driver_.Report(policy::ResponseStarted{id, static_cast<int>(attempt)});
+}
+
+void RequestForwarder::OnClientDisconnected(const std::string& id) {
+  ActiveRequest* const active = Find(id);
+  if (active == nullptr || active->answered) return;
+  ++disconnected_;
+  active->answered = true;
+  active->overdue.cancel();
+  driver_.Report(policy::ClientDisconnected{id});
+  const ActiveRequest* const remaining = Find(id);
+  if (remaining == nullptr) return;
+  std::vector<std::uint64_t> in_flight;  // a withdrawn attempt may erase the request
+  for (const Attempt& attempt : remaining->attempts) {
+    if (attempt.in_flight) in_flight.push_back(attempt.number);
+  }
+  for (const std::uint64_t attempt : in_flight) upstream_.Withdraw(attempt);
+}
+
+bool RequestForwarder::IsAwaited(const std::string& id) {
+  const ActiveRequest* const active = Find(id);
+  if (active == nullptr || active->answered) return false;
+  if (!active->has_disconnected()) return true;
+  OnClientDisconnected(id);
+  return false;
+}
+
+// The policy answers in time by its own timers; this covers timers that fire late.
+void RequestForwarder::TimeOut(const std::string& id) {
+  ActiveRequest* const active = Find(id);
+  if (active == nullptr || active->answered) return;
+  Answer(*active, HttpResponse(http::status::gateway_timeout, kHttpVersion));
+  driver_.Report(policy::ClientDisconnected{id});
+}
+
+void RequestForwarder::TimeOutAll() {
+  std::vector<std::string> ids;
+  for (const auto& [id, active] : requests_) ids.push_back(id);
+  for (const std::string& id : ids) TimeOut(id);
+}
+
+void RequestForwarder::Execute(const policy::Send& send) {
+  const bool awaited = IsAwaited(send.request);
+  ActiveRequest* const active = Find(send.request);
+  if (!awaited) return RefuseToSend(send, active);
+  const bool attempts_left = static_cast<int>(active->attempts.size()) < settings_.max_attempts;
+  const bool buffered = !active->rest || !active->rest->begun();
+  if (!attempts_left || !buffered) return RefuseToSend(send, active);
+  const Millis now = Now();
+  const std::size_t index = active->attempts.size();
+  if (index == 0) RecordFirstDecision(*active, now, true);
+  const Millis timeout = send.timeout > 0 ? send.timeout : kMaximumUpload;
+  active->attempts.push_back({send.endpoint, now, timeout});
+  const std::uint64_t number =
+      upstream_.Start(send.endpoint, MakeAttempt(send, *active, index, now, timeout));
+  active->attempts[index].number = number;
+}
+
+// The request has ended since the policy decided, or may not be sent again.
+void RequestForwarder::RefuseToSend(const policy::Send& send, ActiveRequest* active) {
+  policy::AttemptOutcome outcome;
+  outcome.request = send.request;
+  outcome.endpoint = send.endpoint;
+  outcome.result = policy::AttemptResult::kNotSent;
+  outcome.request_finished = true;
+  if (active != nullptr) {
+    outcome.attempt = static_cast<int>(active->attempts.size());
+    active->attempts.push_back({send.endpoint, Now(), 0, 0, false});
+  }
+  driver_.Report(std::move(outcome));
+}
+
+UpstreamPool::Order RequestForwarder::MakeAttempt(const policy::Send& send, const ActiveRequest& active,
+                                                  std::size_t index, Millis now, Millis timeout) {
+  UpstreamPool::Order order;
+  order.request = active.http;
+  if (!active.complete) order.rest = active.rest;
+  order.deadline = active.complete ? std::min(now + timeout, active.answer_by) : now + kMaximumUpload;
+  order.wanted = [this, id = send.request, write_by = now + send.start_writing_within] {
+    return Now() <= write_by && IsAwaited(id);
+  };
+  order.done = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
+    OnAttemptEnded(id, index, result, std::move(response));
+  };
+  order.begun = [this, id = send.request, index](HttpResponse response, std::shared_ptr<BodySource> rest) {
+    OnResponseStarted(id, index, std::move(response), std::move(rest));
+  };
+  order.passing = [this, id = send.request] {
+    if (ActiveRequest* const streaming = Find(id)) streaming->http.reset();
+  };
+  order.written = [this] { metrics_.Tried(); };
+  return order;
+}
+
+void RequestForwarder::Execute(const policy::Reject& reject) {
+  ActiveRequest* const active = Find(reject.request);
+  if (active == nullptr) return;
+  if (active->attempts.empty()) RecordFirstDecision(*active, Now(), false);
+  HttpResponse response(http::status::service_unavailable, kHttpVersion);
+  response.set(http::field::retry_after, Seconds(reject.retry_after));
+  Answer(*active, std::move(response));
+  EraseIfEnded(reject.request);
+}
+
+void RequestForwarder::Execute(const policy::Fail& fail) {
+  ActiveRequest* const active = Find(fail.request);
+  if (active == nullptr) return;
+  Answer(*active, HttpResponse(http::status::bad_gateway, kHttpVersion));
+  EraseIfEnded(fail.request);
+}
+
+void RequestForwarder::Execute(const policy::Cancel& cancel) {
+  ActiveRequest* const active = Find(cancel.request);
+  const auto attempt = static_cast<std::size_t>(cancel.attempt);
+  if (active == nullptr || attempt >= active->attempts.size()) return;
+  upstream_.Cancel(active->attempts[attempt].number);
+}
+
+bool RequestForwarder::IsFinished(const std::string& request) const {
+  const auto found = requests_.find(request);
+  return found == requests_.end() || found->second.answered;
+}
+
+void RequestForwarder::OnEventHandled(const std::string& request) { EraseIfEnded(request); }
+
+RequestForwarder::ActiveRequest* RequestForwarder::Find(const std::string& id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+void RequestForwarder::Answer(ActiveRequest& active, HttpResponse response,
+                              std::shared_ptr<BodySource> rest) {
+  if (std::exchange(active.answered, true)) return;
+  active.overdue.cancel();
+  metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received_at);
+  std::exchange(active.answer, nullptr)(std::move(response), std::move(rest));
+}
+
+void RequestForwarder::RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent) {
+  const Millis waited = now - active.received_at;
+  if (sent) metrics_.Took(active.class_name, Metrics::Span::kFirstAttempt, waited);
+  if (!active.handled_on_arrival) metrics_.Took(active.class_name, Metrics::Span::kQueued, waited);
+}
+
+void RequestForwarder::EraseIfEnded(const std::string& id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end() || !found->second.answered) return;
+  if (std::ranges::none_of(found->second.attempts, &Attempt::in_flight)) requests_.erase(found);
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/request_forwarder.hpp
@@ -0,0 +1,110 @@
+// Forwards clients' requests to endpoints as the policy decides, and answers each exactly once.
+//
+// Reports to the policy what happens to requests and attempts, and carries out its actions on them. One
+// thread: that of the event loop.
+#ifndef GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
+#define GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "gateway/policy.hpp"
+#include "proxy/admin/metrics.hpp"
+#include "proxy/body.hpp"
+#include "proxy/client/client_server.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+#include "proxy/policy_driver.hpp"
+#include "proxy/upstream/upstream_pool.hpp"
+
+namespace gateway::proxy {
+
+class RequestForwarder final : public RequestActions {
+ public:
+  // Keeps references to all arguments, which must outlive it.
+  RequestForwarder(boost::asio::io_context& io, const policy::Settings& settings, PolicyDriver& driver,
+                   UpstreamPool& upstream, Metrics& metrics);
+
+  // Begins a request; rejected at once if another one of its id is active.
+  void OnRequest(ClientRequest request);
+  // The last byte of a request that began incomplete was read at `at`.
+  void OnRequestComplete(const std::string& id, Millis at);
+  // The client of the request has closed its connection.
+  void OnClientDisconnected(const std::string& id);
+
+  // Answers all requests that are still unanswered with a time-out.
+  void TimeOutAll();
+
+  // Clients that disconnected before their answer, since the start.
+  std::uint64_t disconnected() const { return disconnected_; }
+
+  void Execute(const policy::Send& send) override;
+  void Execute(const policy::Reject& reject) override;
+  void Execute(const policy::Fail& fail) override;
+  void Execute(const policy::Cancel& cancel) override;
+  bool IsFinished(const std::string& request) const override;
+  void OnEventHandled(const std::string& request) override;
+
+ private:
+  struct Attempt {
+    std::string endpoint;
+    Millis sent_at = 0;        // or when the request was complete, if that was later
+    Millis timeout = 0;        // from then on
+    std::uint64_t number = 0;  // of the upstream pool
+    bool in_flight = true;
+  };
+  // A client's request until it is answered and all its attempts have ended.
+  struct ActiveRequest {
+    explicit ActiveRequest(boost::asio::io_context& io) : overdue(io) {}
+    std::shared_ptr<const HttpRequest> http;
+    std::shared_ptr<BodySource> rest;  // of the body, if the request was forwarded before it was complete
+    bool complete = true;
+    std::string class_name;
+    Millis received_at = 0;
+    Millis allowed = 0;                      // time that the client waits, counted from received_at
+    bool handled_on_arrival = true;          // the policy sent or answered it while it was being reported
+    std::function<bool()> has_disconnected;  // asks the client's socket
+    std::function<void(HttpResponse, std::shared_ptr<BodySource>)> answer;
+    Millis answer_by = 0;  // for the policy
+    bool answered = false;
+    std::vector<Attempt> attempts;
+    boost::asio::steady_timer overdue;
+  };
+
+  ActiveRequest* Find(const std::string& id);
+  ActiveRequest& Add(ClientRequest& request);
+  void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at);
+  void TimeOut(const std::string& id);
+  // Whether the client still waits for the answer. Notices a disconnection that was not reported yet.
+  bool IsAwaited(const std::string& id);
+  void RefuseToSend(const policy::Send& send, ActiveRequest* active);
+  UpstreamPool::Order MakeAttempt(const policy::Send& send, const ActiveRequest& active, std::size_t index,
+                                  Millis now, Millis timeout);
+  void OnAttemptEnded(const std::string& id, std::size_t attempt, policy::AttemptResult result,
+                      HttpResponse response);
+  void OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
+                         std::shared_ptr<BodySource> rest);
+  void Answer(ActiveRequest& active, HttpResponse response, std::shared_ptr<BodySource> rest = nullptr);
+  // Records how long the request waited for the policy's first decision.
+  void RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent);
+  void EraseIfEnded(const std::string& id);
+
+  boost::asio::io_context& io_;
+  const policy::Settings& settings_;
+  PolicyDriver& driver_;
+  UpstreamPool& upstream_;
+  Metrics& metrics_;
+  std::unordered_map<std::string, ActiveRequest> requests_;
+  std::uint64_t disconnected_ = 0;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
