--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -15,7 +15,7 @@
 #include "base/endpoint.hpp"
 #include "base/http_client.hpp"
 #include "registry/agent.hpp"
-#include "registry/form.hpp"
+#include "registry/registry_json.hpp"
 #include "registry/service.hpp"
 
 namespace gateway::cli {
@@ -81,23 +81,24 @@
 }
 
 int Write(const Options& o, registry::Command command) {
-  const std::string name = NameOf(command.action);
+  const std::string name = CallName(command.action);
   command.by_operator = true;
-  command.key = o.key.empty() ? "cli-" + RandomWord() : o.key;
+  command.idempotency_key = o.key.empty() ? "cli-" + RandomWord() : o.key;
   if (o.if_revision >= 0) command.if_revision = o.if_revision;
   if (o.if_incarnation >= 0) command.if_incarnation = o.if_incarnation;
-  const Answer answer = Ask(o, "POST", "/registry/" + name, ToBody(command));
+  const Answer answer = Ask(o, "POST", "/registry/" + name, EncodeCall(command));
   if (answer.status == 0) return kNoAnswer;
-  const registry::Outcome outcome = registry::ParseOutcome(answer.status, answer.body);
+  const registry::CommandResult result = registry::ParseResult(answer.status, answer.body);
   if (o.json) {
     fmt::print("{}\n", answer.body);
-  } else if (outcome.ok()) {
+  } else if (result.ok()) {
     fmt::print("{} {}: {}\n", name, command.member.id,
-               outcome.changed ? fmt::format("revision {}", outcome.revision) : "nothing had to change");
+               result.changed ? fmt::format("revision {}", result.revision) : "nothing had to change");
   } else {
-    fmt::print(stderr, "gatewayctl: {} {}: {} ({})\n", name, command.member.id, outcome.text, outcome.code);
+    fmt::print(stderr, "gatewayctl: {} {}: {} ({})\n", name, command.member.id, result.error->message,
+               ErrorCodeName(*result.error));
   }
-  return outcome.ok() ? kDone : kRefused;
+  return result.ok() ? kDone : kRefused;
 }
 
 int Write(const Options& o, registry::Action action) {
@@ -225,7 +226,7 @@
   for (const auto& [id, entry] : newest) {
     registry::Command command;
     command.member = entry.second;
-    command.member.term = o.term_s * 1000;
+    command.member.lease_duration = o.term_s * 1000;
     code = std::max(code, Write(o, command));
     if (code == kNoAnswer) return code;
     command.action = registry::Action::kDrain;
@@ -239,7 +240,8 @@
   registry::ServiceOptions options = registry::ReadServiceOptions(file);
   options.program = GATEWAY_VERSION;
   options.epoch = RandomWord();
-  options.first = UnixMillis();   // above all that a lost service gave, at under 1,000 changes a second
+  options.initial_revision =
+      UnixMillis();               // above all that a lost service gave, at under 1,000 changes a second
   std::signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk
   std::signal(SIGPIPE, SIG_IGN);
   base::RaiseDescriptors();
@@ -328,10 +330,10 @@
                                                  command.member.id = o->id;
                                                  command.member.address = o->address;
                                                  command.member.zone = o->zone;
-                                                 command.member.kind = o->kind;
+                                                 command.member.machine_type = o->kind;
                                                  command.member.version = o->version;
                                                  command.member.size = o->size;
-                                                 command.member.term = o->term_s * 1000;
+                                                 command.member.lease_duration = o->term_s * 1000;
                                                  command.member.incarnation =
                                                      std::max<std::int64_t>(0, o->incarnation);
                                                  return Write(*o, std::move(command));
--- a/src/lab/play.cpp
+++ b/src/lab/play.cpp
@@ -80,7 +80,7 @@
         m.id = members[static_cast<std::size_t>(h)].id;
         m.address = Addresses::Text(addresses_.Host(0, h));
         m.zone = hosts_->zone(h);
-        m.kind = hosts_->kind(h).name;
+        m.machine_type = hosts_->kind(h).name;
         m.cell = "0";
       }
       registry_ = std::make_unique<RegistryProcess>(
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -17,7 +17,7 @@
 #include "lab/http.hpp"
 #include "lab/processes.hpp"
 #include "lab/temporary_folder.hpp"
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
 #include "storage/file_system.hpp"
 
 namespace gateway::lab {
@@ -80,9 +80,9 @@
     command.member.id = Id(i);
     command.member.address = fmt::format("10.{}.{}.{}:3000", 1 + i / 62500, i / 250 % 250, 1 + i % 250);
     command.member.zone = std::string(1, static_cast<char>('a' + i % 3));
-    command.member.kind = "standard";
+    command.member.machine_type = "standard";
     command.member.incarnation = 1;
-    command.member.term = load_.term;
+    command.member.lease_duration = load_.term;
     return command;
   }
   registry::Command Change(registry::Action action, int i) const {
@@ -177,7 +177,7 @@
     int next = 0, done = 0, failed = 0;
     std::function<void(std::shared_ptr<ClientConnection>)> write = [&](std::shared_ptr<ClientConnection> on) {
       if (next >= count) return;
-      on->Exchange(ToRequest(make(next++)), kPatience, [&, on](ClientConnection::Result result) {
+      on->Exchange(EncodeRequest(make(next++)), kPatience, [&, on](ClientConnection::Result result) {
         ++done;
         failed += result.failure != ClientConnection::Failure::kNone || result.response.result_int() != 200;
         if (on->usable()) write(on);
@@ -205,7 +205,7 @@
         continue;
       }
       if (!on || !on->usable()) on = std::make_shared<ClientConnection>(io_, addresses_.Registry());
-      on->Exchange(ToRequest(registry::Renewal{Id(next_renewal_++ % load_.members), 1}), kPatience,
+      on->Exchange(EncodeRequest(registry::RenewalRequest{Id(next_renewal_++ % load_.members), 1}), kPatience,
                    [&](ClientConnection::Result result) {
                      busy = false;
                      renewals_failed_ += renewing_ && (result.failure != ClientConnection::Failure::kNone ||
@@ -251,7 +251,7 @@
       told_ = 0;
       answered_at_ = 0;
       early_.clear();
-      writer->Exchange(ToRequest(Change(registry::Action::kDrain, i)), kPatience,
+      writer->Exchange(EncodeRequest(Change(registry::Action::kDrain, i)), kPatience,
                        [this](ClientConnection::Result) {
                          answered_at_ = Now();  // at the writer, which is told as the sync is done
                          for (const Millis at : early_)
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -7,7 +7,9 @@
 #include <fstream>
 
 #include "lab/addresses.hpp"
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
+#include "registry/http_response.hpp"
+#include "registry/registry_json.hpp"
 
 namespace gateway::lab {
 namespace {
@@ -17,15 +19,19 @@
 constexpr Millis kPatience = 1000;
 constexpr Millis kAgain = 100;  // after a call that failed
 
-// "none" where there was no answer.
-registry::Outcome OutcomeOf(const ClientConnection::Result& result) {
-  if (result.failure != ClientConnection::Failure::kNone) return {"none", "", ""};
-  return registry::ParseOutcome(result.response.result_int(), result.response.body());
+// kUnreadable where there was no response.
+registry::CommandResult ResultOf(const ClientConnection::Result& result) {
+  if (result.failure != ClientConnection::Failure::kNone) {
+    return registry::CommandResult::Failed({registry::ErrorCode::kUnreadable, "", "no response"});
+  }
+  return registry::ParseResult(result.response.result_int(), result.response.body());
 }
 
-// Nothing is known of it, or the service can't now.
-bool ToBeRepeated(const registry::Outcome& outcome) {
-  return outcome.code == "none" || outcome.code == "unreadable" || registry::StatusOf(outcome) == 503;
+// Whether the result is unknown, or the service is not available now.
+bool ShouldRetry(const registry::CommandResult& result) {
+  constexpr unsigned kServiceUnavailable = 503;
+  return result.code() == registry::ErrorCode::kUnreadable ||
+         registry::HttpStatus(result.code()) == kServiceUnavailable;
 }
 
 }  // namespace
@@ -34,9 +40,9 @@
     : s_(std::move(setting)), processes_(s_.io, [this](const ProcessEnd& end) { Ended(end); }) {
   for (registry::Member& member : hosts) {
     hosts_.push_back(std::make_unique<Host>(s_.io));
-    member.term = s_.term;
+    member.lease_duration = s_.term;
     hosts_.back()->member = std::move(member);
-    hosts_.back()->state.Checked(true, 1);
+    hosts_.back()->state.OnHealthCheck(true, 1);
   }
 }
 
@@ -78,11 +84,11 @@
 }
 
 void RegistryProcess::Act(int host) {
-  using Say = registry::AgentState::Say;
+  using registry::AgentAction;
   Host& h = At(host);
   if (!h.alive || h.cut || h.calling) return;
-  const Say say = h.state.next();
-  if (say != Say::kRegister && say != Say::kRenew) return;
+  const AgentAction action = h.state.next();
+  if (action != AgentAction::kRegister && action != AgentAction::kRenew) return;
   registry::Command enter;
   enter.member = h.member;
   if (!h.connection || !h.connection->usable()) {
@@ -90,29 +96,30 @@
   }
   h.calling = true;
   h.connection->Exchange(
-      say == Say::kRegister ? ToRequest(enter)
-                            : ToRequest(registry::Renewal{h.member.id, h.member.incarnation}),
-      kPatience, [this, host, say, of = h.member.incarnation](ClientConnection::Result result) {
+      action == AgentAction::kRegister
+          ? EncodeRequest(enter)
+          : EncodeRequest(registry::RenewalRequest{h.member.id, h.member.incarnation}),
+      kPatience, [this, host, action, of = h.member.incarnation](ClientConnection::Result result) {
         Host& it = At(host);
         it.calling = false;
-        const registry::Outcome outcome = OutcomeOf(result);
+        const registry::CommandResult outcome = ResultOf(result);
         Heard(outcome.revision);
-        if (!it.alive || it.member.incarnation != of || ToBeRepeated(outcome)) return ActLater(host, kAgain);
-        it.state.Answered(say, outcome.code);
-        ActLater(host, it.state.next() == Say::kRegister ? 0 : it.member.term / 3);
+        if (!it.alive || it.member.incarnation != of || ShouldRetry(outcome)) return ActLater(host, kAgain);
+        it.state.OnResult(action, outcome.code());
+        ActLater(host, it.state.next() == AgentAction::kRegister ? 0 : it.member.lease_duration / 3);
       });
 }
 
 void RegistryProcess::Insist(registry::Command command) {
   command.by_operator = true;
   const auto connection = std::make_shared<ClientConnection>(s_.io, s_.address);
-  connection->Exchange(ToRequest(command), kPatience,
+  connection->Exchange(EncodeRequest(command), kPatience,
                        [this, command, connection](ClientConnection::Result result) {
-                         const registry::Outcome outcome = OutcomeOf(result);
+                         const registry::CommandResult outcome = ResultOf(result);
                          Heard(outcome.revision);
-                         if (!ToBeRepeated(outcome)) {
-                           s_.note(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
-                                               outcome.ok() ? "" : ": " + outcome.code));
+                         if (!ShouldRetry(outcome)) {
+                           s_.note(fmt::format("{} of {} kept{}", CallName(command.action), command.member.id,
+                                               outcome.error ? ": " + ErrorCodeName(*outcome.error) : ""));
                            return;
                          }
                          const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, Span(kAgain));
@@ -126,7 +133,7 @@
   registry::Command command;
   command.action = action;
   command.member.id = At(host).member.id;
-  command.key = fmt::format("lab-{}", ++keys_);
+  command.idempotency_key = fmt::format("lab-{}", ++keys_);
   Insist(std::move(command));
 }
 
@@ -140,7 +147,7 @@
   h.alive = true;
   h.member.incarnation = incarnation;
   h.state = {};
-  h.state.Checked(true, 1);
+  h.state.OnHealthCheck(true, 1);
   ActLater(host, 0);
 }
 
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -6,7 +6,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
+#include "registry/registry_json.hpp"
 
 namespace gateway::lab {
 namespace {
@@ -49,9 +50,9 @@
   command.member.id = IdOf(host);
   command.member.address = fmt::format("{}:{}", HostAddress(host), host_port_);
   command.member.zone = std::string(1, static_cast<char>('a' + host % size_.zones));
-  command.member.kind = fmt::format("service-{}", host % size_.services);
+  command.member.machine_type = fmt::format("service-{}", host % size_.services);
   command.member.incarnation = 1;
-  command.member.term = size_.lease_term;
+  command.member.lease_duration = size_.lease_term;
   return command;
 }
 
@@ -60,7 +61,7 @@
   using Connection = std::shared_ptr<ClientConnection>;
   const std::function<void(const Connection&)> register_next = [&](const Connection& connection) {
     if (next >= size_.hosts) return;
-    connection->Exchange(ToRequest(RegistrationOf(next++)), kPatience,
+    connection->Exchange(EncodeRequest(RegistrationOf(next++)), kPatience,
                          [&, connection](ClientConnection::Result result) {
                            ++(Good(result) ? listed : failed);
                            if (connection->usable()) register_next(connection);
@@ -104,7 +105,7 @@
   if (!line.connection || !line.connection->usable()) {
     line.connection = std::make_shared<ClientConnection>(loop_.io(), list_service_);
   }
-  line.connection->Exchange(ToRequest(registry::Renewal{IdOf(host), 1}), kPatience,
+  line.connection->Exchange(EncodeRequest(registry::RenewalRequest{IdOf(host), 1}), kPatience,
                             [this, &line](ClientConnection::Result result) {
                               line.busy = false;
                               renewals_failed_ += !Good(result);
@@ -133,13 +134,13 @@
   const auto connection = std::exchange(operators_, nullptr);
   ++changes_out_;
   connection->Exchange(
-      ToRequest(command), kPatience,
+      EncodeRequest(command), kPatience,
       [this, weak = std::weak_ptr(connection), sent_at = base::Now()](ClientConnection::Result result) {
         --changes_out_;
         operators_ = weak.lock();  // else the connection would hold itself
         if (!Good(result)) return void(++changes_failed_);
         ++changes_kept_;
-        const auto outcome = registry::ParseOutcome(200, result.response.body());
+        const auto outcome = registry::ParseResult(200, result.response.body());
         if (outcome.changed) kept_.push_back({outcome.revision, sent_at});
       });
 }
--- a/src/registry/admission.cpp
+++ b/src/registry/admission.cpp
@@ -11,32 +11,33 @@
 }  // namespace
 
 Admission::Admission(AdmissionLimits limits)
-    : limits_(limits), whole_list_tokens_(limits.whole_lists_per_second) {}
+    : limits_(limits), full_list_tokens_(limits.full_lists_per_second) {}
 
-bool Admission::AdmitCaller(const Session& session) {
-  if (callers_.contains(&session)) return true;
-  if (callers_.size() >= limits_.callers) return false;
-  callers_.insert(&session);
+bool Admission::AdmitClient(const Session& session) {
+  if (clients_.contains(&session)) return true;
+  if (clients_.size() >= limits_.clients) return false;
+  clients_.insert(&session);
   return true;
 }
 
-bool Admission::TakeWholeList() {
-  if (whole_list_tokens_ < 1) return false;
-  whole_list_tokens_ -= 1;
+bool Admission::AdmitFullList() {
+  if (full_list_tokens_ < 1) return false;
+  full_list_tokens_ -= 1;
   return true;
 }
 
 void Admission::Refill(base::Millis now) {
-  const double rate = limits_.whole_lists_per_second;
+  const double rate = limits_.full_lists_per_second;
   if (refilled_at_ > 0) {
-    whole_list_tokens_ = std::min(rate, whole_list_tokens_ + rate * (now - refilled_at_) / kMillisPerSecond);
+    const double tokens = rate * (now - refilled_at_) / kMillisPerSecond;
+    full_list_tokens_ = std::min(rate, full_list_tokens_ + tokens);
   }
   refilled_at_ = now;
 }
 
-int Admission::TurnAway() {
-  CountTurnedAway();
-  return 1 + static_cast<int>(turned_away_ % kRetrySpreadSeconds);
+int Admission::RejectWithRetryAfter() {
+  CountRejected();
+  return 1 + static_cast<int>(rejected_ % kRetrySpreadSeconds);
 }
 
 }  // namespace gateway::registry
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -3,221 +3,167 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
+#include <utility>
 
 #include "base/clock.hpp"
-#include "base/endpoint.hpp"
 #include "base/log.hpp"
-#include "base/toml_reader.hpp"
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
+#include "registry/registry_json.hpp"
 
 namespace gateway::registry {
 namespace {
 
+using base::ClientConnection;
 using base::Level;
 using base::Millis;
 using base::Span;
 using boost::system::error_code;
-using nlohmann::json;
-using tcp = boost::asio::ip::tcp;
 
-constexpr Millis kDefaultTerm = 10000;
-constexpr Millis kPatience = 2000;
-constexpr Millis kFirstWait = 200;  // after a failed call; doubles up to a third of the term
-
-tcp::endpoint ReadEndpoint(base::TomlTable& t, const std::string& key, const std::string& text) {
-  const auto endpoint = base::ParseEndpoint(text);
-  if (!endpoint || endpoint->port() == 0) t.Fail(key, "'" + text + "' is not an address and port");
-  return *endpoint;
-}
-
-const char* Words(AgentState::Say say) {
-  switch (say) {
-    case AgentState::Say::kRegister: return "register";
-    case AgentState::Say::kRenew: return "renew";
-    case AgentState::Say::kDrain: return "drain";
-    case AgentState::Say::kRemove: return "remove";
-    case AgentState::Say::kNothing: break;
+constexpr Millis kCallTimeout = 2000;
+constexpr Millis kInitialBackoff = 200;  // doubles with each failed call, up to the renewal interval
+constexpr int kMaxBackoffDoublings = 10;
+constexpr double kRenewalsPerLease = 3;
+constexpr unsigned kServiceUnavailable = 503;
+constexpr int kExitDone = 0;
+constexpr int kExitReplaced = 1;
+
+const char* ActionName(AgentAction action) {
+  switch (action) {
+    case AgentAction::kRegister: return "register";
+    case AgentAction::kRenew: return "renew";
+    case AgentAction::kDrain: return "drain";
+    case AgentAction::kRemove: return "remove";
+    case AgentAction::kNone: break;
   }
   return "";
 }
 
-}  // namespace
-
-AgentOptions ReadAgentOptions(const std::string& path) {
-  base::TomlTable t = base::TomlTable::FromFile(path);
-  AgentOptions o;
-  for (const std::string& text : t.Texts("services")) o.services.push_back(ReadEndpoint(t, "services", text));
-  if (o.services.empty()) t.Fail("services", "needs at least one");
-  o.grace = t.Seconds("grace_s", o.grace, base::kNotNegative);
-  auto m = t.Table("member");
-  if (!m) t.Fail("member", "is missing");
-  o.member.id = m->Text("id");
-  o.member.address = m->Text("address");
-  o.at = ReadEndpoint(*m, "address", o.member.address);
-  o.member.zone = m->Text("zone", "");
-  o.member.kind = m->Text("kind", "");
-  o.member.version = m->Text("version", "");
-  if (m->Has("cell")) o.member.cell = json(m->Text("cell")).dump();
-  o.member.size = m->Number("size", 1, {1e-6, 1e6});
-  o.member.term = m->Seconds("term_s", kDefaultTerm, {0.5, 3600});
-  m->Done();
-  if (auto c = t.Table("check")) {
-    o.check = c->Text("path", "");
-    o.check_every = c->Seconds("every_s", o.check_every, {0.05, 3600});
-    o.check_patience = c->Seconds("within_s", o.check_patience, {0.01, 3600});
-    o.check_failures = c->Whole("failures", o.check_failures, 1, 1000);
-    c->Done();
+Action CommandAction(AgentAction action) {
+  switch (action) {
+    case AgentAction::kRegister: return Action::kRegister;
+    case AgentAction::kDrain: return Action::kDrain;
+    default: return Action::kRemove;
   }
-  t.Done();
-  return o;
 }
 
-void AgentState::Answered(Say what, const std::string& code) {
-  if (code.empty()) {
-    if (what == Say::kRegister) listed_ = true;
-    if (what == Say::kDrain) drained_ = true;
-    if (what == Say::kRemove) removed_ = true;
-    return;
-  }
-  if (code == "unknown_member") {  // lost by the service, or lapsed
-    listed_ = false;
-    removed_ = removed_ || what == Say::kRemove || what == Say::kDrain;
-  }
-  if (code == "stale_incarnation" || code == "removed" || code == "address_conflict") {
-    replaced_ = true;
-    listed_ = false;
-  }
-}
+}  // namespace
 
-void AgentState::Checked(bool good, int most_failures) {
-  failures_ = good ? 0 : failures_ + 1;
-  if (good) healthy_ = true;
-  if (failures_ >= most_failures) healthy_ = false;
+Agent::Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> on_finished)
+    : io_(io),
+      options_(std::move(options)),
+      on_finished_(std::move(on_finished)),
+      health_checker_(io, options_.health_check, [this](bool passed) { OnHealthCheck(passed); }),
+      action_timer_(io),
+      stop_timer_(io) {
+  health_checker_.Start();
 }
 
-Agent::Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> done)
-    : io_(io), options_(std::move(options)), done_(std::move(done)), act_(io), check_(io), grace_(io) {
-  Check();
-}
+Millis Agent::RenewalInterval() const { return options_.member.lease_duration / kRenewalsPerLease; }
 
 void Agent::Stop() {
   state_.Stop();
-  grace_.expires_after(Span(options_.grace));
-  grace_.async_wait([this](error_code ec) {
-    if (ec) return;
-    state_.GraceOver();
-    // A service that is away is not waited for for ever: the lease lapses.
-    grace_.expires_after(Span(options_.member.term + 2 * kPatience));
-    grace_.async_wait([this](error_code late) {
-      if (!late) Finish(0);
-    });
-    ActLater(0);
+  stop_timer_.expires_after(Span(options_.drain_grace));
+  stop_timer_.async_wait([this](error_code error) {
+    if (!error) OnDrainGraceOver();
   });
-  ActLater(0);
+  ScheduleAct(0);
 }
 
-void Agent::Check() {
-  const auto checked = [this](bool good) {
-    const bool was = state_.healthy();
-    state_.Checked(good, options_.check_failures);
-    if (was != state_.healthy()) {
-      base::Log(was ? Level::kWarning : Level::kInfo, "member", "health",
-                fmt::format("member {}: {}", options_.member.id,
-                            was ? "does not answer; it is not renewed" : "answers"));
-      if (!was) ActLater(0);
-    }
-    check_.expires_after(Span(options_.check_every));
-    check_.async_wait([this](error_code ec) {
-      if (!ec) Check();
-    });
-  };
-  if (!options_.check.empty()) {
-    if (!server_ || !server_->usable()) server_ = std::make_shared<base::ClientConnection>(io_, options_.at);
-    server_->Exchange("GET " + options_.check + " HTTP/1.1\r\nHost: localhost\r\n\r\n",
-                      options_.check_patience, [checked](base::ClientConnection::Result result) {
-                        checked(result.failure == base::ClientConnection::Failure::kNone &&
-                                result.response.result_int() == 200);
-                      });
-    return;
-  }
-  probe_ = std::make_shared<tcp::socket>(io_);
-  check_.expires_after(Span(options_.check_patience));
-  check_.async_wait([probe = probe_](error_code ec) {
-    error_code ignored;
-    if (!ec) probe->close(ignored);
+// If no service answers until the lease has expired, the agent ends without a removal.
+void Agent::OnDrainGraceOver() {
+  state_.OnDrainGraceOver();
+  stop_timer_.expires_after(Span(options_.member.lease_duration + 2 * kCallTimeout));
+  stop_timer_.async_wait([this](error_code error) {
+    if (!error) Finish(kExitDone);
   });
-  probe_->async_connect(options_.at, [checked, probe = probe_](error_code ec) { checked(!ec); });
+  ScheduleAct(0);
 }
 
-void Agent::ActLater(Millis time) {
-  act_.expires_after(Span(time));
-  act_.async_wait([this](error_code ec) {
-    if (!ec) Act();
-  });
+void Agent::OnHealthCheck(bool passed) {
+  const bool was_healthy = state_.healthy();
+  state_.OnHealthCheck(passed, options_.health_check.failure_threshold);
+  if (was_healthy == state_.healthy()) return;
+  base::Log(was_healthy ? Level::kWarning : Level::kInfo, "member", "health",
+            fmt::format("member {}: {}", options_.member.id,
+                        was_healthy ? "does not answer; it is not renewed" : "answers"));
+  if (!was_healthy) ScheduleAct(0);
 }
 
-void Agent::Finish(int code) {
-  if (std::exchange(finished_, true)) return;
-  act_.cancel();
-  check_.cancel();
-  grace_.cancel();
-  done_(code);
-}
-
-// The next service, where this one failed.
-void Agent::Next() {
-  service_.reset();
-  at_ = (at_ + 1) % options_.services.size();
+void Agent::ScheduleAct(Millis delay) {
+  action_timer_.expires_after(Span(delay));
+  action_timer_.async_wait([this](error_code error) {
+    if (!error) Act();
+  });
 }
 
 void Agent::Act() {
-  if (calling_ || finished_) return;
-  if (state_.done()) return Finish(0);
+  if (call_pending_ || finished_) return;
+  if (state_.done()) return Finish(kExitDone);
   if (state_.replaced()) {
     base::Log(
         Level::kError, "member", "replaced",
         fmt::format("member {}: another process has taken this id, or it was removed", options_.member.id));
-    return Finish(1);
+    return Finish(kExitReplaced);
   }
-  const AgentState::Say say = state_.next();
-  if (say == AgentState::Say::kNothing) return;
-  const Member& m = options_.member;
+  const AgentAction action = state_.next();
+  if (action == AgentAction::kNone) return;
+  if (!connection_ || !connection_->usable()) {
+    connection_ = std::make_shared<ClientConnection>(io_, options_.services[service_index_]);
+  }
+  call_pending_ = true;
+  connection_->Exchange(
+      EncodeAction(action), kCallTimeout,
+      [this, action](const ClientConnection::Result& response) { OnResponse(action, response); });
+}
+
+std::string Agent::EncodeAction(AgentAction action) const {
+  const Member& member = options_.member;
+  if (action == AgentAction::kRenew) return EncodeRequest(RenewalRequest{member.id, member.incarnation});
   Command command;
-  command.action = say == AgentState::Say::kRegister ? Action::kRegister
-                   : say == AgentState::Say::kDrain  ? Action::kDrain
-                                                     : Action::kRemove;
-  command.member = m;
-  if (say != AgentState::Say::kRegister) command.if_incarnation = m.incarnation;
-  if (!service_ || !service_->usable()) {
-    service_ = std::make_shared<base::ClientConnection>(io_, options_.services[at_]);
+  command.action = CommandAction(action);
+  command.member = member;
+  if (action != AgentAction::kRegister) command.if_incarnation = member.incarnation;
+  return EncodeRequest(command);
+}
+
+void Agent::OnResponse(AgentAction action, const ClientConnection::Result& response) {
+  call_pending_ = false;
+  const unsigned status = response.response.result_int();
+  if (response.failure != ClientConnection::Failure::kNone || status == kServiceUnavailable) {
+    return RetryWithNextService();
   }
-  calling_ = true;
-  service_->Exchange(
-      say == AgentState::Say::kRenew ? ToRequest(Renewal{m.id, m.incarnation}) : ToRequest(command),
-      kPatience, [this, say](base::ClientConnection::Result result) {
-        calling_ = false;
-        const bool answered = result.failure == base::ClientConnection::Failure::kNone;
-        const std::string code =
-            answered ? ParseOutcome(result.response.result_int(), result.response.body()).code : "";
-        const Millis every = options_.member.term / 3;
-        if (!answered || result.response.result_int() == 503) {
-          Next();
-          const Millis wait = std::min(every, kFirstWait * (1 << std::min(failed_++, 10)));
-          return ActLater(wait);
-        }
-        failed_ = 0;
-        const bool was = state_.listed();
-        state_.Answered(say, code);
-        if (was != state_.listed() || say == AgentState::Say::kDrain || say == AgentState::Say::kRemove) {
-          base::Log(
-              Level::kInfo, "member", Words(say),
-              fmt::format("member {}: {} {}", options_.member.id, Words(say), code.empty() ? "done" : code));
-        }
-        const bool more =
-            state_.next() != AgentState::Say::kRenew && state_.next() != AgentState::Say::kNothing;
-        ActLater(more || state_.done() || state_.replaced() ? 0 : every);
-      });
+  failed_calls_ = 0;
+  const bool was_listed = state_.listed();
+  const CommandResult result = ParseResult(status, response.response.body());
+  state_.OnResult(action, result.code());
+  const bool stopping = action == AgentAction::kDrain || action == AgentAction::kRemove;
+  if (stopping || was_listed != state_.listed()) LogResult(action, result);
+  const AgentAction next = state_.next();
+  const bool next_is_due = next != AgentAction::kRenew && next != AgentAction::kNone;
+  const bool at_once = next_is_due || state_.done() || state_.replaced();
+  ScheduleAct(at_once ? 0 : RenewalInterval());
+}
+
+void Agent::LogResult(AgentAction action, const CommandResult& result) const {
+  const char* const name = ActionName(action);
+  base::Log(Level::kInfo, "member", name,
+            fmt::format("member {}: {} {}", options_.member.id, name,
+                        result.error ? ErrorCodeName(*result.error) : "done"));
+}
+
+void Agent::RetryWithNextService() {
+  connection_.reset();
+  service_index_ = (service_index_ + 1) % options_.services.size();
+  const int doublings = std::min(failed_calls_++, kMaxBackoffDoublings);
+  ScheduleAct(std::min(RenewalInterval(), kInitialBackoff * (1 << doublings)));
+}
+
+void Agent::Finish(int exit_code) {
+  if (std::exchange(finished_, true)) return;
+  action_timer_.cancel();
+  health_checker_.Stop();
+  stop_timer_.cancel();
+  on_finished_(exit_code);
 }
 
 }  // namespace gateway::registry
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -1,85 +1,56 @@
-// Keeps one server listed: registers it, renews its lease while it answers, and at the end drains and removes
-// it.
+// Keeps one server listed: registers it, renews its lease while it is healthy, and drains and removes it at
+// the end.
 #ifndef GATEWAY_REGISTRY_AGENT_HPP_
 #define GATEWAY_REGISTRY_AGENT_HPP_
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <string>
-#include <vector>
 
 #include "base/http_client.hpp"
-#include "registry/catalog.hpp"
+#include "registry/agent_options.hpp"
+#include "registry/agent_state.hpp"
+#include "registry/health_checker.hpp"
 
 namespace gateway::registry {
 
-struct AgentOptions {
-  std::vector<boost::asio::ip::tcp::endpoint> services;  // in the order in which they are tried
-  Member member;                                         // `term` above 0
-  boost::asio::ip::tcp::endpoint at;                     // the member's address
-  std::string check;  // path that has to answer 200; empty: a connection is enough
-  base::Millis check_every = 1000;
-  base::Millis check_patience = 1000;
-  int check_failures = 3;     // in a row; then it is not renewed
-  base::Millis grace = 5000;  // from the drain to the removal
-};
-
-// A file of TOML; throws base::ConfigError. `incarnation`, where the file gives none, is the caller's to set.
-AgentOptions ReadAgentOptions(const std::string& path);
-
-// What the agent does next, by what it was answered. No I/O.
-class AgentState {
- public:
-  enum class Say { kRegister, kRenew, kDrain, kRemove, kNothing };
-  Say next() const {
-    if (removed_) return Say::kNothing;
-    if (stopping_)
-      return !listed_ ? Say::kNothing : !drained_ ? Say::kDrain : leave_ ? Say::kRemove : Say::kRenew;
-    return !healthy_ || replaced_ ? Say::kNothing : listed_ ? Say::kRenew : Say::kRegister;
-  }
-  // `code` is empty for a good answer.
-  void Answered(Say what, const std::string& code);
-  void Checked(bool good, int most_failures);
-  void Stop() { stopping_ = true; }
-  void GraceOver() { leave_ = true; }
-  bool listed() const { return listed_; }
-  bool drained() const { return drained_; }
-  bool healthy() const { return healthy_; }
-  bool replaced() const { return replaced_; }
-  bool done() const { return removed_ || (stopping_ && !listed_); }
-
- private:
-  bool listed_ = false, drained_ = false, removed_ = false, stopping_ = false, leave_ = false;
-  bool healthy_ = false, replaced_ = false;
-  int failures_ = 0;
-};
-
+// In the thread of the io_context. Must outlive its operations, which end when the io_context is stopped.
 class Agent {
  public:
-  // `done` is called with an exit code: 0 after Stop(), 1 where another process has taken the id.
-  Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> done);
+  // Begins with a health check. `io` must outlive it. `on_finished` is called once, with an exit code: 0
+  // after Stop(), 1 where another process has taken the member's id.
+  Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> on_finished);
+
+  // Drains the member, and removes it after the drain grace.
   void Stop();
 
  private:
-  void Check();
+  void OnHealthCheck(bool passed);
+  void OnDrainGraceOver();
   void Act();
-  void ActLater(base::Millis time);
-  void Next();
-  void Finish(int code);
+  void ScheduleAct(base::Millis delay);
+  std::string EncodeAction(AgentAction action) const;
+  void OnResponse(AgentAction action, const base::ClientConnection::Result& response);
+  void LogResult(AgentAction action, const CommandResult& result) const;
+  void RetryWithNextService();
+  void Finish(int exit_code);
+  base::Millis RenewalInterval() const;
 
   boost::asio::io_context& io_;
   const AgentOptions options_;
-  const std::function<void(int)> done_;
+  const std::function<void(int)> on_finished_;
   AgentState state_;
-  boost::asio::steady_timer act_, check_, grace_;
-  std::shared_ptr<base::ClientConnection> service_, server_;
-  std::shared_ptr<boost::asio::ip::tcp::socket> probe_;
-  std::size_t at_ = 0;
-  int failed_ = 0;
-  bool calling_ = false, finished_ = false;
+  HealthChecker health_checker_;
+  boost::asio::steady_timer action_timer_;
+  boost::asio::steady_timer stop_timer_;
+  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null: none
+  std::size_t service_index_ = 0;
+  int failed_calls_ = 0;  // in a row
+  bool call_pending_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace gateway::registry
--- /dev/null
+++ b/src/registry/call_handler.hpp
@@ -0,0 +1,41 @@
+// Serves the calls of members and operators: renewals, and commands that change the list.
+#ifndef GATEWAY_REGISTRY_CALL_HANDLER_HPP_
+#define GATEWAY_REGISTRY_CALL_HANDLER_HPP_
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "registry/durable_catalog.hpp"
+#include "registry/lease_monitor.hpp"
+#include "registry/session.hpp"
+
+namespace gateway::registry {
+
+// In the thread of the sessions' io_context.
+class CallHandler {
+ public:
+  // `catalog` and `leases` must outlive it. Members that register without a lease duration get the default.
+  CallHandler(DurableCatalog& catalog, LeaseMonitor& leases, base::Millis default_lease_duration)
+      : catalog_(catalog), leases_(leases), default_lease_duration_(default_lease_duration) {}
+
+  // POST /registry/CALL. Responds at once to a renewal or an error, else when the command is durable.
+  void Handle(const std::shared_ptr<Session>& session, std::string_view call, const std::string& body);
+
+  // Renewals received since the start.
+  std::uint64_t renewals() const { return renewals_; }
+
+ private:
+  void HandleCommand(const std::shared_ptr<Session>& session, Command command);
+  CommandResult Renew(const RenewalRequest& renewal);
+
+  DurableCatalog& catalog_;
+  LeaseMonitor& leases_;
+  const base::Millis default_lease_duration_;
+  std::uint64_t renewals_ = 0;
+};
+
+}  // namespace gateway::registry
+
+#endif  // GATEWAY_REGISTRY_CALL_HANDLER_HPP_
--- a/src/registry/commit_notifier.cpp
+++ b/src/registry/commit_notifier.cpp
@@ -16,22 +16,22 @@
 CommitNotifier::CommitNotifier(boost::asio::io_context& io)
     : event_(io, eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {}
 
-void CommitNotifier::Notify(Journal::Written written) {
+void CommitNotifier::Notify(Result result) {
   {
     const std::lock_guard lock(mutex_);
-    written_ = std::move(written);
+    result_ = std::move(result);
   }
   const std::uint64_t one = 1;
   [[maybe_unused]] const auto size = ::write(event_.native_handle(), &one, sizeof one);
 }
 
-Journal::Written CommitNotifier::Wait() {
+CommitNotifier::Result CommitNotifier::Wait() {
   std::uint64_t count = 0;
   while (::read(event_.native_handle(), &count, sizeof count) != sizeof count) ::usleep(kPollMicroseconds);
   return *Take();
 }
 
-void CommitNotifier::Listen(std::function<void(Journal::Written)> handler) {
+void CommitNotifier::Listen(std::function<void(Result)> handler) {
   handler_ = std::move(handler);
   ReadNext();
 }
@@ -40,14 +40,14 @@
   boost::asio::async_read(event_, boost::asio::buffer(&event_count_, sizeof event_count_),
                           [this](boost::system::error_code error, std::size_t) {
                             if (error) return;
-                            if (auto written = Take()) handler_(std::move(*written));
+                            if (auto result = Take()) handler_(std::move(*result));
                             ReadNext();
                           });
 }
 
-std::optional<Journal::Written> CommitNotifier::Take() {
+std::optional<CommitNotifier::Result> CommitNotifier::Take() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(written_, std::nullopt);
+  return std::exchange(result_, std::nullopt);
 }
 
 }  // namespace gateway::registry
--- a/src/registry/commit_notifier.hpp
+++ b/src/registry/commit_notifier.hpp
@@ -1,4 +1,4 @@
-// Hands the results of commits from the journal's thread to the thread of an io_context, over an eventfd.
+// Hands the results of batches from the log writer's thread to the thread of an io_context, over an eventfd.
 #ifndef GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
 #define GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
 
@@ -9,31 +9,34 @@
 #include <mutex>
 #include <optional>
 
-#include "registry/journal.hpp"
+#include "registry/log_writer.hpp"
 
 namespace gateway::registry {
 
 // Holds one result at a time: the next batch is written only after the last result was received.
 class CommitNotifier {
  public:
+  using Result = LogWriter::BatchResult;
+
+  // `io` must outlive it.
   explicit CommitNotifier(boost::asio::io_context& io);
 
-  // In the journal's thread.
-  void Notify(Journal::Written written);
+  // In the log writer's thread.
+  void Notify(Result result);
   // Blocks until a result is there. Only before Listen().
-  Journal::Written Wait();
+  Result Wait();
   // Calls `handler` in the thread of the io_context with each result from now on.
-  void Listen(std::function<void(Journal::Written)> handler);
+  void Listen(std::function<void(Result)> handler);
 
  private:
   void ReadNext();
-  std::optional<Journal::Written> Take();
+  std::optional<Result> Take();
 
   boost::asio::posix::stream_descriptor event_;
   std::uint64_t event_count_ = 0;
-  std::function<void(Journal::Written)> handler_;
+  std::function<void(Result)> handler_;
   std::mutex mutex_;
-  std::optional<Journal::Written> written_;  // guarded by mutex_
+  std::optional<Result> result_;  // guarded by mutex_
 };
 
 }  // namespace gateway::registry
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -8,6 +8,7 @@
 
 #include "base/clock.hpp"
 #include "base/log.hpp"
+#include "registry/record_codec.hpp"
 
 namespace gateway::registry {
 namespace {
@@ -16,17 +17,18 @@
 using base::Millis;
 using base::Now;
 
-constexpr Millis kReopenEvery = 2000;
-constexpr std::size_t kMostWaiting = 20000;            // commands that wait for the disk
-constexpr std::uint64_t kLeastFolderBytes = 16 << 20;  // room for the log, at least
-constexpr std::uint64_t kFolderBytesPerSnapshot = 4;   // room for the log, times `snapshot_after`
-
-storage::StoreOptions FolderOptions(const ServiceOptions& options) {
-  storage::StoreOptions folder;
-  folder.owner = options.owner;
-  folder.program = options.program;
-  folder.most_bytes = std::max(kFolderBytesPerSnapshot * options.snapshot_after, kLeastFolderBytes);
-  return folder;
+constexpr Millis kReopenInterval = 2000;
+constexpr std::size_t kMaxQueuedCommands = 20000;
+constexpr std::uint64_t kMinLogCapacityBytes = 16 << 20;
+constexpr std::uint64_t kLogCapacityPerSnapshot = 4;  // times `snapshot_after_bytes`
+constexpr double kMicrosPerMilli = 1000;
+
+storage::StoreOptions StoreOptionsOf(const ServiceOptions& options) {
+  storage::StoreOptions store;
+  store.owner = options.owner;
+  store.program = options.program;
+  store.most_bytes = std::max(kLogCapacityPerSnapshot * options.snapshot_after_bytes, kMinLogCapacityBytes);
+  return store;
 }
 
 }  // namespace
@@ -37,46 +39,51 @@
       observer_(observer),
       reopen_timer_(io),
       notifier_(io),
-      journal_(files, options.state_folder, FolderOptions(options),
-               [this](Journal::Written written) { notifier_.Notify(std::move(written)); }) {
+      log_writer_(files, options.state_folder, StoreOptionsOf(options),
+                  [this](LogWriter::BatchResult result) { notifier_.Notify(std::move(result)); }) {
   Recover();
-  notifier_.Listen([this](Journal::Written written) { OnCommitted(std::move(written)); });
+  notifier_.Listen([this](const LogWriter::BatchResult& result) { OnBatchWritten(result); });
 }
 
-// Also after the disk failed: commands that were refused may be found there, and count.
+// ---- Recovery -------------------------------------------------------------------------------------
+
+// Runs at the start, and after the storage failed: then commands that were rejected may be found in the log,
+// and are applied.
 void DurableCatalog::Recover() {
   storage::Examination found;
-  if (const storage::Status status = journal_.Open(found); !status.ok()) {
+  if (const storage::Status status = log_writer_.Open(found); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
   const Millis begun = Now();
   const bool starting = !catalog_;
   if (starting && found.snapshot) LoadSnapshot(*found.snapshot);
-  const bool fresh = !catalog_;
-  if (fresh) catalog_.emplace(options_.epoch, options_.first, options_.bounds);
+  const bool new_history = !catalog_;
+  if (new_history) catalog_.emplace(options_.epoch, options_.initial_revision, options_.retention);
   const std::size_t replayed = Replay(found.records);
   LogRecovery(replayed, Now() - begun);
-  if (fresh && found.records.empty()) CommitFirstSnapshot();
+  if (new_history && found.records.empty()) WriteFirstSnapshot();
 }
 
 void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
-  std::string why;
+  std::string error;
   if (snapshot.version > kSnapshotVersion) {
-    why = "of a newer program";
+    error = "of a newer program";
   } else {
-    catalog_ = Catalog::FromSnapshot(snapshot.payload, options_.bounds, why);
+    catalog_ = Catalog::FromSnapshot(snapshot.payload, options_.retention, error);
   }
   if (!catalog_) {
-    throw std::runtime_error(options_.state_folder + ": a snapshot that can't be read: " + why);
+    throw std::runtime_error(options_.state_folder + ": a snapshot that can't be read: " + error);
   }
   applied_ = snapshot.sequence;
 }
 
+// Returns the number of records applied.
 std::size_t DurableCatalog::Replay(const std::vector<storage::Record>& records) {
   std::size_t replayed = 0;
   for (const storage::Record& record : records) {
     if (record.sequence <= applied_) continue;
-    const auto command = record.version > kCommandVersion ? std::nullopt : CommandFromRecord(record.payload);
+    const bool readable = record.version <= kCommandVersion;
+    const auto command = readable ? DecodeCommand(record.payload) : std::nullopt;
     if (!command) {
       throw std::runtime_error(
           fmt::format("{}: record {} can't be read", options_.state_folder, record.sequence));
@@ -88,107 +95,111 @@
   return replayed;
 }
 
-void DurableCatalog::LogRecovery(std::size_t replayed, Millis took) const {
+void DurableCatalog::LogRecovery(std::size_t replayed, Millis duration) const {
   base::Log(
       Level::kInfo, "registry", "recovered",
       fmt::format("registry: epoch {}, revision {}, {} members, {} changes known, {} records behind the "
                   "snapshot, in {:.0f} ms",
                   catalog_->epoch(), catalog_->revision(), catalog_->members().size(),
-                  catalog_->history().size(), replayed, took));
+                  catalog_->history().size(), replayed, duration));
 }
 
-// The epoch has to be on the disk before anyone hears it.
-void DurableCatalog::CommitFirstSnapshot() {
-  Journal::Batch batch;
+// The epoch must be durable before any client sees it.
+void DurableCatalog::WriteFirstSnapshot() {
+  LogWriter::Batch batch;
   batch.snapshot = catalog_->Snapshot();
-  journal_.Write(std::move(batch));
-  const Journal::Written written = notifier_.Wait();
-  if (!written.status.ok()) throw std::runtime_error(written.status.Text());
+  log_writer_.Write(std::move(batch));
+  const LogWriter::BatchResult result = notifier_.Wait();
+  if (!result.status.ok()) throw std::runtime_error(result.status.Text());
 }
 
-void DurableCatalog::Propose(Command command, Done done) {
-  Proposal proposal{std::move(command), std::move(done)};
-  if (!storage_error_.empty()) return Refuse({std::move(proposal)}, "storage_failed", RefusalText());
-  if (waiting_.size() >= kMostWaiting) {
-    return Refuse({std::move(proposal)}, "overloaded", "too many writes wait for the disk");
+// ---- Writes ---------------------------------------------------------------------------------------
+
+void DurableCatalog::Propose(Command command, ResultHandler handler) {
+  Proposal proposal{std::move(command), std::move(handler)};
+  if (!storage_error_.empty()) return Reject(proposal, StorageError());
+  if (queued_.size() >= kMaxQueuedCommands) {
+    return Reject(proposal, {ErrorCode::kOverloaded, "", "too many writes wait for the disk"});
   }
-  waiting_.push_back(std::move(proposal));
-  CommitNext();
-}
-
-// One batch is on at a time: what comes meanwhile goes together into the next, and when a snapshot is taken
-// all that was written is applied.
-void DurableCatalog::CommitNext() {
-  if (!committing_.empty() || waiting_.empty() || !storage_error_.empty()) return;
-  committing_ = std::exchange(waiting_, {});
-  Journal::Batch batch;
-  if (log_bytes_ > options_.snapshot_after) batch.snapshot = catalog_->Snapshot();
-  for (const Proposal& proposal : committing_) batch.records.push_back(ToRecord(proposal.command));
-  journal_.Write(std::move(batch));
-}
-
-void DurableCatalog::OnCommitted(Journal::Written written) {
-  const std::vector<Proposal> batch = std::exchange(committing_, {});
-  if (!written.status.ok()) {
-    Refuse(batch, "storage_failed", "it may or may not be kept: " + written.status.Text());
-    return OnStorageFailed(written.status);
+  queued_.push_back(std::move(proposal));
+  WriteNextBatch();
+}
+
+// One batch is written at a time; commands that arrive meanwhile form the next one. So all that was written
+// before is applied when a snapshot is taken.
+void DurableCatalog::WriteNextBatch() {
+  if (!being_written_.empty() || queued_.empty() || !storage_error_.empty()) return;
+  being_written_ = std::exchange(queued_, {});
+  LogWriter::Batch batch;
+  if (log_bytes_ > options_.snapshot_after_bytes) batch.snapshot = catalog_->Snapshot();
+  for (const Proposal& proposal : being_written_) batch.records.push_back(EncodeCommand(proposal.command));
+  log_writer_.Write(std::move(batch));
+}
+
+void DurableCatalog::OnBatchWritten(const LogWriter::BatchResult& result) {
+  const std::vector<Proposal> batch = std::exchange(being_written_, {});
+  if (!result.status.ok()) {
+    const Error error(ErrorCode::kStorageFailed, "", "it may or may not be kept: " + result.status.Text());
+    for (const Proposal& proposal : batch) Reject(proposal, error);
+    return OnStorageFailed(result.status);
   }
-  ++syncs_;
-  commit_time_us_.Add(static_cast<std::uint64_t>(written.took_ms * 1000));
-  log_bytes_ = written.log_bytes;
+  ++batches_written_;
+  commit_time_us_.Add(static_cast<std::uint64_t>(result.duration_ms * kMicrosPerMilli));
+  log_bytes_ = result.log_bytes;
   const Revision before = catalog_->revision();
   for (std::size_t i = 0; i < batch.size(); ++i) {
-    applied_ = written.sequences[i];
+    applied_ = result.sequences[i];
     Apply(batch[i]);
   }
   if (catalog_->revision() != before) observer_.OnNewRevision();
-  CommitNext();
+  WriteNextBatch();
 }
 
 void DurableCatalog::Apply(const Proposal& proposal) {
-  const Outcome outcome = catalog_->Apply(proposal.command);
-  observer_.OnApplied(proposal.command, outcome);
-  ++writes_;
-  if (proposal.done) proposal.done(outcome);
+  const CommandResult result = catalog_->Apply(proposal.command);
+  observer_.OnApplied(proposal.command, result);
+  ++commands_written_;
+  if (proposal.handler) proposal.handler(result);
 }
 
-void DurableCatalog::Refuse(const std::vector<Proposal>& proposals, const char* code,
-                            const std::string& text) {
-  for (const Proposal& proposal : proposals) {
-    observer_.OnRefused(proposal.command);
-    if (proposal.done) proposal.done({code, "", text});
-  }
+void DurableCatalog::Reject(const Proposal& proposal, const Error& error) {
+  observer_.OnRejected(proposal.command);
+  if (proposal.handler) proposal.handler(CommandResult::Failed(error));
+}
+
+Error DurableCatalog::StorageError() const {
+  return {ErrorCode::kStorageFailed, "", "nothing can be kept now: " + storage_error_};
 }
 
-std::string DurableCatalog::RefusalText() const { return "nothing can be kept now: " + storage_error_; }
+// ---- Failures of the storage ----------------------------------------------------------------------
 
 void DurableCatalog::OnStorageFailed(const storage::Status& status) {
   storage_error_ = status.Text();
   base::Log(
       Level::kError, "registry", "storage_failed",
       "registry: " + storage_error_ + "; lists and watches go on, writes are refused, tried again every 2 s");
-  Refuse(std::exchange(waiting_, {}), "storage_failed", RefusalText());
-  ReopenLater();
+  for (const Proposal& proposal : std::exchange(queued_, {})) Reject(proposal, StorageError());
+  ScheduleReopen();
 }
 
-void DurableCatalog::ReopenLater() {
-  reopen_timer_.expires_after(base::Span(kReopenEvery));
+void DurableCatalog::ScheduleReopen() {
+  reopen_timer_.expires_after(base::Span(kReopenInterval));
   reopen_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Reopen();
   });
 }
 
-// Reads all anew; the store writes the last segment again before it believes it.
+// Reads the whole folder. The store writes the last segment again before it relies on it.
 void DurableCatalog::Reopen() {
   const Revision before = catalog_->revision();
   try {
     Recover();
   } catch (const std::exception& error) {
     storage_error_ = error.what();
-    return ReopenLater();
+    return ScheduleReopen();
   }
   storage_error_.clear();
-  observer_.OnReopened(catalog_->Since(before).value_or(std::vector<const Member*>()));
+  observer_.OnReopened(catalog_->ChangedSince(before).value_or(std::vector<const Member*>()));
   base::Log(Level::kInfo, "registry", "storage_back", "registry: the disk takes writes again");
   if (catalog_->revision() != before) observer_.OnNewRevision();
 }
--- /dev/null
+++ b/src/registry/health_checker.hpp
@@ -0,0 +1,45 @@
+// Checks at intervals whether a server answers, by an HTTP request or by a connection.
+#ifndef GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
+#define GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <functional>
+#include <memory>
+
+#include "base/http_client.hpp"
+#include "registry/agent_options.hpp"
+
+namespace gateway::registry {
+
+// In the thread of the io_context. Must outlive its operations, which end when the io_context is stopped.
+class HealthChecker {
+ public:
+  // `io` must outlive it. `on_result` gets the result of each check.
+  HealthChecker(boost::asio::io_context& io, HealthCheckOptions options,
+                std::function<void(bool passed)> on_result);
+
+  // Makes the first check at once.
+  void Start() { Check(); }
+  // Makes no further checks once one that is under way has ended.
+  void Stop() { timer_.cancel(); }
+
+ private:
+  void Check();
+  void RequestPath();
+  void Connect();
+  void OnResponse(const base::ClientConnection::Result& result);
+  void OnChecked(bool passed);
+
+  boost::asio::io_context& io_;
+  const HealthCheckOptions options_;
+  const std::function<void(bool)> on_result_;
+  boost::asio::steady_timer timer_;  // to the next check, or until a connection times out
+  std::shared_ptr<base::ClientConnection> http_;
+  std::shared_ptr<boost::asio::ip::tcp::socket> probe_;
+};
+
+}  // namespace gateway::registry
+
+#endif  // GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
--- /dev/null
+++ b/src/registry/idempotency_table.hpp
@@ -0,0 +1,42 @@
+// Results of executed requests by idempotency key, so that a repeated request is not executed again.
+#ifndef GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
+#define GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
+
+#include <cstddef>
+#include <deque>
+#include <string>
+#include <unordered_map>
+
+#include "registry/byte_codec.hpp"
+#include "registry/member.hpp"
+
+namespace gateway::registry {
+
+// Holds the newest `capacity` keys; the oldest is dropped first.
+class IdempotencyTable {
+ public:
+  struct Entry {
+    std::string request;  // action and member, to recognise a key that is used for another request
+    Revision revision = 0;
+  };
+
+  explicit IdempotencyTable(std::size_t capacity) : capacity_(capacity) {}
+
+  // Returns null if the key is not known. Valid until the next Insert().
+  const Entry* Find(const std::string& key) const;
+  // `key` must not be known yet.
+  void Insert(const std::string& key, Entry entry);
+
+  void WriteTo(ByteWriter& writer) const;
+  // Adds all entries that WriteTo() wrote. Stops where the reader fails.
+  void ReadFrom(ByteReader& reader);
+
+ private:
+  std::size_t capacity_;
+  std::unordered_map<std::string, Entry> entries_;
+  std::deque<std::string> keys_;  // oldest first
+};
+
+}  // namespace gateway::registry
+
+#endif  // GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -2,48 +2,52 @@
 
 #include <memory>
 #include <string>
-#include <vector>
 
-#include "registry/form.hpp"
+#include "registry/registry_json.hpp"
 
 namespace gateway::registry {
 namespace {
 
-constexpr std::size_t kMostChangesBeyondList = 64;  // more changes than members and these: the full list
-constexpr std::size_t kMostBodies = 64;             // kept by Trim()
+// A delta of more changes than there are members, and this many, is longer than the full list.
+constexpr std::size_t kMaxChangesBeyondMembers = 64;
+constexpr std::size_t kMaxCachedDeltas = 64;
 
 }  // namespace
 
-Body ListCache::Since(Revision after) {
-  Body& body = since_[after];
+Body ListCache::DeltaSince(Revision after) {
+  Body& body = deltas_[after];
   if (body) return body;
   ++encoded_;
-  const auto changed = catalog_.Since(after);
-  const std::size_t most_changes = catalog_.members().size() + kMostChangesBeyondList;
-  body = changed && changed->size() <= most_changes ? Encode(/*complete=*/false, *changed) : Whole();
+  const auto changed = catalog_.ChangedSince(after);
+  const std::size_t max_changes = catalog_.members().size() + kMaxChangesBeyondMembers;
+  if (changed && changed->size() <= max_changes) {
+    body = Encode(/*complete=*/false, *changed);
+  } else {
+    body = FullList();
+  }
   return body;
 }
 
-Body ListCache::Whole() {
-  if (whole_) return whole_;
+Body ListCache::FullList() {
+  if (full_list_) return full_list_;
   ++encoded_;
-  std::vector<const Member*> all;
-  for (const auto& [id, member] : catalog_.members()) all.push_back(&member);
-  whole_ = Encode(/*complete=*/true, all);
-  return whole_;
+  std::vector<const Member*> members;
+  for (const auto& [id, member] : catalog_.members()) members.push_back(&member);
+  full_list_ = Encode(/*complete=*/true, members);
+  return full_list_;
 }
 
 void ListCache::Clear() {
-  since_.clear();
-  whole_.reset();
+  deltas_.clear();
+  full_list_.reset();
 }
 
 void ListCache::Trim() {
-  if (since_.size() > kMostBodies) since_.clear();
+  if (deltas_.size() > kMaxCachedDeltas) deltas_.clear();
 }
 
 Body ListCache::Encode(bool complete, const std::vector<const Member*>& members) const {
-  return std::make_shared<const std::string>(ListText(catalog_, complete, members));
+  return std::make_shared<const std::string>(EncodeList(catalog_, complete, members));
 }
 
 }  // namespace gateway::registry
--- /dev/null
+++ b/src/registry/member.hpp
@@ -0,0 +1,49 @@
+// A member of the list: one server process that gateways may send requests to.
+#ifndef GATEWAY_REGISTRY_MEMBER_HPP_
+#define GATEWAY_REGISTRY_MEMBER_HPP_
+
+#include <cstdint>
+#include <string>
+
+#include "base/base.hpp"
+
+namespace gateway::registry {
+
+// Version of the whole list. Strictly rises by one with each accepted change.
+using Revision = std::int64_t;
+
+// Start of a member's process, as Unix time in ms. A higher one is a later process; 0 is an unstated start.
+using Incarnation = std::int64_t;
+
+enum class MemberPhase { kUp, kDraining, kRemoved };
+
+struct Member {
+  std::string id;
+  std::string address;  // "10.1.0.18:3000"
+  std::string zone;
+  std::string machine_type;
+  std::string cell;     // a JSON value that gateways compare as text; empty: none
+  std::string version;  // label of the software that it runs
+  double size = 1;      // capacity relative to other members
+  // Time between a renewal and the expiry of the lease; 0: the member has no lease and is listed until it is
+  // removed explicitly.
+  base::Millis lease_duration = 0;
+  Incarnation incarnation = 0;
+  bool draining = false;             // requested by the process itself; ends with the process
+  bool drained_by_operator = false;  // survives restarts of the process
+  bool suspect = false;              // the lease has expired, and the removal grace has not
+  bool removed = false;
+  bool expired = false;   // removed because the lease expired: the same process may register again
+  Revision revision = 0;  // of its last change
+
+  bool operator==(const Member&) const = default;
+
+  MemberPhase phase() const {
+    if (removed) return MemberPhase::kRemoved;
+    return draining || drained_by_operator ? MemberPhase::kDraining : MemberPhase::kUp;
+  }
+};
+
+}  // namespace gateway::registry
+
+#endif  // GATEWAY_REGISTRY_MEMBER_HPP_
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -1,5 +1,5 @@
-// The registry service as a process: HTTP calls in front of a DurableCatalog and its Leases. A change is told
-// to anyone only once it is on the disk. One thread, and the journal's.
+// The registry: the project's own list service. Gateways read and watch the list, members renew their leases,
+// members and operators change it. Clients see a change only once it is durable.
 #ifndef GATEWAY_REGISTRY_SERVICE_HPP_
 #define GATEWAY_REGISTRY_SERVICE_HPP_
 
@@ -7,79 +7,73 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
-#include <set>
 #include <string>
 #include <string_view>
 #include <unordered_set>
 #include <vector>
 
 #include "registry/admission.hpp"
+#include "registry/call_handler.hpp"
 #include "registry/durable_catalog.hpp"
-#include "registry/form.hpp"
-#include "registry/leases.hpp"
-#include "registry/list_cache.hpp"
+#include "registry/lease_monitor.hpp"
+#include "registry/list_handler.hpp"
 #include "registry/service_options.hpp"
 #include "registry/service_report.hpp"
 #include "registry/session.hpp"
-#include "registry/watches.hpp"
 #include "storage/file_system.hpp"
 
 namespace gateway::registry {
 
+// Accepts connections and routes their requests to the handlers. In the thread of the io_context, except for
+// the log writer's own thread.
 class Service final : private SessionHandler, private CatalogObserver {
  public:
-  // Recovers and listens. Throws std::runtime_error if either can't be. `io` and `files` outlive it.
+  // Recovers and listens. Throws std::runtime_error if either fails. `io` and `files` must outlive it.
   Service(boost::asio::io_context& io, storage::FileSystem& files, ServiceOptions options);
   ~Service() override;
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  const Catalog& catalog() const { return store_.catalog(); }
+  const Catalog& catalog() const { return durable_catalog_.catalog(); }
 
  private:
   using SessionPtr = std::shared_ptr<Session>;
 
   // SessionHandler
-  void OnBytes(std::size_t in, std::size_t out) override;
+  void OnTraffic(std::size_t received, std::size_t sent) override;
   void OnRequest(const SessionPtr& session) override;
   void OnClosed(const SessionPtr& session, CloseReason reason) override;
   // CatalogObserver
-  void OnApplied(const Command& command, const Outcome& outcome) override;
-  void OnRefused(const Command& command) override;
+  void OnApplied(const Command& command, const CommandResult& result) override;
+  void OnRejected(const Command& command) override;
   void OnReopened(const std::vector<const Member*>& changed) override;
   void OnNewRevision() override;
 
   void Listen();
   void Accept();
   void OnAccepted(boost::asio::ip::tcp::socket socket);
-  void TurnAway(const SessionPtr& session, const std::string& message, bool keep_alive);
+  void RejectClient(const SessionPtr& session);
 
-  void AnswerList(const SessionPtr& session, std::string_view target);
-  void AnswerHistory(const SessionPtr& session, std::string_view target) const;
-  bool AnswerReport(const SessionPtr& session, std::string_view path, std::string_view target);
-  void AnswerCall(const SessionPtr& session, std::string_view name, const std::string& body);
-  Outcome Renew(const Renewal& renewal);
-  void ProposeTrust(const Renewal& renewal);
+  void RouteList(const SessionPtr& session, std::string_view target);
+  bool RouteReport(const SessionPtr& session, std::string_view path, std::string_view target);
+  void RouteCall(const SessionPtr& session, std::string_view path);
   ServiceView View() const;
 
   void Tick();
-  void TickLater();
-  void CheckLeases(base::Millis now);
-  void LogHolds();
+  void ScheduleTick();
 
   boost::asio::io_context& io_;
   const ServiceOptions options_;
-  Leases leases_;
-  DurableCatalog store_;
-  ListCache lists_;
-  Watches watches_;
+  DurableCatalog durable_catalog_;
+  LeaseMonitor lease_monitor_;
   Admission admission_;
+  ListHandler list_handler_;
+  CallHandler call_handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer tick_;
+  boost::asio::steady_timer tick_timer_;
   std::unordered_set<SessionPtr> sessions_;
-  std::set<std::string> held_zones_;  // as last logged; an empty name: all zones
-  ServiceCounts counts_;              // without those that other parts keep
+  ServiceTotals totals_;  // without those that other parts count
   const base::Millis started_;
 };
 
--- a/src/registry/service_options.cpp
+++ b/src/registry/service_options.cpp
@@ -6,32 +6,43 @@
 namespace gateway::registry {
 namespace {
 
-constexpr base::Range kTermSeconds{0.5, 3600};
+struct CountRange {
+  int min;
+  int max;
+};
+constexpr base::Range kLeaseDurationSeconds{0.5, 3600};
+constexpr CountRange kMinLapsedRange{0, 1000000};
+constexpr CountRange kRetentionRange{100, 1000000};
+constexpr CountRange kClientRange{1, 1000000};
+constexpr CountRange kOperatorRange{1, 10000};
 
-std::size_t ReadCount(base::TomlTable& table, const char* key, std::size_t otherwise, int least, int most) {
-  return static_cast<std::size_t>(table.Whole(key, static_cast<int>(otherwise), least, most));
+std::size_t ReadCount(base::TomlTable& table, const char* key, std::size_t default_value, CountRange range) {
+  return static_cast<std::size_t>(table.Whole(key, static_cast<int>(default_value), range.min, range.max));
 }
 
 void ReadLeases(base::TomlTable table, LeaseOptions& leases) {
-  leases.term = table.Seconds("term_s", leases.term, kTermSeconds);
-  leases.grace = table.Seconds("grace_s", leases.grace, base::kNotNegative);
-  leases.most_lapsed = table.Number("most_lapsed", leases.most_lapsed, base::kShare);
-  leases.least_lapsed = table.Whole("least_lapsed", leases.least_lapsed, 0, 1000000);
-  leases.window = table.Seconds("window_s", leases.window, base::kNotNegative);
-  leases.longest_hold = table.Seconds("longest_hold_s", leases.longest_hold, base::kAboveZero);
+  SelfPreservationOptions& preservation = leases.self_preservation;
+  leases.default_duration = table.Seconds("term_s", leases.default_duration, kLeaseDurationSeconds);
+  leases.removal_grace = table.Seconds("grace_s", leases.removal_grace, base::kNotNegative);
+  preservation.max_lapsed_share = table.Number("most_lapsed", preservation.max_lapsed_share, base::kShare);
+  preservation.min_lapsed =
+      table.Whole("least_lapsed", preservation.min_lapsed, kMinLapsedRange.min, kMinLapsedRange.max);
+  preservation.window = table.Seconds("window_s", preservation.window, base::kNotNegative);
+  preservation.max_duration = table.Seconds("longest_hold_s", preservation.max_duration, base::kAboveZero);
   table.Done();
 }
 
-void ReadHistory(base::TomlTable table, Bounds& bounds) {
-  bounds.history = ReadCount(table, "changes", bounds.history, 100, 1000000);
-  bounds.keys = ReadCount(table, "keys", bounds.keys, 100, 1000000);
+void ReadHistory(base::TomlTable table, RetentionLimits& retention) {
+  retention.changes = ReadCount(table, "changes", retention.changes, kRetentionRange);
+  retention.idempotency_keys = ReadCount(table, "keys", retention.idempotency_keys, kRetentionRange);
   table.Done();
 }
 
 void ReadWatches(base::TomlTable table, ServiceOptions& options) {
-  options.callers = ReadCount(table, "callers", options.callers, 1, 1000000);
-  options.operators = ReadCount(table, "operators", options.operators, 1, 10000);
-  options.whole_lists = table.Number("whole_lists_per_s", options.whole_lists, base::kAboveZero);
+  options.max_clients = ReadCount(table, "callers", options.max_clients, kClientRange);
+  options.max_operators = ReadCount(table, "operators", options.max_operators, kOperatorRange);
+  options.full_lists_per_second =
+      table.Number("whole_lists_per_s", options.full_lists_per_second, base::kAboveZero);
   table.Done();
 }
 
@@ -47,7 +58,7 @@
   if (options.state_folder.empty()) table.Fail("state_dir", "must be the path of a folder");
   options.owner = "registry " + table.Text("name", "registry");
   if (auto leases = table.Table("leases")) ReadLeases(std::move(*leases), options.leases);
-  if (auto history = table.Table("history")) ReadHistory(std::move(*history), options.bounds);
+  if (auto history = table.Table("history")) ReadHistory(std::move(*history), options.retention);
   if (auto watches = table.Table("watches")) ReadWatches(std::move(*watches), options);
   table.Done();
   return options;
--- a/src/registry/service_options.hpp
+++ b/src/registry/service_options.hpp
@@ -1,4 +1,4 @@
-// Settings of the registry service and their TOML form.
+// Options of the registry service, and their TOML form.
 #ifndef GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
 #define GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
 
@@ -8,27 +8,29 @@
 #include <string>
 
 #include "registry/catalog.hpp"
-#include "registry/leases.hpp"
+#include "registry/lease_table.hpp"
 
 namespace gateway::registry {
 
 struct ServiceOptions {
   boost::asio::ip::tcp::endpoint listen;
   std::string state_folder;
-  std::string owner = "registry";  // name written into the state folder: who it belongs to
+  std::string owner = "registry";  // written into the state folder, which no other owner may open
   std::string program;             // version of the program, written beside it
-  Bounds bounds;
+  RetentionLimits retention;
   LeaseOptions leases;
-  std::size_t callers = 8000;              // connections of gateways and members
-  std::size_t operators = 64;              // connections beyond these, for operators
-  double whole_lists = 500;                // full lists sent per second at most
-  std::uint64_t snapshot_after = 8 << 20;  // log bytes after which a snapshot is taken
-  std::string epoch;                       // epoch of a new history; used only if the folder is empty
-  Revision first = 0;                      // revision before the first change of a new history
+  std::size_t max_clients = 8000;                // connections of gateways and members
+  std::size_t max_operators = 64;                // connections beyond these, for operators
+  double full_lists_per_second = 500;            // full lists sent at most
+  std::uint64_t snapshot_after_bytes = 8 << 20;  // of log since the last snapshot
+  // Used only if the folder holds no state: epoch of the new history, and the revision before its first
+  // change.
+  std::string epoch;
+  Revision initial_revision = 0;
 };
 
-// Reads the options from a TOML file. Throws base::ConfigError. Leaves `program`, `epoch` and `first` to the
-// caller.
+// Reads the options from a TOML file. Throws base::ConfigError. Leaves `program`, `epoch` and
+// `initial_revision` to the caller.
 ServiceOptions ReadServiceOptions(const std::string& path);
 
 }  // namespace gateway::registry
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -2,7 +2,6 @@
 
 #include <fmt/format.h>
 
-#include <map>
 #include <nlohmann/json.hpp>
 
 namespace gateway::registry {
@@ -13,24 +12,34 @@
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerSecond = 1e6;
 
-std::map<std::string, int> CountPhases(const Catalog& catalog) {
-  std::map<std::string, int> phases{{"up", 0}, {"draining", 0}, {"suspect", 0}};
-  for (const auto& [id, member] : catalog.members()) ++phases[member.suspect ? "suspect" : member.phase()];
-  return phases;
+json CountPhases(const Catalog& catalog) {
+  int up = 0;
+  int draining = 0;
+  int suspect = 0;
+  for (const auto& [id, member] : catalog.members()) {
+    if (member.suspect) {
+      ++suspect;
+    } else if (member.phase() == MemberPhase::kDraining) {
+      ++draining;
+    } else {
+      ++up;
+    }
+  }
+  return {{"up", up}, {"draining", draining}, {"suspect", suspect}};
 }
 
-json HoldsOf(const ServiceView& view) {
-  json holds = json::array();
-  for (const Leases::Hold& hold : view.leases.holds()) {
-    holds.push_back({{"zone", hold.zone},
-                     {"lapsed", hold.lapsed},
-                     {"of", hold.of},
-                     {"for_s", (view.now - hold.since) / kMillisPerSecond}});
+json EncodePreservedZones(const ServiceView& view) {
+  json zones = json::array();
+  for (const SelfPreservation::ActiveZone& active : view.leases.preserved_zones()) {
+    zones.push_back({{"zone", active.zone},
+                     {"lapsed", active.leases.lapsed},
+                     {"of", active.leases.total},
+                     {"for_s", (view.now - active.since) / kMillisPerSecond}});
   }
-  return holds;
+  return zones;
 }
 
-// A text of metrics in Prometheus' exposition format.
+// Writes metrics in Prometheus' text exposition format.
 class MetricsWriter {
  public:
   template <typename Value>
@@ -54,37 +63,38 @@
   std::string text_;
 };
 
-void WriteState(const ServiceView& view, MetricsWriter& metrics) {
-  const Catalog& catalog = view.store.catalog();
+void AddStateMetrics(const ServiceView& view, MetricsWriter& metrics) {
+  const Catalog& catalog = view.durable_catalog.catalog();
   metrics.Gauge("revision", "Newest revision", catalog.revision());
   metrics.Gauge("oldest_revision", "Oldest that a watch can go on from", catalog.oldest());
   metrics.Gauge("members", "Members listed", catalog.members().size());
-  metrics.Gauge("leases_overdue", "Members whose lease has lapsed", view.leases.overdue(view.now));
-  metrics.Gauge("holds", "Zones (or all) in which removals are held", view.leases.holds().size());
-  metrics.Counter("absences_total", "Times that this service was stopped or starved", view.leases.absences());
+  metrics.Gauge("leases_overdue", "Members whose lease has lapsed", view.leases.CountLapsed(view.now));
+  metrics.Gauge("holds", "Zones (or all) in which removals are held", view.leases.preserved_zones().size());
+  metrics.Counter("absences_total", "Times that this service was stopped or starved", view.leases.pauses());
   metrics.Gauge("watches", "Watches that wait", view.watches);
   metrics.Gauge("connections", "Connections", view.connections);
-  metrics.Gauge("storage_ok", "0 while the disk takes no writes", view.store.storage_error().empty() ? 1 : 0);
+  metrics.Gauge("storage_ok", "0 while the disk takes no writes",
+                view.durable_catalog.storage_error().empty() ? 1 : 0);
 }
 
-void WriteCounts(const ServiceView& view, MetricsWriter& metrics) {
-  metrics.Counter("calls_total", "Requests", view.counts.all.requests);
-  metrics.Counter("renewals_total", "Renewals", view.counts.renewals);
-  metrics.Counter("writes_total", "Commands kept", view.store.writes());
-  metrics.Counter("syncs_total", "Syncs of the log", view.store.syncs());
-  metrics.Counter("whole_lists_total", "Whole lists told", view.counts.whole_lists);
-  metrics.Counter("list_calls_total", "Requests for the list, watches among them", view.counts.list.requests);
-  metrics.Counter("bytes_received_total", "Bytes of requests", view.counts.all.bytes_in);
-  metrics.Counter("bytes_sent_total", "Bytes of answers begun", view.counts.all.bytes_out);
+void AddTotals(const ServiceView& view, MetricsWriter& metrics) {
+  metrics.Counter("calls_total", "Requests", view.totals.all.requests);
+  metrics.Counter("renewals_total", "Renewals", view.totals.renewals);
+  metrics.Counter("writes_total", "Commands kept", view.durable_catalog.commands_written());
+  metrics.Counter("syncs_total", "Syncs of the log", view.durable_catalog.batches_written());
+  metrics.Counter("whole_lists_total", "Whole lists told", view.totals.full_lists);
+  metrics.Counter("list_calls_total", "Requests for the list, watches among them", view.totals.list.requests);
+  metrics.Counter("bytes_received_total", "Bytes of requests", view.totals.all.bytes_received);
+  metrics.Counter("bytes_sent_total", "Bytes of answers begun", view.totals.all.bytes_sent);
   metrics.Counter("list_bytes_received_total", "The same, of requests for the list",
-                  view.counts.list.bytes_in);
-  metrics.Counter("list_bytes_sent_total", "The same, of answers to them", view.counts.list.bytes_out);
-  metrics.Counter("encoded_total", "Bodies encoded", view.counts.encoded);
-  metrics.Counter("turned_away_total", "Callers told to come back", view.counts.turned_away);
-  metrics.Counter("cut_off_total", "Readers that were too slow", view.counts.cut_off);
+                  view.totals.list.bytes_received);
+  metrics.Counter("list_bytes_sent_total", "The same, of answers to them", view.totals.list.bytes_sent);
+  metrics.Counter("encoded_total", "Bodies encoded", view.totals.encoded_bodies);
+  metrics.Counter("turned_away_total", "Callers told to come back", view.totals.rejected);
+  metrics.Counter("cut_off_total", "Readers that were too slow", view.totals.slow_readers_closed);
 }
 
-void WriteCommitTimes(const base::Histogram& times_us, MetricsWriter& metrics) {
+void AddCommitTimes(const base::Histogram& times_us, MetricsWriter& metrics) {
   const auto seconds = [&](double quantile) {
     return static_cast<double>(times_us.Quantile(quantile)) / kMicrosPerSecond;
   };
@@ -94,29 +104,29 @@
 
 }  // namespace
 
-std::string StatusText(const ServiceView& view) {
-  const Catalog& catalog = view.store.catalog();
-  const std::string& storage_error = view.store.storage_error();
+std::string StatusReport(const ServiceView& view) {
+  const Catalog& catalog = view.durable_catalog.catalog();
+  const std::string& storage_error = view.durable_catalog.storage_error();
   return json{{"epoch", catalog.epoch()},
               {"revision", catalog.revision()},
               {"oldest", catalog.oldest()},
               {"members", CountPhases(catalog)},
-              {"leases", view.leases.count()},
-              {"overdue", view.leases.overdue(view.now)},
-              {"holds", HoldsOf(view)},
+              {"leases", view.leases.size()},
+              {"overdue", view.leases.CountLapsed(view.now)},
+              {"holds", EncodePreservedZones(view)},
               {"watches", view.watches},
               {"connections", view.connections},
               {"storage", storage_error.empty() ? "ok" : storage_error},
-              {"log_bytes", view.store.log_bytes()},
+              {"log_bytes", view.durable_catalog.log_bytes()},
               {"up_s", (view.now - view.started) / kMillisPerSecond}}
       .dump();
 }
 
-std::string MetricsText(const ServiceView& view) {
+std::string MetricsReport(const ServiceView& view) {
   MetricsWriter metrics;
-  WriteState(view, metrics);
-  WriteCounts(view, metrics);
-  WriteCommitTimes(view.store.commit_time_us(), metrics);
+  AddStateMetrics(view, metrics);
+  AddTotals(view, metrics);
+  AddCommitTimes(view.durable_catalog.commit_time_us(), metrics);
   return metrics.Take();
 }
 
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -9,13 +9,17 @@
 
 #include "base/clock.hpp"
 #include "base/http_client.hpp"
-#include "registry/agent.hpp"
+#include "registry/agent_state.hpp"
+#include "registry/lease_table.hpp"
+#include "registry/record_codec.hpp"
+#include "registry/registry_json.hpp"
 #include "registry/service.hpp"
 #include "storage/memory_file_system.hpp"
 
 namespace gateway::registry {
 namespace {
 
+using base::Millis;
 using nlohmann::json;
 
 // ---- The state machine against a reference ------------------------------------------------------
@@ -44,36 +48,37 @@
     return list;
   }
 
-  // The code of the answer; empty if it was done.
-  std::string Apply(const Command& c) {
+  // The code of the result.
+  ErrorCode Apply(const Command& c) {
     const std::string what = std::to_string(static_cast<int>(c.action)) + c.member.id;
-    if (const auto known = keys.find(c.key); !c.key.empty() && known != keys.end()) {
-      return known->second.first == what ? "" : "key_reused";
+    if (const auto known = keys.find(c.idempotency_key); !c.idempotency_key.empty() && known != keys.end()) {
+      return known->second.first == what ? ErrorCode::kNone : ErrorCode::kKeyReused;
     }
     const Member* const last = Last(c.member.id);
     const bool listed = last != nullptr && !last->removed;
     Member next = listed ? *last : c.member;
     if (c.action == Action::kRegister) {
-      if (last != nullptr && c.member.incarnation < last->incarnation) return "stale_incarnation";
+      if (last != nullptr && c.member.incarnation < last->incarnation) return ErrorCode::kStaleIncarnation;
       const bool same = last != nullptr && c.member.incarnation == last->incarnation;
-      if (!listed && same && !last->expired && c.member.incarnation != 0) return "removed";
-      if (listed && c.if_incarnation && *c.if_incarnation != last->incarnation) return "stale_incarnation";
-      if (listed && c.if_revision && last->revision > *c.if_revision) return "changed_since";
-      if (listed && same && c.member.address != last->address) return "address_conflict";
+      if (!listed && same && !last->expired && c.member.incarnation != 0) return ErrorCode::kRemoved;
+      if (listed && c.if_incarnation && *c.if_incarnation != last->incarnation)
+        return ErrorCode::kStaleIncarnation;
+      if (listed && c.if_revision && last->revision > *c.if_revision) return ErrorCode::kChangedSince;
+      if (listed && same && c.member.address != last->address) return ErrorCode::kAddressConflict;
       next = c.member;
-      next.held_out = last != nullptr && (listed || last->expired) && last->held_out;
+      next.drained_by_operator = last != nullptr && (listed || last->expired) && last->drained_by_operator;
       next.draining = listed && same && last->draining;
       if (listed) next.revision = last->revision;
     } else {
-      if (!listed) return "unknown_member";
-      if (c.if_incarnation && *c.if_incarnation != last->incarnation) return "stale_incarnation";
-      if (c.if_revision && last->revision > *c.if_revision) return "changed_since";
-      if (c.action == Action::kDrain && c.by_operator) next.held_out = true;
+      if (!listed) return ErrorCode::kUnknownMember;
+      if (c.if_incarnation && *c.if_incarnation != last->incarnation) return ErrorCode::kStaleIncarnation;
+      if (c.if_revision && last->revision > *c.if_revision) return ErrorCode::kChangedSince;
+      if (c.action == Action::kDrain && c.by_operator) next.drained_by_operator = true;
       if (c.action == Action::kDrain && !c.by_operator) next.draining = true;
-      if (c.action == Action::kUndrain) next.held_out = false;
+      if (c.action == Action::kUndrain) next.drained_by_operator = false;
       if (c.action == Action::kSetSize) next.size = c.member.size;
       if (c.action == Action::kSuspect) next.suspect = true;
-      if (c.action == Action::kTrust) next.suspect = false;
+      if (c.action == Action::kRecover) next.suspect = false;
       if (c.action == Action::kRemove || c.action == Action::kExpire) next.removed = true;
       if (c.action == Action::kExpire) next.expired = true;
     }
@@ -81,8 +86,8 @@
       next.revision = revision() + 1;
       changes.push_back(next);
     }
-    if (!c.key.empty()) keys[c.key] = {what, revision()};
-    return "";
+    if (!c.idempotency_key.empty()) keys[c.idempotency_key] = {what, revision()};
+    return ErrorCode::kNone;
   }
 };
 
@@ -97,10 +102,10 @@
         if (c.action == Action::kRegister) {
           c.member.address = "10.0.0." + std::to_string(address) + ":80";
           c.member.incarnation = start;
-          c.member.term = 1000;
+          c.member.lease_duration = 1000;
         }
         if (c.action == Action::kRegister || c.action == Action::kSetSize) c.member.size = size;
-        if (key < 4) c.key = "k" + std::to_string(key);
+        if (key < 4) c.idempotency_key = "k" + std::to_string(key);
         if (conditions & 1) c.if_revision = 100 + size * 3;
         if (conditions & 2) c.if_incarnation = start;
         return c;
@@ -120,7 +125,7 @@
 // What a watcher at `after` is told makes of its list the list of now: in order, each member once.
 void RequireDelta(const Catalog& catalog, Revision after, std::map<std::string, Member> list,
                   const std::map<std::string, Member>& now) {
-  const auto changed = catalog.Since(after);
+  const auto changed = catalog.ChangedSince(after);
   RC_ASSERT(changed.has_value());
   std::set<std::string> named;
   Revision last = after;
@@ -144,9 +149,9 @@
   Revision watcher = kFirst;
   for (std::size_t i = 0; i < commands.size(); ++i) {
     const Revision before = catalog.revision();
-    const Outcome outcome = catalog.Apply(commands[i]);
-    RC_ASSERT(outcome.code == reference.Apply(commands[i]));
-    RC_ASSERT(catalog.revision() - before == (outcome.changed ? 1 : 0));
+    const CommandResult result = catalog.Apply(commands[i]);
+    RC_ASSERT(result.code() == reference.Apply(commands[i]));
+    RC_ASSERT(catalog.revision() - before == (result.changed ? 1 : 0));
     RequireSame(catalog, reference);
     if (i % 3 == 2) {
       RequireDelta(catalog, watcher, reference.ListAt(watcher), catalog.members());
@@ -160,14 +165,14 @@
   for (Revision after = kFirst; after <= catalog.revision(); ++after) {
     RequireDelta(catalog, after, reference.ListAt(after), catalog.members());
   }
-  RC_ASSERT(!catalog.Since(catalog.revision() + 1).has_value());
+  RC_ASSERT(!catalog.ChangedSince(catalog.revision() + 1).has_value());
 }
 
 // What a caller writes is what the service reads.
-RC_GTEST_PROP(Form, ReadsWhatItWrites, ()) {
+RC_GTEST_PROP(RegistryJson, ReadsWhatItWrites, ()) {
   const Command command = *AnyCommand();
   RC_PRE(command.action <= Action::kSetSize);
-  const Call call = ParseCall(NameOf(command.action), ToBody(command));
+  const ParsedCall call = ParseCall(CallName(command.action), EncodeCall(command));
   RC_ASSERT(std::holds_alternative<Command>(call));
   RC_ASSERT(std::get<Command>(call) == command);
 }
@@ -181,7 +186,7 @@
     catalog.Apply(c);
     lists[catalog.revision()] = catalog.members();
     RC_ASSERT(catalog.history().size() <= 5u);
-    RC_ASSERT(!catalog.Since(catalog.oldest() - 1).has_value());
+    RC_ASSERT(!catalog.ChangedSince(catalog.oldest() - 1).has_value());
     for (Revision after = catalog.oldest(); after <= catalog.revision(); ++after) {
       RequireDelta(catalog, after, lists.at(after), catalog.members());
     }
@@ -219,7 +224,8 @@
       const std::size_t group = 1 + i % 3;
       if (i % 7 == 3) RC_ASSERT(log->TakeSnapshot(kSnapshotVersion, catalog.Snapshot()).ok());
       const std::size_t end = std::min(commands.size(), i + group);
-      for (std::size_t at = i; at < end; ++at) RC_ASSERT(log->Append(1, 1, ToRecord(commands[at])) == at + 1);
+      for (std::size_t at = i; at < end; ++at)
+        RC_ASSERT(log->Append(1, 1, EncodeCommand(commands[at])) == at + 1);
       RC_ASSERT(log->Commit().ok());
       for (; i < end; ++i) catalog.Apply(commands[i]);
       if (!after) acknowledged = i;
@@ -241,7 +247,7 @@
       catalog.emplace("e", kFirst);
     }
     for (const storage::Record& record : found.records) {
-      const auto command = CommandFromRecord(record.payload);
+      const auto command = DecodeCommand(record.payload);
       RC_ASSERT(command.has_value());
       RC_ASSERT(*command == commands[record.sequence - 1]);
       catalog->Apply(*command);
@@ -259,7 +265,7 @@
   Catalog catalog("e", kFirst);
   for (int i = 0; i < 4; ++i) {
     Command c;
-    c.key = "k" + std::to_string(i);
+    c.idempotency_key = "k" + std::to_string(i);
     c.member.id = "m" + std::to_string(i % 2);
     c.member.incarnation = i;
     catalog.Apply(c);
@@ -283,16 +289,16 @@
       Command c;
       c.member.id = "m" + std::to_string(i);
       c.member.zone = std::string(1, static_cast<char>('a' + i % 3));
-      c.member.term = 10000;
+      c.member.lease_duration = 10000;
       c.member.incarnation = 1;
       Apply(c);
     }
   }
   void Apply(const Command& c) {
-    const Outcome outcome = catalog.Apply(c);
-    if (!outcome.ok()) return leases.Failed(c);
+    const CommandResult result = catalog.Apply(c);
+    if (!result.ok()) return leases.OnProposalFailed(c);
     const Member* const member = catalog.Find(c.member.id);
-    leases.Changed(member != nullptr ? *member : catalog.history().back(), now);
+    leases.OnMemberChanged(member != nullptr ? *member : catalog.history().back(), now);
   }
   // Members that `renews` names do so every 3.3 s, each at its own time.
   void Run(Millis time, const std::function<bool(int)>& renews) {
@@ -301,15 +307,15 @@
       for (int i = 0; i < 200; ++i) {
         const std::string id = "m" + std::to_string(i);
         if (!catalog.Find(id) || !renews(i) || static_cast<int>(now / 200 + i) % 16 != 0) continue;
-        if (leases.Renew(id, 1, now) == Leases::Renewal::kLifted) {
+        if (leases.Renew(id, 1, now) == RenewalResult::kRecovered) {
           Command c;
-          c.action = Action::kTrust;
+          c.action = Action::kRecover;
           c.member.id = id;
           Apply(c);
         }
       }
       for (const Command& c : leases.Tick(now)) Apply(c);
-      if (!leases.holds().empty()) ++held_ticks;
+      if (!leases.preserved_zones().empty()) ++preserved_ticks;
     }
   }
   int Suspects() const {
@@ -318,12 +324,12 @@
     return count;
   }
   Catalog catalog{"e", kFirst};
-  Leases leases;
+  LeaseTable leases;
   Millis now = 0;
-  int held_ticks = 0;
+  int preserved_ticks = 0;
 };
 
-TEST(Leases, RemoveTheFewThatDiedWithinTermGraceAndATick) {
+TEST(LeaseTable, RemoveTheFewThatDiedWithinTermGraceAndATick) {
   LeaseWorld world(60);
   const auto dead = [](int i) { return i == 4 || i == 20 || i == 51; };
   world.Run(20000, [](int) { return true; });
@@ -332,25 +338,25 @@
   EXPECT_EQ(world.Suspects(), 3);
   world.Run(5200, [&](int i) { return !dead(i); });
   EXPECT_EQ(world.catalog.members().size(), 57u);
-  EXPECT_EQ(world.held_ticks, 0);
+  EXPECT_EQ(world.preserved_ticks, 0);
 }
 
-TEST(Leases, RemoveNobodyWhereManyLapseTogether) {
+TEST(LeaseTable, RemoveNobodyWhereManyLapseTogether) {
   LeaseWorld world(60);
   const auto cut = [](int i) { return i % 5 < 3; };  // 36 of 60
   world.Run(20000, [](int) { return true; });
   world.Run(600000, [&](int i) { return !cut(i); });
   EXPECT_EQ(world.catalog.members().size(), 60u);
-  EXPECT_EQ(world.leases.holds().size(), 4u);  // all, and each zone
+  EXPECT_EQ(world.leases.preserved_zones().size(), 4u);  // all, and each zone
   // It ends by itself, and while they come back nobody is removed for being the last.
   world.Run(20000, [](int) { return true; });
   EXPECT_EQ(world.catalog.members().size(), 60u);
-  EXPECT_EQ(world.leases.holds().size(), 0u);
+  EXPECT_EQ(world.leases.preserved_zones().size(), 0u);
   EXPECT_EQ(world.Suspects(), 0);
 }
 
 // One after the other counts as together: within the window a quarter of a zone is removed at the most.
-TEST(Leases, RemoveNoZoneBitByBit) {
+TEST(LeaseTable, RemoveNoZoneBitByBit) {
   LeaseWorld world(60);
   int dead = 0;
   for (int step = 0; step < 20; ++step, ++dead) {
@@ -361,20 +367,20 @@
   EXPECT_LT(world.catalog.members().size(), 60u);
 }
 
-TEST(Leases, GrantAFullTermAfterTheServiceWasAway) {
+TEST(LeaseTable, GrantAFullTermAfterTheServiceWasAway) {
   LeaseWorld world(60);
   world.Run(20000, [](int) { return true; });
   world.now += 60000;  // stopped
   world.Run(9800, [](int) { return false; });
   EXPECT_EQ(world.Suspects(), 0);
-  EXPECT_EQ(world.leases.absences(), 1);
+  EXPECT_EQ(world.leases.pauses(), 1);
   world.Run(30000, [](int) { return true; });
   EXPECT_EQ(world.catalog.members().size(), 60u);
 }
 
-TEST(Leases, EndAHoldThatLastsTooLong) {
+TEST(LeaseTable, EndAHoldThatLastsTooLong) {
   LeaseOptions options;
-  options.longest_hold = 60000;
+  options.self_preservation.max_duration = 60000;
   LeaseWorld world(60, options);
   world.Run(20000, [](int i) { return i % 2 == 0; });
   EXPECT_EQ(world.catalog.members().size(), 60u);
@@ -382,9 +388,9 @@
   EXPECT_EQ(world.catalog.members().size(), 30u);
 }
 
-TEST(Leases, MemberWhoseRemovalIsUnderWayHasToRegister) {
+TEST(LeaseTable, MemberWhoseRemovalIsUnderWayHasToRegister) {
   LeaseWorld world(10);
-  Leases& leases = world.leases;
+  LeaseTable& leases = world.leases;
   Millis now = 0;
   std::vector<Command> proposals;
   for (; proposals.size() < 2 && now < 30000; now += 200) {
@@ -393,38 +399,37 @@
   }
   ASSERT_EQ(proposals.size(), 2u);
   EXPECT_EQ(proposals[1].action, Action::kExpire);
-  EXPECT_EQ(leases.Renew("m0", 1, now), Leases::Renewal::kLeaving);
-  EXPECT_EQ(leases.Renew("m1", 2, now), Leases::Renewal::kStale);
-  EXPECT_EQ(leases.Renew("none", 1, now), Leases::Renewal::kUnknown);
-  leases.Failed(proposals[1]);  // not kept: it lives
-  EXPECT_EQ(leases.Renew("m0", 1, now), Leases::Renewal::kLifted);
+  EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kExpiring);
+  EXPECT_EQ(leases.Renew("m1", 2, now), RenewalResult::kStaleIncarnation);
+  EXPECT_EQ(leases.Renew("none", 1, now), RenewalResult::kUnknownMember);
+  leases.OnProposalFailed(proposals[1]);  // not kept: it lives
+  EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kRecovered);
 }
 
-TEST(Agent, SaysWhatIsDueNext) {
-  using Say = AgentState::Say;
+TEST(AgentState, SaysWhatIsDueNext) {
   AgentState state;
-  EXPECT_EQ(state.next(), Say::kNothing);
-  state.Checked(true, 3);
-  EXPECT_EQ(state.next(), Say::kRegister);
-  state.Answered(Say::kRegister, "");
-  EXPECT_EQ(state.next(), Say::kRenew);
-  state.Answered(Say::kRenew, "unknown_member");  // the service lost it
-  EXPECT_EQ(state.next(), Say::kRegister);
-  state.Answered(Say::kRegister, "");
-  for (int i = 0; i < 3; ++i) state.Checked(false, 3);
-  EXPECT_EQ(state.next(), Say::kNothing);  // its lease lapses
-  state.Checked(true, 3);
+  EXPECT_EQ(state.next(), AgentAction::kNone);
+  state.OnHealthCheck(true, 3);
+  EXPECT_EQ(state.next(), AgentAction::kRegister);
+  state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
+  EXPECT_EQ(state.next(), AgentAction::kRenew);
+  state.OnResult(AgentAction::kRenew, ErrorCode::kUnknownMember);  // the service lost it
+  EXPECT_EQ(state.next(), AgentAction::kRegister);
+  state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
+  for (int i = 0; i < 3; ++i) state.OnHealthCheck(false, 3);
+  EXPECT_EQ(state.next(), AgentAction::kNone);  // its lease lapses
+  state.OnHealthCheck(true, 3);
   state.Stop();
-  EXPECT_EQ(state.next(), Say::kDrain);
-  state.Answered(Say::kDrain, "");
-  EXPECT_EQ(state.next(), Say::kRenew);  // it is listed as draining until its grace is over
-  state.GraceOver();
-  EXPECT_EQ(state.next(), Say::kRemove);
-  state.Answered(Say::kRemove, "");
+  EXPECT_EQ(state.next(), AgentAction::kDrain);
+  state.OnResult(AgentAction::kDrain, ErrorCode::kNone);
+  EXPECT_EQ(state.next(), AgentAction::kRenew);  // it is listed as draining until its grace is over
+  state.OnDrainGraceOver();
+  EXPECT_EQ(state.next(), AgentAction::kRemove);
+  state.OnResult(AgentAction::kRemove, ErrorCode::kNone);
   EXPECT_TRUE(state.done());
   AgentState other;
-  other.Checked(true, 3);
-  other.Answered(Say::kRegister, "stale_incarnation");
+  other.OnHealthCheck(true, 3);
+  other.OnResult(AgentAction::kRegister, ErrorCode::kStaleIncarnation);
   EXPECT_TRUE(other.replaced());
 }
 
@@ -441,11 +446,11 @@
     options.listen = {boost::asio::ip::make_address("127.0.0.1"), 0};
     options.state_folder = "r";
     options.epoch = "e1";
-    options.first = kFirst;
-    options.callers = callers;
-    options.operators = 2;
-    options.whole_lists = whole_lists;
-    options.leases.term = 60000;
+    options.initial_revision = kFirst;
+    options.max_clients = callers;
+    options.max_operators = 2;
+    options.full_lists_per_second = whole_lists;
+    options.leases.default_duration = 60000;
     Restart();
   }
   void Restart() {
