--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -14,7 +14,7 @@
 #include <stdexcept>
 
 #include "base/clock.hpp"
-#include "storage/memory_file_system.hpp"
+#include "storage/faulty_file_system.hpp"
 #include "storage/store.hpp"
 
 namespace {
@@ -196,7 +196,7 @@
   AddFaultySyncs();
   storage::FaultyFileSystem faulty(*files, [](storage::FaultyFileSystem::Call call, const std::string&) {
     const bool fails = fail_syncs && call == storage::FaultyFileSystem::Call::kSync;
-    return storage::FaultyFileSystem::Verdict{fails ? std::make_error_code(std::errc::io_error)
+    return storage::FaultyFileSystem::Fault{fails ? std::make_error_code(std::errc::io_error)
                                                     : std::error_code()};
   });
   storage::Examination found;
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -20,24 +20,29 @@
   return examination;
 }
 
-const char* Words(storage::Found found) {
-  switch (found) {
-    case storage::Found::kNothing: return "no state";
-    case storage::Found::kWhole: return "whole";
-    case storage::Found::kDamaged: return "damaged";
-    case storage::Found::kForeign: return "of a newer program";
+const char* Words(storage::StoreCondition condition) {
+  switch (condition) {
+    case storage::StoreCondition::kEmpty: return "no state";
+    case storage::StoreCondition::kComplete: return "whole";
+    case storage::StoreCondition::kCorrupt: return "damaged";
+    case storage::StoreCondition::kOtherOwner:
+    case storage::StoreCondition::kUnsupportedVersion: return "of a newer program";
   }
   return "";
 }
 
+bool IsUsable(const storage::Examination& e) {
+  return e.condition == storage::StoreCondition::kComplete || e.condition == storage::StoreCondition::kEmpty;
+}
+
 std::string Line(const std::string& folder, const storage::Examination& e) {
-  std::string line = fmt::format("{}: {}", folder, Words(e.found));
+  std::string line = fmt::format("{}: {}", folder, Words(e.condition));
   if (e.manifest && !e.manifest->owner.empty()) line += fmt::format(", of {}", e.manifest->owner);
   if (e.snapshot) line += fmt::format(", snapshot up to {}", e.snapshot->sequence);
   if (!e.records.empty()) {
     line += fmt::format(", records {} to {}", e.records.front().sequence, e.records.back().sequence);
   }
-  return e.why.empty() ? line : line + ": " + e.why;
+  return e.error.empty() ? line : line + ": " + e.error;
 }
 
 ordered_json Payload(const std::string& bytes) {
@@ -56,17 +61,17 @@
   fmt::print("{}\n", Line(folder, e));
   if (e.manifest) fmt::print("  begun by elderhead {}, format {}\n", e.manifest->program, e.manifest->format);
   for (const auto& file : e.files) {
-    fmt::print("  {:32} {:>9} bytes  {}{}\n", file.name, file.bytes, file.what,
-               file.why.empty() ? "" : "; wrong: " + file.why);
+    fmt::print("  {:32} {:>9} bytes  {}{}\n", file.name, file.bytes, file.description,
+               file.error.empty() ? "" : "; wrong: " + file.error);
   }
-  for (const std::string& name : e.spent) fmt::print("  {:32} needed no more\n", name);
+  for (const std::string& name : e.obsolete_files) fmt::print("  {:32} needed no more\n", name);
   return 0;
 }
 
 int VerifyState(const std::string& folder) {
   const storage::Examination e = Look(folder);
   fmt::print("{}\n", Line(folder, e));
-  return e.found == storage::Found::kWhole || e.found == storage::Found::kNothing ? 0 : 1;
+  return IsUsable(e) ? 0 : 1;
 }
 
 int ExportState(const std::string& folder) {
@@ -82,7 +87,7 @@
            {"version", record.version},
            {"payload", Payload(record.payload)}});
   }
-  return e.found == storage::Found::kWhole || e.found == storage::Found::kNothing ? 0 : 1;
+  return IsUsable(e) ? 0 : 1;
 }
 
 }  // namespace gateway::cli
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -8,7 +8,7 @@
 #include "base/log.hpp"
 #include "proxy/clock.hpp"
 #include "proxy/restart/learned_state_json.hpp"
-#include "storage/memory_file_system.hpp"
+#include "storage/faulty_file_system.hpp"
 #include "storage/store.hpp"
 
 namespace gateway::proxy {
@@ -61,7 +61,7 @@
       Say(base::Level::kWarning, "not_read", status.Text());
     return std::nullopt;
   }
-  if (!found.why.empty()) Say(base::Level::kWarning, "not_read", folder + ": " + found.why);
+  if (!found.error.empty()) Say(base::Level::kWarning, "not_read", folder + ": " + found.error);
   if (!found.snapshot) return std::nullopt;
   auto state = found.snapshot->version > kVersion ? std::nullopt : ParseSavedState(found.snapshot->payload);
   if (!state) Say(base::Level::kWarning, "not_read", folder + ": a snapshot that this program can't read");
@@ -100,14 +100,13 @@
                                  [sync_delay](storage::FaultyFileSystem::Call call, const std::string&) {
                                    if (call == storage::FaultyFileSystem::Call::kSync)
                                      std::this_thread::sleep_for(Span(sync_delay));
-                                   return storage::FaultyFileSystem::Verdict{};
+                                   return storage::FaultyFileSystem::Fault{};
                                  });
   storage::FileSystem* const files = sync_delay > 0 ? static_cast<storage::FileSystem*>(&slow) : disk.get();
   storage::StoreOptions options;
   options.owner = owner;
   options.program = GATEWAY_VERSION;
-  options.begin_after_damage =
-      true;  // a list that is newer is on its way anyway; the old files are kept aside
+  options.open_corrupt = true;  // a list that is newer is on its way anyway; the old files are kept aside
   std::unique_ptr<storage::Store> opened;
   int looks = 0;
   std::string said;
@@ -123,7 +122,7 @@
       storage::Examination found;
       if (looks++ % kTryAgain == 0) {
         const storage::Status status = storage::Store::Open(*files, folder, options, opened, found);
-        if (found.found == storage::Found::kForeign) {
+        if (found.is_foreign()) {
           Say(base::Level::kError, "not_written", status.Text() + "; it is left as it is");
           shared.ok = false;
           return;
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -27,7 +27,7 @@
   storage::StoreOptions store;
   store.owner = options.owner;
   store.program = options.program;
-  store.most_bytes = std::max(kLogCapacityPerSnapshot * options.snapshot_after_bytes, kMinLogCapacityBytes);
+  store.max_log_bytes = std::max(kLogCapacityPerSnapshot * options.snapshot_after_bytes, kMinLogCapacityBytes);
   return store;
 }
 
--- /dev/null
+++ b/src/storage/examination.cpp
@@ -0,0 +1,227 @@
+#include "storage/examination.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "storage/file_names.hpp"
+
+namespace gateway::storage {
+namespace {
+
+class Examiner {
+ public:
+  Examiner(FileSystem& files, const std::string& folder, Examination& result)
+      : files_(files), folder_(folder), result_(result) {}
+
+  Status Run(const std::string& owner);
+
+ private:
+  void MarkCorrupt(const std::string& error);
+  void DoNotUse(const NumberedFile& file);
+  void DoNotUseAny();
+  Status Read(const std::string& name, std::uint64_t max_bytes, std::string& bytes);
+
+  Status ExamineManifest(const std::string& owner);
+  void CheckManifest(const std::string& owner);
+  Status ExamineSnapshots();
+  Status ExamineSnapshot(const NumberedFile& file);
+  Status ExamineSegments();
+  Status ExamineSegment(const NumberedFile& file, bool is_last);
+  void ReportSegment(const NumberedFile& file, std::size_t bytes, const Segment& segment);
+  void UseSegment(const NumberedFile& file, Segment segment, bool is_last);
+  void DropEmptyActiveSegment();
+
+  FileSystem& files_;
+  const std::string& folder_;
+  Examination& result_;
+  std::vector<NumberedFile> snapshots_;
+  std::vector<NumberedFile> segments_;
+  bool log_intact_ = true;  // up to the segment that is examined
+};
+
+Status Examiner::Run(const std::string& owner) {
+  std::vector<std::string> names;
+  if (Status status = files_.List(folder_, /*make=*/false, names); !status.ok()) return status;
+  snapshots_ = FindNumberedFiles(names, kSnapshotStem);
+  segments_ = FindNumberedFiles(names, kLogStem);
+  for (const std::string& name : names) {
+    if (name.ends_with(kTemporarySuffix)) result_.obsolete_files.push_back(name);
+  }
+  if (std::find(names.begin(), names.end(), kManifestName) == names.end()) {
+    // The manifest is durable before any other file is created.
+    if (snapshots_.empty() && segments_.empty()) return {};
+    DoNotUseAny();
+    MarkCorrupt("there are files of a state, but no manifest");
+    return {};
+  }
+  if (Status status = ExamineManifest(owner); !status.ok()) return status;
+  if (result_.is_foreign()) return {};
+  if (result_.condition == StoreCondition::kCorrupt) {
+    DoNotUseAny();
+    return {};
+  }
+  result_.condition = StoreCondition::kComplete;
+  if (Status status = ExamineSnapshots(); !status.ok()) return status;
+  return ExamineSegments();
+}
+
+void Examiner::MarkCorrupt(const std::string& error) {
+  if (result_.condition != StoreCondition::kCorrupt) result_.error = error;
+  result_.condition = StoreCondition::kCorrupt;
+}
+
+void Examiner::DoNotUse(const NumberedFile& file) {
+  result_.corrupt_files.push_back(file.name);
+  result_.highest_sequence = std::max(result_.highest_sequence, file.sequence);
+}
+
+void Examiner::DoNotUseAny() {
+  for (const NumberedFile& file : snapshots_) DoNotUse(file);
+  for (const NumberedFile& file : segments_) DoNotUse(file);
+}
+
+Status Examiner::Read(const std::string& name, std::uint64_t max_bytes, std::string& bytes) {
+  return files_.Read(folder_ + "/" + name, max_bytes, bytes);
+}
+
+Status Examiner::ExamineManifest(const std::string& owner) {
+  std::string bytes;
+  if (Status status = Read(kManifestName, kMaxManifestBytes, bytes); !status.ok()) return status;
+  std::string error;
+  result_.manifest = DecodeManifest(bytes, error);
+  result_.files.push_back({kManifestName, bytes.size(), "manifest", error});
+  if (result_.manifest) {
+    CheckManifest(owner);
+  } else {
+    MarkCorrupt("the manifest: " + error);
+  }
+  return {};
+}
+
+void Examiner::CheckManifest(const std::string& owner) {
+  const Manifest& manifest = *result_.manifest;
+  if (manifest.format > kFormatVersion) {
+    result_.condition = StoreCondition::kUnsupportedVersion;
+    result_.error = "it is of format " + std::to_string(manifest.format) + ", this program reads up to " +
+                    std::to_string(kFormatVersion);
+  } else if (!owner.empty() && manifest.owner != owner) {
+    result_.condition = StoreCondition::kOtherOwner;
+    result_.error = "it belongs to '" + manifest.owner + "', not to '" + owner + "'";
+  } else {
+    result_.first_sequence = manifest.first_sequence;
+  }
+}
+
+// Uses the newest valid snapshot. A snapshot gets its name only once it is complete, so an invalid one is
+// corrupt.
+Status Examiner::ExamineSnapshots() {
+  for (auto file = snapshots_.rbegin(); file != snapshots_.rend(); ++file) {
+    result_.highest_sequence = std::max(result_.highest_sequence, file->sequence);
+    if (result_.snapshot) {
+      result_.obsolete_files.push_back(file->name);
+      continue;
+    }
+    if (Status status = ExamineSnapshot(*file); !status.ok()) return status;
+  }
+  return {};
+}
+
+Status Examiner::ExamineSnapshot(const NumberedFile& file) {
+  std::string bytes;
+  if (Status status = Read(file.name, kMaxSnapshotBytes, bytes); !status.ok()) return status;
+  std::string error;
+  result_.snapshot = DecodeSnapshot(bytes, error);
+  if (result_.snapshot && result_.snapshot->sequence != file.sequence) {
+    error = "it is another's, by its name";
+    result_.snapshot.reset();
+  }
+  result_.files.push_back(
+      {file.name, bytes.size(), "snapshot up to " + std::to_string(file.sequence), error});
+  if (!result_.snapshot) {
+    MarkCorrupt(file.name + ": " + error);
+    DoNotUse(file);
+  }
+  return {};
+}
+
+Status Examiner::ExamineSegments() {
+  const Sequence covered = result_.last();  // by the snapshot
+  for (std::size_t i = 0; i < segments_.size(); ++i) {
+    const bool is_last = i + 1 == segments_.size();
+    if (!is_last && segments_[i + 1].sequence <= covered + 1) {
+      result_.obsolete_files.push_back(segments_[i].name);
+      continue;
+    }
+    if (Status status = ExamineSegment(segments_[i], is_last); !status.ok()) return status;
+  }
+  DropEmptyActiveSegment();
+  return {};
+}
+
+Status Examiner::ExamineSegment(const NumberedFile& file, bool is_last) {
+  std::string bytes;
+  if (Status status = Read(file.name, kMaxSegmentBytes, bytes); !status.ok()) return status;
+  Segment segment = ReadSegment(bytes, file.sequence);
+  const Sequence last = file.sequence + segment.records.size() - 1;
+  result_.highest_sequence = std::max(result_.highest_sequence, last);
+  if (segment.first == 0 && !is_last) segment.corrupt = true;
+  if (segment.first != 0 && segment.first != file.sequence) {
+    segment.error = "it is another's, by its name";
+    segment.corrupt = true;
+    segment.records.clear();
+  }
+  ReportSegment(file, bytes.size(), segment);
+  UseSegment(file, std::move(segment), is_last);
+  return {};
+}
+
+void Examiner::ReportSegment(const NumberedFile& file, std::size_t bytes, const Segment& segment) {
+  Examination::FileReport report{file.name, bytes, "no record", ""};
+  if (!segment.records.empty()) {
+    report.description = "records " + std::to_string(file.sequence) + " to " +
+                         std::to_string(file.sequence + segment.records.size() - 1);
+  }
+  if (!segment.error.empty()) {
+    report.error = segment.error + ", at byte " + std::to_string(segment.valid_bytes);
+  }
+  result_.files.push_back(std::move(report));
+}
+
+void Examiner::UseSegment(const NumberedFile& file, Segment segment, bool is_last) {
+  if (!log_intact_) return DoNotUse(file);
+  if (file.sequence > result_.last() + 1) {
+    MarkCorrupt(file.name + ": records " + std::to_string(result_.last() + 1) + " to " +
+                std::to_string(file.sequence - 1) + " are missing");
+    log_intact_ = false;
+    return DoNotUse(file);
+  }
+  for (Record& record : segment.records) {
+    if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
+  }
+  result_.active_segment = file.sequence;
+  // Only the last segment may end in a torn record: a segment is synced before the next one is created.
+  if (!segment.complete && (segment.corrupt || !is_last)) {
+    MarkCorrupt(file.name + ": " + segment.error);
+    log_intact_ = false;
+    DoNotUse(file);
+  }
+}
+
+// Where no record follows the snapshot, the last segment is not continued.
+void Examiner::DropEmptyActiveSegment() {
+  if (!result_.active_segment || !result_.records.empty()) return;
+  if (result_.condition != StoreCondition::kCorrupt) {
+    result_.obsolete_files.push_back(NumberedName(kLogStem, *result_.active_segment));
+  }
+  result_.active_segment.reset();
+}
+
+}  // namespace
+
+Status Examine(FileSystem& files, const std::string& folder, const std::string& owner,
+               Examination& examination) {
+  examination = {};
+  return Examiner(files, folder, examination).Run(owner);
+}
+
+}  // namespace gateway::storage
--- /dev/null
+++ b/src/storage/faulty_file_system.hpp
@@ -0,0 +1,52 @@
+// A file system that fails on demand, for tests and drills.
+#ifndef GATEWAY_STORAGE_FAULTY_FILE_SYSTEM_HPP_
+#define GATEWAY_STORAGE_FAULTY_FILE_SYSTEM_HPP_
+
+#include <cstddef>
+#include <functional>
+#include <memory>
+#include <string>
+#include <system_error>
+#include <utility>
+#include <vector>
+
+#include "storage/file_system.hpp"
+
+namespace gateway::storage {
+
+// Forwards calls to another file system, except for those that the hook makes fail.
+class FaultyFileSystem : public FileSystem {
+ public:
+  enum class Call { kCreate, kAppend, kSync, kRead, kRename, kRemove, kSyncFolder, kList, kLock };
+  // What happens instead of a call; nothing by default.
+  struct Fault {
+    std::error_code error;
+    bool skip = false;              // reports success without making the call
+    std::size_t partial_bytes = 0;  // of an append: written before the error
+  };
+  // Called before each call; may also block, as a slow disk does.
+  using Hook = std::function<Fault(Call call, const std::string& path)>;
+
+  // `below` must outlive it.
+  FaultyFileSystem(FileSystem& below, Hook hook) : below_(below), hook_(std::move(hook)) {}
+
+  Status Create(const std::string& path, std::unique_ptr<File>& file) override;
+  Status Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) override;
+  Status Rename(const std::string& from, const std::string& to) override;
+  Status Remove(const std::string& path) override;
+  Status SyncFolder(const std::string& folder) override;
+  Status List(const std::string& folder, bool make, std::vector<std::string>& names) override;
+  Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
+
+ private:
+  class FaultyFile;
+  template <typename Forward>
+  Status Run(Call call, const std::string& path, Forward forward);
+
+  FileSystem& below_;
+  const Hook hook_;
+};
+
+}  // namespace gateway::storage
+
+#endif  // GATEWAY_STORAGE_FAULTY_FILE_SYSTEM_HPP_
--- /dev/null
+++ b/src/storage/file_names.hpp
@@ -0,0 +1,35 @@
+// Names of the files in a store's folder.
+#ifndef GATEWAY_STORAGE_FILE_NAMES_HPP_
+#define GATEWAY_STORAGE_FILE_NAMES_HPP_
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "storage/segment.hpp"
+
+namespace gateway::storage {
+
+inline constexpr const char* kManifestName = "MANIFEST";
+inline constexpr const char* kLockName = "LOCK";
+inline constexpr std::string_view kLogStem = "log";            // segments: sequence of the first record
+inline constexpr std::string_view kSnapshotStem = "snapshot";  // sequence of the last record that it replaces
+inline constexpr std::string_view kTemporarySuffix = ".new";   // of a file that is being written
+inline constexpr std::string_view kCorruptPrefix = "damaged-";  // of corrupt files that were set aside
+
+// "log-0000000000000001".
+std::string NumberedName(std::string_view stem, Sequence sequence);
+// Returns nothing if the name is no numbered name of this stem.
+std::optional<Sequence> ParseNumberedName(std::string_view stem, std::string_view name);
+
+struct NumberedFile {
+  Sequence sequence = 0;
+  std::string name;
+};
+// The files of this stem, in the order of their sequences. `names` must be sorted.
+std::vector<NumberedFile> FindNumberedFiles(const std::vector<std::string>& names, std::string_view stem);
+
+}  // namespace gateway::storage
+
+#endif  // GATEWAY_STORAGE_FILE_NAMES_HPP_
--- a/src/storage/memory_file_system.cpp
+++ b/src/storage/memory_file_system.cpp
@@ -48,10 +48,10 @@
   return {};
 }
 
-Status MemoryFileSystem::Read(const std::string& path, std::uint64_t most, std::string& bytes) {
+Status MemoryFileSystem::Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) {
   const auto found = names_.find(path);
   if (found == names_.end()) return Missing(path);
-  if (found->second->bytes.size() > most) return {{}, path + " is too long"};
+  if (found->second->bytes.size() > max_bytes) return {{}, path + " is too long"};
   bytes = found->second->bytes;
   return {};
 }
@@ -93,26 +93,26 @@
   return {};
 }
 
-std::string* MemoryFileSystem::Bytes(const std::string& path) {
+std::string* MemoryFileSystem::Content(const std::string& path) {
   const auto found = names_.find(path);
   return found == names_.end() ? nullptr : &found->second->bytes;
 }
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::Copy(const Names& names, const Loss* loss) const {
   auto copy = std::make_unique<MemoryFileSystem>();
-  std::map<const Node*, std::shared_ptr<Node>> nodes;  // two names of one file stay so
+  std::map<const Node*, std::shared_ptr<Node>> nodes;  // several names of one file stay so
   for (const auto& [path, node] : names) {
-    auto& fresh = nodes[node.get()];
-    if (!fresh) {
-      fresh = std::make_shared<Node>(*node);
+    auto& copied = nodes[node.get()];
+    if (!copied) {
+      copied = std::make_shared<Node>(*node);
       if (loss != nullptr) {
-        const std::string tail = fresh->bytes.substr(fresh->synced);
-        fresh->bytes.resize(fresh->synced);
-        if (loss->tail && !tail.empty()) fresh->bytes += loss->tail(tail);
-        fresh->synced = fresh->bytes.size();
+        const std::string tail = copied->bytes.substr(copied->synced);
+        copied->bytes.resize(copied->synced);
+        if (loss->tail && !tail.empty()) copied->bytes += loss->tail(tail);
+        copied->synced = copied->bytes.size();
       }
     }
-    copy->names_[path] = fresh;
+    copy->names_[path] = copied;
   }
   copy->synced_names_ = copy->names_;
   return copy;
@@ -128,14 +128,14 @@
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::AfterProcessDeath() const {
   auto copy = Copy(names_, nullptr);
-  // What was not synced is still not: a loss of power may follow. The old names go with the copied files.
+  // What was not synced still is not, as a loss of power may follow. Synced names refer to the copied files.
   std::map<const Node*, std::shared_ptr<Node>> nodes;
   for (const auto& [path, node] : names_) nodes[node.get()] = copy->names_[path];
   copy->synced_names_.clear();
   for (const auto& [path, node] : synced_names_) {
-    auto& fresh = nodes[node.get()];
-    if (!fresh) fresh = std::make_shared<Node>(*node);
-    copy->synced_names_[path] = fresh;
+    auto& copied = nodes[node.get()];
+    if (!copied) copied = std::make_shared<Node>(*node);
+    copy->synced_names_[path] = copied;
   }
   if (!pending_.empty()) {
     const Names now = copy->names_;
@@ -144,65 +144,4 @@
   return copy;
 }
 
-class FaultyFileSystem::FaultyFile : public File {
- public:
-  FaultyFile(FaultyFileSystem& system, std::string path, std::unique_ptr<File> below)
-      : system_(system), path_(std::move(path)), below_(std::move(below)) {}
-  Status Append(std::string_view bytes) override {
-    const Verdict verdict = system_.hook_(Call::kAppend, path_);
-    if (verdict.skip) return {};
-    if (!verdict.error) return below_->Append(bytes);
-    if (Status part = below_->Append(bytes.substr(0, verdict.part)); !part.ok()) return part;
-    return {verdict.error, "write " + path_};
-  }
-  Status Sync() override {
-    return system_.Ask(Call::kSync, path_, [this] { return below_->Sync(); });
-  }
-
- private:
-  FaultyFileSystem& system_;
-  const std::string path_;
-  const std::unique_ptr<File> below_;
-};
-
-template <typename Through>
-Status FaultyFileSystem::Ask(Call call, const std::string& path, Through through) {
-  const Verdict verdict = hook_(call, path);
-  if (verdict.error) return {verdict.error, path};
-  return verdict.skip ? Status{} : through();
-}
-
-Status FaultyFileSystem::Create(const std::string& path, std::unique_ptr<File>& file) {
-  return Ask(Call::kCreate, path, [&] {
-    std::unique_ptr<File> below;
-    Status status = below_.Create(path, below);
-    if (status.ok()) file = std::make_unique<FaultyFile>(*this, path, std::move(below));
-    return status;
-  });
-}
-
-Status FaultyFileSystem::Read(const std::string& path, std::uint64_t most, std::string& bytes) {
-  return Ask(Call::kRead, path, [&] { return below_.Read(path, most, bytes); });
-}
-
-Status FaultyFileSystem::Rename(const std::string& from, const std::string& to) {
-  return Ask(Call::kRename, from, [&] { return below_.Rename(from, to); });
-}
-
-Status FaultyFileSystem::Remove(const std::string& path) {
-  return Ask(Call::kRemove, path, [&] { return below_.Remove(path); });
-}
-
-Status FaultyFileSystem::SyncFolder(const std::string& folder) {
-  return Ask(Call::kSyncFolder, folder, [&] { return below_.SyncFolder(folder); });
-}
-
-Status FaultyFileSystem::List(const std::string& folder, bool make, std::vector<std::string>& names) {
-  return Ask(Call::kList, folder, [&] { return below_.List(folder, make, names); });
-}
-
-Status FaultyFileSystem::TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) {
-  return Ask(Call::kLock, path, [&] { return below_.TakeLock(path, lock); });
-}
-
 }  // namespace gateway::storage
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -1,3 +1,4 @@
+// The file system of the machine, over POSIX calls.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <sys/stat.h>
@@ -14,10 +15,14 @@
 namespace gateway::storage {
 namespace {
 
+constexpr mode_t kFileMode = 0640;
+
+// The error of a system call; by default the current one.
 Status Failed(const char* call, const std::string& path, int error = errno) {
   return {std::error_code(error, std::generic_category()), std::string(call) + " " + path};
 }
 
+// Owns a file descriptor; negative: none.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -35,7 +40,7 @@
 int OpenRetrying(const std::string& path, int flags) {
   int fd = -1;
   do {
-    fd = ::open(path.c_str(), flags | O_CLOEXEC, 0640);
+    fd = ::open(path.c_str(), flags | O_CLOEXEC, kFileMode);
   } while (fd < 0 && errno == EINTR);
   return fd;
 }
@@ -54,7 +59,8 @@
     return {};
   }
 
-  // Not repeated on EINTR or anything else: a second sync may succeed without what the first one lost.
+  // Not repeated after an error, EINTR included: a second sync may succeed without the pages that the first
+  // one lost.
   Status Sync() override { return ::fdatasync(fd_.get()) == 0 ? Status{} : Failed("sync", path_); }
 
  private:
@@ -79,23 +85,23 @@
     return {};
   }
 
-  Status Read(const std::string& path, std::uint64_t most, std::string& bytes) override {
+  Status Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) override {
     const Descriptor fd(OpenRetrying(path, O_RDONLY));
     if (!fd) return Failed("open", path);
     struct stat about {};
     if (::fstat(fd.get(), &about) != 0) return Failed("stat", path);
     if (!S_ISREG(about.st_mode)) return {{}, path + " is no file"};
-    if (static_cast<std::uint64_t>(about.st_size) > most) return {{}, path + " is too long"};
+    if (static_cast<std::uint64_t>(about.st_size) > max_bytes) return {{}, path + " is too long"};
     bytes.assign(static_cast<std::size_t>(about.st_size), '\0');
-    std::size_t got = 0;
-    while (got < bytes.size()) {
-      const ssize_t part = ::read(fd.get(), bytes.data() + got, bytes.size() - got);
-      if (part < 0 && errno == EINTR) continue;
-      if (part < 0) return Failed("read", path);
-      if (part == 0) break;
-      got += static_cast<std::size_t>(part);
+    std::size_t filled = 0;
+    while (filled < bytes.size()) {
+      const ssize_t count = ::read(fd.get(), bytes.data() + filled, bytes.size() - filled);
+      if (count < 0 && errno == EINTR) continue;
+      if (count < 0) return Failed("read", path);
+      if (count == 0) break;
+      filled += static_cast<std::size_t>(count);
     }
-    bytes.resize(got);
+    bytes.resize(filled);
     return {};
   }
 
--- a/tests/registry/catalog_test.cpp
+++ b/tests/registry/catalog_test.cpp
@@ -10,6 +10,7 @@
 #include "command_generator.hpp"
 #include "reference_catalog.hpp"
 #include "registry/record_codec.hpp"
+#include "storage/faulty_file_system.hpp"
 #include "storage/memory_file_system.hpp"
 #include "storage/store.hpp"
 
@@ -106,7 +107,7 @@
   };
   storage::FaultyFileSystem files(disk, [&](storage::FaultyFileSystem::Call, const std::string&) {
     if (++calls == crash_at + 1 && !after) crash();
-    return storage::FaultyFileSystem::Verdict{};
+    return storage::FaultyFileSystem::Fault{};
   });
   std::size_t acknowledged = 0;
   {
--- a/tests/registry/service_test.cpp
+++ b/tests/registry/service_test.cpp
@@ -8,6 +8,7 @@
 
 #include "base/clock.hpp"
 #include "base/http_client.hpp"
+#include "storage/faulty_file_system.hpp"
 #include "storage/memory_file_system.hpp"
 
 namespace gateway::registry {
@@ -23,7 +24,7 @@
       : files(disk, [this](storage::FaultyFileSystem::Call call, const std::string&) {
           const bool writes = call == storage::FaultyFileSystem::Call::kAppend ||
                               call == storage::FaultyFileSystem::Call::kCreate;
-          return storage::FaultyFileSystem::Verdict{
+          return storage::FaultyFileSystem::Fault{
               full && writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code()};
         }) {
     options.listen = {boost::asio::ip::make_address("127.0.0.1"), 0};
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -44,7 +44,7 @@
 bash tests/ctest_known_red.sh build-sanitize
 
 step "fuzzer on the readers of a store's files, 30 s"
-clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc tests/storage/store_fuzz.cpp src/storage/record.cpp -o build-tests/store_fuzz
+clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc tests/storage/store_fuzz.cpp src/storage/{checksum,manifest,segment,snapshot}.cpp -o build-tests/store_fuzz
 corpus=$(mktemp -d)
 cp tests/fixtures/state-0.1.0/* "$corpus"
 build-tests/store_fuzz -max_total_time=30 -verbosity=0 -print_final_stats=1 "$corpus" 2>&1 | grep -v '^#'
