--- /dev/null
+++ b/src/membership/suspicion.hpp
@@ -0,0 +1,24 @@
+// Lifeguard's suspicion: how long a member is suspect before it counts as dead.
+#ifndef GATEWAY_MEMBERSHIP_SUSPICION_HPP_
+#define GATEWAY_MEMBERSHIP_SUSPICION_HPP_
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "membership/membership_options.hpp"
+
+namespace gateway::membership {
+
+// Shortens from the maximum to the minimum as members confirm the suspicion. `suspectors`: the members that
+// suspect it, the first one included.
+base::Millis SuspicionTimeout(const MembershipOptions& options, std::size_t alive_members,
+                              std::size_t suspectors);
+
+// Adds a member that suspects another. Keeps the least names only, so that the result does not depend on the
+// order of updates. Returns whether the sorted list has changed.
+bool AddSuspector(std::vector<std::string>& suspectors, const std::string& name, int expected_confirmations);
+
+}  // namespace gateway::membership
+
+#endif  // GATEWAY_MEMBERSHIP_SUSPICION_HPP_
