--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -106,7 +106,7 @@
   if (auto error = CheckPreconditions(command, *listed)) return CommandResult::Failed(*std::move(error));
   Member member = Changed(*listed, command);
   if (member == *listed) return CommandResult::Unchanged(revision_);
-  const CommandResult result = Commit(std::move(member));
+  CommandResult result = Commit(std::move(member));
   if (command.action == Action::kRemove && command.by_operator) last_operator_removal_ = revision_;
   return result;
 }
