--- a/tests/proxy/saved_state_compatibility_test.cpp
+++ b/tests/proxy/saved_state_compatibility_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "proxy/restart/state_saver.hpp"
-#include "storage/store.hpp"
+#include "storage/examination.hpp"
 
 namespace gateway::proxy::testing {
 namespace {
@@ -140,7 +140,7 @@
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
   ASSERT_TRUE(storage::Examine(*files, kFixture, kOwner, found).ok());
-  EXPECT_EQ(found.found, storage::Found::kWhole) << found.why;
+  EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
   ASSERT_TRUE(found.manifest);
   EXPECT_EQ(found.manifest->owner, kOwner);
   EXPECT_EQ(found.manifest->program, "0.1.0");
--- a/tests/registry/registry_compatibility_test.cpp
+++ b/tests/registry/registry_compatibility_test.cpp
@@ -14,8 +14,9 @@
 #include <vector>
 
 #include "registry/durable_catalog.hpp"
-#include "registry/leases.hpp"
-#include "storage/store.hpp"
+#include "registry/lease_table.hpp"
+#include "registry/record_codec.hpp"
+#include "storage/examination.hpp"
 
 namespace gateway::registry {
 namespace {
@@ -41,8 +42,8 @@
 
 class IgnoringObserver : public CatalogObserver {
  public:
-  void OnApplied(const Command&, const Outcome&) override {}
-  void OnRefused(const Command&) override {}
+  void OnApplied(const Command&, const CommandResult&) override {}
+  void OnRejected(const Command&) override {}
   void OnReopened(const std::vector<const Member*>&) override {}
   void OnNewRevision() override {}
 };
@@ -55,16 +56,16 @@
     options.owner = kOwner;
     options.program = "test";
     options.epoch = "epoch of a new history";
-    options.bounds = {100, 100};
+    options.retention = {100, 100};
     durable.emplace(io, *files, options, observer);
   }
   const Catalog& catalog() const { return durable->catalog(); }
-  Outcome Propose(const Command& command) {
-    std::optional<Outcome> outcome;
-    durable->Propose(command, [&outcome](const Outcome& answered) { outcome = answered; });
+  CommandResult Propose(const Command& command) {
+    std::optional<CommandResult> outcome;
+    durable->Propose(command, [&outcome](const CommandResult& answered) { outcome = answered; });
     while (!outcome && io.run_one_for(std::chrono::seconds(10)) > 0) {
     }
-    return outcome.value_or(Outcome{"no answer", "", ""});
+    return outcome.value_or(CommandResult::Failed(Error(ErrorCode::kOther, "", "no answer")));
   }
 
   const FolderCopy folder;
@@ -89,7 +90,7 @@
   member.address = address;
   member.incarnation = incarnation;
   member.revision = kFirstRevision + changes;
-  member.term = kHour;
+  member.lease_duration = kHour;
   return member;
 }
 
@@ -97,62 +98,64 @@
 std::vector<Member> ExpectedMembers() {
   Member web1 = MakeMember("web-1", "10.1.0.1:3001", 1764600000101, 16);
   web1.zone = "a";
-  web1.kind = "m2";
+  web1.machine_type = "m2";
   web1.cell = "3";
   web1.version = "1.5.0";
   Member web10 = MakeMember("web-10", "10.1.0.10:3000", 1764600000010, 25);
   web10.zone = "c";
-  web10.kind = "m2";
-  web10.term = 500;
+  web10.machine_type = "m2";
+  web10.lease_duration = 500;
   web10.suspect = true;
   Member web2 = MakeMember("web-2", "10.1.0.2:3000", 1764600000002, 17);
   web2.zone = "a";
-  web2.kind = "m2";
+  web2.machine_type = "m2";
   web2.cell = "\"north\"";
   web2.version = "1.4.0";
   web2.size = 0.75;
   Member web4 = MakeMember("web-4", "10.1.0.4:3000", 1764600000004, 8);
   web4.zone = "b";
-  web4.kind = "m4";
+  web4.machine_type = "m4";
   web4.draining = true;
   Member web7 = MakeMember("web-7", "10.1.0.7:3000", 1764600000007, 23);
   web7.zone = "c";
-  web7.kind = "m2";
+  web7.machine_type = "m2";
   web7.cell = "4";
   web7.version = "1.5.0";
   web7.size = 1.5;
-  web7.term = kHour / 2;
-  web7.held_out = true;
+  web7.lease_duration = kHour / 2;
+  web7.drained_by_operator = true;
   return {web1, web10, web2, web4, web7};
 }
 
 // A change of the list, as far as it is compared.
 struct HistoryEntry {
   Revision change = 0;  // counted from the first revision
-  std::string id, phase;
+  std::string id;
+  MemberPhase phase = MemberPhase::kUp;
   bool suspect = false, expired = false;
   bool operator==(const HistoryEntry&) const = default;
 };
 
 void PrintTo(const HistoryEntry& entry, std::ostream* out) {
-  *out << entry.change << " " << entry.id << " " << entry.phase << (entry.suspect ? " suspect" : "")
-       << (entry.expired ? " expired" : "");
+  *out << entry.change << " " << entry.id << " " << static_cast<int>(entry.phase)
+       << (entry.suspect ? " suspect" : "") << (entry.expired ? " expired" : "");
 }
 
 std::vector<HistoryEntry> ExpectedHistory() {
-  return {{1, "web-1", "up", false, false},        {2, "web-2", "up", false, false},
-          {3, "web-3", "up", false, false},        {4, "web-4", "up", false, false},
-          {5, "web-5", "up", false, false},        {6, "web-6", "up", false, false},
-          {7, "web-2", "draining", false, false},  {8, "web-4", "draining", false, false},
-          {9, "web-5", "removed", false, false},   {10, "web-1", "up", false, false},
-          {11, "web-6", "up", true, false},        {12, "web-6", "removed", true, true},
-          {13, "web-7", "up", false, false},       {14, "web-3", "removed", false, false},
-          {15, "web-2", "up", false, false},       {16, "web-1", "up", false, false},
-          {17, "web-2", "up", false, false},       {18, "web-8", "up", false, false},
-          {19, "web-8", "up", true, false},        {20, "web-8", "removed", true, true},
-          {21, "web-9", "up", false, false},       {22, "web-9", "removed", false, false},
-          {23, "web-7", "draining", false, false}, {24, "web-10", "up", false, false},
-          {25, "web-10", "up", true, false}};
+  return {
+      {1, "web-1", MemberPhase::kUp, false, false},        {2, "web-2", MemberPhase::kUp, false, false},
+      {3, "web-3", MemberPhase::kUp, false, false},        {4, "web-4", MemberPhase::kUp, false, false},
+      {5, "web-5", MemberPhase::kUp, false, false},        {6, "web-6", MemberPhase::kUp, false, false},
+      {7, "web-2", MemberPhase::kDraining, false, false},  {8, "web-4", MemberPhase::kDraining, false, false},
+      {9, "web-5", MemberPhase::kRemoved, false, false},   {10, "web-1", MemberPhase::kUp, false, false},
+      {11, "web-6", MemberPhase::kUp, true, false},        {12, "web-6", MemberPhase::kRemoved, true, true},
+      {13, "web-7", MemberPhase::kUp, false, false},       {14, "web-3", MemberPhase::kRemoved, false, false},
+      {15, "web-2", MemberPhase::kUp, false, false},       {16, "web-1", MemberPhase::kUp, false, false},
+      {17, "web-2", MemberPhase::kUp, false, false},       {18, "web-8", MemberPhase::kUp, false, false},
+      {19, "web-8", MemberPhase::kUp, true, false},        {20, "web-8", MemberPhase::kRemoved, true, true},
+      {21, "web-9", MemberPhase::kUp, false, false},       {22, "web-9", MemberPhase::kRemoved, false, false},
+      {23, "web-7", MemberPhase::kDraining, false, false}, {24, "web-10", MemberPhase::kUp, false, false},
+      {25, "web-10", MemberPhase::kUp, true, false}};
 }
 
 TEST(RegistryCompatibility, RecoversMembersLeasesAndRevisions) {
@@ -161,16 +164,16 @@
   EXPECT_EQ(catalog.epoch(), kEpoch);
   EXPECT_EQ(catalog.revision(), kLastRevision);
   EXPECT_EQ(catalog.oldest(), kFirstRevision);
-  EXPECT_EQ(catalog.confirmed(), kFirstRevision + 14);
+  EXPECT_EQ(catalog.last_operator_removal(), kFirstRevision + 14);
   std::vector<Member> members;
   for (const auto& [id, member] : catalog.members()) {
     EXPECT_EQ(id, member.id);
     members.push_back(member);
   }
   EXPECT_EQ(members, ExpectedMembers());
-  Leases leases({});
-  for (const Member& member : members) leases.Changed(member, 0);
-  EXPECT_EQ(leases.count(), 5u);
+  LeaseTable leases({});
+  for (const Member& member : members) leases.OnMemberChanged(member, 0);
+  EXPECT_EQ(leases.size(), 5u);
 }
 
 TEST(RegistryCompatibility, RecoversHistory) {
@@ -183,8 +186,8 @@
   EXPECT_EQ(history, ExpectedHistory());
 }
 
-// Outcomes of keyed requests, from the snapshot and from the log.
-TEST(RegistryCompatibility, RecoversOutcomesOfKeyedRequests) {
+// Results of requests with an idempotency key, from the snapshot and from the log.
+TEST(RegistryCompatibility, RecoversResultsOfIdempotencyKeys) {
   OpenedCatalog opened;
   struct KeyedRequest {
     const char* key;
@@ -203,15 +206,15 @@
                                            {"drain-7", "web-7", Action::kDrain, 23}}) {
     SCOPED_TRACE(request.key);
     Command command;
-    command.key = request.key;
+    command.idempotency_key = request.key;
     command.action = request.action;
     command.member.id = request.id;
-    const Outcome outcome = opened.Propose(command);
-    EXPECT_TRUE(outcome.ok()) << outcome.code;
+    const CommandResult outcome = opened.Propose(command);
+    EXPECT_TRUE(outcome.ok()) << (outcome.error ? outcome.error->message : "");
     EXPECT_FALSE(outcome.changed);
     EXPECT_EQ(outcome.revision, kFirstRevision + request.change);
     command.member.id = "another";
-    EXPECT_EQ(opened.Propose(command).code, "key_reused");
+    EXPECT_EQ(opened.Propose(command).code(), ErrorCode::kKeyReused);
   }
   EXPECT_EQ(opened.catalog().revision(), kLastRevision);
 }
@@ -219,7 +222,7 @@
 // Reading and writing again gives the bytes that the older program wrote.
 TEST(RegistryCompatibility, WritesSnapshotAndRecordsInTheSameForm) {
   const storage::Examination found = ExamineFixture();
-  EXPECT_EQ(found.found, storage::Found::kWhole) << found.why;
+  EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
   ASSERT_TRUE(found.manifest);
   EXPECT_EQ(found.manifest->owner, kOwner);
   EXPECT_EQ(found.manifest->program, "0.1.0");
@@ -236,9 +239,9 @@
   for (const storage::Record& record : found.records) {
     EXPECT_EQ(record.kind, 1);
     EXPECT_EQ(record.version, 1);
-    const auto command = CommandFromRecord(record.payload);
+    const auto command = DecodeCommand(record.payload);
     ASSERT_TRUE(command) << record.sequence;
-    EXPECT_EQ(ToRecord(*command), record.payload) << record.sequence;
+    EXPECT_EQ(EncodeCommand(*command), record.payload) << record.sequence;
   }
 }
 
