--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "simulator/wire.hpp"
+#include "simulator/settings_codec.hpp"
 
 namespace gateway::proxy {
 namespace {
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,60 +1,93 @@
-// simulator_adapter: hosts Policies on the simulator's wire, standard input to standard output.
+// simulator_adapter: runs policies on the simulator's wire, from standard input to standard output. Ends with
+// 0 at the end of the input, and with 1 and one line on standard error for a fault, whose line it names.
 #include <unistd.h>
 
 #include <cerrno>
 #include <cstdio>
+#include <cstring>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 
-#include "simulator/wire.hpp"
+#include "simulator/policy_host.hpp"
 
 namespace {
 
-bool WriteAll(std::string_view text) {
+constexpr std::size_t kChunkBytes = 64 * 1024;
+
+// Standard output is closed: the simulator has ended and nobody reads a message about it.
+class OutputClosed : public std::exception {};
+
+std::size_t ReadInput(std::string& chunk) {
+  for (;;) {
+    const ssize_t count = read(STDIN_FILENO, chunk.data(), chunk.size());
+    if (count >= 0) return static_cast<std::size_t>(count);
+    if (errno != EINTR) throw std::runtime_error(std::string("standard input: ") + std::strerror(errno));
+  }
+}
+
+void WriteOutput(std::string_view text) {
   while (!text.empty()) {
     const ssize_t written = write(STDOUT_FILENO, text.data(), text.size());
     if (written < 0 && errno == EINTR) continue;
-    if (written <= 0) return false;
+    if (written <= 0) throw OutputClosed();
     text.remove_prefix(static_cast<std::size_t>(written));
   }
-  return true;
 }
 
+// Feeds the host with lines from pieces of input and writes its replies.
+class LineFeeder {
+ public:
+  // Throws std::runtime_error, whose text names the line, for a malformed line.
+  void Process(std::string_view input) {
+    pending_ += input;
+    std::size_t start = 0;
+    for (std::size_t end; (end = pending_.find('\n', start)) != std::string::npos; start = end + 1) {
+      ++line_number_;
+      ProcessLine(std::string_view(pending_).substr(start, end - start));
+    }
+    pending_.erase(0, start);
+  }
+
+  // Throws std::runtime_error if the input may not end here.
+  void Finish() {
+    if (!pending_.empty()) Fail(line_number_ + 1, "input ends inside a line");
+    if (host_.InBatch()) Fail(line_number_, "input ends inside a batch");
+  }
+
+ private:
+  [[noreturn]] static void Fail(unsigned long long line_number, const std::string& text) {
+    throw std::runtime_error("line " + std::to_string(line_number) + ": " + text);
+  }
+
+  void ProcessLine(std::string_view line) {
+    try {
+      host_.ProcessLine(line);
+    } catch (const std::exception& error) {
+      Fail(line_number_, error.what());
+    }
+    WriteOutput(host_.TakeReply());
+  }
+
+  gateway::simulator::PolicyHost host_;
+  std::string pending_;  // the start of a line whose end has not come yet
+  unsigned long long line_number_ = 0;
+};
+
 }  // namespace
 
 int main() {
-  gateway::simulator::Host host;
-  std::string pending;
-  std::string chunk(1 << 16, '\0');
-  unsigned long long line_number = 0;
-  for (;;) {
-    const ssize_t got = read(STDIN_FILENO, chunk.data(), chunk.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) {
-      std::perror("simulator_adapter: standard input");
-      return 1;
-    }
-    if (got == 0) break;
-    pending.append(chunk, 0, static_cast<std::size_t>(got));
-    std::size_t start = 0;
-    for (std::size_t end; (end = pending.find('\n', start)) != std::string::npos; start = end + 1) {
-      ++line_number;
-      try {
-        host.Line(std::string_view(pending).substr(start, end - start));
-      } catch (const std::exception& error) {
-        std::fprintf(stderr, "simulator_adapter: line %llu: %s\n", line_number, error.what());
-        return 1;
-      }
-      if (const std::string reply = host.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
+  try {
+    LineFeeder feeder;
+    std::string chunk(kChunkBytes, '\0');
+    while (const std::size_t count = ReadInput(chunk)) {
+      feeder.Process(std::string_view(chunk).substr(0, count));
     }
-    pending.erase(0, start);
-  }
-  if (!pending.empty()) {
-    std::fprintf(stderr, "simulator_adapter: line %llu: input ends inside a line\n", line_number + 1);
+    feeder.Finish();
+  } catch (const OutputClosed&) {
     return 1;
-  }
-  if (host.InBatch()) {
-    std::fprintf(stderr, "simulator_adapter: line %llu: input ends inside a batch\n", line_number);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "simulator_adapter: %s\n", error.what());
     return 1;
   }
   return 0;
