--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -21,7 +21,7 @@
 
 using namespace elderhead;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 
 const std::string kRecord(160, 'x');
 constexpr int kRecords = 100000;
@@ -146,10 +146,10 @@
 }
 
 double RecordsPerSecond(int group, const std::function<void()>& write) {
-  const Millis begun = Now();
+  const Millis begun = MonotonicNow();
   int written = 0;
-  while (Now() < begun + 2000) write(), written += group;
-  return written / ((Now() - begun) / 1000);
+  while (MonotonicNow() < begun + 2000) write(), written += group;
+  return written / ((MonotonicNow() - begun) / 1000);
 }
 
 void Run(const std::string& folder) {
@@ -184,13 +184,13 @@
   const auto theirs = [&] {
     Require(Database(folder + "/all.db").ReadAll() == kRecords, "records are missing");
   };
-  Millis begun = Now();
+  Millis begun = MonotonicNow();
   ours();
-  const Millis our_time = Now() - begun;
-  begun = Now();
+  const Millis our_time = MonotonicNow() - begun;
+  begun = MonotonicNow();
   theirs();
   fmt::print("{:44} {:12.1f} {:12.1f}\n", fmt::format("recovery of {} records, ms", kRecords), our_time,
-             Now() - begun);
+             MonotonicNow() - begun);
   fmt::print("{:44} {:12.1f} {:12.1f}\n", "memory for it, MB", PeakOf(ours), PeakOf(theirs));
 
   AddFaultySyncs();
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -12,46 +12,54 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kMostBody = 64 << 20;
-
 }  // namespace
 
-void ClientConnection::Exchange(std::string request, Millis patience, Done done,
+std::string GetRequest(const std::string& target, const std::string& host) {
+  return "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
+}
+
+void ClientConnection::Exchange(std::string request, Millis timeout, Done done,
                                 std::function<void()> written) {
   request_ = std::move(request);
   done_ = std::move(done);
   written_ = std::move(written);
-  timer_.expires_after(Span(patience));
-  timer_.async_wait([self = shared_from_this(), round = exchanges_](error_code ec) {
-    if (!ec && self->done_ && round == self->exchanges_) self->Finish(Failure::kGivenUp);
+  timer_.expires_after(TimerDuration(timeout));
+  timer_.async_wait([self = shared_from_this(), exchange = exchanges_](error_code ec) {
+    if (!ec && self->done_ && exchange == self->exchanges_) self->Finish(Failure::kTimedOut);
   });
+  if (!connected_) return Connect();
   error_code ignored;
-  if (connected_) {
-    socket_.cancel(ignored);  // the watch on idle connections
-    return Write();
-  }
-  socket_.async_connect(to_, [self = shared_from_this()](error_code ec) {
+  socket_.cancel(ignored);  // ends WatchIdle
+  Write();
+}
+
+void ClientConnection::Connect() {
+  socket_.async_connect(server_, [self = shared_from_this()](error_code ec) {
     if (!self->done_) return;
-    if (ec) return self->Finish(Failure::kNoConnection);
+    if (ec) return self->Finish(Failure::kConnectFailed);
     self->connected_ = true;
-    error_code no_matter;
-    self->socket_.set_option(tcp::no_delay(true), no_matter);
+    error_code ignored;
+    self->socket_.set_option(tcp::no_delay(true), ignored);
     self->Write();
   });
 }
 
 void ClientConnection::Write() {
   parser_.emplace();
-  parser_->body_limit(kMostBody);
+  parser_->body_limit(kMaxHttpBodyBytes);
   asio::async_write(socket_, asio::buffer(request_), [self = shared_from_this()](error_code ec, std::size_t) {
     if (!self->done_) return;
-    if (ec) return self->Finish(Failure::kNoAnswer);
+    if (ec) return self->Finish(Failure::kNoResponse);
     if (self->written_) self->written_();
-    http::async_read(self->socket_, self->buffer_, *self->parser_, [self](error_code read_ec, std::size_t) {
-      if (!self->done_) return;
-      if (!read_ec) return self->Finish(Failure::kNone);
-      self->Finish(self->parser_->got_some() ? Failure::kBroken : Failure::kNoAnswer);
-    });
+    self->Read();
+  });
+}
+
+void ClientConnection::Read() {
+  http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
+    if (!self->done_) return;
+    if (!ec) return self->Finish(Failure::kNone);
+    self->Finish(self->parser_->got_some() ? Failure::kIncompleteResponse : Failure::kNoResponse);
   });
 }
 
@@ -61,9 +69,9 @@
   Result result;
   result.failure = failure;
   if (failure == Failure::kNone) {
-    const bool keep = parser_->keep_alive();
+    const bool keep_alive = parser_->keep_alive();
     result.response = parser_->release();
-    if (!keep) Close();
+    if (!keep_alive) Close();
   } else {
     Close();
   }
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 from the client's end, over Beast: for the parts that call others, and for the lab's parties.
+// The client's end of HTTP/1.1, over Beast.
 #ifndef GATEWAY_BASE_HTTP_CLIENT_HPP_
 #define GATEWAY_BASE_HTTP_CLIENT_HPP_
 
@@ -7,54 +7,81 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
+#include <utility>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::base {
 
+// The largest body that a message may have, in bytes.
+inline constexpr std::size_t kMaxHttpBodyBytes = 64 << 20;
+
 using tcp = boost::asio::ip::tcp;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// The client's end. One exchange at a time; a connection that failed is of no further use.
+// The text of a GET request without a body. `host` is the value of its Host field.
+std::string GetRequest(const std::string& target, const std::string& host);
+
+// A connection to an HTTP server, with one exchange at a time. Owned by shared pointers: an exchange under
+// way keeps it alive. To be used in the thread that runs the io_context.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  enum class Failure { kNone, kNoConnection, kNoAnswer, kBroken, kGivenUp };
+  enum class Failure {
+    kNone,
+    kConnectFailed,
+    kNoResponse,          // the connection ended before the first byte of the response
+    kIncompleteResponse,  // the connection ended within the response, or the response is malformed
+    kTimedOut,
+  };
   struct Result {
     Failure failure = Failure::kNone;
-    HttpResponse response;
+    HttpResponse response;  // kNone: complete
+    bool ok() const { return failure == Failure::kNone && response.result_int() == 200; }
   };
   using Done = std::function<void(Result)>;
 
-  ClientConnection(boost::asio::io_context& io, tcp::endpoint to) : socket_(io), timer_(io), to_(to) {}
+  ClientConnection(boost::asio::io_context& io, tcp::endpoint server)
+      : socket_(io), timer_(io), server_(std::move(server)) {}
+
+  // Sends a request, complete with its header, and reads the response. Connects first where that has not been
+  // done. `done` is called exactly once, after `timeout` at the latest; `written`, where given, before it,
+  // when the last byte of the request has been handed to the system. usable() must be true.
+  void Exchange(std::string request, Millis timeout, Done done, std::function<void()> written = {});
 
-  // Connects first where it has not yet. `written`, where given, is called when the last byte has left. Gives
-  // up after `patience`.
-  void Exchange(std::string request, Millis patience, Done done, std::function<void()> written = {});
   void Close();
+
+  // Whether another exchange can begin: none is under way, and the connection has not failed or been closed.
   bool usable() const { return open_ && !done_; }
+
+  // Exchanges that have ended.
   int exchanges() const { return exchanges_; }
-  const tcp::endpoint& to() const { return to_; }
 
-  // Tells when the peer closes while no exchange is on; until the next Exchange().
+  const tcp::endpoint& server() const { return server_; }
+
+  // Calls `closed` when the server closes the connection while it is idle. Ends with the next Exchange.
   void WatchIdle(std::function<void()> closed);
 
  private:
+  void Connect();
   void Write();
+  void Read();
   void Finish(Failure failure);
 
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  const tcp::endpoint to_;
+  const tcp::endpoint server_;
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser_;
   std::string request_;
-  Done done_;
+  Done done_;  // empty: no exchange is under way
   std::function<void()> written_;
-  bool open_ = true, connected_ = false;
+  bool open_ = true;
+  bool connected_ = false;
   int exchanges_ = 0;
 };
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -3,31 +3,33 @@
 #include <unistd.h>
 
 #include <charconv>
-#include <chrono>
 #include <cmath>
 #include <cstdio>
 #include <ctime>
 #include <nlohmann/json.hpp>
 
+#include "base/clock.hpp"
+
 namespace gateway::base {
 namespace {
 
 using nlohmann::ordered_json;
 
-LogForm log_form = LogForm::kText;
+LogForm log_form = LogForm::kText;  // of the whole process
 
 const char* Name(Level level) {
   return level == Level::kInfo ? "info" : level == Level::kWarning ? "warning" : "error";
 }
 
 std::string Timestamp(double unix_ms) {
-  const double whole = std::floor(unix_ms / 1000);
-  const auto seconds = static_cast<std::time_t>(whole);
+  const double full_seconds = std::floor(unix_ms / 1000);
+  const auto seconds = static_cast<std::time_t>(full_seconds);
   std::tm utc{};
   gmtime_r(&seconds, &utc);
   char text[64];
   std::snprintf(text, sizeof text, "%04d-%02d-%02dT%02d:%02d:%02d.%03dZ", utc.tm_year + 1900, utc.tm_mon + 1,
-                utc.tm_mday, utc.tm_hour, utc.tm_min, utc.tm_sec, static_cast<int>(unix_ms - whole * 1000));
+                utc.tm_mday, utc.tm_hour, utc.tm_min, utc.tm_sec,
+                static_cast<int>(unix_ms - full_seconds * 1000));
   return text;
 }
 
@@ -36,10 +38,11 @@
   return error == std::errc() && end == word.data() + word.size() && std::isfinite(number);
 }
 
-// "hosts 7 clients 3 | reset new 1 reused 2": a word without a number of its own goes before the names behind
-// it, up to the next bar.
+// Adds the "name number" pairs of a summary line as fields. In "hosts 7 | reset new 1 reused 2" the word
+// "reset", which has no number of its own, becomes a prefix of the names up to the next bar: reset_new.
 void AddPairs(std::string_view text, ordered_json& record) {
-  std::string name, prefix;
+  std::string name;
+  std::string prefix;
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(' '), text.size());
     const std::string_view word = text.substr(0, end);
@@ -63,12 +66,12 @@
 
 void SetLogForm(LogForm form) { log_form = form; }
 
-std::string FormatRecord(LogForm form, double time, Level level, std::string_view part,
+std::string FormatRecord(LogForm form, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields) {
-  if (form == LogForm::kText) return Timestamp(time) + ' ' + Name(level) + ' ' + std::string(text);
+  if (form == LogForm::kText) return Timestamp(unix_ms) + ' ' + Name(level) + ' ' + std::string(text);
   ordered_json record = {
-      {"time", Timestamp(time)}, {"level", Name(level)}, {"part", part}, {"event", event}, {"text", text}};
+      {"time", Timestamp(unix_ms)}, {"level", Name(level)}, {"part", part}, {"event", event}, {"text", text}};
   for (const LogField& field : fields) {
     double number = 0;
     if (field.is_number && ParseNumber(field.value, number)) {
@@ -78,21 +81,19 @@
     }
   }
   if (event == "counts") AddPairs(text.substr(std::min(text.size(), text.find(": ") + 2)), record);
-  // A host's words may be no UTF-8: the record must still be one.
+  // Texts of peers may be invalid UTF-8, which JSON does not allow.
   return record.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
 void Log(Level level, std::string_view part, std::string_view event, std::string_view text,
          std::initializer_list<LogField> fields) {
-  const double now =
-      std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
-  std::string line = FormatRecord(log_form, now, level, part, event, text, fields);
+  std::string line = FormatRecord(log_form, UnixNow(), level, part, event, text, fields);
   for (char& c : line) {
-    if (c == '\n' || c == '\r') c = ' ';  // one record a line, whatever a peer's words are
+    if (c == '\n' || c == '\r') c = ' ';  // texts of peers must not begin a new record
   }
   line += '\n';
   const auto written = ::write(STDERR_FILENO, line.data(), line.size());
-  static_cast<void>(written);  // a log that can't be written is no reason to stop serving
+  static_cast<void>(written);  // the program goes on without its log
 }
 
 }  // namespace gateway::base
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-// The log of every program: one record a line on standard error, for people or for machines.
+// The log of every program: one record a line on standard error, as text or as JSON.
 #ifndef GATEWAY_BASE_LOG_HPP_
 #define GATEWAY_BASE_LOG_HPP_
 
@@ -11,10 +11,11 @@
 
 enum class Level { kInfo, kWarning, kError };
 enum class LogForm {
-  kText,  // "2026-12-01T09:30:00.123Z info sockets: hosts 7 ...": the record's words as the pages name them
-  kJson   // an object a line: time, level, part, event, text, and the named fields
+  kText,  // "2026-12-01T09:30:00.123Z info sockets: hosts 7 ..."
+  kJson   // an object with time, level, part, event, text and the fields of the record
 };
 
+// A named value of a record, a number or a text.
 struct LogField {
   LogField(std::string_view name, std::string_view text) : name(name), value(text) {}
   template <typename Number>
@@ -25,18 +26,19 @@
   bool is_number = false;
 };
 
-// For the whole process; text at the start.
+// Sets the form of all later records of the process; kText at its start. To be called before a second thread
+// logs.
 void SetLogForm(LogForm form);
 
-// Writes one record by one call, at once, in the caller's thread; blocks only where standard error does.
-// Limits on how often are the caller's. `part` and `event` are fixed words; `text` says it all to a person,
-// with no line end. Where `text` holds "name number" pairs, as the lines of counts do, these become fields
-// too.
+// Writes one record by one system call, in the calling thread; blocks only where standard error does. Does
+// not limit the rate: callers do. `part` is the part of the program and `event` the kind of record, both
+// fixed words; `text` is the whole record for a reader, without a line feed. In JSON the "name number" pairs
+// of `text` become fields too where `event` is "counts". A record that can't be written is dropped.
 void Log(Level level, std::string_view part, std::string_view event, std::string_view text,
          std::initializer_list<LogField> fields = {});
 
-// One record without its line end, at the given Unix time in ms.
-std::string FormatRecord(LogForm form, double time, Level level, std::string_view part,
+// Returns one record without its line feed. `unix_ms` is its Unix time in ms.
+std::string FormatRecord(LogForm form, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields = {});
 
--- a/src/base/supervisor.cpp
+++ b/src/base/supervisor.cpp
@@ -4,20 +4,36 @@
 #include <cmath>
 
 namespace gateway::base {
+namespace {
 
-Supervisor::Decision Supervisor::Ended(const End& end, double draw) {
-  if (end.told) return {Next::kStop, 0};
-  crashes_.push_back(end.now);
-  while (crashes_.front() < end.now - options_.loop_within) crashes_.pop_front();
-  if (static_cast<int>(crashes_.size()) >= options_.loop_crashes) return {Next::kGiveUp, 0};
-  in_row_ = end.ran_for >= options_.well_after ? 1 : in_row_ + 1;
-  // A start without the state tells nothing of the state.
-  if (end.with_state) on_state_ = end.ran_for < options_.state_within ? on_state_ + 1 : 0;
-  const Millis wait =
-      std::min(options_.longest_wait, options_.first_wait * std::ldexp(1, std::min(in_row_ - 1, 30)));
-  const bool without = on_state_ >= options_.state_crashes;
-  if (without) on_state_ = 0;  // once
-  return {without ? Next::kStartWithoutState : Next::kStart, wait * (0.5 + draw / 2)};
+constexpr int kMaxDoublings = 30;  // far beyond the maximum backoff; keeps the power finite
+
+}  // namespace
+
+Supervisor::Decision Supervisor::OnProcessEnd(const ProcessEnd& end, double jitter) {
+  if (end.expected) return {Action::kStop, 0};
+  if (IsCrashLoop(end.now)) return {Action::kGiveUp, 0};
+  crashes_in_row_ = end.ran_for >= options_.healthy_run ? 1 : crashes_in_row_ + 1;
+  // A run without the saved state says nothing about the state and leaves the count as it is.
+  if (end.with_saved_state) {
+    crashes_on_saved_state_ = end.ran_for < options_.bad_state_run ? crashes_on_saved_state_ + 1 : 0;
+  }
+  if (crashes_on_saved_state_ < options_.bad_state_crashes) return {Action::kRestart, Backoff(jitter)};
+  crashes_on_saved_state_ = 0;  // only one start goes without the state
+  return {Action::kRestartWithoutState, Backoff(jitter)};
+}
+
+bool Supervisor::IsCrashLoop(Millis now) {
+  crashes_.push_back(now);
+  while (crashes_.front() < now - options_.crash_loop_window) crashes_.pop_front();
+  return static_cast<int>(crashes_.size()) >= options_.crash_loop_crashes;
+}
+
+Millis Supervisor::Backoff(double jitter) const {
+  const int doublings = std::min(crashes_in_row_ - 1, kMaxDoublings);
+  const Millis backoff =
+      std::min(options_.maximum_backoff, options_.initial_backoff * std::ldexp(1, doublings));
+  return backoff * (0.5 + jitter / 2);
 }
 
 }  // namespace gateway::base
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -7,39 +7,48 @@
 #include <cmath>
 #include <filesystem>
 
-#include "base/base.hpp"
+#include "base/spelling.hpp"
 
 namespace gateway::base {
 namespace {
 
 constexpr Millis kMillisPerSecond = 1000;
 
-std::string At(const std::string& file, const toml::source_region& region, std::string_view what) {
+// "FILE:LINE:COLUMN: REASON".
+std::string At(const std::string& file, const toml::source_region& region, std::string_view reason) {
   return fmt::format("{}:{}:{}: {}", region.path ? *region.path : file, region.begin.line,
-                     region.begin.column, what);
+                     region.begin.column, reason);
 }
 
-// Moved, not copied: a copy would not know its place in the file.
-void Extend(toml::table& table, toml::table&& below) {
-  for (auto&& [key, value] : below) {
+// Adds the keys of `base` that `table` does not have. Moves them, since copies lose their place in the file.
+void Extend(toml::table& table, toml::table&& base) {
+  for (auto&& [key, value] : base) {
     value.visit([&, &name = key](auto& node) { table.insert(name, std::move(node)); });
   }
   table.erase("extends");
 }
 
+void CheckRange(const TomlTable& table, const std::string& key, double value, Range range) {
+  if (value >= range.minimum && value <= range.maximum) return;
+  table.Fail(key, fmt::format("{} is not from {:g} to {:g}", value, range.minimum, range.maximum));
+}
+
 }  // namespace
 
 struct TomlTable::Impl {
   std::shared_ptr<const toml::table> root;
   const toml::table* table;
   std::string file;
-  std::vector<std::string> asked;
+  std::vector<std::string> known_keys;  // that getters asked for
 
+  bool IsKnown(const std::string& key) const {
+    return std::find(known_keys.begin(), known_keys.end(), key) != known_keys.end();
+  }
   const toml::node* Find(const std::string& key) {
-    if (std::find(asked.begin(), asked.end(), key) == asked.end()) asked.push_back(key);
+    if (!IsKnown(key)) known_keys.push_back(key);
     return table->get(key);
   }
-  std::shared_ptr<Impl> Below(const toml::table& child) const {
+  std::shared_ptr<Impl> Child(const toml::table& child) const {
     return std::make_shared<Impl>(Impl{root, &child, file, {}});
   }
 };
@@ -48,8 +57,8 @@
   try {
     auto root = std::make_shared<toml::table>(toml::parse_file(path));
     if (const auto extends = (*root)["extends"].value<std::string>()) {
-      const std::string below = (std::filesystem::path(path).parent_path() / *extends).string();
-      Extend(*root, toml::parse_file(below));
+      const std::string base = (std::filesystem::path(path).parent_path() / *extends).string();
+      Extend(*root, toml::parse_file(base));
     }
     return TomlTable(std::make_shared<Impl>(Impl{root, root.get(), path, {}}));
   } catch (const toml::parse_error& error) {
@@ -67,15 +76,15 @@
   }
 }
 
-void TomlTable::Fail(const std::string& key, const std::string& what) const {
+void TomlTable::Fail(const std::string& key, const std::string& reason) const {
   const toml::node* const node = impl_->table->get(key);
-  throw ConfigError(At(impl_->file, node ? node->source() : impl_->table->source(), key + ": " + what));
+  throw ConfigError(At(impl_->file, node ? node->source() : impl_->table->source(), key + ": " + reason));
 }
 
-// A key that is there and nearly this one was probably meant.
-void TomlTable::Missing(const std::string& key) const {
+// A key of the table that is spelled nearly the same was probably meant.
+void TomlTable::FailMissing(const std::string& key) const {
   for (const auto& [name, value] : *impl_->table) {
-    if (!Nearest(name.str(), {key}).empty()) {
+    if (!NearestWord(name.str(), {key}).empty()) {
       throw ConfigError(
           At(impl_->file, name.source(),
              fmt::format("unknown key '{}', did you mean '{}'?", std::string(name.str()), key)));
@@ -87,62 +96,60 @@
 bool TomlTable::Has(const std::string& key) { return impl_->Find(key) != nullptr; }
 
 double TomlTable::Number(const std::string& key, Range range) {
-  if (!Has(key)) Missing(key);
+  if (!Has(key)) FailMissing(key);
   return Number(key, 0, range);
 }
 
-double TomlTable::Number(const std::string& key, double otherwise, Range range) {
+double TomlTable::Number(const std::string& key, double fallback, Range range) {
   const toml::node* const node = impl_->Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return fallback;
   const auto value = node->value<double>();
   if (!value || !node->is_number() || !std::isfinite(*value)) Fail(key, "must be a number");
-  if (*value < range.least || *value > range.most) {
-    Fail(key, fmt::format("{} is not from {:g} to {:g}", *value, range.least, range.most));
-  }
+  CheckRange(*this, key, *value, range);
   return *value;
 }
 
-Millis TomlTable::Seconds(const std::string& key, Millis otherwise, Range seconds) {
-  return kMillisPerSecond * Number(key, otherwise / kMillisPerSecond, seconds);
+Millis TomlTable::Seconds(const std::string& key, Millis fallback, Range seconds) {
+  return kMillisPerSecond * Number(key, fallback / kMillisPerSecond, seconds);
 }
 
-int TomlTable::Whole(const std::string& key, int otherwise, int least, int most) {
-  const double value = Number(key, otherwise, {static_cast<double>(least), static_cast<double>(most)});
+int TomlTable::Integer(const std::string& key, int fallback, int minimum, int maximum) {
+  const double value = Number(key, fallback, {static_cast<double>(minimum), static_cast<double>(maximum)});
   if (value != std::floor(value)) Fail(key, "must be a whole number");
   return static_cast<int>(value);
 }
 
-bool TomlTable::Flag(const std::string& key, bool otherwise) {
+bool TomlTable::Flag(const std::string& key, bool fallback) {
   const toml::node* const node = impl_->Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return fallback;
   if (!node->is_boolean()) Fail(key, "must be true or false");
   return *node->value<bool>();
 }
 
 std::string TomlTable::Text(const std::string& key) {
-  if (!Has(key)) Missing(key);
+  if (!Has(key)) FailMissing(key);
   return Text(key, "");
 }
 
-std::string TomlTable::Text(const std::string& key, std::string otherwise) {
+std::string TomlTable::Text(const std::string& key, std::string fallback) {
   const toml::node* const node = impl_->Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return fallback;
   if (!node->is_string()) Fail(key, "must be a text");
   return *node->value<std::string>();
 }
 
-std::string TomlTable::Word(const std::string& key, const std::string& otherwise,
-                            const std::vector<std::string>& words) {
-  std::string word = Text(key, otherwise);
+std::string TomlTable::OneOf(const std::string& key, const std::string& fallback,
+                             const std::vector<std::string>& words) {
+  std::string word = Text(key, fallback);
   if (std::find(words.begin(), words.end(), word) == words.end()) {
-    const std::string near = Nearest(word, words);
+    const std::string nearest = NearestWord(word, words);
     Fail(key, fmt::format("'{}' is none of {}{}", word, fmt::join(words, ", "),
-                          near.empty() ? "" : "; did you mean '" + near + "'?"));
+                          nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
   return word;
 }
 
-std::vector<std::string> TomlTable::Texts(const std::string& key) {
+std::vector<std::string> TomlTable::TextList(const std::string& key) {
   std::vector<std::string> texts;
   const toml::node* const node = impl_->Find(key);
   if (node == nullptr) return texts;
@@ -162,15 +169,13 @@
   for (const toml::node& item : *node->as_array()) {
     const auto value = item.value<double>();
     if (!value || !item.is_number() || !std::isfinite(*value)) Fail(key, "must be an array of numbers");
-    if (*value < range.least || *value > range.most) {
-      Fail(key, fmt::format("{} is not from {:g} to {:g}", *value, range.least, range.most));
-    }
+    CheckRange(*this, key, *value, range);
     numbers.push_back(*value);
   }
   return numbers;
 }
 
-std::map<std::string, double> TomlTable::Numbers(const std::string& key) {
+std::map<std::string, double> TomlTable::NumberTable(const std::string& key) {
   std::map<std::string, double> numbers;
   const auto table = Table(key);
   if (!table) return numbers;
@@ -185,7 +190,7 @@
   const toml::node* const node = impl_->Find(key);
   if (node == nullptr) return std::nullopt;
   if (!node->is_table()) Fail(key, "must be a table");
-  return TomlTable(impl_->Below(*node->as_table()));
+  return TomlTable(impl_->Child(*node->as_table()));
 }
 
 std::vector<TomlTable> TomlTable::Tables(const std::string& key) {
@@ -194,20 +199,21 @@
   if (node == nullptr) return tables;
   if (!node->is_array_of_tables()) Fail(key, "must be a list of tables, [[" + key + "]]");
   for (const toml::node& item : *node->as_array()) {
-    tables.push_back(TomlTable(impl_->Below(*item.as_table())));
+    tables.push_back(TomlTable(impl_->Child(*item.as_table())));
   }
   return tables;
 }
 
-void TomlTable::Done() const {
+void TomlTable::RejectUnknownKeys() const {
   for (const auto& [key, value] : *impl_->table) {
     const std::string name(key.str());
-    if (std::find(impl_->asked.begin(), impl_->asked.end(), name) != impl_->asked.end()) continue;
-    const std::string near = Nearest(name, impl_->asked);
+    if (impl_->IsKnown(name)) continue;
+    const std::string nearest = NearestWord(name, impl_->known_keys);
     throw ConfigError(
         At(impl_->file, key.source(),
-           near.empty() ? fmt::format("unknown key '{}'; known here: {}", name, fmt::join(impl_->asked, ", "))
-                        : fmt::format("unknown key '{}', did you mean '{}'?", name, near)));
+           nearest.empty()
+               ? fmt::format("unknown key '{}'; known here: {}", name, fmt::join(impl_->known_keys, ", "))
+               : fmt::format("unknown key '{}', did you mean '{}'?", name, nearest)));
   }
 }
 
--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <chrono>
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 
 namespace gateway::cli {
 namespace {
@@ -19,7 +19,7 @@
 CallAnswer Call(const std::string& address, const std::string& call) {
   namespace asio = boost::asio;
   using boost::system::error_code;
-  const auto to = base::ParseEndpoint(address);
+  const auto to = base::ParseSocketAddress(address);
   if (!to || to->port() == 0) {
     throw std::invalid_argument("'" + address + "' is not an address and port, such as 127.0.0.1:3001");
   }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -9,6 +9,7 @@
 #include <fstream>
 #include <sstream>
 
+#include "base/descriptor_limit.hpp"
 #include "cli/call.hpp"
 #include "cli/registry.hpp"
 #include "cli/run.hpp"
@@ -43,7 +44,7 @@
 
 int RunLab(const std::string& file, lab::RunOptions options, const std::string& json) {
   const lab::Experiment experiment = lab::ReadExperiment(file);
-  base::RaiseDescriptors();  // each emulated host has a socket for each gateway
+  base::RaiseDescriptorLimit();  // each emulated host has a socket for each gateway
   signal(SIGINT, [](int) { lab::Interrupt(); });
   signal(SIGTERM, [](int) { lab::Interrupt(); });
   signal(SIGPIPE, SIG_IGN);
@@ -78,8 +79,16 @@
 
 // Reads it as the gateway does at its start, but for the variables that win over its fields.
 int CheckGateway(const std::string& file) {
-  const auto config = gateway::proxy::LoadConfig(
-      [&](const char* name) { return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
+  const auto variable = [&](const char* name) {
+    return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr;
+  };
+  const auto config = [&] {
+    try {
+      return gateway::proxy::LoadConfig(variable);
+    } catch (const base::ConfigError& error) {
+      throw base::ConfigError(file + ": " + error.what());
+    }
+  }();
   fmt::print("{}: gateway {} of {} in zone '{}': {} classes, {} tenants, {} hosts known, {} descriptors\n",
              file, config.settings.gateway_index, config.settings.gateway_count, config.settings.zone,
              config.settings.classes.size(), config.settings.tenants.size(), config.known.endpoints.size(),
@@ -178,7 +187,7 @@
   bear->footer("Example: gatewayctl lab registry --watchers 5000");
   bear->callback([&] {
     chosen = [&] {
-      base::RaiseDescriptors();
+      base::RaiseDescriptorLimit();
       signal(SIGPIPE, SIG_IGN);
       for (const auto& [name, value] : lab::MeasureRegistry(load)) fmt::print("{:28} {:.6g}\n", name, value);
       return kHeld;
@@ -285,9 +294,6 @@
   } catch (const base::ConfigError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kWrongUse;
-  } catch (const gateway::proxy::ConfigError& error) {
-    fmt::print(stderr, "{}: {}\n", file, error.what());
-    return kWrongUse;
   } catch (const cli::CallFailure& error) {
     fmt::print(stderr, "gatewayctl: {}\n", error.what());
     return kBroken;
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -12,8 +12,9 @@
 #include <random>
 #include <sstream>
 
-#include "base/endpoint.hpp"
+#include "base/descriptor_limit.hpp"
 #include "base/http_client.hpp"
+#include "base/socket_address.hpp"
 #include "registry/agent.hpp"
 #include "registry/form.hpp"
 #include "registry/service.hpp"
@@ -58,7 +59,7 @@
 Answer Ask(const Options& o, const std::string& method, const std::string& target,
            const std::string& body = "", double patience = 5000) {
   for (const std::string& service : o.services) {
-    const auto to = base::ParseEndpoint(service);
+    const auto to = base::ParseSocketAddress(service);
     if (!to || to->port() == 0) {
       throw std::invalid_argument("'" + service + "' is not an address and port, such as 127.0.0.1:8500");
     }
@@ -242,7 +243,7 @@
   options.first = UnixMillis();   // above all that a lost service gave, at under 1,000 changes a second
   std::signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk
   std::signal(SIGPIPE, SIG_IGN);
-  base::RaiseDescriptors();
+  base::RaiseDescriptorLimit();
   boost::asio::io_context io(1);
   const auto files = storage::MakePosixFileSystem();
   registry::Service service(io, *files, options);
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -70,7 +70,7 @@
   std::mt19937_64 random(std::random_device{}());
   bool with_state = true, told = false;
   for (;;) {
-    const Millis started = base::Now();
+    const Millis started = base::MonotonicNow();
     const pid_t child = Start(command, with_state);
     base::Log(Level::kInfo, "run", "started",
               fmt::format("run: started process {}{}", child, with_state ? "" : " without its state"),
@@ -86,24 +86,24 @@
       kill(child, signal);
     }
     const bool well = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-    const Millis now = base::Now();
-    const auto decision = supervisor.Ended({now, now - started, told || well, with_state},
-                                           std::uniform_real_distribution<double>()(random));
-    if (decision.next == Supervisor::Next::kStop) return ExitCode(status);
-    if (decision.next == Supervisor::Next::kGiveUp) {
+    const Millis now = base::MonotonicNow();
+    const auto decision = supervisor.OnProcessEnd({now, now - started, told || well, with_state},
+                                                  std::uniform_real_distribution<double>()(random));
+    if (decision.action == Supervisor::Action::kStop) return ExitCode(status);
+    if (decision.action == Supervisor::Action::kGiveUp) {
       base::Log(Level::kError, "run", "gave_up",
                 fmt::format("run: gives up: crashed again and again, the last time with {} after {:.0f} ms",
                             Words(status), now - started));
       return kGaveUp;
     }
-    with_state = decision.next == Supervisor::Next::kStart;
+    with_state = decision.action == Supervisor::Action::kRestart;
     base::Log(
         Level::kWarning, "run", "crashed",
         fmt::format("run: process {} ended with {} after {:.0f} ms; started again in {:.0f} ms{}", child,
-                    Words(status), now - started, decision.wait, with_state ? "" : ", without its state"),
-        {{"process", child}, {"ran_ms", now - started}, {"wait_ms", decision.wait}});
-    for (const Millis until = now + decision.wait; base::Now() < until;) {
-      const int signal = Await(signals, std::max(0.0, until - base::Now()));
+                    Words(status), now - started, decision.backoff, with_state ? "" : ", without its state"),
+        {{"process", child}, {"ran_ms", now - started}, {"wait_ms", decision.backoff}});
+    for (const Millis until = now + decision.backoff; base::MonotonicNow() < until;) {
+      const int signal = Await(signals, std::max(0.0, until - base::MonotonicNow()));
       if (signal == SIGTERM || signal == SIGINT) return 128 + signal;
     }
   }
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -12,9 +12,10 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "base/base.hpp"
 #include "base/clock.hpp"
-#include "base/endpoint.hpp"
+#include "base/descriptor_limit.hpp"
+#include "base/millis.hpp"
+#include "base/socket_address.hpp"
 #include "lab/scale/fleet_measurer.hpp"
 #include "lab/scale/hollow_comparison.hpp"
 #include "lab/scale/hollow_process.hpp"
@@ -136,7 +137,7 @@
 
 int RunFiles(const ScaleOptions& o) {
   if (o.files.empty() && !o.compare) throw std::invalid_argument("no FILE: name an experiment, or --compare");
-  base::RaiseDescriptors();
+  base::RaiseDescriptorLimit();
   std::signal(SIGPIPE, SIG_IGN);
   // All are read, and refused where they ask for too much, before any is played.
   const lab::ScaleLimits limits = lab::LimitsOfThisMachine();
@@ -145,12 +146,12 @@
   for (const std::string& file : o.files) experiments.push_back(lab::ReadScaleExperiment(file, limits));
   int code = kDone;
   for (const lab::ScaleExperiment& experiment : experiments) {
-    const base::Millis begun = base::Now();
+    const base::Millis begun = base::MonotonicNow();
     EndWithin(experiment.ends_within);
     const base::Millis deadline = begun + experiment.ends_within;
     code = std::max(code, RunOne(experiment, o, deadline));
     alarm(0);
-    fmt::print("{}: {:.1f} s\n", experiment.name, (base::Now() - begun) / 1000);
+    fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - begun) / 1000);
   }
   return code;
 }
@@ -192,7 +193,7 @@
   serve->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
   serve->callback([&chosen, hollow, control] {
     chosen = [hollow, control] {
-      const auto address = base::ParseEndpoint(*control);
+      const auto address = base::ParseSocketAddress(*control);
       if (!address) throw std::invalid_argument("--control: '" + *control + "' is not an address and port");
       hollow->control = *address;
       return lab::ServeHollowGateways(*hollow);
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -33,7 +33,7 @@
     drawn_out_ = true;
     return;
   }
-  next_timer_.expires_after(Span(start_ + next_->at - Now()));
+  next_timer_.expires_after(TimerDuration(start_ + next_->at - MonotonicNow()));
   next_timer_.async_wait([this](error_code ec) {
     if (!ec) SendDue();
   });
@@ -41,12 +41,12 @@
 
 // All that is due by now: a lab that is behind catches up, and says by how much it was late.
 void Clients::SendDue() {
-  while (next_ && start_ + next_->at <= Now()) {
+  while (next_ && start_ + next_->at <= MonotonicNow()) {
     const auto flow = std::make_shared<Flow>();
     flow->arrival = *next_;
     flow->first = start_ + next_->at;
     ++flows_;
-    s_.recorder.Arrived(*next_, Now() - flow->first);
+    s_.recorder.Arrived(*next_, MonotonicNow() - flow->first);
     Send(flow);
     next_ = schedule_.Next();
   }
@@ -75,7 +75,7 @@
 
 void Clients::Send(const std::shared_ptr<Flow>& flow) {
   ++flow->tries;
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   const int target = Deal(flow->arrival, now);
   if (target < 0) {
     ++unplaced_;
@@ -90,7 +90,7 @@
   attempt->patience = spec.deadline * s_.experiment.traffic.patience;
   s_.rules.Asked(now, attempt->id, spec.repeatable, flow->arrival.work);
   ++tries_;
-  attempt->quits.expires_after(Span(attempt->patience));
+  attempt->quits.expires_after(TimerDuration(attempt->patience));
   attempt->quits.async_wait([this, attempt](error_code ec) {
     if (ec || !attempt->flow) return;
     Retry(std::exchange(attempt->flow, nullptr), End::kFailed, 0, false);
@@ -148,10 +148,10 @@
 void Clients::Answered(const std::shared_ptr<Try>& attempt, ClientConnection::Result result) {
   using Failure = ClientConnection::Failure;
   const auto connection = std::exchange(attempt->connection, nullptr);
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   const bool excused = s_.excused(attempt->target, attempt->sent);
   // A connection that the gateway closed between requests as this one was on its way.
-  if (result.failure == Failure::kNoAnswer && connection->exchanges() > 1 && !attempt->resent && !excused &&
+  if (result.failure == Failure::kNoResponse && connection->exchanges() > 1 && !attempt->resent && !excused &&
       attempt->flow) {
     attempt->resent = true;
     return Exchange(attempt);
@@ -166,9 +166,9 @@
       s_.answered(attempt->target, attempt->sent);
     }
     Keep(attempt->target, connection);
-  } else if (result.failure == Failure::kGivenUp) {
+  } else if (result.failure == Failure::kTimedOut) {
     Lose(*attempt, "no answer half a second after its time", false);
-  } else if (result.failure != Failure::kNoConnection) {
+  } else if (result.failure != Failure::kConnectFailed) {
     Lose(*attempt, "its connection ended with no whole answer", connection->exchanges() == 1);
   }
   if (!flow) return;  // the client has quit
@@ -185,7 +185,7 @@
   const auto advice = result.response[boost::beast::http::field::retry_after];
   const Millis wait = advice.empty() ? 0 : std::atof(std::string(advice).c_str()) * 1000;
   Retry(flow, refused ? End::kRefused : End::kFailed, wait,
-        refused || result.failure == Failure::kNoConnection);
+        refused || result.failure == Failure::kConnectFailed);
 }
 
 // What may not run twice is tried again by its client only where it has surely not run.
@@ -194,10 +194,10 @@
   const ClassSpec& spec = s_.experiment.classes[static_cast<std::size_t>(flow->arrival.class_index)];
   const double jitter = 0.5 + boost::random::uniform_01<double>()(random_);
   const Millis backoff = std::max(wait, traffic.backoff * (1 << (flow->tries - 1)) * jitter);
-  const bool in_time = Now() + backoff < flow->first + spec.deadline;
+  const bool in_time = MonotonicNow() + backoff < flow->first + spec.deadline;
   if (flow->tries > traffic.retries || !in_time || !(harmless || spec.repeatable))
     return Finish(flow, otherwise, 0);
-  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, Span(backoff));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(backoff));
   timer->async_wait([this, timer, flow](error_code ec) {
     if (!ec) Send(flow);
   });
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -6,6 +6,8 @@
 #include <array>
 #include <utility>
 
+#include "base/spelling.hpp"
+
 namespace gateway::lab {
 namespace {
 
@@ -47,19 +49,19 @@
 HostKind ReadHost(TomlTable& t, const std::vector<std::string>& zones) {
   HostKind k;
   k.name = t.Text("kind", k.name);
-  k.count = t.Whole("count", 1, 1, kMostHosts);
-  if (t.Has("zone")) k.zone = t.Word("zone", "", zones);
+  k.count = t.Integer("count", 1, 1, kMostHosts);
+  if (t.Has("zone")) k.zone = t.OneOf("zone", "", zones);
   k.cores = t.Number("cores", k.cores, {0.01, 1024});
   k.speed = t.Number("speed", k.speed, {0.001, 1000});
-  k.slots = t.Whole("slots", k.slots, 1, 1 << 20);
-  k.waiting = t.Whole("waiting", k.waiting, 0, 1 << 20);
+  k.slots = t.Integer("slots", k.slots, 1, 1 << 20);
+  k.waiting = t.Integer("waiting", k.waiting, 0, 1 << 20);
   k.thrash = t.Number("thrash", k.thrash, kShare);
   k.handshake_ms = t.Number("handshake_ms", k.handshake_ms, kNotNegative);
-  k.connections = t.Whole("connections", k.connections, 1, 1 << 20);
+  k.connections = t.Integer("connections", k.connections, 1, 1 << 20);
   k.idle_ms = t.Number("idle_ms", k.idle_ms, {100, 1e9});
   k.errors = t.Number("errors", k.errors, kShare);
   k.silent = t.Number("silent", k.silent, kShare);
-  t.Done();
+  t.RejectUnknownKeys();
   return k;
 }
 
@@ -74,7 +76,7 @@
   c.worth = t.Number("worth", c.worth, kAboveZero);
   c.late_worth = t.Number("late_worth", c.late_worth, kShare);
   c.repeatable = t.Flag("repeatable", c.repeatable);
-  t.Done();
+  t.RejectUnknownKeys();
   return c;
 }
 
@@ -107,7 +109,7 @@
   words.reserve(std::size(kFaults));
   for (const auto& [word, kind] : kFaults) words.push_back(word);
   if (!t.Has("what")) t.Fail("what", "missing");
-  const std::string what = t.Word("what", "", words);
+  const std::string what = t.OneOf("what", "", words);
   f.kind =
       std::find_if(kFaults.begin(), kFaults.end(), [&](const auto& k) { return k.first == what; })->second;
   f.at = t.Number("at_s", {0, e.traffic.seconds / kMs}) * kMs;
@@ -139,7 +141,7 @@
       break;
     case FaultKind::kZoneCut:
       if (!t.Has("zone")) t.Fail("zone", "missing");
-      f.zone = t.Word("zone", "", e.fleet.zones);
+      f.zone = t.OneOf("zone", "", e.fleet.zones);
       f.text += " " + f.zone;
       break;
     case FaultKind::kListDown:
@@ -154,7 +156,7 @@
     f.text += fmt::format(" x{:g}", f.size);
     if (f.kind == FaultKind::kDelay) f.jitter = t.Number("jitter_ms", 0, kNotNegative);
   } else if (f.kind == FaultKind::kCut) {
-    const std::string way = t.Word("way", "both", {"both", "there", "back"});
+    const std::string way = t.OneOf("way", "both", {"both", "there", "back"});
     f.there = way != "back";
     f.back = way != "there";
     if (way != "both") f.text += " " + way;
@@ -174,7 +176,7 @@
   if ((f.kind == FaultKind::kPeers || f.kind == FaultKind::kPeerCut) && !e.fleet.peers) {
     t.Fail("what", "needs peers = true in [fleet]");
   }
-  t.Done();
+  t.RejectUnknownKeys();
   return f;
 }
 
@@ -182,19 +184,19 @@
   Bound b;
   b.figure = t.Text("figure");
   if (!IsFigure(b.figure)) {
-    const std::string near = base::Nearest(b.figure, FigureNames());
+    const std::string near = base::NearestWord(b.figure, FigureNames());
     t.Fail("figure",
            fmt::format("no figure '{}'{}", b.figure,
                        near.empty() ? "; known: " + fmt::format("{}", fmt::join(FigureNames(), ", "))
                                     : ", did you mean '" + near + "'?"));
   }
-  b.of = t.Word("of", b.of, variants);
-  if (t.Has("over")) b.over = t.Word("over", "", variants);
+  b.of = t.OneOf("of", b.of, variants);
+  if (t.Has("over")) b.over = t.OneOf("over", "", variants);
   if (t.Has("least")) b.least = t.Number("least");
   if (t.Has("most")) b.most = t.Number("most");
   if (!b.least && !b.most) t.Fail("figure", "needs 'least' or 'most'");
   b.speed = t.Flag("speed", false);
-  t.Done();
+  t.RejectUnknownKeys();
   return b;
 }
 
@@ -209,17 +211,17 @@
   e.ends_within = t.Seconds("ends_within_s", e.ends_within, {1, 7200});
   e.most_late = t.Number("most_late_ms", e.most_late, kAboveZero);
   if (auto f = t.Table("fleet")) {
-    e.fleet.gateways = f->Whole("gateways", e.fleet.gateways, 1, kMostGateways);
-    if (f->Has("zones")) e.fleet.zones = f->Texts("zones");
+    e.fleet.gateways = f->Integer("gateways", e.fleet.gateways, 1, kMostGateways);
+    if (f->Has("zones")) e.fleet.zones = f->TextList("zones");
     if (e.fleet.zones.empty()) f->Fail("zones", "names none");
     e.fleet.list_delay = f->Number("list_delay_ms", e.fleet.list_delay, kNotNegative);
     e.fleet.front_notices = f->Number("front_notices_ms", e.fleet.front_notices, kNotNegative);
     e.fleet.drain_grace = f->Number("drain_grace_ms", e.fleet.drain_grace, kAboveZero);
-    e.fleet.max_attempts = f->Whole("max_attempts", e.fleet.max_attempts, 1, 10);
-    e.fleet.sockets = f->Whole("sockets", e.fleet.sockets, 64, 1 << 20);
-    e.fleet.memory_mb = f->Whole("memory_mb", e.fleet.memory_mb, 16, 1 << 20);
+    e.fleet.max_attempts = f->Integer("max_attempts", e.fleet.max_attempts, 1, 10);
+    e.fleet.sockets = f->Integer("sockets", e.fleet.sockets, 64, 1 << 20);
+    e.fleet.memory_mb = f->Integer("memory_mb", e.fleet.memory_mb, 16, 1 << 20);
     e.fleet.retry_after = f->Flag("retry_after", e.fleet.retry_after);
-    e.fleet.file_kb = f->Whole("file_kb", e.fleet.file_kb, 0, 1 << 30);
+    e.fleet.file_kb = f->Integer("file_kb", e.fleet.file_kb, 0, 1 << 30);
     e.fleet.slow_sync = f->Number("slow_sync_ms", e.fleet.slow_sync, {0, 60000});
     e.fleet.state = f->Flag("state", e.fleet.state);
     e.fleet.registry = f->Flag("registry", e.fleet.registry);
@@ -230,7 +232,7 @@
       f->Fail("peers", fmt::format("takes a socket for each pair: {} gateways at most", kMostPeers));
     }
     e.fleet.ready_within = f->Seconds("ready_within_s", e.fleet.ready_within, {0.1, 600});
-    f->Done();
+    f->RejectUnknownKeys();
   }
   for (TomlTable& host : t.Tables("hosts")) e.hosts.push_back(ReadHost(host, e.fleet.zones));
   if (e.hosts.empty()) t.Fail("hosts", "at least one [[hosts]] is needed");
@@ -240,7 +242,7 @@
     e.cold.warm_after = c->Seconds("warm_after_s", e.cold.warm_after, kNotNegative);
     e.cold.fall_multiple = c->Number("fall_multiple", e.cold.fall_multiple, kAboveZero);
     e.cold.fall_window = c->Seconds("fall_window_s", e.cold.fall_window, kAboveZero);
-    c->Done();
+    c->RejectUnknownKeys();
   }
   for (TomlTable& c : t.Tables("classes")) e.classes.push_back(ReadClass(c));
   if (e.classes.empty()) t.Fail("classes", "at least one [[classes]] is needed");
@@ -252,21 +254,21 @@
                                 : traffic->Number("rate", kAboveZero);
   f.seconds = traffic->Number("seconds", {0.1, 7200}) * kMs;
   f.warm_up = traffic->Seconds("warm_up_s", f.warm_up, {0, f.seconds / kMs});
-  f.bursty = traffic->Word("arrivals", "poisson", {"poisson", "bursty"}) == "bursty";
+  f.bursty = traffic->OneOf("arrivals", "poisson", {"poisson", "bursty"}) == "bursty";
   f.burst_factor = traffic->Number("burst_factor", f.burst_factor, {1, 100});
   f.burst_length = traffic->Number("burst_ms", f.burst_length, kAboveZero);
-  f.tenants = traffic->Numbers("tenants");
+  f.tenants = traffic->NumberTable("tenants");
   f.skew = traffic->Number("skew", f.skew, {0, 100});
-  f.retries = traffic->Whole("retries", f.retries, 0, 20);
+  f.retries = traffic->Integer("retries", f.retries, 0, 20);
   f.backoff = traffic->Number("backoff_ms", f.backoff, kNotNegative);
   f.patience = traffic->Number("patience", f.patience, {0.05, 1});
-  traffic->Done();
+  traffic->RejectUnknownKeys();
   for (TomlTable& fault : t.Tables("faults")) e.faults.push_back(ReadFault(fault, e));
   std::stable_sort(e.faults.begin(), e.faults.end(),
                    [](const Fault& a, const Fault& b) { return a.at < b.at; });
   const std::vector<std::string> known{"random", "round_robin", "least_inflight",
                                        "direct", "no_fault",    "no_state"};
-  e.baselines = t.Texts("baselines");
+  e.baselines = t.TextList("baselines");
   for (const std::string& name : e.baselines) {
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       t.Fail("baselines", fmt::format("'{}' is none of {}", name, fmt::join(known, ", ")));
@@ -275,7 +277,7 @@
   std::vector<std::string> variants = e.baselines;
   variants.insert(variants.end(), {"gateway", "earlier"});
   for (TomlTable& bound : t.Tables("bounds")) e.bounds.push_back(ReadBound(bound, variants));
-  t.Done();
+  t.RejectUnknownKeys();
   return e;
 }
 
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "base/toml_reader.hpp"
 
 namespace gateway::lab {
--- a/src/lab/gateways.cpp
+++ b/src/lab/gateways.cpp
@@ -151,22 +151,22 @@
   if (!one.front || !one.front->usable()) {
     one.front = std::make_shared<ClientConnection>(s_.io, s_.addresses.Gateway(gateway));
   }
-  const Millis asked = Now();
+  const Millis asked = MonotonicNow();
   one.front->Exchange("GET /up HTTP/1.1\r\nHost: backend.local\r\n\r\n", kPollPatience,
                       [this, &one, gateway, asked](ClientConnection::Result result) {
                         using Failure = ClientConnection::Failure;
                         const bool none = result.failure != Failure::kNone;
                         const bool yes = !none && result.response.result_int() == 200;
-                        one.view.Tell(Now(), none  ? FrontView::Heard::kNothing
-                                             : yes ? FrontView::Heard::kYes
-                                                   : FrontView::Heard::kNo);
+                        one.view.Tell(MonotonicNow(), none  ? FrontView::Heard::kNothing
+                                                      : yes ? FrontView::Heard::kYes
+                                                            : FrontView::Heard::kNo);
                         if (yes && one.pid != 0) {
                           if (!std::exchange(one.ready, true)) {
                             s_.note(fmt::format("gateway {} is ready", gateway));
-                            if (one.disturbed_to == kEver) one.disturbed_to = Now() + kSettles;
+                            if (one.disturbed_to == kEver) one.disturbed_to = MonotonicNow() + kSettles;
                           }
                         }
-                        one.poll.expires_after(Span(kPollEvery - (Now() - asked)));
+                        one.poll.expires_after(TimerDuration(kPollEvery - (MonotonicNow() - asked)));
                         one.poll.async_wait([this, gateway](error_code ec) {
                           if (!ec) Poll(gateway);
                         });
@@ -174,7 +174,7 @@
 }
 
 void Gateways::Disturb(One& one) {
-  if (one.disturbed_to != kEver) one.disturbed_from = Now();
+  if (one.disturbed_to != kEver) one.disturbed_from = MonotonicNow();
   one.disturbed_to = kEver;
 }
 
@@ -194,7 +194,7 @@
 
 void Gateways::Continue(int gateway) {
   processes_.Signal(At(gateway).pid, SIGCONT);
-  At(gateway).disturbed_to = Now() + kSettles;
+  At(gateway).disturbed_to = MonotonicNow() + kSettles;
 }
 
 void Gateways::Terminate(int gateway, Millis restart_after) {
@@ -203,7 +203,7 @@
   one.restart_after = restart_after;
   one.ready = false;
   processes_.Signal(one.pid, SIGTERM);
-  one.later.expires_after(Span(kKillAfter));
+  one.later.expires_after(TimerDuration(kKillAfter));
   one.later.async_wait([this, pid = one.pid, gateway](error_code ec) {
     if (ec || At(gateway).pid != pid) return;
     s_.note(fmt::format("gateway {} had to be killed after SIGTERM", gateway));
@@ -214,7 +214,7 @@
 void Gateways::Replace(int gateway) {
   One& one = At(gateway);
   one.successor = Start(gateway);
-  AskSuccessor(gateway, Now() + kYesWithin);
+  AskSuccessor(gateway, MonotonicNow() + kYesWithin);
 }
 
 // Asks the new process where operators call it; at its yes the old one gets SIGTERM.
@@ -223,11 +223,11 @@
   const auto socket = std::make_shared<tcp::socket>(s_.io);
   const auto text = std::make_shared<std::string>();
   const auto again = [this, gateway, until, &one] {
-    if (Now() > until) {
+    if (MonotonicNow() > until) {
       s_.rules.Crashed(fmt::format("the replacement of gateway {} did not say yes in time", gateway));
       return;
     }
-    one.later.expires_after(Span(kPollEvery / 2));
+    one.later.expires_after(TimerDuration(kPollEvery / 2));
     one.later.async_wait([this, gateway, until](error_code ec) {
       if (!ec) AskSuccessor(gateway, until);
     });
@@ -244,7 +244,7 @@
                 s_.note(fmt::format("the replacement of gateway {} says yes", gateway));
                 const pid_t old = std::exchange(one.pid, std::exchange(one.successor, 0));
                 processes_.Signal(old, SIGTERM);
-                one.later.expires_after(Span(kKillAfter));
+                one.later.expires_after(TimerDuration(kKillAfter));
                 one.later.async_wait([this, old](error_code timer_ec) {
                   if (!timer_ec) processes_.Signal(old, SIGKILL);
                 });
@@ -273,7 +273,7 @@
       return;
     }
     s_.note(fmt::format("gateway {} has ended with {}", g, end.Words()));
-    one.later.expires_after(Span(one.restart_after));
+    one.later.expires_after(TimerDuration(one.restart_after));
     one.later.async_wait([this, g](error_code ec) {
       if (ec) return;
       At(g).pid = Start(g);
--- a/src/lab/hosts.cpp
+++ b/src/lab/hosts.cpp
@@ -70,7 +70,7 @@
 }
 
 void Hosts::Start(int host) {
-  if (!At(host).up) Open(At(host), Now());
+  if (!At(host).up) Open(At(host), MonotonicNow());
 }
 
 void Hosts::Reset(int host, int gateway) {
@@ -83,7 +83,7 @@
 
 void Hosts::SetSpeed(int host, double factor) {
   Host& changed = At(host);
-  changed.model->SetSpeed(Now(), factor);
+  changed.model->SetSpeed(MonotonicNow(), factor);
   Advance(changed);
 }
 
@@ -106,7 +106,7 @@
   const auto id_view = request["Req-Id"];
   const std::string id(id_view.data(), id_view.size());
   if (id.empty()) return connection->Answer(MakeResponse(404));
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   const auto work = s_.rules.WorkOf(id);
   ++counts_.reached;
   s_.rules.Reached(now, id, s_.told(gateway, host.number));
@@ -141,13 +141,13 @@
   if (found == host.work.end() || found->second.connection != connection) return;
   ++counts_.cancelled;
   host.work.erase(found);
-  host.model->Cancel(Now(), connection->tag);
+  host.model->Cancel(MonotonicNow(), connection->tag);
   Advance(host);
 }
 
 void Hosts::Advance(Host& host) {
   std::vector<HostModel::Event> events;
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   host.model->Advance(now, events);
   for (const HostModel::Event& event : events) {
     const auto found = host.work.find(event.job);
@@ -182,7 +182,7 @@
   }
   if (host.due >= 0 && std::abs(host.due - *next) < 0.001) return;
   host.due = *next;
-  host.timer.expires_after(Span(*next - Now()));
+  host.timer.expires_after(TimerDuration(*next - MonotonicNow()));
   host.timer.async_wait([this, &host](error_code ec) {
     if (ec || !host.up) return;
     host.due = -1;
@@ -191,10 +191,10 @@
 }
 
 void Hosts::SweepLater() {
-  sweep_.expires_after(Span(kSweepEvery));
+  sweep_.expires_after(TimerDuration(kSweepEvery));
   sweep_.async_wait([this](error_code ec) {
     if (ec) return;
-    const Millis now = Now();
+    const Millis now = MonotonicNow();
     for (const auto& host : hosts_) {
       std::vector<std::shared_ptr<ServerConnection>> idle;
       for (const auto& connection : host->connections) {
--- a/src/lab/http.cpp
+++ b/src/lab/http.cpp
@@ -80,7 +80,7 @@
     http::async_write(self->socket_, self->response_, [self](error_code ec, std::size_t) {
       if (!self->open_) return;
       self->answering_ = false;
-      self->idle_since_ = Now();
+      self->idle_since_ = MonotonicNow();
       if (ec || !self->keep_) return self->Close();
       self->socket_.cancel(ec);  // the watch on the peer's closing
       self->Read();
--- a/src/lab/http.hpp
+++ b/src/lab/http.hpp
@@ -58,7 +58,7 @@
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   HttpResponse response_;
   int requests_ = 0;
-  Millis idle_since_ = Now();
+  Millis idle_since_ = MonotonicNow();
   bool open_ = true, answering_ = false, keep_ = true;
 };
 
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -14,15 +14,15 @@
 #include <utility>
 #include <vector>
 
-#include "base/base.hpp"
 #include "base/clock.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
 using base::Millis;
 
-using base::Now;
-using base::Span;
+using base::MonotonicNow;
+using base::TimerDuration;
 
 // Works on whole messages: one that meets a cut waits until the link is healed, as TCP's repetitions would
 // bring it, and is late by the delay. Messages of one connection keep their order, since each waits for the
@@ -38,7 +38,7 @@
     if (cut(way)) return waiting_.emplace_back(way, std::move(message)), void();
     if (delay_ <= 0 && jitter_ <= 0) return message();
     const Millis chance = jitter_ * boost::random::uniform_01<double>()(random_);
-    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, Span(delay_ + chance));
+    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(delay_ + chance));
     timer->async_wait([this, timer, way, message = std::move(message)](boost::system::error_code ec) mutable {
       if (ec) return;
       if (cut(way)) return waiting_.emplace_back(way, std::move(message)), void();
@@ -55,7 +55,7 @@
   void Heal(bool there, bool back) {
     cuts_there_ -= there ? 1 : 0;
     cuts_back_ -= back ? 1 : 0;
-    healed_at_ = Now();
+    healed_at_ = MonotonicNow();
     if (watcher_) watcher_();
     std::vector<std::pair<Way, std::function<void()>>> passing;
     for (auto& entry : std::exchange(waiting_, {})) {
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -56,7 +56,7 @@
 void ListService::SetDown(bool down) {
   if (std::exchange(down_, down) == down) return;
   if (!down) {
-    up_at_ = Now();
+    up_at_ = MonotonicNow();
     return Open();
   }
   listeners_.clear();
@@ -74,14 +74,14 @@
     members_[static_cast<std::size_t>(host)].phase = phase;
     return;
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, Span(s_.delay));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(s_.delay));
   timer->async_wait([this, timer, host, phase, up_since](error_code ec) {
     if (ec) return;
     Member& member = members_[static_cast<std::size_t>(host)];
     member.phase = phase;
     member.up_since = up_since;
     member.revision = ++revision_;
-    member.news_at = Now();
+    member.news_at = MonotonicNow();
     WakeAll();
   });
 }
@@ -99,7 +99,7 @@
   const Link& link = *s_.link(gateway);
   if (told >= 0 || member.phase == "up" || down_ || link.cut() || s_.registry != nullptr) return told;
   const Millis due = std::max({member.news_at, up_at_, link.healed_at()}) + kToldWithin;
-  return Now() > due ? due : -1;
+  return MonotonicNow() > due ? due : -1;
 }
 
 void ListService::Forget(int gateway) {
@@ -136,7 +136,7 @@
       if (ready[i]) {
         row[i] = -1;
       } else if (row[i] < 0) {
-        row[i] = Now();
+        row[i] = MonotonicNow();
       }
     }
   });
@@ -190,7 +190,7 @@
     auto& row = told_[static_cast<std::size_t>(gateway)];
     for (std::size_t i = 0; i < row.size(); ++i) {
       if (ready[i] == 1) row[i] = -1;
-      if (ready[i] == 0 && row[i] < 0) row[i] = Now();
+      if (ready[i] == 0 && row[i] < 0) row[i] = MonotonicNow();
     }
     auto& newest = passed_[static_cast<std::size_t>(gateway)];
     newest = std::max(newest, revision);
@@ -211,7 +211,7 @@
   watch->gateway = gateway;
   watch->after = after;
   watch->connection = connection;
-  watch->timer.expires_after(Span(std::min(wait, kMostWait)));
+  watch->timer.expires_after(TimerDuration(std::min(wait, kMostWait)));
   watch->timer.async_wait([this, watch](error_code ec) {
     if (ec || std::erase(watches_, watch) == 0) return;
     Answer(watch->gateway, watch->after, false, watch->connection);
--- a/src/lab/peer_net.cpp
+++ b/src/lab/peer_net.cpp
@@ -91,7 +91,7 @@
                                           ignored);
   };
   if (after <= 0) return arrive();
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, base::Span(after));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, base::TimerDuration(after));
   timer->async_wait([timer, arrive](error_code ec) {
     if (!ec) arrive();
   });
--- a/src/lab/play.cpp
+++ b/src/lab/play.cpp
@@ -116,7 +116,7 @@
   }
 
   Play Run() {
-    began_ = Now();
+    began_ = MonotonicNow();
     cpu_before_ = OwnCpu();
     if (registry_) registry_->Start();
     if (gateways_ && !registry_) StartGateways();
@@ -130,7 +130,7 @@
 
  private:
   void Note(const std::string& what) {
-    play_.events.emplace_back(start_ < 0 ? Now() - began_ - 1e6 : Now() - start_, what);
+    play_.events.emplace_back(start_ < 0 ? MonotonicNow() - began_ - 1e6 : MonotonicNow() - start_, what);
   }
 
   void StartGateways() {
@@ -156,7 +156,7 @@
 
   // Every 50 ms: whether to begin, and whether it is over.
   void Tick() {
-    const Millis now = Now();
+    const Millis now = MonotonicNow();
     if (interrupted) return End("interrupted");
     if (now > began_ + e_.ends_within) {
       return End(fmt::format("not over within {:g} s: {} requests were still out", e_.ends_within / 1000,
@@ -183,7 +183,7 @@
                    std::max(0.0, start_ < 0 ? 0 : now - start_) / 1000, e_.traffic.seconds / 1000,
                    static_cast<unsigned long long>(recorder_.arrived()), clients_->waiting());
     }
-    tick_.expires_after(Span(kTick));
+    tick_.expires_after(TimerDuration(kTick));
     tick_.async_wait([this](error_code ec) {
       if (!ec) Tick();
     });
@@ -209,7 +209,7 @@
   }
 
   void At(Millis time, std::function<void()> what) {
-    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, Span(time - Now()));
+    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(time - MonotonicNow()));
     timer->async_wait([timer, what = std::move(what)](error_code ec) {
       if (!ec) what();
     });
@@ -307,7 +307,7 @@
       default: return;
     }
     list_faults_ += begins ? 1 : -1;
-    list_well_at_ = Now();
+    list_well_at_ = MonotonicNow();
   }
 
   void Delay(int gateway, Millis more, Millis jitter) {
@@ -344,7 +344,7 @@
 
   // From a fault to a gateway to the first answer that a client has of it afterwards.
   void Answered(int target, Millis sent) {
-    const Millis now = Now();
+    const Millis now = MonotonicNow();
     for (std::size_t i = 0; i < e_.faults.size(); ++i) {
       const Fault& fault = e_.faults[i];
       if (first_answers_[i] >= 0 || sent < start_ + fault.at) continue;
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -142,7 +142,7 @@
   }
   play.figures["lateness_p50_ms"] = static_cast<double>(lateness_.Quantile(0.5)) / 1000;
   play.figures["lateness_p99_ms"] = static_cast<double>(lateness_.Quantile(0.99)) / 1000;
-  play.figures["lateness_max_ms"] = static_cast<double>(lateness_.most()) / 1000;
+  play.figures["lateness_max_ms"] = static_cast<double>(lateness_.max()) / 1000;
   for (std::size_t i = 0; i < experiment_.faults.size(); ++i)
     WriteRecovery(experiment_.faults[i], i + 1, play);
   for (std::size_t i = 0; i < coarse_.size(); ++i) {
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -42,9 +42,9 @@
     f_["disk_syncs_per_s"] = sync_rate;
     Start();
     // All register at once.
-    Millis begun = Now();
+    Millis begun = MonotonicNow();
     WriteMany(load_.members, [this](int i) { return Register(i); });
-    f_["register_all_s"] = (Now() - begun) / 1000;
+    f_["register_all_s"] = (MonotonicNow() - begun) / 1000;
     Renew();
     const double rss_before = Rss();
     Watch();
@@ -54,9 +54,9 @@
     watching_ = false;
     watchers_.clear();
     const auto syncs_before = Metric("syncs_total"), writes_before = Metric("writes_total");
-    begun = Now();
+    begun = MonotonicNow();
     WriteMany(load_.history, [this](int i) { return Change(registry::Action::kSetSize, i); });
-    const double seconds = (Now() - begun) / 1000, syncs = Metric("syncs_total") - syncs_before;
+    const double seconds = (MonotonicNow() - begun) / 1000, syncs = Metric("syncs_total") - syncs_before;
     f_["writes_per_s"] = load_.history / seconds;
     f_["writes_per_disk_sync"] = load_.history / seconds / sync_rate;
     f_["writes_per_commit"] = (Metric("writes_total") - writes_before) / std::max(1.0, syncs);
@@ -64,9 +64,9 @@
     f_["renewals_failed"] = renewals_failed_;
     renewing_ = false;
     processes_.Signal(pid_, SIGKILL);
-    begun = Now();
+    begun = MonotonicNow();
     Start();
-    f_["back_after_kill_ms"] = Now() - begun;
+    f_["back_after_kill_ms"] = MonotonicNow() - begun;
     const json list = json::parse(Get("/registry/members"), nullptr, false);
     f_["members_after_kill"] = static_cast<double>(list["members"].size());
     processes_.EndAll();
@@ -103,11 +103,11 @@
     }
     const std::string record(160, 'x');
     int syncs = 0;
-    const Millis begun = Now();
-    for (; Now() < begun + 1000; ++syncs) {
+    const Millis begun = MonotonicNow();
+    for (; MonotonicNow() < begun + 1000; ++syncs) {
       if (!file->Append(record).ok() || !file->Sync().ok()) throw std::runtime_error("the disk fails a sync");
     }
-    return syncs / ((Now() - begun) / 1000);
+    return syncs / ((MonotonicNow() - begun) / 1000);
   }
 
   void Start() {
@@ -122,8 +122,8 @@
     spec.log = (folder_.path() / "log").string();
     pid_ = processes_.Start(spec);
     bool up = false;
-    const Millis until = Now() + kSetUp;
-    while (!up && Now() < until) {
+    const Millis until = MonotonicNow() + kSetUp;
+    while (!up && MonotonicNow() < until) {
       const auto connection = std::make_shared<ClientConnection>(io_, addresses_.Registry());
       bool done = false;
       connection->Exchange(ReadOf("/registry/status"), kPatience, [&](ClientConnection::Result result) {
@@ -137,9 +137,9 @@
 
   template <typename Done>
   void RunUntil(Done done) {
-    const Millis until = Now() + kSetUp;
+    const Millis until = MonotonicNow() + kSetUp;
     while (!done()) {
-      if (Now() > until) throw std::runtime_error("the list service is too slow for this load");
+      if (MonotonicNow() > until) throw std::runtime_error("the list service is too slow for this load");
       io_.run_one_for(std::chrono::milliseconds(10));
     }
   }
@@ -193,7 +193,7 @@
   // Members renew in turn, spread evenly over a third of the term.
   void Renew() {
     if (!renewing_) return;
-    const Millis now = Now();
+    const Millis now = MonotonicNow();
     if (renewed_at_ == 0) renewed_at_ = now;
     while (renewed_at_ < now) {
       renewed_at_ += load_.term / 3 / load_.members;
@@ -212,7 +212,7 @@
                                                        result.response.result_int() != 200);
                    });
     }
-    renew_.expires_after(Span(2));
+    renew_.expires_after(TimerDuration(2));
     renew_.async_wait([this](error_code ec) {
       if (!ec) Renew();
     });
@@ -236,10 +236,10 @@
           // The head of the answer is enough: {"revision":N,
           const std::int64_t revision = std::atoll(result.response.body().c_str() + 12);
           if (revision > after && answered_at_ > 0) {
-            ways_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (Now() - answered_at_))));
+            ways_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (MonotonicNow() - answered_at_))));
             ++told_;
           } else if (revision > after) {
-            early_.push_back(Now());
+            early_.push_back(MonotonicNow());
           }
           Wait(watcher, revision);
         });
@@ -253,14 +253,14 @@
       early_.clear();
       writer->Exchange(ToRequest(Change(registry::Action::kDrain, i)), kPatience,
                        [this](ClientConnection::Result) {
-                         answered_at_ = Now();  // at the writer, which is told as the sync is done
+                         answered_at_ = MonotonicNow();  // at the writer, which is told as the sync is done
                          for (const Millis at : early_)
                            ways_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (at - answered_at_))));
                          told_ += static_cast<int>(early_.size());
                        });
       RunUntil([this] { return answered_at_ > 0 && told_ + watch_failures_ >= load_.watchers; });
       const Millis next = answered_at_ + kChangeEvery;
-      RunUntil([next] { return Now() >= next; });
+      RunUntil([next] { return MonotonicNow() >= next; });
     }
     for (const auto& [name, share] : {std::pair("p50", 0.5), {"p99", 0.99}, {"max", 1.0}}) {
       f_[fmt::format("change_to_watcher_{}_ms", name)] = static_cast<double>(ways_.Quantile(share)) / 1000;
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -67,11 +67,11 @@
 void RegistryProcess::Heard(std::int64_t revision) {
   if (revision <= newest_) return;
   newest_ = revision;
-  newest_at_ = Now();
+  newest_at_ = MonotonicNow();
 }
 
 void RegistryProcess::ActLater(int host, Millis time) {
-  At(host).timer.expires_after(Span(time));
+  At(host).timer.expires_after(TimerDuration(time));
   At(host).timer.async_wait([this, host](error_code ec) {
     if (!ec) Act(host);
   });
@@ -106,20 +106,20 @@
 void RegistryProcess::Insist(registry::Command command) {
   command.by_operator = true;
   const auto connection = std::make_shared<ClientConnection>(s_.io, s_.address);
-  connection->Exchange(ToRequest(command), kPatience,
-                       [this, command, connection](ClientConnection::Result result) {
-                         const registry::Outcome outcome = OutcomeOf(result);
-                         Heard(outcome.revision);
-                         if (!ToBeRepeated(outcome)) {
-                           s_.note(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
-                                               outcome.ok() ? "" : ": " + outcome.code));
-                           return;
-                         }
-                         const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, Span(kAgain));
-                         timer->async_wait([this, timer, command](error_code ec) {
-                           if (!ec) Insist(command);
-                         });
-                       });
+  connection->Exchange(
+      ToRequest(command), kPatience, [this, command, connection](ClientConnection::Result result) {
+        const registry::Outcome outcome = OutcomeOf(result);
+        Heard(outcome.revision);
+        if (!ToBeRepeated(outcome)) {
+          s_.note(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
+                              outcome.ok() ? "" : ": " + outcome.code));
+          return;
+        }
+        const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(kAgain));
+        timer->async_wait([this, timer, command](error_code ec) {
+          if (!ec) Insist(command);
+        });
+      });
 }
 
 void RegistryProcess::Insist(registry::Action action, int host) {
@@ -184,7 +184,7 @@
   pid_ = 0;
   s_.note("the list service has ended with " + end.Words());
   if (!std::exchange(expected_, false)) return;  // it is seen by what follows
-  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, Span(restart_after_));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(restart_after_));
   timer->async_wait([this, timer](error_code ec) {
     if (ec || ending_) return;
     Start();
--- a/src/lab/rules.hpp
+++ b/src/lab/rules.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
--- a/src/lab/scale/event_loop.hpp
+++ b/src/lab/scale/event_loop.hpp
@@ -23,7 +23,7 @@
 
 class EventLoop {
  public:
-  // No wait lasts beyond `deadline` (base::Now).
+  // No wait lasts beyond `deadline` (base::MonotonicNow).
   explicit EventLoop(Millis deadline) : deadline_(deadline) {}
 
   boost::asio::io_context& io() { return io_; }
@@ -31,19 +31,19 @@
   // Runs the loop until `done()`. Throws ScaleTimeout, naming `what`, after `patience`.
   template <typename Done>
   void RunUntil(const std::string& what, Millis patience, Done done) {
-    const Millis until = std::min(deadline_, base::Now() + patience);
+    const Millis until = std::min(deadline_, base::MonotonicNow() + patience);
     while (!done()) {
-      if (base::Now() > until) throw ScaleTimeout(what + " did not happen in time");
+      if (base::MonotonicNow() > until) throw ScaleTimeout(what + " did not happen in time");
       io_.run_one_for(std::chrono::milliseconds(5));
     }
   }
 
   // Runs the loop for so long.
   void RunFor(Millis time) {
-    const Millis until = base::Now() + time;
+    const Millis until = base::MonotonicNow() + time;
     if (until > deadline_) throw ScaleTimeout("the run's deadline is too near for another window");
-    while (base::Now() < until) {
-      io_.run_one_for(std::chrono::microseconds(static_cast<int>(1000 * (until - base::Now())) + 1));
+    while (base::MonotonicNow() < until) {
+      io_.run_one_for(std::chrono::microseconds(static_cast<int>(1000 * (until - base::MonotonicNow())) + 1));
     }
   }
 
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -92,10 +92,10 @@
   bool has_hollow() const { return size_.gateways_hollow > 0; }
   double gateways() const { return size_.gateways_real + size_.gateways_hollow; }
 
-  Snapshot Now() {
+  Snapshot MonotonicNow() {
     Snapshot s;
     s.counts = fleet_.Counts();
-    s.at = base::Now();
+    s.at = base::MonotonicNow();
     s.list_service = CpuTimeOf(fleet_.list_service());
     s.own = CpuTimeOf(getpid());
     for (const RealGateway& gateway : fleet_.real()) s.real += CpuTimeOf(gateway.pid);
@@ -106,9 +106,9 @@
   }
 
   std::pair<Snapshot, Snapshot> Watch(Millis time) {
-    Snapshot from = Now();
+    Snapshot from = MonotonicNow();
     fleet_.loop().RunFor(time);
-    Snapshot to = Now();
+    Snapshot to = MonotonicNow();
     NoteLoad({from, to});
     return {std::move(from), std::move(to)};
   }
@@ -288,7 +288,7 @@
     }
     Hollow()["change_to_gateway_ms_p50"] = static_cast<double>(ways.Quantile(0.5)) / kUs;
     Hollow()["change_to_gateway_ms_p99"] = static_cast<double>(ways.Quantile(0.99)) / kUs;
-    Hollow()["change_to_gateway_ms_max"] = static_cast<double>(ways.most()) / kUs;
+    Hollow()["change_to_gateway_ms_max"] = static_cast<double>(ways.max()) / kUs;
   }
 
   void MeasureMemory() {
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -78,15 +78,15 @@
 
 void FleetMembers::Begin(Pace& pace, double per_second, std::function<void()> send) {
   pace.gap = 1000 / per_second;
-  pace.next = base::Now() + pace.gap;
+  pace.next = base::MonotonicNow() + pace.gap;
   pace.on = true;
   Keep(pace, std::move(send));
 }
 
 void FleetMembers::Keep(Pace& pace, std::function<void()> send) {
   if (!pace.on) return;
-  for (const Millis now = base::Now(); pace.next <= now; pace.next += pace.gap) send();
-  pace.timer.expires_after(base::Span(std::max(kLeastWait, pace.next - base::Now())));
+  for (const Millis now = base::MonotonicNow(); pace.next <= now; pace.next += pace.gap) send();
+  pace.timer.expires_after(base::TimerDuration(std::max(kLeastWait, pace.next - base::MonotonicNow())));
   pace.timer.async_wait([this, &pace, send = std::move(send)](error_code ec) mutable {
     if (!ec) Keep(pace, std::move(send));
   });
@@ -132,16 +132,16 @@
   }
   const auto connection = std::exchange(operators_, nullptr);
   ++changes_out_;
-  connection->Exchange(
-      ToRequest(command), kPatience,
-      [this, weak = std::weak_ptr(connection), sent_at = base::Now()](ClientConnection::Result result) {
-        --changes_out_;
-        operators_ = weak.lock();  // else the connection would hold itself
-        if (!Good(result)) return void(++changes_failed_);
-        ++changes_kept_;
-        const auto outcome = registry::ParseOutcome(200, result.response.body());
-        if (outcome.changed) kept_.push_back({outcome.revision, sent_at});
-      });
+  connection->Exchange(ToRequest(command), kPatience,
+                       [this, weak = std::weak_ptr(connection),
+                        sent_at = base::MonotonicNow()](ClientConnection::Result result) {
+                         --changes_out_;
+                         operators_ = weak.lock();  // else the connection would hold itself
+                         if (!Good(result)) return void(++changes_failed_);
+                         ++changes_kept_;
+                         const auto outcome = registry::ParseOutcome(200, result.response.body());
+                         if (outcome.changed) kept_.push_back({outcome.revision, sent_at});
+                       });
 }
 
 std::vector<KeptChange> FleetMembers::TakeKept() { return std::exchange(kept_, {}); }
--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -23,7 +23,7 @@
 // A change that the list service has kept.
 struct KeptChange {
   std::int64_t revision = 0;
-  Millis sent_at = 0;  // when the operator's call left; base::Now
+  Millis sent_at = 0;  // when the operator's call left; base::MonotonicNow
 };
 
 class FleetMembers {
--- a/src/lab/scale/hollow_comparison.cpp
+++ b/src/lab/scale/hollow_comparison.cpp
@@ -27,11 +27,11 @@
   fleet.members().StartRenewing();
   fleet.WholeList();  // encoded once, before it is counted
   const Reading begin = Read(fleet);
-  const Millis rest_until = base::Now() + windows.rest;
+  const Millis rest_until = base::MonotonicNow() + windows.rest;
   fleet.StartRealGateways();
   fleet.StartHollowGateways(0, size.gateways_hollow, nullptr);
   fleet.AwaitHollowReady(kReadyWithin);
-  if (rest_until > base::Now()) fleet.loop().RunFor(rest_until - base::Now());
+  if (rest_until > base::MonotonicNow()) fleet.loop().RunFor(rest_until - base::MonotonicNow());
   const Reading rested = Read(fleet);
   fleet.members().StartChanging(size.changes_per_s);
   fleet.loop().RunFor(windows.window);
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -71,7 +71,7 @@
 
 // The policy has one timer and sets it again each time, so one is enough here.
 void HollowGateway::CheckWithin(Millis delay) {
-  check_.expires_after(base::Span(delay));
+  check_.expires_after(base::TimerDuration(delay));
   check_.async_wait([this](error_code ec) {
     if (!ec) Report(gateway::policy::TimerFired{"sweep"});
   });
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -14,7 +14,7 @@
 #include <functional>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/config.hpp"
 #include "proxy/discovery/endpoint_list_watcher.hpp"
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -9,8 +9,9 @@
 #include <string_view>
 #include <utility>
 
-#include "base/base.hpp"
 #include "base/clock.hpp"
+#include "base/descriptor_limit.hpp"
+#include "base/millis.hpp"
 #include "lab/http.hpp"
 #include "lab/scale/hollow_gateway.hpp"
 #include "proxy/config.hpp"
@@ -46,10 +47,10 @@
  private:
   void Told(std::size_t gateway, std::int64_t revision) {
     auto& heard = news_[gateway];
-    if (heard.empty() || heard.back().revision < revision) heard.push_back({revision, base::Now()});
+    if (heard.empty() || heard.back().revision < revision) heard.push_back({revision, base::MonotonicNow()});
     if (ready_[gateway] || gateways_[gateway]->hosts() == 0) return;
     ready_[gateway] = true;
-    if (++ready_count_ == static_cast<int>(gateways_.size())) all_ready_at_ = base::Now();
+    if (++ready_count_ == static_cast<int>(gateways_.size())) all_ready_at_ = base::MonotonicNow();
   }
 
   HollowState State() const {
@@ -115,7 +116,7 @@
 
 int ServeHollowGateways(const HollowOptions& options) {
   std::signal(SIGPIPE, SIG_IGN);
-  base::RaiseDescriptors();
+  base::RaiseDescriptorLimit();
   boost::asio::io_context io(1);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code ec, int) {
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
@@ -27,12 +27,12 @@
 struct HollowState {
   int gateways = 0, ready = 0;       // ready: a call has been answered and hosts are known
   std::int64_t oldest_revision = 0;  // of any gateway
-  base::Millis all_ready_at = 0;     // base::Now; 0: not yet
+  base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not yet
 };
 nlohmann::json ToJson(const HollowState& state);
 HollowState HollowStateFromJson(const nlohmann::json& form);
 
-// When a gateway had which revision; base::Now.
+// When a gateway had which revision; base::MonotonicNow.
 struct RevisionHeard {
   std::int64_t revision = 0;
   base::Millis at = 0;
--- a/src/lab/scale/process_usage.hpp
+++ b/src/lab/scale/process_usage.hpp
@@ -4,7 +4,7 @@
 
 #include <sys/types.h>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
--- a/src/lab/scale/request_load.cpp
+++ b/src/lab/scale/request_load.cpp
@@ -67,13 +67,13 @@
 }
 
 void EmulatedHosts::Answer(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request) {
-  const auto timer = std::make_shared<boost::asio::steady_timer>(loop_.io(), base::Span(kAtHost));
-  timer->async_wait(
-      [this, timer, connection, id = std::string(request["Req-Id"]), begun = base::Now()](error_code ec) {
-        if (ec) return;
-        held_.Add(id, base::Now() - begun);
-        connection->Answer(MakeResponse(200, std::string(kAnswerBytes, 'x')));
-      });
+  const auto timer = std::make_shared<boost::asio::steady_timer>(loop_.io(), base::TimerDuration(kAtHost));
+  timer->async_wait([this, timer, connection, id = std::string(request["Req-Id"]),
+                     begun = base::MonotonicNow()](error_code ec) {
+    if (ec) return;
+    held_.Add(id, base::MonotonicNow() - begun);
+    connection->Answer(MakeResponse(200, std::string(kAnswerBytes, 'x')));
+  });
 }
 
 RequestLoad::RequestLoad(EventLoop& loop, HeldTimes& held, std::vector<tcp::endpoint> gateways,
@@ -84,7 +84,7 @@
 
 void RequestLoad::Start() {
   if (size_.requests_per_s <= 0 || targets_.empty() || std::exchange(on_, true)) return;
-  next_ = base::Now();
+  next_ = base::MonotonicNow();
   SendDue();
 }
 
@@ -97,11 +97,11 @@
   if (!on_) return;
   std::exponential_distribution<double> gap(size_.requests_per_s * static_cast<double>(targets_.size()) /
                                             1000);
-  for (const Millis now = base::Now(); next_ <= now; next_ += gap(random_)) {
+  for (const Millis now = base::MonotonicNow(); next_ <= now; next_ += gap(random_)) {
     lateness_.Add(static_cast<std::uint64_t>(1000 * (now - next_)));
     SendTo(targets_[next_target_++ % targets_.size()]);
   }
-  timer_.expires_after(base::Span(next_ - base::Now()));
+  timer_.expires_after(base::TimerDuration(next_ - base::MonotonicNow()));
   timer_.async_wait([this](error_code ec) {
     if (!ec) SendDue();
   });
@@ -131,7 +131,7 @@
       Text(id), kPatience,
       // Weak: the connection holds this handler, and would hold itself where the load ends before the answer.
       [this, &target, weak = std::weak_ptr(connection), id,
-       sent = base::Now()](ClientConnection::Result result) {
+       sent = base::MonotonicNow()](ClientConnection::Result result) {
         const Millis held = held_.Take(id);
         const auto answered = weak.lock();
         if (answered && answered->usable()) target.free.push_back(answered);
@@ -139,7 +139,7 @@
           return void(++counts_.not_served);
         }
         ++counts_.served;
-        added_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (base::Now() - sent - held))));
+        added_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (base::MonotonicNow() - sent - held))));
       });
 }
 
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -57,21 +57,21 @@
 // What the table does not name stays as in `f`.
 FleetSize ReadSize(TomlTable& t, FleetSize f) {
   const auto whole = [&](const char* key, int& value, int least) {
-    value = t.Whole(key, value, least, kMostOfAnything);
+    value = t.Integer(key, value, least, kMostOfAnything);
   };
   whole("hosts", f.hosts, 1);
-  f.gateways_real = t.Whole("gateways_real", f.gateways_real, 0, kMostReal);
+  f.gateways_real = t.Integer("gateways_real", f.gateways_real, 0, kMostReal);
   whole("gateways_hollow", f.gateways_hollow, 0);
   whole("gateways_stated", f.gateways_stated, 0);
   whole("services", f.services, 1);
   whole("classes", f.classes, 1);
   whole("tenants", f.tenants, 0);
-  f.zones = t.Whole("zones", f.zones, 1, 26);
+  f.zones = t.Integer("zones", f.zones, 1, 26);
   f.changes_per_s = t.Number("changes_per_s", f.changes_per_s, {0, 10000});
   f.requests_per_s = t.Number("requests_per_s", f.requests_per_s, {0, 100000});
   f.lease_term = t.Number("lease_term_s", f.lease_term / kMs, {0.5, 3600}) * kMs;
   f.whole_lists_per_s = t.Number("whole_lists_per_s", f.whole_lists_per_s, kAboveZero);
-  t.Done();
+  t.RejectUnknownKeys();
   return f;
 }
 
@@ -79,7 +79,7 @@
   w.settle = t.Number("settle_ms", w.settle, kNotNegative);
   w.window = t.Number("window_ms", w.window, {50, 60000});
   w.rest = t.Number("rest_ms", w.rest, {50, 60000});
-  t.Done();
+  t.RejectUnknownKeys();
   return w;
 }
 
@@ -124,7 +124,7 @@
 
 void ReadSweep(TomlTable& t, ScaleExperiment& e) {
   if (!t.Has("axis")) t.Fail("axis", "missing");
-  e.axis = ValueOf(kAxes, t.Word("axis", "", Words(kAxes)));
+  e.axis = ValueOf(kAxes, t.OneOf("axis", "", Words(kAxes)));
   e.points = ReadPoints(t, "points");
   e.quick_points = t.Has("quick_points") ? ReadPoints(t, "quick_points") : e.points;
   e.full = t.Number("full", kAboveZero);
@@ -143,9 +143,9 @@
     t.Fail("name", "must be of the letters a-z, 0-9, '-' and '_'");
   }
   e.about = t.Text("about", "");
-  e.kind = ValueOf(kKinds, t.Word("kind", "sweep", Words(kKinds)));
-  e.plays = t.Whole("plays", e.plays, 1, 100);
-  e.seed = static_cast<std::uint64_t>(t.Whole("seed", 1, 0, kMostOfAnything));
+  e.kind = ValueOf(kKinds, t.OneOf("kind", "sweep", Words(kKinds)));
+  e.plays = t.Integer("plays", e.plays, 1, 100);
+  e.seed = static_cast<std::uint64_t>(t.Integer("seed", 1, 0, kMostOfAnything));
   e.ends_within = t.Number("ends_within_s", e.ends_within / kMs, {1, 7200}) * kMs;
   if (auto fixed = t.Table("fixed")) e.fixed = ReadSize(*fixed, e.fixed);
   e.quick_fixed = e.fixed;
@@ -159,7 +159,7 @@
     e.quick_outage = t.Number("quick_outage_s", e.quick_outage / kMs, kAboveZero) * kMs;
   }
   if (e.kind == ScaleKind::kSweep) ReadSweep(t, e);
-  t.Done();
+  t.RejectUnknownKeys();
   CheckNeed(t, "fixed", "the fixed size", e.fixed, limits);
   CheckNeed(t, "quick_fixed", "the fixed size of a quick run", e.quick_fixed, limits);
   if (e.kind == ScaleKind::kSweep) {
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "base/toml_reader.hpp"
 
 namespace gateway::lab {
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -124,14 +124,14 @@
   ProcessSpec spec;
   spec.command = fmt::format("{} registry serve {}", programs_.gatewayctl, config.string());
   spec.log = At("registry.log").string();
-  const Millis begun = base::Now();
+  const Millis begun = base::MonotonicNow();
   list_service_pid_ = processes_.Start(spec);
   logs_[list_service_pid_] = spec.log;
   while (!Get(addresses_.Registry(), "/registry/status")) {
-    if (base::Now() > begun + kStartWithin) throw ScaleTimeout("the list service does not answer");
+    if (base::MonotonicNow() > begun + kStartWithin) throw ScaleTimeout("the list service does not answer");
     loop_.RunFor(kAskAgain);
   }
-  return base::Now() - begun;
+  return base::MonotonicNow() - begun;
 }
 
 void ScaleFleet::KillListService() {
@@ -197,20 +197,20 @@
     gateway.address = place.listen;
     gateway.management = addresses_.Management(g, 0);
     place.management = gateway.management;
-    gateway.started_at = base::Now();
+    gateway.started_at = base::MonotonicNow();
     gateway.pid = StartGateway(fmt::format("gateway-{}", g), place);
     addresses.push_back(place.listen);
   }
-  const Millis until = base::Now() + kStartWithin;
+  const Millis until = base::MonotonicNow() + kStartWithin;
   for (bool all = false; !all;) {
     all = true;
     for (RealGateway& gateway : real_) {
       if (gateway.ready_at > 0) continue;
-      if (Get(gateway.address, "/up")) gateway.ready_at = base::Now();
+      if (Get(gateway.address, "/up")) gateway.ready_at = base::MonotonicNow();
       all = all && gateway.ready_at > 0;
     }
     if (all) break;
-    if (base::Now() > until) throw ScaleTimeout("a real gateway does not become ready");
+    if (base::MonotonicNow() > until) throw ScaleTimeout("a real gateway does not become ready");
     loop_.RunFor(kAskReady);
   }
   requests_ = std::make_unique<RequestLoad>(loop_, held_, std::move(addresses), size_, seed_);
@@ -253,7 +253,7 @@
         fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
                     config.string(), group.gateways, place.index, Addresses::Text(group.control));
     spec.log = At(name + ".log").string();
-    group.started_at = base::Now();
+    group.started_at = base::MonotonicNow();
     group.pid = processes_.Start(spec);
     logs_[group.pid] = spec.log;
     begun += group.gateways;
@@ -267,12 +267,12 @@
 }
 
 Millis ScaleFleet::AwaitHollowReady(Millis patience, std::size_t from) {
-  const Millis until = base::Now() + patience;
+  const Millis until = base::MonotonicNow() + patience;
   Millis last = 0;
   for (std::size_t i = from; i < hollow_.size(); ++i) {
     HollowState state;
     while ((state = StateOf(hollow_[i])).all_ready_at <= 0) {
-      if (base::Now() > until) {
+      if (base::MonotonicNow() > until) {
         throw ScaleTimeout(
             fmt::format("the start of all hollow gateways did not happen in time: {} of {} are ready",
                         state.ready, state.gateways));
@@ -285,10 +285,11 @@
 }
 
 void ScaleFleet::AwaitHollowRevision(std::int64_t revision, Millis patience) {
-  const Millis until = base::Now() + patience;
+  const Millis until = base::MonotonicNow() + patience;
   for (const HollowGroup& group : hollow_) {
     while (StateOf(group).oldest_revision < revision) {
-      if (base::Now() > until) throw ScaleTimeout("the news of all hollow gateways did not come in time");
+      if (base::MonotonicNow() > until)
+        throw ScaleTimeout("the news of all hollow gateways did not come in time");
       loop_.RunFor(kAskAgain);
     }
   }
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -51,7 +51,7 @@
 struct RealGateway {
   pid_t pid = 0;
   tcp::endpoint address, management;
-  Millis started_at = 0, ready_at = 0;  // base::Now
+  Millis started_at = 0, ready_at = 0;  // base::MonotonicNow
 };
 
 struct HollowGroup {
@@ -68,7 +68,7 @@
 
 class ScaleFleet {
  public:
-  // No wait goes beyond `deadline` (base::Now).
+  // No wait goes beyond `deadline` (base::MonotonicNow).
   ScaleFleet(ScalePrograms programs, FleetSize size, std::uint64_t seed, Millis deadline);
   ~ScaleFleet();
 
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -45,7 +45,7 @@
   ScaleResult Run() {
     Describe();
     for (const double value : options_.quick ? e_.quick_points : e_.points) {
-      if (options_.deadline > 0 && base::Now() > options_.deadline) {
+      if (options_.deadline > 0 && base::MonotonicNow() > options_.deadline) {
         Refuse(value, "the time of the sweep was over");
         continue;
       }
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -28,7 +28,7 @@
   bool quick = false;
   int plays = 0;                                 // 0: as the file says; one where it is quick
   std::uint64_t seed = 0;                        // of the first play; 0: as the file says
-  Millis deadline = 0;                           // base::Now
+  Millis deadline = 0;                           // base::MonotonicNow
   std::function<void(const std::string&)> note;  // a line on each play; may be empty
 };
 
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -38,7 +38,7 @@
 
   void Start() {
     cpu_ = CpuTimeOf(fleet_.list_service());
-    cpu_at_ = base::Now();
+    cpu_at_ = base::MonotonicNow();
     NoteBytes(fleet_.Counts());
     Sample();
   }
@@ -58,14 +58,14 @@
     SampleCpu();
     peaks_.queue = std::max<double>(peaks_.queue, queue_.Waiting());
     AskBytes();
-    timer_.expires_after(base::Span(kSampleEvery));
+    timer_.expires_after(base::TimerDuration(kSampleEvery));
     timer_.async_wait([this](error_code ec) {
       if (!ec) Sample();
     });
   }
 
   void SampleCpu() {
-    const Millis now = base::Now(), cpu = CpuTimeOf(fleet_.list_service());
+    const Millis now = base::MonotonicNow(), cpu = CpuTimeOf(fleet_.list_service());
     if (now - cpu_at_ < kLeastInterval) return;
     peaks_.cpu_percent = std::max(peaks_.cpu_percent, 100 * (cpu - cpu_) / (now - cpu_at_));
     cpu_ = cpu;
@@ -87,7 +87,7 @@
   }
 
   void NoteBytes(const ListServiceCounts& counts) {
-    const Millis now = base::Now();
+    const Millis now = base::MonotonicNow();
     const double bytes = counts.bytes_in + counts.bytes_out;
     if (bytes_at_ > 0 && now - bytes_at_ < kLeastInterval) return;
     if (bytes_at_ > 0) {
@@ -147,7 +147,7 @@
   fleet.loop().RunFor(kBeforeOutage);
   fleet.KillListService();
   fleet.loop().RunFor(outage);
-  const Millis back_at = base::Now();
+  const Millis back_at = base::MonotonicNow();
   fleet.StartListService();
   StormSampler sampler(fleet);
   sampler.Start();
@@ -160,7 +160,7 @@
   if (kept.empty()) throw std::runtime_error("the list service refused a change after its return");
   fleet.AwaitHollowRevision(kept.back().revision, kCurrentWithin);
   Outcome outcome;
-  outcome.all_current = base::Now() - back_at;
+  outcome.all_current = base::MonotonicNow() - back_at;
   outcome.peaks = sampler.Stop();
   return outcome;
 }
--- a/src/lab/scale/storms.hpp
+++ b/src/lab/scale/storms.hpp
@@ -18,7 +18,7 @@
   bool quick = false;
   int plays = 0;           // 0: as the file says; one where it is quick
   std::uint64_t seed = 0;  // 0: as the file says
-  Millis deadline = 0;     // base::Now
+  Millis deadline = 0;     // base::MonotonicNow
   std::function<void(const std::string&)> note;
 };
 
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -107,7 +107,8 @@
               result.failure == ClientConnection::Failure::kNone && result.response.result_int() == 200;
           const json list = told ? json::parse(result.response.body(), nullptr, false) : json();
           if (list.is_object() && stand_in_.fault != "ignores_drain") Take(list);
-          again_.expires_after(Span(list.is_object() && list.at("revision") == revision_ ? 0 : kAskAgain));
+          again_.expires_after(
+              TimerDuration(list.is_object() && list.at("revision") == revision_ ? 0 : kAskAgain));
           again_.async_wait([this](error_code ec) {
             if (!ec && !leaving_) Ask();
           });
@@ -138,7 +139,7 @@
     const auto deadline = request["Req-Deadline"];
     flow->client = client;
     flow->repeatable = request.method() == boost::beast::http::verb::get;
-    flow->until = Now() + std::atof(std::string(deadline).c_str()) - kMargin;
+    flow->until = MonotonicNow() + std::atof(std::string(deadline).c_str()) - kMargin;
     flow->request = std::move(request);
     if (stand_in_.fault == "twice") Send(flow);
     Send(flow);
@@ -151,7 +152,7 @@
   void Send(const std::shared_ptr<Flow>& flow) {
     if (flow->answered) return;
     Host* const host = Pick();
-    const Millis left = flow->until - Now();
+    const Millis left = flow->until - MonotonicNow();
     if (host == nullptr || flow->attempts == kAttempts || left <= 0) return Answer(flow, MakeResponse(502));
     ++flow->attempts;
     std::shared_ptr<ClientConnection> connection;
@@ -186,7 +187,7 @@
     if (result.failure == Failure::kNone && result.response.result_int() == 200) {
       return Answer(flow, MakeResponse(200, std::move(result.response.body())));
     }
-    const bool never_ran = result.failure == Failure::kNoConnection ||
+    const bool never_ran = result.failure == Failure::kConnectFailed ||
                            (result.failure == Failure::kNone && !result.response["Srv-Declined"].empty());
     if (never_ran || flow->repeatable) return Send(flow);
     Answer(flow, MakeResponse(502));
@@ -229,7 +230,7 @@
   signals.async_wait([&](error_code ec, int) {
     if (ec) return;
     proxy.Leave();
-    leave.expires_after(Span(kLeave));
+    leave.expires_after(TimerDuration(kLeave));
     leave.async_wait([&](error_code) { io.stop(); });
   });
   io.run();
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -18,7 +18,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::membership {
 
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -7,11 +7,11 @@
 #include <cstdint>
 #include <functional>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "base/config_error.hpp"
 #include "base/log.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/clock.hpp"
@@ -19,11 +19,7 @@
 
 namespace gateway::proxy {
 
-// One line that names the variable or field that is missing or wrong.
-class ConfigError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
+using base::ConfigError;
 
 struct Config {
   boost::asio::ip::tcp::endpoint listen;
--- a/src/proxy/discovery/discovery.cpp
+++ b/src/proxy/discovery/discovery.cpp
@@ -54,7 +54,7 @@
   if (entry.contains("cell")) server.cell = entry["cell"].dump();
   server.weight = entry.value("size", 1.0);
   server.started_at = entry.value("up_since_ms", 0.0);
-  const auto address = ParseEndpoint(entry.value("host_port", ""));
+  const auto address = ParseSocketAddress(entry.value("host_port", ""));
   if (!address && server.state != policy::EndpointState::kRemoved) throw std::invalid_argument("host_port");
   if (address) host.address = *address;
   return host;
--- a/src/proxy/discovery/discovery.hpp
+++ b/src/proxy/discovery/discovery.hpp
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/clock.hpp"
 
@@ -34,7 +34,7 @@
   std::int64_t confirmed = 0;  // revision of the last removal by operators' word
 };
 
-using base::ParseEndpoint;
+using base::ParseSocketAddress;
 
 // Nothing if the text is broken in any part: half a list must not pass for a whole one.
 std::optional<EndpointList> ParseEndpointList(std::string_view text);
--- a/src/registry/admission.hpp
+++ b/src/registry/admission.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <unordered_set>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::registry {
 
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 
 #include "base/clock.hpp"
-#include "base/endpoint.hpp"
 #include "base/log.hpp"
+#include "base/socket_address.hpp"
 #include "base/toml_reader.hpp"
 #include "registry/form.hpp"
 
@@ -16,7 +16,7 @@
 
 using base::Level;
 using base::Millis;
-using base::Span;
+using base::TimerDuration;
 using boost::system::error_code;
 using nlohmann::json;
 using tcp = boost::asio::ip::tcp;
@@ -26,7 +26,7 @@
 constexpr Millis kFirstWait = 200;  // after a failed call; doubles up to a third of the term
 
 tcp::endpoint ReadEndpoint(base::TomlTable& t, const std::string& key, const std::string& text) {
-  const auto endpoint = base::ParseEndpoint(text);
+  const auto endpoint = base::ParseSocketAddress(text);
   if (!endpoint || endpoint->port() == 0) t.Fail(key, "'" + text + "' is not an address and port");
   return *endpoint;
 }
@@ -47,7 +47,8 @@
 AgentOptions ReadAgentOptions(const std::string& path) {
   base::TomlTable t = base::TomlTable::FromFile(path);
   AgentOptions o;
-  for (const std::string& text : t.Texts("services")) o.services.push_back(ReadEndpoint(t, "services", text));
+  for (const std::string& text : t.TextList("services"))
+    o.services.push_back(ReadEndpoint(t, "services", text));
   if (o.services.empty()) t.Fail("services", "needs at least one");
   o.grace = t.Seconds("grace_s", o.grace, base::kNotNegative);
   auto m = t.Table("member");
@@ -61,15 +62,15 @@
   if (m->Has("cell")) o.member.cell = json(m->Text("cell")).dump();
   o.member.size = m->Number("size", 1, {1e-6, 1e6});
   o.member.term = m->Seconds("term_s", kDefaultTerm, {0.5, 3600});
-  m->Done();
+  m->RejectUnknownKeys();
   if (auto c = t.Table("check")) {
     o.check = c->Text("path", "");
     o.check_every = c->Seconds("every_s", o.check_every, {0.05, 3600});
     o.check_patience = c->Seconds("within_s", o.check_patience, {0.01, 3600});
-    o.check_failures = c->Whole("failures", o.check_failures, 1, 1000);
-    c->Done();
+    o.check_failures = c->Integer("failures", o.check_failures, 1, 1000);
+    c->RejectUnknownKeys();
   }
-  t.Done();
+  t.RejectUnknownKeys();
   return o;
 }
 
@@ -103,12 +104,12 @@
 
 void Agent::Stop() {
   state_.Stop();
-  grace_.expires_after(Span(options_.grace));
+  grace_.expires_after(TimerDuration(options_.grace));
   grace_.async_wait([this](error_code ec) {
     if (ec) return;
     state_.GraceOver();
     // A service that is away is not waited for for ever: the lease lapses.
-    grace_.expires_after(Span(options_.member.term + 2 * kPatience));
+    grace_.expires_after(TimerDuration(options_.member.term + 2 * kPatience));
     grace_.async_wait([this](error_code late) {
       if (!late) Finish(0);
     });
@@ -127,7 +128,7 @@
                             was ? "does not answer; it is not renewed" : "answers"));
       if (!was) ActLater(0);
     }
-    check_.expires_after(Span(options_.check_every));
+    check_.expires_after(TimerDuration(options_.check_every));
     check_.async_wait([this](error_code ec) {
       if (!ec) Check();
     });
@@ -142,7 +143,7 @@
     return;
   }
   probe_ = std::make_shared<tcp::socket>(io_);
-  check_.expires_after(Span(options_.check_patience));
+  check_.expires_after(TimerDuration(options_.check_patience));
   check_.async_wait([probe = probe_](error_code ec) {
     error_code ignored;
     if (!ec) probe->close(ignored);
@@ -151,7 +152,7 @@
 }
 
 void Agent::ActLater(Millis time) {
-  act_.expires_after(Span(time));
+  act_.expires_after(TimerDuration(time));
   act_.async_wait([this](error_code ec) {
     if (!ec) Act();
   });
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -17,7 +17,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::registry {
 
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -14,7 +14,7 @@
 
 using base::Level;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 
 constexpr Millis kReopenEvery = 2000;
 constexpr std::size_t kMostWaiting = 20000;            // commands that wait for the disk
@@ -49,13 +49,13 @@
   if (const storage::Status status = journal_.Open(found); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
-  const Millis begun = Now();
+  const Millis begun = MonotonicNow();
   const bool starting = !catalog_;
   if (starting && found.snapshot) LoadSnapshot(*found.snapshot);
   const bool fresh = !catalog_;
   if (fresh) catalog_.emplace(options_.epoch, options_.first, options_.bounds);
   const std::size_t replayed = Replay(found.records);
-  LogRecovery(replayed, Now() - begun);
+  LogRecovery(replayed, MonotonicNow() - begun);
   if (fresh && found.records.empty()) CommitFirstSnapshot();
 }
 
@@ -172,7 +172,7 @@
 }
 
 void DurableCatalog::ReopenLater() {
-  reopen_timer_.expires_after(base::Span(kReopenEvery));
+  reopen_timer_.expires_after(base::TimerDuration(kReopenEvery));
   reopen_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Reopen();
   });
--- a/src/registry/form.cpp
+++ b/src/registry/form.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 
 namespace gateway::registry {
 namespace {
@@ -54,7 +54,7 @@
 }
 
 void CheckAddress(const std::string& address) {
-  const auto endpoint = base::ParseEndpoint(address);
+  const auto endpoint = base::ParseSocketAddress(address);
   if (!endpoint || !endpoint->address().is_v4() || endpoint->port() == 0) {
     throw Wrong("address", "must be an IPv4 address and port, such as 10.1.0.18:3000");
   }
--- a/src/registry/journal.cpp
+++ b/src/registry/journal.cpp
@@ -52,7 +52,7 @@
 
 Journal::Written Journal::Do(const Batch& batch) {
   Written written;
-  const base::Millis begun = base::Now();
+  const base::Millis begun = base::MonotonicNow();
   if (!store_) {
     written.status = {{}, folder_ + ": not open"};
     return written;
@@ -65,7 +65,7 @@
     written.sequences.push_back(sequence);
   }
   if (written.status.ok()) written.status = store_->Commit();
-  written.took_ms = base::Now() - begun;
+  written.took_ms = base::MonotonicNow() - begun;
   written.log_bytes = store_->log_bytes();
   return written;
 }
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -15,7 +15,7 @@
 namespace http = boost::beast::http;
 using base::Level;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
@@ -59,8 +59,8 @@
       admission_({options_.callers, options_.operators, options_.whole_lists}),
       acceptor_(io),
       tick_(io),
-      started_(Now()) {
-  for (const auto& [id, member] : catalog().members()) leases_.Changed(member, Now());
+      started_(MonotonicNow()) {
+  for (const auto& [id, member] : catalog().members()) leases_.Changed(member, MonotonicNow());
   Listen();
   Accept();
   Tick();
@@ -211,7 +211,7 @@
 
 Outcome Service::Renew(const Renewal& renewal) {
   ++counts_.renewals;
-  const Leases::Renewal result = leases_.Renew(renewal.id, renewal.incarnation, Now());
+  const Leases::Renewal result = leases_.Renew(renewal.id, renewal.incarnation, MonotonicNow());
   if (result == Leases::Renewal::kLifted) ProposeTrust(renewal);
   switch (result) {
     case Leases::Renewal::kGood:
@@ -234,7 +234,7 @@
   ServiceCounts counts = counts_;
   counts.encoded = lists_.encoded();
   counts.turned_away = admission_.turned_away();
-  return {store_, leases_, counts, watches_.size(), sessions_.size(), Now(), started_};
+  return {store_, leases_, counts, watches_.size(), sessions_.size(), MonotonicNow(), started_};
 }
 
 // ---- Changes ------------------------------------------------------------------------------------
@@ -242,9 +242,9 @@
 void Service::OnApplied(const Command& command, const Outcome& outcome) {
   if (!outcome.ok()) return leases_.Failed(command);
   if (const Member* const member = catalog().Find(command.member.id)) {
-    leases_.Changed(*member, Now());
+    leases_.Changed(*member, MonotonicNow());
   } else if (outcome.changed) {
-    leases_.Changed(catalog().history().back(), Now());
+    leases_.Changed(catalog().history().back(), MonotonicNow());
   }
   if (outcome.changed && command.action >= Action::kSuspect) LogLeaseEvent(command, outcome.revision);
 }
@@ -252,7 +252,7 @@
 void Service::OnRefused(const Command& command) { leases_.Failed(command); }
 
 void Service::OnReopened(const std::vector<const Member*>& changed) {
-  for (const Member* member : changed) leases_.Changed(*member, Now());
+  for (const Member* member : changed) leases_.Changed(*member, MonotonicNow());
 }
 
 void Service::OnNewRevision() {
@@ -263,7 +263,7 @@
 // ---- Periodic work ------------------------------------------------------------------------------
 
 void Service::Tick() {
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   admission_.Refill(now);
   CheckLeases(now);
   LogHolds();
@@ -272,7 +272,7 @@
 }
 
 void Service::TickLater() {
-  tick_.expires_after(base::Span(kTickEvery));
+  tick_.expires_after(base::TimerDuration(kTickEvery));
   tick_.async_wait([this](error_code error) {
     if (!error) Tick();
   });
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -13,7 +13,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using base::Millis;
-using base::Span;
+using base::TimerDuration;
 using boost::system::error_code;
 
 constexpr Millis kFirstRequestWithin = 10000;  // from accept to a whole request
@@ -87,7 +87,7 @@
 }
 
 void Session::WaitAtMost(Millis time, std::function<void()> expired) {
-  timer_.expires_after(Span(time));
+  timer_.expires_after(TimerDuration(time));
   timer_.async_wait([self = shared_from_this(), expired = std::move(expired)](error_code error) {
     if (!error && self->open_) expired();
   });
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <string>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "registry/response.hpp"
 
 namespace gateway::registry {
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -408,7 +408,7 @@
   link.AddDelay(20, 30);
   std::vector<Millis> took;
   for (int i = 0; i < 50; ++i) {
-    link.Pass(Link::Way::kThere, [&took, sent = Now()] { took.push_back(Now() - sent); });
+    link.Pass(Link::Way::kThere, [&took, sent = MonotonicNow()] { took.push_back(MonotonicNow() - sent); });
   }
   settle(150);
   ASSERT_EQ(took.size(), 50U);
@@ -573,45 +573,46 @@
 
 TEST(Supervisor, StartsAgainWaitsLongerAndGivesUp) {
   using base::Supervisor;
-  using Next = Supervisor::Next;
+  using Action = Supervisor::Action;
   struct Step {
     Millis at, ran;
-    bool told, with_state;
-    Next next;
-    Millis least, most;  // of the wait
+    bool expected, with_saved_state;
+    Action action;
+    Millis minimum, maximum;  // of the backoff
   };
   const std::vector<std::vector<Step>> stories{
       // Told to end, or ended well: no more.
-      {{1000, 500, true, true, Next::kStop, 0, 0}},
+      {{1000, 500, true, true, Action::kStop, 0, 0}},
       // Long runs: each crash is the first.
-      {{100000, 90000, false, true, Next::kStart, 100, 200},
-       {300000, 90000, false, true, Next::kStart, 100, 200}},
+      {{100000, 90000, false, true, Action::kRestart, 100, 200},
+       {300000, 90000, false, true, Action::kRestart, 100, 200}},
       // Two at once after a start with a state: once without; then with it again.
-      {{1000, 900, false, true, Next::kStart, 100, 200},
-       {3000, 900, false, true, Next::kStartWithoutState, 200, 400},
-       {5000, 900, false, false, Next::kStart, 400, 800},
-       {9000, 900, false, true, Next::kStart, 800, 1600},
-       {19000, 8000, false, true, Next::kStart, 1600, 3200},  // longer than a state's fault takes
-       {26000, 900, false, true, Next::kStart, 3200, 6400},
-       {40000, 900, false, true, Next::kStartWithoutState, 6400, 12800},
-       {60000, 900, false, false, Next::kGiveUp, 0, 0}},
+      {{1000, 900, false, true, Action::kRestart, 100, 200},
+       {3000, 900, false, true, Action::kRestartWithoutState, 200, 400},
+       {5000, 900, false, false, Action::kRestart, 400, 800},
+       {9000, 900, false, true, Action::kRestart, 800, 1600},
+       {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // longer than a state's fault takes
+       {26000, 900, false, true, Action::kRestart, 3200, 6400},
+       {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
+       {60000, 900, false, false, Action::kGiveUp, 0, 0}},
       // The same crashes spread over more time are no loop.
-      {{0, 900, false, false, Next::kStart, 100, 200},
-       {40000, 900, false, false, Next::kStart, 200, 400},
-       {80000, 900, false, false, Next::kStart, 400, 800},
-       {120000, 900, false, false, Next::kStart, 800, 1600},
-       {160000, 900, false, false, Next::kStart, 1600, 3200},
-       {200000, 900, false, false, Next::kStart, 3200, 6400},
-       {240000, 900, false, false, Next::kStart, 6400, 12800},
-       {280000, 900, false, false, Next::kStart, 12800, 25600},
-       {320000, 900, false, false, Next::kStart, 15000, 30000}}};
+      {{0, 900, false, false, Action::kRestart, 100, 200},
+       {40000, 900, false, false, Action::kRestart, 200, 400},
+       {80000, 900, false, false, Action::kRestart, 400, 800},
+       {120000, 900, false, false, Action::kRestart, 800, 1600},
+       {160000, 900, false, false, Action::kRestart, 1600, 3200},
+       {200000, 900, false, false, Action::kRestart, 3200, 6400},
+       {240000, 900, false, false, Action::kRestart, 6400, 12800},
+       {280000, 900, false, false, Action::kRestart, 12800, 25600},
+       {320000, 900, false, false, Action::kRestart, 15000, 30000}}};
   for (const auto& story : stories) {
     for (const double draw : {0.0, 1.0}) {
       Supervisor supervisor({});
       for (const Step& step : story) {
-        const auto decision = supervisor.Ended({step.at, step.ran, step.told, step.with_state}, draw);
-        EXPECT_EQ(decision.next, step.next) << "at " << step.at;
-        EXPECT_EQ(decision.wait, draw == 0 ? step.least : step.most) << "at " << step.at;
+        const auto decision =
+            supervisor.OnProcessEnd({step.at, step.ran, step.expected, step.with_saved_state}, draw);
+        EXPECT_EQ(decision.action, step.action) << "at " << step.at;
+        EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
       }
     }
   }
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -217,7 +217,7 @@
 TEST(ScaleSweep, EndsAtItsDeadlineAndSaysSo) {
   PlantedCosts costs;
   SweepOptions options;
-  options.deadline = base::Now() - 1;
+  options.deadline = base::MonotonicNow() - 1;
   const ScaleResult result = RunSweep(SmallSweep(), costs, options);
   EXPECT_TRUE(costs.measured.empty());
   EXPECT_EQ(result.refused.size(), 4U);
@@ -227,7 +227,7 @@
   ScaleExperiment e = SmallSweep();
   e.windows = {50, 300, 2500};
   e.points = {2, 20, 60, 200};
-  FleetMeasurer measurer(e, kPrograms, /*quick=*/false, base::Now() + kTestWithin);
+  FleetMeasurer measurer(e, kPrograms, /*quick=*/false, base::MonotonicNow() + kTestWithin);
   const ScaleResult result = RunSweep(e, measurer, {});
   ASSERT_TRUE(result.refused.empty()) << result.refused[0].why;
   // As it is written and read again.
@@ -280,7 +280,7 @@
   e.windows = {50, 100, 100};
   e.points = {10, 73000};
   e.fixed.gateways_hollow = 0;
-  FleetMeasurer measurer(e, kPrograms, /*quick=*/false, base::Now() + kTestWithin);
+  FleetMeasurer measurer(e, kPrograms, /*quick=*/false, base::MonotonicNow() + kTestWithin);
   const ScaleResult result = RunSweep(e, measurer, {});
   ASSERT_EQ(result.points.size(), 1U);
   ASSERT_EQ(result.refused.size(), 1U);
@@ -294,7 +294,7 @@
   size.gateways_hollow = 5;
   size.changes_per_s = 30;
   const HollowComparison comparison =
-      CompareHollowGateways(kPrograms, size, {50, 2000, 3000}, 1, 1, base::Now() + kTestWithin);
+      CompareHollowGateways(kPrograms, size, {50, 2000, 3000}, 1, 1, base::MonotonicNow() + kTestWithin);
   EXPECT_TRUE(comparison.Holds(/*speeds=*/false)) << ToJson(comparison).dump(1);
   for (const UseRatio& ratio : comparison.ratios) EXPECT_GT(ratio.real, 0) << ratio.figure;
 }
@@ -315,7 +315,7 @@
   explicit FailingListService(boost::asio::io_context& io)
       : handlers_(std::make_shared<const ServerConnection::Handlers>(
             ServerConnection::Handlers{[this](const auto& connection, const HttpRequest&) {
-                                         calls.push_back(base::Now());
+                                         calls.push_back(base::MonotonicNow());
                                          connection->Answer(MakeResponse(503));
                                        },
                                        [](const auto&) {}})),
@@ -374,7 +374,7 @@
   e.fixed.gateways_hollow = 30;
   e.quick_fixed = e.fixed;
   StormOptions options;
-  options.deadline = base::Now() + kTestWithin;
+  options.deadline = base::MonotonicNow() + kTestWithin;
   const std::vector<StormResult> storms = PlayStorms(e, kPrograms, options);
   ASSERT_EQ(storms.size(), 2U);
   EXPECT_EQ(storms[0].storm, "zone_starts");
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -88,8 +88,8 @@
   ASSERT_TRUE(w.Until([&] { return w.told.back() == 52; }));
   EXPECT_EQ(w.discovery->service(), 1u);
   // The first one, which lags, is not gone back to: it would tell an older list.
-  const Millis until = base::Now() + 500;
-  ASSERT_TRUE(w.Until([&] { return base::Now() > until; }));
+  const Millis until = base::MonotonicNow() + 500;
+  ASSERT_TRUE(w.Until([&] { return base::MonotonicNow() > until; }));
   EXPECT_EQ(w.discovery->service(), 1u);
   EXPECT_EQ(w.told.back(), 52);
 }
@@ -162,9 +162,9 @@
       answer(0, "up");
       ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
     }
-    const Millis begun = base::Now();
+    const Millis begun = base::MonotonicNow();
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == silent + 2; }));
-    EXPECT_LT(base::Now() - begun, 5000) << "call " << silent;
+    EXPECT_LT(base::MonotonicNow() - begun, 5000) << "call " << silent;
     EXPECT_NE(world.discovery.requests[silent].on, world.discovery.requests[silent + 1].on);
     answer(silent + 1, "draining");
     const std::string told = "list_revision " + std::to_string(43 + silent) + "\n";
@@ -278,9 +278,9 @@
   MovingWorld silent;
   ASSERT_TRUE(silent.Asked());
   silent.Move();
-  const Millis moved_at = base::Now();
+  const Millis moved_at = base::MonotonicNow();
   ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
-  EXPECT_GE(base::Now() - moved_at, 1400);
+  EXPECT_GE(base::MonotonicNow() - moved_at, 1400);
   ASSERT_TRUE(silent.Until([&] { return silent.moved.requests.size() == 2; }));  // the next call, by 4.5 s
 }
 
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -467,7 +467,7 @@
   }
   template <typename Until>
   bool RunUntil(Until until, Millis most = 20000) {
-    for (const Millis end = base::Now() + most; !until() && base::Now() < end;) {
+    for (const Millis end = base::MonotonicNow() + most; !until() && base::MonotonicNow() < end;) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
     }
