--- a/src/cli/call.hpp
+++ b/src/cli/call.hpp
@@ -1,25 +1,16 @@
-// One call to a gateway's operators' address.
+// `gatewayctl call`: one call to the management address of a gateway.
 #ifndef GATEWAY_CLI_CALL_HPP_
 #define GATEWAY_CLI_CALL_HPP_
 
-#include <stdexcept>
-#include <string>
+#include <CLI/CLI.hpp>
 
-namespace gateway::cli {
-
-struct CallAnswer {
-  bool success = false;  // SUCCESS, or figures to their last line
-  std::string text;
-};
+#include "cli/subcommand.hpp"
 
-// No connection, or no answer in time.
-class CallFailure : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
+namespace gateway::cli {
 
-// Waits 5 s at most. Throws CallFailure, and std::invalid_argument for what is no address.
-CallAnswer Call(const std::string& address, const std::string& call);
+// The command ends with kSuccess for SUCCESS or metrics that are complete, and with kFailure for any other
+// answer, no connection, or no complete answer in time.
+void AddCall(CLI::App& app, Command& selected);
 
 }  // namespace gateway::cli
 
--- /dev/null
+++ b/src/cli/config.hpp
@@ -0,0 +1,21 @@
+// `gatewayctl config`: checks configuration files.
+#ifndef GATEWAY_CLI_CONFIG_HPP_
+#define GATEWAY_CLI_CONFIG_HPP_
+
+#include <CLI/CLI.hpp>
+#include <string>
+
+#include "cli/subcommand.hpp"
+
+namespace gateway::cli {
+
+void AddConfig(CLI::App& app, Command& selected);
+
+// Reads a gateway's configuration file as the gateway does at its start, without the environment variables
+// that take precedence over its fields, and prints a summary. Throws base::ConfigError, whose text begins
+// with the path.
+int CheckGatewayConfig(const std::string& path);
+
+}  // namespace gateway::cli
+
+#endif  // GATEWAY_CLI_CONFIG_HPP_
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -272,95 +272,159 @@
   return code;
 }
 
+int PrintHistory(const Options& o) {
+  return PrintList(o,
+                   o.after >= 0 ? fmt::format("/registry/history?after={}", o.after) : "/registry/history");
+}
+
+int Register(const Options& o) {
+  registry::Command command;
+  command.member.id = o.id;
+  command.member.address = o.address;
+  command.member.zone = o.zone;
+  command.member.kind = o.kind;
+  command.member.version = o.version;
+  command.member.size = o.size;
+  command.member.term = o.term_s * 1000;
+  command.member.incarnation = std::max<std::int64_t>(0, o.incarnation);
+  return Write(o, std::move(command));
+}
+
+// Adds the subcommands of `registry`. They share one set of options, since a command line names one of them.
+class RegistrySubcommands {
+ public:
+  RegistrySubcommands(CLI::App& registry, Command& selected) : registry_(registry), selected_(selected) {}
+
+  void AddAll() {
+    AddServe();
+    AddMember();
+    AddMembers();
+    AddHistory();
+    AddWatch();
+    AddStatus();
+    AddRegister();
+    AddWrite("drain", "Takes a member out of new traffic", "drain web-1", registry::Action::kDrain);
+    AddWrite("undrain", "Ends a drain of operators", "undrain web-1", registry::Action::kUndrain);
+    AddWrite("remove", "Takes a member off the list, confirmed by you", "remove web-1",
+             registry::Action::kRemove);
+    AddSize();
+    AddRestore();
+  }
+
+ private:
+  CLI::App& Add(const char* name, const char* description, const char* example, Command command) {
+    CLI::App* const subcommand = registry_.add_subcommand(name, description);
+    subcommand->footer(std::string(kCodes) + "\nExample: gatewayctl registry " + example);
+    SelectWhenGiven(*subcommand, selected_, std::move(command));
+    return *subcommand;
+  }
+
+  // A subcommand that calls the service.
+  CLI::App& AddServiceCall(const char* name, const char* description, const char* example, Command command) {
+    CLI::App& subcommand = Add(name, description, example, std::move(command));
+    subcommand.add_option("--service", options_->services, "Address and port; several are tried in turn")
+        ->capture_default_str();
+    subcommand.add_flag("--json", options_->json, "For programs: what the service answered");
+    return subcommand;
+  }
+
+  // A subcommand that changes a member, with the conditions under which the service does so.
+  CLI::App& AddMemberChange(const char* name, const char* description, const char* example, Command command) {
+    CLI::App& subcommand = AddServiceCall(name, description, example, std::move(command));
+    subcommand.add_option("ID", options_->id, "The member")->required();
+    subcommand.add_option("--key", options_->key,
+                          "Of this request: repeating it with the same key is harmless");
+    subcommand.add_option("--if-revision", options_->if_revision, "Only if the member has not changed since");
+    subcommand.add_option("--if-incarnation", options_->if_incarnation, "Only if this is its process");
+    return subcommand;
+  }
+
+  CLI::App& AddWrite(const char* name, const char* description, const char* example,
+                     registry::Action action) {
+    return AddMemberChange(name, description, example, [o = options_, action] { return Write(*o, action); });
+  }
+
+  void AddServe() {
+    CLI::App& serve = Add("serve", "Serves as a list service", "serve deploy/registry.toml",
+                          [o = options_] { return Serve(o->file); });
+    serve.add_option("CONFIG", options_->file, "Its configuration (TOML)")->required();
+  }
+
+  void AddMember() {
+    CLI::App& member = Add("member", "Keeps a server process listed until SIGTERM", "member web-1.toml",
+                           [o = options_] { return KeepMember(o->file, o->incarnation); });
+    member.add_option("CONFIG", options_->file, "Its configuration (TOML)")->required();
+    member.add_option("--incarnation", options_->incarnation,
+                      "Unix time in ms at which the process started; else now");
+  }
+
+  void AddMembers() {
+    AddServiceCall("members", "Lists the members", "members",
+                   [o = options_] { return PrintList(*o, "/registry/members"); });
+  }
+
+  void AddHistory() {
+    CLI::App& history =
+        AddServiceCall("history", "Lists the changes that are still known", "history --after 1764600000000",
+                       [o = options_] { return PrintHistory(*o); });
+    history.add_option("--after", options_->after, "Only those behind this revision");
+  }
+
+  void AddWatch() {
+    CLI::App& watch = AddServiceCall("watch", "Prints changes as they come", "watch --json",
+                                     [o = options_] { return Watch(*o); });
+    watch.add_option("--after", options_->after, "From this revision on");
+    watch.add_option("--for", options_->seconds, "Seconds; else for ever");
+  }
+
+  void AddStatus() {
+    AddServiceCall("status", "Tells how the service does", "status", [o = options_] { return Status(*o); });
+  }
+
+  void AddRegister() {
+    CLI::App& enter =
+        AddMemberChange("register", "Lists a member, or changes what is said of it",
+                        "register web-1 --address 10.1.0.18:3000", [o = options_] { return Register(*o); });
+    enter.add_option("--address", options_->address, "Where it serves")->required();
+    enter.add_option("--zone", options_->zone, "Its zone");
+    enter.add_option("--kind", options_->kind, "Its kind of machine");
+    enter.add_option("--version", options_->version, "Label of what it runs");
+    enter.add_option("--size", options_->size, "Relative size")->capture_default_str();
+    enter.add_option("--incarnation", options_->incarnation, "Unix time in ms at which its process started");
+    enter.add_option("--term", options_->term_s, "Seconds of its lease; 0: until it is removed")
+        ->capture_default_str();
+  }
+
+  void AddSize() {
+    CLI::App& size =
+        AddWrite("size", "Sets a member's relative size", "size web-1 0.5", registry::Action::kSetSize);
+    size.add_option("SIZE", options_->size, "Relative to others")->required();
+  }
+
+  void AddRestore() {
+    CLI::App& restore =
+        AddServiceCall("restore", "Seeds a service that lost its disk from the gateways' lists",
+                       "restore n1.json n2.json   # of: gatewayctl state export DIR",
+                       [o = options_] { return Restore(*o); });
+    restore
+        .add_option("FILES", options_->files, "Lists as published, or what 'gatewayctl state export' printed")
+        ->required();
+    restore.add_option("--term", options_->term_s, "Seconds of the leases that they get; 0: none")
+        ->capture_default_str();
+  }
+
+  CLI::App& registry_;
+  Command& selected_;
+  const std::shared_ptr<Options> options_ = std::make_shared<Options>();
+};
+
 }  // namespace
 
-void AddRegistry(CLI::App& app, std::function<int()>& chosen) {
-  // One set for all calls: only one of them is made.
-  const auto o = std::make_shared<Options>();
+void AddRegistry(CLI::App& app, Command& selected) {
   CLI::App* const registry = app.add_subcommand("registry", "The project's own list service");
   registry->require_subcommand(1);
   registry->footer(std::string(kCodes) + "\nExample: gatewayctl registry members --service 127.0.0.1:8500");
-  const auto add = [&, o](const char* name, const char* about, const char* example,
-                          std::function<int()> does) {
-    CLI::App* const command = registry->add_subcommand(name, about);
-    command->footer(std::string(kCodes) + "\nExample: gatewayctl registry " + example);
-    command->callback([&chosen, does] { chosen = does; });
-    return command;
-  };
-  const auto reach = [o](CLI::App* command) {
-    command->add_option("--service", o->services, "Address and port; several are tried in turn")
-        ->capture_default_str();
-    command->add_flag("--json", o->json, "For programs: what the service answered");
-    return command;
-  };
-  const auto conditions = [o](CLI::App* command) {
-    command->add_option("ID", o->id, "The member")->required();
-    command->add_option("--key", o->key, "Of this request: repeating it with the same key is harmless");
-    command->add_option("--if-revision", o->if_revision, "Only if the member has not changed since");
-    command->add_option("--if-incarnation", o->if_incarnation, "Only if this is its process");
-    return command;
-  };
-
-  CLI::App* const serve =
-      add("serve", "Serves as a list service", "serve deploy/registry.toml", [o] { return Serve(o->file); });
-  serve->add_option("CONFIG", o->file, "Its configuration (TOML)")->required();
-  CLI::App* const member = add("member", "Keeps a server process listed until SIGTERM", "member web-1.toml",
-                               [o] { return KeepMember(o->file, o->incarnation); });
-  member->add_option("CONFIG", o->file, "Its configuration (TOML)")->required();
-  member->add_option("--incarnation", o->incarnation,
-                     "Unix time in ms at which the process started; else now");
-
-  reach(add("members", "Lists the members", "members", [o] { return PrintList(*o, "/registry/members"); }));
-  CLI::App* const history =
-      reach(add("history", "Lists the changes that are still known", "history --after 1764600000000", [o] {
-        return PrintList(
-            *o, o->after >= 0 ? fmt::format("/registry/history?after={}", o->after) : "/registry/history");
-      }));
-  history->add_option("--after", o->after, "Only those behind this revision");
-  CLI::App* const watch =
-      reach(add("watch", "Prints changes as they come", "watch --json", [o] { return Watch(*o); }));
-  watch->add_option("--after", o->after, "From this revision on");
-  watch->add_option("--for", o->seconds, "Seconds; else for ever");
-  reach(add("status", "Tells how the service does", "status", [o] { return Status(*o); }));
-
-  CLI::App* const enter = conditions(reach(add("register", "Lists a member, or changes what is said of it",
-                                               "register web-1 --address 10.1.0.18:3000", [o] {
-                                                 registry::Command command;
-                                                 command.member.id = o->id;
-                                                 command.member.address = o->address;
-                                                 command.member.zone = o->zone;
-                                                 command.member.kind = o->kind;
-                                                 command.member.version = o->version;
-                                                 command.member.size = o->size;
-                                                 command.member.term = o->term_s * 1000;
-                                                 command.member.incarnation =
-                                                     std::max<std::int64_t>(0, o->incarnation);
-                                                 return Write(*o, std::move(command));
-                                               })));
-  enter->add_option("--address", o->address, "Where it serves")->required();
-  enter->add_option("--zone", o->zone, "Its zone");
-  enter->add_option("--kind", o->kind, "Its kind of machine");
-  enter->add_option("--version", o->version, "Label of what it runs");
-  enter->add_option("--size", o->size, "Relative size")->capture_default_str();
-  enter->add_option("--incarnation", o->incarnation, "Unix time in ms at which its process started");
-  enter->add_option("--term", o->term_s, "Seconds of its lease; 0: until it is removed")
-      ->capture_default_str();
-  conditions(reach(add("drain", "Takes a member out of new traffic", "drain web-1",
-                       [o] { return Write(*o, registry::Action::kDrain); })));
-  conditions(reach(add("undrain", "Ends a drain of operators", "undrain web-1",
-                       [o] { return Write(*o, registry::Action::kUndrain); })));
-  conditions(reach(add("remove", "Takes a member off the list, confirmed by you", "remove web-1",
-                       [o] { return Write(*o, registry::Action::kRemove); })));
-  CLI::App* const size = conditions(reach(add("size", "Sets a member's relative size", "size web-1 0.5",
-                                              [o] { return Write(*o, registry::Action::kSetSize); })));
-  size->add_option("SIZE", o->size, "Relative to others")->required();
-  CLI::App* const restore =
-      reach(add("restore", "Seeds a service that lost its disk from the gateways' lists",
-                "restore n1.json n2.json   # of: gatewayctl state export DIR", [o] { return Restore(*o); }));
-  restore->add_option("FILES", o->files, "Lists as published, or what 'gatewayctl state export' printed")
-      ->required();
-  restore->add_option("--term", o->term_s, "Seconds of the leases that they get; 0: none")
-      ->capture_default_str();
+  RegistrySubcommands(*registry, selected).AddAll();
 }
 
 }  // namespace gateway::cli
--- a/src/cli/registry.hpp
+++ b/src/cli/registry.hpp
@@ -1,14 +1,14 @@
-// `gatewayctl registry`: the list service, a member's agent, and the operators' calls to the service.
+// `gatewayctl registry`: the list service, the agent of a member, and the operators' calls to the service.
 #ifndef GATEWAY_CLI_REGISTRY_HPP_
 #define GATEWAY_CLI_REGISTRY_HPP_
 
 #include <CLI/CLI.hpp>
-#include <functional>
+
+#include "cli/subcommand.hpp"
 
 namespace gateway::cli {
 
-// `chosen` is set to what the command line asks for; its result is the exit code.
-void AddRegistry(CLI::App& app, std::function<int()>& chosen);
+void AddRegistry(CLI::App& app, Command& selected);
 
 }  // namespace gateway::cli
 
--- a/src/cli/run.hpp
+++ b/src/cli/run.hpp
@@ -1,18 +1,18 @@
-// `gatewayctl run`: keeps one gateway alive.
+// `gatewayctl run`: supervises one gateway process.
 #ifndef GATEWAY_CLI_RUN_HPP_
 #define GATEWAY_CLI_RUN_HPP_
 
-#include <string>
+#include <CLI/CLI.hpp>
 
-namespace gateway::cli {
+#include "cli/subcommand.hpp"
 
-inline constexpr int kGaveUp = 4;  // exit code: it crashed again and again
+namespace gateway::cli {
 
-// Starts the command (of /bin/sh) and starts it again after a crash, until it ends as it was told to or
-// crashes in a loop. Passes SIGTERM, SIGINT, SIGHUP, SIGUSR1 and SIGUSR2 on. Returns the exit code: the
-// command's own, 128 + N after signal N, or kGaveUp. Throws std::runtime_error if no process can be started
-// at all.
-int KeepRunning(const std::string& command);
+// The command starts a gateway and restarts it after a crash, until it ends with success, is asked to end or
+// crashes in a loop (base::Supervisor). Passes SIGTERM, SIGINT, SIGHUP, SIGUSR1 and SIGUSR2 on. Its exit code
+// is that of the gateway, 128 + N after signal N, or 4 after a crash loop. Throws std::runtime_error where no
+// process can be started.
+void AddRun(CLI::App& app, const ProgramPaths& programs, Command& selected);
 
 }  // namespace gateway::cli
 
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -26,27 +26,29 @@
 namespace gateway::cli {
 namespace {
 
-constexpr int kDone = 0, kOutside = 1;
-constexpr unsigned kAfterDeadline = 15;  // seconds: then the process ends itself, whatever it waits for
+constexpr unsigned kDeadlineMarginSeconds = 15;  // between the deadline and the end of a hanging process
+constexpr double kMillisPerSecond = 1000;
 
 struct ScaleOptions {
   std::vector<std::string> files;
   std::string json_dir = "docs/results/scale";
   std::string revision;
-  bool quick = false, plots = true, compare = false;
-  int plays = 0;
-  std::uint64_t seed = 0;
+  bool quick = false;
+  bool plots = true;
+  bool compare = false;    // run the standard comparison first
+  int plays = 0;           // of each point; 0: as the file says
+  std::uint64_t seed = 0;  // of the first play; 0: as the file says
   lab::ScalePrograms programs;
 };
 
-void Write(const std::filesystem::path& path, const std::string& text) {
+void WriteFile(const std::filesystem::path& path, const std::string& text) {
   std::filesystem::create_directories(path.parent_path());
   std::ofstream out(path, std::ios::binary);
   out << text;
   if (!out.flush()) throw std::runtime_error("can't write '" + path.string() + "'");
 }
 
-void Note(const std::string& line) { fmt::print(stderr, "{}\n", line); }
+void PrintProgress(const std::string& line) { fmt::print(stderr, "{}\n", line); }
 
 double Mean(const lab::PlayValues& values) {
   double sum = 0;
@@ -54,7 +56,7 @@
   return values.empty() ? 0 : sum / static_cast<double>(values.size());
 }
 
-void Print(const lab::ScaleResult& result) {
+void PrintResult(const lab::ScaleResult& result) {
   fmt::print("\n{}: {}\n", result.name, result.about);
   for (const lab::ScalePoint& point : result.points) {
     fmt::print("  {} = {:g}\n", result.axis, point.value);
@@ -75,44 +77,47 @@
   }
 }
 
-int RunSweepFile(const lab::ScaleExperiment& experiment, const ScaleOptions& o, base::Millis deadline) {
-  lab::FleetMeasurer measurer(experiment, o.programs, o.quick, deadline);
-  lab::SweepOptions options;
-  options.quick = o.quick;
-  options.plays = o.plays;
-  options.seed = o.seed;
-  options.deadline = deadline;
-  options.note = Note;
-  lab::ScaleResult result = lab::RunSweep(experiment, measurer, options);
-  result.revision = o.revision;
-  const std::filesystem::path folder(o.json_dir);
-  Write(folder / (result.name + ".json"), lab::ToJson(result).dump(1) + "\n");
-  Print(result);
-  if (o.plots && !result.points.empty()) lab::WriteScalePlots(result, folder);
-  return result.points.empty() ? kOutside : kDone;
+int RunSweepFile(const lab::ScaleExperiment& experiment, const ScaleOptions& options, base::Millis deadline) {
+  lab::FleetMeasurer measurer(experiment, options.programs, options.quick, deadline);
+  lab::SweepOptions sweep;
+  sweep.quick = options.quick;
+  sweep.plays = options.plays;
+  sweep.seed = options.seed;
+  sweep.deadline = deadline;
+  sweep.note = PrintProgress;
+  lab::ScaleResult result = lab::RunSweep(experiment, measurer, sweep);
+  result.revision = options.revision;
+  const std::filesystem::path folder(options.json_dir);
+  WriteFile(folder / (result.name + ".json"), lab::ToJson(result).dump(1) + "\n");
+  PrintResult(result);
+  if (options.plots && !result.points.empty()) lab::WriteScalePlots(result, folder);
+  return result.points.empty() ? kFailure : kSuccess;
 }
 
-int RunStormsFile(const lab::ScaleExperiment& experiment, const ScaleOptions& o, base::Millis deadline) {
-  const std::vector<lab::StormResult> storms =
-      lab::PlayStorms(experiment, o.programs, {o.quick, o.plays, o.seed, deadline, Note});
-  Write(std::filesystem::path(o.json_dir) / (experiment.name + ".json"),
-        lab::StormsToJson(storms).dump(1) + "\n");
+int RunStormsFile(const lab::ScaleExperiment& experiment, const ScaleOptions& options,
+                  base::Millis deadline) {
+  const std::vector<lab::StormResult> storms = lab::PlayStorms(
+      experiment, options.programs, {options.quick, options.plays, options.seed, deadline, PrintProgress});
+  WriteFile(std::filesystem::path(options.json_dir) / (experiment.name + ".json"),
+            lab::StormsToJson(storms).dump(1) + "\n");
   for (const lab::StormResult& storm : storms) {
     fmt::print(
         "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests waiting; all current after {:.0f} "
         "ms\n",
         storm.storm, storm.peak_bytes_per_s, storm.peak_cpu_percent, storm.peak_queue, storm.all_current_ms);
   }
-  return kDone;
+  return kSuccess;
 }
 
-int RunComparison(const lab::ScaleExperiment& experiment, const ScaleOptions& o, base::Millis deadline) {
-  const lab::HollowComparison comparison = lab::CompareHollowGateways(
-      o.programs, o.quick ? experiment.quick_fixed : experiment.fixed,
-      o.quick ? experiment.quick_windows : experiment.windows, o.plays > 0 ? o.plays : experiment.plays,
-      o.seed > 0 ? o.seed : experiment.seed, deadline);
-  Write(std::filesystem::path(o.json_dir) / (experiment.name + ".json"),
-        lab::ToJson(comparison).dump(1) + "\n");
+int RunComparison(const lab::ScaleExperiment& experiment, const ScaleOptions& options,
+                  base::Millis deadline) {
+  const lab::HollowComparison comparison =
+      lab::CompareHollowGateways(options.programs, options.quick ? experiment.quick_fixed : experiment.fixed,
+                                 options.quick ? experiment.quick_windows : experiment.windows,
+                                 options.plays > 0 ? options.plays : experiment.plays,
+                                 options.seed > 0 ? options.seed : experiment.seed, deadline);
+  WriteFile(std::filesystem::path(options.json_dir) / (experiment.name + ".json"),
+            lab::ToJson(comparison).dump(1) + "\n");
   fmt::print("{} hollow gateways against as many real ones, at the list service:\n", comparison.gateways);
   for (const lab::UseRatio& ratio : comparison.ratios) {
     fmt::print("  {:18} real {:10.6g} hollow {:10.6g} ratio {:.3f}\n", ratio.figure, ratio.real, ratio.hollow,
@@ -120,85 +125,96 @@
   }
   const bool holds = comparison.Holds(/*speeds=*/true);
   fmt::print("{}\n", holds ? "held: each within 10%" : "BROKEN: a ratio is further than 10% from 1");
-  return holds ? kDone : kOutside;
+  return holds ? kSuccess : kFailure;
 }
 
-int RunOne(const lab::ScaleExperiment& experiment, const ScaleOptions& o, base::Millis deadline) {
+int RunOne(const lab::ScaleExperiment& experiment, const ScaleOptions& options, base::Millis deadline) {
   switch (experiment.kind) {
-    case lab::ScaleKind::kStorms: return RunStormsFile(experiment, o, deadline);
-    case lab::ScaleKind::kComparison: return RunComparison(experiment, o, deadline);
+    case lab::ScaleKind::kStorms: return RunStormsFile(experiment, options, deadline);
+    case lab::ScaleKind::kComparison: return RunComparison(experiment, options, deadline);
     case lab::ScaleKind::kSweep: break;
   }
-  return RunSweepFile(experiment, o, deadline);
+  return RunSweepFile(experiment, options, deadline);
 }
 
-// Whatever hangs, the process ends, and all that it started with it.
-void EndWithin(base::Millis time) { alarm(static_cast<unsigned>(std::ceil(time / 1000)) + kAfterDeadline); }
+// Makes SIGALRM end this process, and with it all processes that it started, if a step hangs.
+void SetWatchdog(base::Millis timeout) {
+  alarm(static_cast<unsigned>(std::ceil(timeout / kMillisPerSecond)) + kDeadlineMarginSeconds);
+}
 
-int RunFiles(const ScaleOptions& o) {
-  if (o.files.empty() && !o.compare) throw std::invalid_argument("no FILE: name an experiment, or --compare");
-  base::RaiseDescriptorLimit();
-  std::signal(SIGPIPE, SIG_IGN);
-  // All are read, and refused where they ask for too much, before any is played.
+void ClearWatchdog() { alarm(0); }
+
+// Reads all files, and rejects those that this machine can't carry out, before any is run.
+std::vector<lab::ScaleExperiment> ReadExperiments(const ScaleOptions& options) {
   const lab::ScaleLimits limits = lab::LimitsOfThisMachine();
   std::vector<lab::ScaleExperiment> experiments;
-  if (o.compare) experiments.push_back(lab::StandardComparison());
-  for (const std::string& file : o.files) experiments.push_back(lab::ReadScaleExperiment(file, limits));
-  int code = kDone;
-  for (const lab::ScaleExperiment& experiment : experiments) {
-    const base::Millis begun = base::MonotonicNow();
-    EndWithin(experiment.ends_within);
-    const base::Millis deadline = begun + experiment.ends_within;
-    code = std::max(code, RunOne(experiment, o, deadline));
-    alarm(0);
-    fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - begun) / 1000);
+  if (options.compare) experiments.push_back(lab::StandardComparison());
+  for (const std::string& file : options.files) experiments.push_back(lab::ReadScaleExperiment(file, limits));
+  return experiments;
+}
+
+int RunFiles(const ScaleOptions& options) {
+  if (options.files.empty() && !options.compare)
+    throw std::invalid_argument("no FILE: name an experiment, or --compare");
+  base::RaiseDescriptorLimit();
+  std::signal(SIGPIPE, SIG_IGN);
+  int code = kSuccess;
+  for (const lab::ScaleExperiment& experiment : ReadExperiments(options)) {
+    const base::Millis started = base::MonotonicNow();
+    SetWatchdog(experiment.ends_within);
+    const base::Millis deadline = started + experiment.ends_within;
+    code = std::max(code, RunOne(experiment, options, deadline));
+    ClearWatchdog();
+    fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - started) / 1000);
   }
   return code;
 }
 
+int ServeHollowGateways(lab::HollowOptions options, const std::string& control) {
+  const auto address = base::ParseSocketAddress(control);
+  if (!address) throw std::invalid_argument("--control: '" + control + "' is not an address and port");
+  options.control = *address;
+  return lab::ServeHollowGateways(options);
+}
+
 }  // namespace
 
-void AddScale(CLI::App& lab, const std::string& self, const std::string& gateway,
-              std::function<int()>& chosen) {
-  const auto o = std::make_shared<ScaleOptions>();
-  o->programs = {self, gateway};
+void AddScale(CLI::App& lab, const ProgramPaths& programs, Command& selected) {
+  const auto options = std::make_shared<ScaleOptions>();
+  options->programs = {programs.gatewayctl, programs.gateway};
   CLI::App* const scale =
       lab.add_subcommand("scale", "Measures what each role costs as the fleet grows, and fits the slopes");
-  scale->add_option("FILE", o->files, "Experiments, see experiments/scale/");
-  scale->add_option("--json-dir", o->json_dir, "Folder for the results and plots")->capture_default_str();
-  scale->add_option("--gateway", o->programs.gateway, "Command of the gateway")->capture_default_str();
-  scale->add_option("--plays", o->plays, "Of each point; as the file says unless given")
+  scale->add_option("FILE", options->files, "Experiments, see experiments/scale/");
+  scale->add_option("--json-dir", options->json_dir, "Folder for the results and plots")
+      ->capture_default_str();
+  scale->add_option("--gateway", options->programs.gateway, "Command of the gateway")->capture_default_str();
+  scale->add_option("--plays", options->plays, "Of each point; as the file says unless given")
       ->check(CLI::Range(1, 100));
-  scale->add_option("--seed", o->seed, "Of the first play; as the file says unless given");
-  scale->add_option("--revision", o->revision, "Of the program, for the results");
-  scale->add_flag("--quick", o->quick, "Fewer, smaller and shorter points, one play");
-  scale->add_flag("--compare", o->compare,
+  scale->add_option("--seed", options->seed, "Of the first play; as the file says unless given");
+  scale->add_option("--revision", options->revision, "Of the program, for the results");
+  scale->add_flag("--quick", options->quick, "Fewer, smaller and shorter points, one play");
+  scale->add_flag("--compare", options->compare,
                   "First show that hollow gateways are to the list service as real ones");
-  scale->add_flag("!--no-plots", o->plots, "Draw nothing");
+  scale->add_flag("!--no-plots", options->plots, "Draw nothing");
   scale->footer(
       "Exit codes: 0 measured, 1 nothing could be measured or hollow gateways differ from real ones, 2 wrong "
       "use.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick --json-dir /tmp/scale");
-  scale->callback([&chosen, o] { chosen = [o] { return RunFiles(*o); }; });
+  SelectWhenGiven(*scale, selected, [options] { return RunFiles(*options); });
+}
 
-  const auto hollow = std::make_shared<lab::HollowOptions>();
+void AddHollowGateways(CLI::App& lab, Command& selected) {
+  const auto options = std::make_shared<lab::HollowOptions>();
   const auto control = std::make_shared<std::string>();
-  CLI::App* const serve =
+  CLI::App* const hollow =
       lab.add_subcommand("hollow-gateways", "Gateways without a request path, for the lab's own use");
-  serve->add_option("CONFIG", hollow->config, "Of the first one, as NODE_CONFIG")->required();
-  serve->add_option("--count", hollow->count, "How many")
+  hollow->add_option("CONFIG", options->config, "Of the first one, as NODE_CONFIG")->required();
+  hollow->add_option("--count", options->count, "How many")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  serve->add_option("--first", hollow->first, "Index of the first one")->capture_default_str();
-  serve->add_option("--control", *control, "Address and port where the tool asks")->required();
-  serve->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
-  serve->callback([&chosen, hollow, control] {
-    chosen = [hollow, control] {
-      const auto address = base::ParseSocketAddress(*control);
-      if (!address) throw std::invalid_argument("--control: '" + *control + "' is not an address and port");
-      hollow->control = *address;
-      return lab::ServeHollowGateways(*hollow);
-    };
-  });
+  hollow->add_option("--first", options->first, "Index of the first one")->capture_default_str();
+  hollow->add_option("--control", *control, "Address and port where the tool asks")->required();
+  hollow->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
+  SelectWhenGiven(*hollow, selected, [options, control] { return ServeHollowGateways(*options, *control); });
 }
 
 }  // namespace gateway::cli
