--- a/src/membership/membership_options.hpp
+++ b/src/membership/membership_options.hpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <cstddef>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::membership {
 
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -16,7 +16,7 @@
 using base::ClientConnection;
 using base::Level;
 using base::Millis;
-using base::Span;
+using base::TimerDuration;
 using boost::system::error_code;
 
 constexpr Millis kCallTimeout = 2000;
@@ -62,7 +62,7 @@
 
 void Agent::Stop() {
   state_.Stop();
-  stop_timer_.expires_after(Span(options_.drain_grace));
+  stop_timer_.expires_after(TimerDuration(options_.drain_grace));
   stop_timer_.async_wait([this](error_code error) {
     if (!error) OnDrainGraceOver();
   });
@@ -72,7 +72,7 @@
 // If no service answers until the lease has expired, the agent ends without a removal.
 void Agent::OnDrainGraceOver() {
   state_.OnDrainGraceOver();
-  stop_timer_.expires_after(Span(options_.member.lease_duration + 2 * kCallTimeout));
+  stop_timer_.expires_after(TimerDuration(options_.member.lease_duration + 2 * kCallTimeout));
   stop_timer_.async_wait([this](error_code error) {
     if (!error) Finish(kExitDone);
   });
@@ -90,7 +90,7 @@
 }
 
 void Agent::ScheduleAct(Millis delay) {
-  action_timer_.expires_after(Span(delay));
+  action_timer_.expires_after(TimerDuration(delay));
   action_timer_.async_wait([this](error_code error) {
     if (!error) Act();
   });
--- a/src/registry/agent_options.cpp
+++ b/src/registry/agent_options.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 #include "base/toml_reader.hpp"
 
 namespace gateway::registry {
@@ -18,7 +18,7 @@
 constexpr int kMaxFailureThreshold = 1000;
 
 tcp::endpoint ParseAddress(const base::TomlTable& table, const std::string& key, const std::string& text) {
-  const auto endpoint = base::ParseEndpoint(text);
+  const auto endpoint = base::ParseSocketAddress(text);
   if (!endpoint || endpoint->port() == 0) table.Fail(key, "'" + text + "' is not an address and port");
   return *endpoint;
 }
@@ -34,7 +34,7 @@
   if (table.Has("cell")) member.cell = nlohmann::json(table.Text("cell")).dump();
   member.size = table.Number("size", 1, kSizeRange);
   member.lease_duration = table.Seconds("term_s", kDefaultLeaseDuration, kLeaseDurationSeconds);
-  table.Done();
+  table.RejectUnknownKeys();
   return member;
 }
 
@@ -42,8 +42,8 @@
   check.path = table.Text("path", "");
   check.interval = table.Seconds("every_s", check.interval, kCheckIntervalSeconds);
   check.timeout = table.Seconds("within_s", check.timeout, kCheckTimeoutSeconds);
-  check.failure_threshold = table.Whole("failures", check.failure_threshold, 1, kMaxFailureThreshold);
-  table.Done();
+  check.failure_threshold = table.Integer("failures", check.failure_threshold, 1, kMaxFailureThreshold);
+  table.RejectUnknownKeys();
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
 AgentOptions ReadAgentOptions(const std::string& path) {
   base::TomlTable table = base::TomlTable::FromFile(path);
   AgentOptions options;
-  for (const std::string& text : table.Texts("services")) {
+  for (const std::string& text : table.TextList("services")) {
     options.services.push_back(ParseAddress(table, "services", text));
   }
   if (options.services.empty()) table.Fail("services", "needs at least one");
@@ -61,7 +61,7 @@
   options.member = ReadMemberTable(*member);
   options.health_check.address = ParseAddress(*member, "address", options.member.address);
   if (auto check = table.Table("check")) ReadHealthCheck(*check, options.health_check);
-  table.Done();
+  table.RejectUnknownKeys();
   return options;
 }
 
--- a/src/registry/agent_options.hpp
+++ b/src/registry/agent_options.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "registry/member.hpp"
 
 namespace gateway::registry {
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -15,7 +15,7 @@
 
 using base::Level;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 
 constexpr Millis kReopenInterval = 2000;
 constexpr std::size_t kMaxQueuedCommands = 20000;
@@ -27,7 +27,8 @@
   storage::StoreOptions store;
   store.owner = options.owner;
   store.program = options.program;
-  store.max_log_bytes = std::max(kLogCapacityPerSnapshot * options.snapshot_after_bytes, kMinLogCapacityBytes);
+  store.max_log_bytes =
+      std::max(kLogCapacityPerSnapshot * options.snapshot_after_bytes, kMinLogCapacityBytes);
   return store;
 }
 
@@ -54,13 +55,13 @@
   if (const storage::Status status = log_writer_.Open(found); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
-  const Millis begun = Now();
+  const Millis begun = MonotonicNow();
   const bool starting = !catalog_;
   if (starting && found.snapshot) LoadSnapshot(*found.snapshot);
   const bool new_history = !catalog_;
   if (new_history) catalog_.emplace(options_.epoch, options_.initial_revision, options_.retention);
   const std::size_t replayed = Replay(found.records);
-  LogRecovery(replayed, Now() - begun);
+  LogRecovery(replayed, MonotonicNow() - begun);
   if (new_history && found.records.empty()) WriteFirstSnapshot();
 }
 
@@ -183,7 +184,7 @@
 }
 
 void DurableCatalog::ScheduleReopen() {
-  reopen_timer_.expires_after(base::Span(kReopenInterval));
+  reopen_timer_.expires_after(base::TimerDuration(kReopenInterval));
   reopen_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Reopen();
   });
--- a/src/registry/health_checker.cpp
+++ b/src/registry/health_checker.cpp
@@ -37,7 +37,7 @@
 
 void HealthChecker::Connect() {
   probe_ = std::make_shared<tcp::socket>(io_);
-  timer_.expires_after(base::Span(options_.timeout));
+  timer_.expires_after(base::TimerDuration(options_.timeout));
   timer_.async_wait([probe = probe_](error_code error) {
     error_code ignored;
     if (!error) probe->close(ignored);
@@ -47,7 +47,7 @@
 
 void HealthChecker::OnChecked(bool passed) {
   on_result_(passed);
-  timer_.expires_after(base::Span(options_.interval));
+  timer_.expires_after(base::TimerDuration(options_.interval));
   timer_.async_wait([this](error_code error) {
     if (!error) Check();
   });
--- a/src/registry/lease_monitor.cpp
+++ b/src/registry/lease_monitor.cpp
@@ -12,7 +12,7 @@
 
 using base::Level;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 
 std::string ZoneText(const std::string& zone) {
   return zone == kAllZones ? "in all zones" : "in zone " + zone;
@@ -40,11 +40,12 @@
 
 LeaseMonitor::LeaseMonitor(DurableCatalog& catalog, LeaseOptions options)
     : catalog_(catalog), leases_(options) {
-  for (const auto& [id, member] : catalog_.catalog().members()) leases_.OnMemberChanged(member, Now());
+  for (const auto& [id, member] : catalog_.catalog().members())
+    leases_.OnMemberChanged(member, MonotonicNow());
 }
 
 RenewalResult LeaseMonitor::Renew(const RenewalRequest& renewal) {
-  const RenewalResult result = leases_.Renew(renewal.id, renewal.incarnation, Now());
+  const RenewalResult result = leases_.Renew(renewal.id, renewal.incarnation, MonotonicNow());
   if (result == RenewalResult::kRecovered) ProposeRecovery(renewal);
   return result;
 }
@@ -71,15 +72,15 @@
   if (!result.ok()) return leases_.OnProposalFailed(command);
   const Catalog& catalog = catalog_.catalog();
   if (const Member* const member = catalog.Find(command.member.id)) {
-    leases_.OnMemberChanged(*member, Now());
+    leases_.OnMemberChanged(*member, MonotonicNow());
   } else if (result.changed) {  // removed: its last state is the newest change
-    leases_.OnMemberChanged(catalog.history().back(), Now());
+    leases_.OnMemberChanged(catalog.history().back(), MonotonicNow());
   }
   if (result.changed && IsLeaseEvent(command.action)) LogLeaseEvent(command, result.revision);
 }
 
 void LeaseMonitor::OnReopened(const std::vector<const Member*>& changed) {
-  for (const Member* member : changed) leases_.OnMemberChanged(*member, Now());
+  for (const Member* member : changed) leases_.OnMemberChanged(*member, MonotonicNow());
 }
 
 void LeaseMonitor::LogPreservedZones() {
--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -61,9 +61,9 @@
     result.status = {{}, folder_ + ": not open"};
     return result;
   }
-  const base::Millis begun = base::Now();
+  const base::Millis begun = base::MonotonicNow();
   result.status = AppendAndCommit(batch, result.sequences);
-  result.duration_ms = base::Now() - begun;
+  result.duration_ms = base::MonotonicNow() - begun;
   result.log_bytes = store_->log_bytes();
   return result;
 }
--- a/src/registry/member.hpp
+++ b/src/registry/member.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::registry {
 
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 #include "registry/json_fields.hpp"
 
 namespace gateway::registry {
@@ -67,7 +67,7 @@
 
 std::string ReadAddress(const json& body) {
   std::string address = ReadRequiredText(body, "address");
-  const auto endpoint = base::ParseEndpoint(address);
+  const auto endpoint = base::ParseSocketAddress(address);
   if (!endpoint || !endpoint->address().is_v4() || endpoint->port() == 0) {
     throw FieldError("address", "must be an IPv4 address and port, such as 10.1.0.18:3000");
   }
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::registry {
 
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -9,7 +9,7 @@
 
 namespace http = boost::beast::http;
 using base::Millis;
-using base::Now;
+using base::MonotonicNow;
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
@@ -38,7 +38,7 @@
       call_handler_(durable_catalog_, lease_monitor_, options_.leases.default_duration),
       acceptor_(io),
       tick_timer_(io),
-      started_(Now()) {
+      started_(MonotonicNow()) {
   Listen();
   Accept();
   Tick();
@@ -152,8 +152,8 @@
   totals.full_lists = list_handler_.full_lists();
   totals.encoded_bodies = list_handler_.encoded_bodies();
   totals.rejected = admission_.rejected();
-  return {durable_catalog_, lease_monitor_.leases(), totals, list_handler_.watches(), sessions_.size(), Now(),
-          started_};
+  return {durable_catalog_, lease_monitor_.leases(), totals,  list_handler_.watches(),
+          sessions_.size(), MonotonicNow(),          started_};
 }
 
 // ---- Changes of the catalog -----------------------------------------------------------------------
@@ -171,7 +171,7 @@
 // ---- Periodic work --------------------------------------------------------------------------------
 
 void Service::Tick() {
-  const Millis now = Now();
+  const Millis now = MonotonicNow();
   admission_.Refill(now);
   lease_monitor_.Tick(now);
   list_handler_.TrimCache();
@@ -179,7 +179,7 @@
 }
 
 void Service::ScheduleTick() {
-  tick_timer_.expires_after(base::Span(kTickInterval));
+  tick_timer_.expires_after(base::TimerDuration(kTickInterval));
   tick_timer_.async_wait([this](error_code error) {
     if (!error) Tick();
   });
--- a/src/registry/service_options.cpp
+++ b/src/registry/service_options.cpp
@@ -1,6 +1,6 @@
 #include "registry/service_options.hpp"
 
-#include "base/endpoint.hpp"
+#include "base/socket_address.hpp"
 #include "base/toml_reader.hpp"
 
 namespace gateway::registry {
@@ -17,7 +17,7 @@
 constexpr CountRange kOperatorRange{1, 10000};
 
 std::size_t ReadCount(base::TomlTable& table, const char* key, std::size_t default_value, CountRange range) {
-  return static_cast<std::size_t>(table.Whole(key, static_cast<int>(default_value), range.min, range.max));
+  return static_cast<std::size_t>(table.Integer(key, static_cast<int>(default_value), range.min, range.max));
 }
 
 void ReadLeases(base::TomlTable table, LeaseOptions& leases) {
@@ -26,16 +26,16 @@
   leases.removal_grace = table.Seconds("grace_s", leases.removal_grace, base::kNotNegative);
   preservation.max_lapsed_share = table.Number("most_lapsed", preservation.max_lapsed_share, base::kShare);
   preservation.min_lapsed =
-      table.Whole("least_lapsed", preservation.min_lapsed, kMinLapsedRange.min, kMinLapsedRange.max);
+      table.Integer("least_lapsed", preservation.min_lapsed, kMinLapsedRange.min, kMinLapsedRange.max);
   preservation.window = table.Seconds("window_s", preservation.window, base::kNotNegative);
   preservation.max_duration = table.Seconds("longest_hold_s", preservation.max_duration, base::kAboveZero);
-  table.Done();
+  table.RejectUnknownKeys();
 }
 
 void ReadHistory(base::TomlTable table, RetentionLimits& retention) {
   retention.changes = ReadCount(table, "changes", retention.changes, kRetentionRange);
   retention.idempotency_keys = ReadCount(table, "keys", retention.idempotency_keys, kRetentionRange);
-  table.Done();
+  table.RejectUnknownKeys();
 }
 
 void ReadWatches(base::TomlTable table, ServiceOptions& options) {
@@ -43,7 +43,7 @@
   options.max_operators = ReadCount(table, "operators", options.max_operators, kOperatorRange);
   options.full_lists_per_second =
       table.Number("whole_lists_per_s", options.full_lists_per_second, base::kAboveZero);
-  table.Done();
+  table.RejectUnknownKeys();
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
 ServiceOptions ReadServiceOptions(const std::string& path) {
   base::TomlTable table = base::TomlTable::FromFile(path);
   ServiceOptions options;
-  const auto address = base::ParseEndpoint(table.Text("listen"));
+  const auto address = base::ParseSocketAddress(table.Text("listen"));
   if (!address) table.Fail("listen", "must be an address and port, such as 127.0.0.1:8500");
   options.listen = *address;
   options.state_folder = table.Text("state_dir");
@@ -60,7 +60,7 @@
   if (auto leases = table.Table("leases")) ReadLeases(std::move(*leases), options.leases);
   if (auto history = table.Table("history")) ReadHistory(std::move(*history), options.retention);
   if (auto watches = table.Table("watches")) ReadWatches(std::move(*watches), options);
-  table.Done();
+  table.RejectUnknownKeys();
   return options;
 }
 
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -13,7 +13,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using base::Millis;
-using base::Span;
+using base::TimerDuration;
 using boost::system::error_code;
 
 constexpr Millis kFirstRequestTimeout = 10000;  // from accept to a complete request
@@ -87,7 +87,7 @@
 }
 
 void Session::SetTimeout(Millis timeout, std::function<void()> on_timeout) {
-  timer_.expires_after(Span(timeout));
+  timer_.expires_after(TimerDuration(timeout));
   timer_.async_wait([self = shared_from_this(), on_timeout = std::move(on_timeout)](error_code error) {
     if (!error && self->open_) on_timeout();
   });
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <string>
 
-#include "base/base.hpp"
+#include "base/millis.hpp"
 #include "registry/http_response.hpp"
 
 namespace gateway::registry {
