--- /dev/null
+++ b/tests/policy/admission_rate_test.cpp
@@ -0,0 +1,111 @@
+// When the admission rate is decreased, and by how much.
+#include <gtest/gtest.h>
+
+#include <deque>
+#include <map>
+#include <string>
+#include <tuple>
+#include <utility>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(AdmissionRateTest, FailuresAcrossEndpointsDecreaseIt) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(4);
+  gateway.ServeRequests(100);
+  bool decreased = false;
+  for (int i = 0; i < 60; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+    gateway.now += 30;
+    if (endpoint.empty()) continue;
+    decreased |= FakeGateway::DecreasedRate(
+        gateway.FinishAttempt(id, endpoint, i % 2 ? AttemptResult::kError : AttemptResult::kServed, 30));
+  }
+  EXPECT_TRUE(decreased);
+}
+
+// For 100 ms half of all requests get no response, at all endpoints alike. They time out one by one after 200
+// to 800 ms. The first of them decreases the rate; the others were sent before that.
+TEST(AdmissionRateTest, AttemptsSentBeforeADecreaseDoNotDecreaseItAgain) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(8);
+  gateway.ServeRequests(200, 20);
+  int decreases = 0;
+  int requests = 0;
+  // By the time at which they finish.
+  std::map<Millis, std::vector<std::tuple<std::string, std::string, Millis>>> in_flight;
+  for (int step = 0; step < 120; ++step) {
+    for (int i = 0; i < 4 && step < 20; ++i) {
+      const std::string id = "r" + std::to_string(requests++);
+      const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+      const bool unanswered = step >= 10 && step < 20 && requests % 2 == 0;
+      const Millis latency = unanswered ? 200 + requests * 37 % 600 : 20;
+      if (!to.empty()) in_flight[gateway.now + latency].emplace_back(id, to, latency);
+    }
+    decreases += FakeGateway::DecreasedRate(gateway.AdvanceTime(10));
+    for (; !in_flight.empty() && in_flight.begin()->first <= gateway.now;
+         in_flight.erase(in_flight.begin())) {
+      for (const auto& [id, to, latency] : in_flight.begin()->second) {
+        const AttemptResult result = latency > 20 ? AttemptResult::kTimedOut : AttemptResult::kServed;
+        decreases += FakeGateway::DecreasedRate(gateway.FinishAttempt(id, to, result, latency));
+      }
+    }
+  }
+  EXPECT_EQ(decreases, 1);
+}
+
+// With a few responses a second, one timeout in eight cannot be told from chance. A decrease would leave
+// endpoints idle while clients wait for tokens.
+TEST(AdmissionRateTest, OneTimeoutInEightDoesNotDecreaseALowRate) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 100;
+  const auto count_decreases = [&](int one_in) {
+    FakeGateway gateway(settings);
+    gateway.ReplaceEndpoints(MakeEndpoints(60));
+    int decreases = 0;
+    for (int i = 0; i < 200; ++i) {
+      const std::string id = "r" + std::to_string(i);
+      const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+      gateway.now += 66;
+      if (endpoint.empty()) continue;
+      const auto actions = gateway.FinishAttempt(
+          id, endpoint, i % one_in ? AttemptResult::kServed : AttemptResult::kTimedOut, 66);
+      decreases += FakeGateway::DecreasedRate(actions);
+    }
+    return decreases;
+  };
+  EXPECT_EQ(count_decreases(8), 0);
+  EXPECT_GT(count_decreases(2), 1);
+}
+
+// A decrease in the first second of a process leaves the rate near that of the attempts sent, though they
+// were not sent for long.
+TEST(AdmissionRateTest, DecreaseInTheFirstSecondStaysNearTheSentRate) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(9);
+  std::deque<std::pair<std::string, std::string>> in_flight;
+  bool decreased = false;
+  for (int i = 0; i < 100 && !decreased; ++i) {  // 200 per second, each timed out
+    const std::string id = "r" + std::to_string(i);
+    in_flight.push_back({id, FakeGateway::SentEndpoint(gateway.SendRequest(id))});
+    ASSERT_FALSE(in_flight.back().second.empty());
+    gateway.now += 5;
+    if (in_flight.size() > 10) {
+      decreased = FakeGateway::DecreasedRate(gateway.FinishAttempt(
+          in_flight.front().first, in_flight.front().second, AttemptResult::kTimedOut, 50));
+      in_flight.pop_front();
+    }
+  }
+  ASSERT_TRUE(decreased);
+  EXPECT_LT(gateway.now, 1400);
+  EXPECT_GT(gateway.policy.ExportState().rate, 120);
+  EXPECT_LT(gateway.policy.ExportState().rate, 220);
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/class_queues_test.cpp
@@ -0,0 +1,154 @@
+// The queues of the traffic classes: bounds, expiry, order and Most Credit First.
+#include <gtest/gtest.h>
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(ClassQueuesTest, RejectsRequestOfUnmeasuredClassBeforeItsClientGivesUp) {
+  for (const Millis time_left : {0.0, 1.0, 9.0, 21.0, 33.0, 456.6}) {
+    FakeGateway gateway;  // without an endpoint, so that nothing can be sent
+    int rejected = FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "view", time_left));
+    if (time_left > 0) rejected += FakeGateway::CountActions<Reject>(gateway.AdvanceTime(time_left));
+    EXPECT_EQ(rejected, 1) << time_left;
+  }
+}
+
+TEST(ClassQueuesTest, RejectsRequestWithLessTimeBehindOthersInTime) {
+  Settings settings = MakeSettings();
+  settings.classes[0].late_weight = 0.5;
+  FakeGateway gateway(settings);
+  gateway.SendRequest("long", "view", 2000);
+  gateway.SendRequest("short", "view", 100);
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(110)), 1);
+}
+
+TEST(ClassQueuesTest, RejectsWhenFull) {
+  FakeGateway gateway;
+  int rejected = 0;
+  for (int i = 0; i < 5000; ++i) {
+    rejected += FakeGateway::CountActions<Reject>(gateway.SendRequest("r" + std::to_string(i)));
+  }
+  EXPECT_GT(rejected, 4000);
+}
+
+TEST(ClassQueuesTest, QueuesNoRequestLongerThanAQuarterOfItsObjective) {
+  FakeGateway gateway;  // no endpoint yet; latency objective 1000
+  gateway.SendRequest("a");
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(200)), 0);
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(70)), 1);
+}
+
+TEST(ClassQueuesTest, QueuesClientRetryPastItsObjectiveLast) {
+  Settings settings = MakeSettings();  // latency objective 1000, deadline 2000
+  settings.classes[0].late_weight = 0.5;
+  FakeGateway gateway(settings);
+  gateway.SendRequest("first", "view", 2000);
+  gateway.SendRequest("late", "view", 900);    // its client first tried 1100 ms ago
+  gateway.SendRequest("again", "view", 1500);  // still within its latency objective
+  gateway.SendRequest("new", "view", 2000);
+  gateway.AddEndpoints(1);
+  gateway.AdvanceTime(10);
+  for (int i = 0; i < 40 && gateway.sent.size() < 4; ++i) {
+    const std::string id = gateway.sent.back().request;
+    gateway.now += 20;
+    gateway.FinishAttempt(id, "s0", AttemptResult::kServed, 20);
+  }
+  ASSERT_EQ(gateway.sent.size(), 4u);
+  EXPECT_EQ(gateway.sent[0].request, "first");
+  EXPECT_EQ(gateway.sent[1].request, "again");
+  EXPECT_EQ(gateway.sent[2].request, "new");
+  EXPECT_EQ(gateway.sent[3].request, "late");
+}
+
+TEST(ClassQueuesTest, DoesNotTakeShortFirstAttemptsForClientRetries) {
+  Settings settings = MakeSettings();
+  settings.classes[0].late_weight = 0.5;
+  FakeGateway gateway(settings);
+  gateway.SendRequest("short", "view", 900);  // all clients of this gateway give up early
+  gateway.SendRequest("longer", "view", 902);
+  gateway.SendRequest("late", "view", 500);
+  gateway.SendRequest("last", "view", 898);
+  gateway.AddEndpoints(1);
+  gateway.AdvanceTime(10);
+  for (int i = 0; i < 40 && gateway.sent.size() < 4; ++i) {
+    gateway.now += 20;
+    gateway.FinishAttempt(gateway.sent.back().request, "s0", AttemptResult::kServed, 20);
+  }
+  ASSERT_EQ(gateway.sent.size(), 4u);
+  EXPECT_EQ(gateway.sent[2].request, "last");
+  EXPECT_EQ(gateway.sent[3].request, "late");
+}
+
+// Fills one endpoint to its limit, then finishes attempt by attempt. Returns how many requests of each class
+// are released, by the first three letters of their ids.
+std::map<std::string, int> ReleasedByClass(Settings settings, int releases) {
+  FakeGateway gateway(std::move(settings));
+  gateway.AddEndpoints(1);
+  std::vector<std::string> in_flight;
+  for (int i = 0; i < 40; ++i) {
+    const std::string id = "fill" + std::to_string(i);
+    if (!FakeGateway::SentEndpoint(gateway.SendRequest(id)).empty()) in_flight.push_back(id);
+  }
+  for (int i = 0; i < 30; ++i) {
+    gateway.SendRequest("view" + std::to_string(i), "view");
+    gateway.SendRequest("pay" + std::to_string(i), "pay");
+  }
+  std::map<std::string, int> released;
+  for (int i = 0; i < releases && !in_flight.empty(); ++i) {
+    const std::string id = in_flight.front();
+    in_flight.erase(in_flight.begin());
+    for (const Action& action : gateway.FinishAttempt(id, "s0", AttemptResult::kServed, 10)) {
+      if (const auto* send = std::get_if<Send>(&action)) {
+        in_flight.push_back(send->request);
+        released[send->request.substr(0, 3)]++;
+      }
+    }
+  }
+  return released;
+}
+
+TEST(MostCreditFirstTest, ReleasesBackloggedClassesByWeight) {
+  Settings settings = MakeSettings();
+  settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
+                      MakeClass("pay", Idempotency::kIdempotent, 3)};
+  // The requests that fill the endpoint are of class view too and stand before its others.
+  const auto released = ReleasedByClass(settings, 24);
+  int view = 0;
+  int pay = 0;
+  for (const auto& [name, n] : released) (name == "pay" ? pay : view) += n;
+  EXPECT_GE(view + pay, 20);
+  EXPECT_NEAR(static_cast<double>(pay) / (view + pay), 0.75, 0.1);
+}
+
+TEST(MostCreditFirstTest, ReleasesSingleBackloggedClassWithNegativeCredit) {
+  Settings settings = MakeSettings();
+  settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
+                      MakeClass("pay", Idempotency::kIdempotent, 99)};
+  FakeGateway gateway(settings);
+  gateway.AddEndpoints(1);
+  std::vector<std::string> in_flight;
+  int served = 0;
+  for (int i = 0; i < 60; ++i) {
+    if (!FakeGateway::SentEndpoint(gateway.SendRequest("r" + std::to_string(i))).empty()) {
+      in_flight.push_back("r" + std::to_string(i));
+    }
+  }
+  while (!in_flight.empty()) {
+    const std::string id = in_flight.back();
+    in_flight.pop_back();
+    ++served;
+    for (const Action& action : gateway.FinishAttempt(id, "s0", AttemptResult::kServed, 10)) {
+      if (const auto* send = std::get_if<Send>(&action)) in_flight.push_back(send->request);
+    }
+  }
+  EXPECT_GT(served, 30);
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- a/tests/policy/endpoint_ring_test.cpp
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -1,4 +1,4 @@
-// The ring of endpoints against a plain reference that sorts all of them anew.
+// The ring of endpoints against a reference implementation that sorts all of them.
 #include "policy/endpoint_ring.hpp"
 
 #include <gtest/gtest.h>
@@ -17,13 +17,14 @@
 namespace gateway::policy {
 namespace {
 
-// Positions of all endpoints as EndpointRing defines them, worked out from the whole list.
+// All endpoints in the order of their positions as EndpointRing defines them, from the complete list.
 std::vector<const Endpoint*> SortedByPosition(const std::vector<Endpoint*>& endpoints) {
   std::map<const MachineType*, std::vector<const Endpoint*>> types;
   for (const Endpoint* endpoint : endpoints) types[endpoint->machine_type].push_back(endpoint);
   std::vector<std::tuple<double, std::uint64_t, const Endpoint*>> placed;
   for (auto& [type, members] : types) {
-    std::ranges::sort(members, {}, [](const Endpoint* b) { return std::pair(b->hash >> 11, b->info.id); });
+    std::ranges::sort(members, {},
+                      [](const Endpoint* member) { return std::pair(member->hash >> 11, member->info.id); });
     for (std::size_t rank = 0; rank < members.size(); ++rank) {
       const double position = static_cast<double>(rank) / static_cast<double>(members.size());
       placed.emplace_back(position, members[rank]->hash >> 11, members[rank]);
@@ -58,16 +59,18 @@
   std::vector<std::unique_ptr<Endpoint>> endpoints_;
 };
 
-TEST_F(EndpointRingTest, WalksInTheOrderOfPositionsWhateverCameAndWent) {
-  constexpr int kSeeds = 200, kMostServers = 60, kMostKinds = 9;
+TEST_F(EndpointRingTest, WalksInOrderOfPositionsAfterInsertionsAndErasures) {
+  constexpr int kSeeds = 200;
+  constexpr int kMaximumEndpoints = 60;
+  constexpr int kMaximumMachineTypes = 9;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(static_cast<std::mt19937::result_type>(seed));
-    std::vector<MachineType> types(1 + random() % kMostKinds);
+    std::vector<MachineType> types(1 + random() % kMaximumMachineTypes);
     std::vector<Endpoint*> on_ring;
     EndpointRing ring;
     endpoints_.clear();
-    const int all = 1 + static_cast<int>(random() % kMostServers);
+    const int all = 1 + static_cast<int>(random() % kMaximumEndpoints);
     for (int number = 0; number < all; ++number) {
       Endpoint& endpoint = Add(number, types[random() % types.size()]);
       ring.Insert(endpoint);
@@ -82,18 +85,18 @@
   }
 }
 
-TEST_F(EndpointRingTest, HoldsNothingOnceAllHaveLeft) {
+TEST_F(EndpointRingTest, IsEmptyAfterAllEndpointsAreErased) {
   MachineType type;
   EndpointRing ring;
   Endpoint& endpoint = Add(1, type);
   ring.Insert(endpoint);
   ring.Erase(endpoint);
-  ring.Erase(endpoint);  // not on the ring: nothing happens
+  ring.Erase(endpoint);  // not on the ring, so that nothing changes
   EXPECT_EQ(ring.size(), 0u);
-  const EndpointRing::Walk walk(ring, 0);  // of an empty ring: may be made, has no next endpoint
+  const EndpointRing::Walk walk(ring, 0);  // may be constructed, but has no next endpoint
 }
 
-TEST_F(EndpointRingTest, ManyKindsOfOneServerEachKeepTheirOrderByHash) {
+TEST_F(EndpointRingTest, OrdersManyMachineTypesOfOneEndpointEachByHash) {
   std::vector<MachineType> types(910);
   std::vector<Endpoint*> on_ring;
   EndpointRing ring;
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -1,136 +1,159 @@
-// A gateway for tests: hands events to a Policy, keeps the clock and sorts what comes back.
+// A gateway for tests: hands events to a Policy, holds the clock and records the attempts that are sent.
 #ifndef GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 #define GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 
 #include <algorithm>
+#include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
+#include <variant>
 #include <vector>
 
 #include "gateway/policy.hpp"
 
 namespace gateway::policy::testing {
 
-inline TrafficClassSettings MakeClass(std::string name, Idempotency effect = Idempotency::kIdempotent,
-                                      double worth = 1) {
-  TrafficClassSettings c;
-  c.name = std::move(name);
-  c.latency_objective = 1000;
-  c.deadline = 2000;
-  c.priority_weight = worth;
-  c.idempotency = effect;
-  c.deduplication_scope = DeduplicationScope::kCell;
-  c.deduplication_window = 5000;
-  return c;
+inline TrafficClassSettings MakeClass(std::string name, Idempotency idempotency = Idempotency::kIdempotent,
+                                      double priority_weight = 1) {
+  TrafficClassSettings made;
+  made.name = std::move(name);
+  made.latency_objective = 1000;
+  made.deadline = 2000;
+  made.priority_weight = priority_weight;
+  made.idempotency = idempotency;
+  made.deduplication_scope = DeduplicationScope::kCell;
+  made.deduplication_window = 5000;
+  return made;
 }
 
+// The classes "view" (idempotent), "key" (with an idempotency key) and "pay" (not idempotent).
 inline Settings MakeSettings() {
-  Settings s;
-  s.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
-               MakeClass("pay", Idempotency::kNotIdempotent)};
-  s.max_attempts = 3;
-  s.can_cancel_attempts = true;
-  s.warm_up_initial_fraction = 0.2;
-  s.warm_up_duration = 10000;
-  return s;
+  Settings settings;
+  settings.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
+                      MakeClass("pay", Idempotency::kNotIdempotent)};
+  settings.max_attempts = 3;
+  settings.can_cancel_attempts = true;
+  settings.warm_up_initial_fraction = 0.2;
+  settings.warm_up_duration = 10000;
+  return settings;
 }
 
-inline EndpointInfo MakeServer(std::string id, std::string cell = "0", Millis started_at = 0) {
-  EndpointInfo s;
-  s.id = std::move(id);
-  s.zone = "z" + cell;
-  s.machine_type = "k";
-  s.cell = std::move(cell);
-  s.started_at = started_at;
-  return s;
+inline EndpointInfo MakeEndpoint(std::string id, std::string cell = "0", Millis started_at = 0) {
+  EndpointInfo endpoint;
+  endpoint.id = std::move(id);
+  endpoint.zone = "z" + cell;
+  endpoint.machine_type = "k";
+  endpoint.cell = std::move(cell);
+  endpoint.started_at = started_at;
+  return endpoint;
 }
 
-struct Gateway {
-  explicit Gateway(Settings settings = MakeSettings(), std::uint64_t seed = 1)
+// Endpoints named s0, s1 ... that started long ago.
+inline std::vector<EndpointInfo> MakeEndpoints(int count) {
+  std::vector<EndpointInfo> endpoints;
+  for (int i = 0; i < count; ++i) endpoints.push_back(MakeEndpoint("s" + std::to_string(i)));
+  return endpoints;
+}
+
+struct FakeGateway {
+  explicit FakeGateway(Settings settings = MakeSettings(), std::uint64_t seed = 1)
       : policy(std::move(settings), seed) {}
 
-  std::vector<Action> Do(const Event& event) {
+  // Hands the event to the policy at the time `now` and returns its actions.
+  std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     policy.Handle(now, event, actions);
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) sent.push_back(*send);
+    for (const Action& action : actions) {
+      if (const auto* send = std::get_if<Send>(&action)) sent.push_back(*send);
     }
     return actions;
   }
 
-  void List(std::vector<EndpointInfo> servers) {
-    Do(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, std::move(servers)});
-  }
-
-  // Brings `n` servers named s0, s1 ... that have been up for long.
-  void Servers(int n) {
-    std::vector<EndpointInfo> servers;
-    for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
-    List(servers);
+  // Reports a snapshot of the endpoint list.
+  void ReplaceEndpoints(std::vector<EndpointInfo> endpoints) {
+    Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, std::move(endpoints)});
   }
 
-  std::vector<Action> Ask(std::string id, std::string cls = "view", Millis left = 2000,
-                          std::string tenant = "") {
-    Request r;
-    r.id = std::move(id);
-    r.class_name = std::move(cls);
-    r.tenant = std::move(tenant);
-    r.time_left = left;
-    return Do(r);
+  // Reports a list of `count` endpoints named s0, s1 ... that started long ago.
+  void AddEndpoints(int count) { ReplaceEndpoints(MakeEndpoints(count)); }
+
+  // Reports the arrival of a client's request.
+  std::vector<Action> SendRequest(std::string id, std::string class_name = "view", Millis time_left = 2000,
+                                  std::string tenant = "") {
+    Request request;
+    request.id = std::move(id);
+    request.class_name = std::move(class_name);
+    request.tenant = std::move(tenant);
+    request.time_left = time_left;
+    return Handle(request);
   }
 
-  std::vector<Action> End(const std::string& id, const std::string& server, AttemptResult result,
-                          Millis latency, int attempt = 0) {
-    return Do(AttemptOutcome{id, attempt, server, result, result == AttemptResult::kServed, latency, {}});
+  // Reports the outcome of an attempt.
+  std::vector<Action> FinishAttempt(const std::string& request, const std::string& endpoint,
+                                    AttemptResult result, Millis latency, int attempt = 0) {
+    const bool served = result == AttemptResult::kServed;
+    return Handle(AttemptOutcome{request, attempt, endpoint, result, served, latency, {}});
   }
 
-  std::vector<Action> Pass(Millis ms) {  // lets time go by, sweeping as the timer would
+  // Advances the clock and fires the sweep timer each 10 ms.
+  std::vector<Action> AdvanceTime(Millis duration) {
+    constexpr Millis kSweepInterval = 10;
     std::vector<Action> all;
-    for (const Millis until = now + ms; now < until;) {
-      now = std::min(until, now + 10);
-      for (auto& a : Do(TimerFired{"sweep"})) all.push_back(a);
+    for (const Millis until = now + duration; now < until;) {
+      now = std::min(until, now + kSweepInterval);
+      for (Action& action : Handle(TimerFired{"sweep"})) all.push_back(std::move(action));
     }
     return all;
   }
 
-  // Serves `n` requests one after the other, each in `latency` ms, so that estimates settle. Returns
-  // how many each server got; those that were not sent at once count under "".
-  std::map<std::string, int> Serve(int n, Millis latency = 50, const std::string& cls = "view") {
-    std::map<std::string, int> taken;
-    for (int i = 0; i < n; ++i) {
-      const std::string id = "warm" + std::to_string(warmed++);
-      const std::string server = SentTo(Ask(id, cls));
-      ++taken[server];
+  // Serves `count` requests one after the other, each in `latency` ms, so that estimates settle. Returns how
+  // many each endpoint was sent; requests that were not sent at once count under "".
+  std::map<std::string, int> ServeRequests(int count, Millis latency = 50,
+                                           const std::string& class_name = "view") {
+    std::map<std::string, int> sent_by_endpoint;
+    for (int i = 0; i < count; ++i) {
+      const std::string id = "warm" + std::to_string(served_requests++);
+      const std::string endpoint = SentEndpoint(SendRequest(id, class_name));
+      ++sent_by_endpoint[endpoint];
       now += latency;
-      Do(TimerFired{"sweep"});
-      if (!server.empty()) End(id, server, AttemptResult::kServed, latency);
+      Handle(TimerFired{"sweep"});
+      if (!endpoint.empty()) FinishAttempt(id, endpoint, AttemptResult::kServed, latency);
     }
-    return taken;
+    return sent_by_endpoint;
   }
 
-  static std::string SentTo(const std::vector<Action>& actions) {
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) return send->endpoint;
+  // The endpoint of the first attempt among the actions; empty if there is none.
+  static std::string SentEndpoint(const std::vector<Action>& actions) {
+    for (const Action& action : actions) {
+      if (const auto* send = std::get_if<Send>(&action)) return send->endpoint;
     }
     return "";
   }
 
-  static bool Logged(const std::vector<Action>& actions, const std::string& words) {
-    return std::any_of(actions.begin(), actions.end(), [&](const Action& a) {
-      const auto* log = std::get_if<LogLine>(&a);
-      return log != nullptr && log->text.find(words) != std::string::npos;
+  // Whether the actions log a line that contains `text`.
+  static bool HasLogLine(const std::vector<Action>& actions, const std::string& text) {
+    return std::any_of(actions.begin(), actions.end(), [&](const Action& action) {
+      const auto* log = std::get_if<LogLine>(&action);
+      return log != nullptr && log->text.find(text) != std::string::npos;
     });
   }
 
-  template <typename T>
-  static int Count(const std::vector<Action>& actions) {
-    return static_cast<int>(std::count_if(actions.begin(), actions.end(),
-                                          [](const Action& a) { return std::holds_alternative<T>(a); }));
+  // Whether the actions log a decrease of the admission rate.
+  static bool DecreasedRate(const std::vector<Action>& actions) { return HasLogLine(actions, "rate cut"); }
+
+  // The number of actions of the type.
+  template <typename ActionType>
+  static int CountActions(const std::vector<Action>& actions) {
+    const auto count = std::count_if(actions.begin(), actions.end(), [](const Action& action) {
+      return std::holds_alternative<ActionType>(action);
+    });
+    return static_cast<int>(count);
   }
 
   Policy policy;
   Millis now = 1000;
-  int warmed = 0;
+  int served_requests = 0;  // by ServeRequests
   std::vector<Send> sent;
 };
 
--- /dev/null
+++ b/tests/policy/list_polling_test.cpp
@@ -0,0 +1,141 @@
+// When a gateway calls for the endpoint list, at the start and after failed calls.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <numeric>
+#include <set>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(ListPollingTest, RepeatsFailedCallOnce) {
+  Settings settings = MakeSettings();
+  settings.poll_endpoint_list = true;
+  FakeGateway gateway(settings);
+  const int first_calls = FakeGateway::CountActions<WatchEndpointList>(
+      gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}}));
+  EXPECT_EQ(first_calls, 1);
+  for (int i = 0; i < 6; ++i) {
+    gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
+    const int calls = FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(5000));
+    EXPECT_EQ(calls, 1);
+  }
+}
+
+// Pushed lists come from an agent beside the gateway, whose changes bind the gateway at once. A failed watch
+// is begun again within 100 ms, however often it failed and however many gateways there are, but not by all
+// of them in one moment.
+TEST(ListPollingTest, RepeatsFailedWatchOfPushedListSoonAndSpreadOut) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 300;
+  std::set<int> delays;
+  for (settings.gateway_index = 0; settings.gateway_index < 40; ++settings.gateway_index) {
+    FakeGateway gateway(settings, settings.gateway_index);
+    gateway.AddEndpoints(3);
+    EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(5000)), 0);
+    for (int failure = 0; failure < 6; ++failure) {
+      gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}, failure < 3 ? 0.0 : 3500.0});
+      int steps = 0;
+      while (steps < 20 && FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(10)) == 0) {
+        ++steps;
+      }
+      EXPECT_LT(steps, 11) << "steps of 10 ms, failure " << failure;
+      if (failure == 0) delays.insert(steps);
+    }
+  }
+  EXPECT_GT(delays.size(), 7u);
+}
+
+// A change of a polled list binds the gateway 6 s after discovery has it, whatever calls fail. The next call
+// begins within 4.5 s of the begin of the failed one, at the first failure as at the eighth, with few
+// gateways as with many.
+TEST(ListPollingTest, RepeatsFailedCallWithinTheBoundHoweverItFailed) {
+  Settings settings = MakeSettings();
+  settings.poll_endpoint_list = true;
+  for (const Millis maximum_poll_interval : {5000.0, 10000.0, 60000.0}) {
+    settings.maximum_poll_interval = maximum_poll_interval;
+    for (settings.gateway_count = 1; settings.gateway_count <= 1000; settings.gateway_count *= 10) {
+      for (const Millis call_duration : {0.0, 1000.0, 2000.0, 3500.0, 9000.0}) {
+        FakeGateway gateway(settings, 7);
+        gateway.AddEndpoints(3);
+        EXPECT_LE(FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(4510)), 1);
+        for (int failure = 0; failure < 8; ++failure) {
+          gateway.now += call_duration;
+          gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}, call_duration});
+          const int calls = FakeGateway::CountActions<WatchEndpointList>(
+              gateway.AdvanceTime(std::max(0.0, 4500 - call_duration) + 20));
+          EXPECT_EQ(calls, 1) << settings.gateway_count << " gateways, failure " << failure << " after "
+                              << call_duration << " ms";
+        }
+      }
+    }
+  }
+}
+
+// The calls of a hundred gateways fail at one moment, at a service that serves some twenty calls a second.
+// Gateways that start at one moment spread their calls as evenly, but within a second: the list that they are
+// given may be older than their processes, and its changes bind them 6 s after they were made.
+TEST(ListPollingTest, SpreadsCallsOfGatewaysThatStartTogether) {
+  Settings settings = MakeSettings();
+  settings.poll_endpoint_list = true;
+  settings.gateway_count = 100;
+  // Calls in each 100 ms.
+  std::vector<int> started(10);
+  std::vector<int> repeated(100);
+  int immediate = 0;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       ++settings.gateway_index) {
+    FakeGateway gateway(settings, settings.gateway_index);
+    immediate += FakeGateway::CountActions<WatchEndpointList>(
+        gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("s0")}}));
+    for (int& calls : started) {
+      calls += FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(100));
+    }
+    gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
+    for (int& calls : repeated) {
+      calls += FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(100));
+    }
+  }
+  EXPECT_LT(immediate, 5);
+  // Each calls once within a second.
+  EXPECT_EQ(immediate + std::accumulate(started.begin(), started.end(), 0), 100);
+  EXPECT_LE(*std::max_element(started.begin(), started.end()), 12);
+  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);  // each once, within 10 s
+  EXPECT_LT(*std::max_element(repeated.begin(), repeated.end()), 10);
+  FakeGateway unlisted(settings);  // without endpoints it calls at once
+  EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
+                unlisted.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
+            1);
+  settings.gateway_count = 1;
+  FakeGateway alone(settings);
+  EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
+                alone.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("s0")}})),
+            1);
+}
+
+// A zone is down for 5 s. Its endpoints leave the list 1 s into that; its gateways restart at the end with
+// the former list, and the removal binds them 6.5 s after it was made, grace period included.
+TEST(ListPollingTest, CallsInTimeAfterADowntime) {
+  constexpr Millis kDowntime = 5000;
+  constexpr Millis kRemovedAt = 1000;
+  constexpr Millis kBindingDelay = 6000;
+  constexpr Millis kGracePeriod = 500;
+  Settings settings = MakeSettings();
+  settings.poll_endpoint_list = true;
+  settings.gateway_count = 3100;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       settings.gateway_index += 31) {
+    FakeGateway gateway(settings, settings.gateway_index);
+    int calls = FakeGateway::CountActions<WatchEndpointList>(
+        gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("lost")}}));
+    calls += FakeGateway::CountActions<WatchEndpointList>(
+        gateway.AdvanceTime(kRemovedAt + kBindingDelay + kGracePeriod - kDowntime));
+    EXPECT_EQ(calls, 1) << "gateway " << settings.gateway_index;
+  }
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/load_balancer_test.cpp
@@ -0,0 +1,94 @@
+// Which endpoint an attempt is sent to.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(LoadBalancerTest, PrefersTheFasterEndpoint) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  std::map<std::string, int> received;
+  for (int i = 0; i < 200; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+    const Millis latency = endpoint == "s0" ? 20 : 200;
+    received[endpoint]++;
+    gateway.now += latency;
+    gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, latency);
+  }
+  EXPECT_GT(received["s0"], 5 * received["s1"]);
+}
+
+TEST(LoadBalancerTest, DoesNotPreferAnEndpointWithFastErrors) {
+  Settings settings = MakeSettings();
+  FakeGateway gateway(settings);
+  gateway.AddEndpoints(3);
+  gateway.ServeRequests(60);
+  int sent_to_failing = 0;
+  for (int i = 0; i < 100; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+    sent_to_failing += endpoint == "s1";
+    gateway.now += endpoint == "s1" ? 1 : 50;
+    gateway.FinishAttempt(id, endpoint, endpoint == "s1" ? AttemptResult::kError : AttemptResult::kServed,
+                          endpoint == "s1" ? 1 : 50);
+  }
+  EXPECT_LT(sent_to_failing, 10);
+}
+
+TEST(LoadBalancerTest, LeansOnMachineTypeLatencyWhereManyGatewaysShareAnEndpoint) {
+  const auto received = [](int gateway_count) {
+    int sent = 0;
+    for (std::uint64_t seed = 1; seed <= 40; ++seed) {
+      Settings settings = MakeSettings();
+      settings.gateway_count = gateway_count;
+      FakeGateway gateway(settings, seed);
+      std::vector<EndpointInfo> endpoints = MakeEndpoints(5);
+      endpoints[4].machine_type = "slow";
+      gateway.ReplaceEndpoints(endpoints);
+      const auto serve_request = [&](const std::string& id) {
+        const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+        gateway.AdvanceTime(100);
+        if (!to.empty()) gateway.FinishAttempt(id, to, AttemptResult::kServed, to < "s4" ? 20 : 100);
+        return to;
+      };
+      for (int i = 0; i < 40; ++i) serve_request("w" + std::to_string(i));
+      endpoints.push_back(MakeEndpoint("s5"));
+      endpoints[5].machine_type = "slow";
+      gateway.ReplaceEndpoints(endpoints);
+      for (int i = 0; i < 3; ++i) sent += serve_request("r" + std::to_string(i)) == "s5";
+    }
+    return sent;
+  };
+  EXPECT_GT(received(1), 15);  // as fast as the median until it shows otherwise
+  EXPECT_LT(received(20), 12);
+}
+
+TEST(LoadBalancerTest, SendsSameKeyToSameEndpointsFromEveryGateway) {
+  Settings settings = MakeSettings();
+  settings.endpoints_cache_keys = true;
+  std::map<std::string, std::set<std::string>> endpoints_by_key;
+  for (int seed = 0; seed < 8; ++seed) {
+    FakeGateway gateway(settings, seed);
+    gateway.AddEndpoints(8);
+    for (int i = 0; i < 40; ++i) {
+      Request request{"r" + std::to_string(i), "view", "", "key" + std::to_string(i % 10), 2000};
+      const std::string endpoint = FakeGateway::SentEndpoint(gateway.Handle(request));
+      endpoints_by_key[request.key].insert(endpoint);
+      gateway.now += 20;
+      gateway.FinishAttempt(request.id, endpoint, AttemptResult::kServed, 20);
+    }
+  }
+  for (const auto& [key, endpoints] : endpoints_by_key) EXPECT_LE(endpoints.size(), 2u) << key;
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/request_controller_test.cpp
@@ -0,0 +1,71 @@
+// How the request controller answers, sends and rejects requests.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(RequestControllerTest, SendsDirectlyWhenQueuesAreEmpty) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 1);
+}
+
+TEST(RequestControllerTest, RejectsQueuedRequestInTimeWithoutEndpointList) {
+  FakeGateway gateway;
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 0);
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(990)) +
+                FakeGateway::CountActions<Reject>(gateway.AdvanceTime(20)),
+            1);
+}
+
+TEST(RequestControllerTest, RejectsUnknownClassAndIgnoresUnknownIds) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "no such class")), 1);
+  EXPECT_TRUE(gateway.FinishAttempt("ghost", "s0", AttemptResult::kServed, 10).empty());
+  EXPECT_TRUE(gateway.Handle(ClientDisconnected{"ghost"}).empty());
+}
+
+TEST(RequestControllerTest, RejectsClientRetryThatCanEarnNothing) {
+  Settings settings = MakeSettings();  // latency objective 1000, deadline 2000, no late weight
+  FakeGateway gateway(settings);
+  gateway.AddEndpoints(3);
+  gateway.ServeRequests(5);
+  EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.SendRequest("late", "view", 900)), 1);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("again", "view", 1500)), 1);
+  settings.classes[0].late_weight = 0.5;
+  FakeGateway with_late_weight(settings);
+  with_late_weight.AddEndpoints(3);
+  with_late_weight.ServeRequests(5);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(with_late_weight.SendRequest("late", "view", 900)), 1);
+}
+
+// The time of a request begins with its last byte, and a response counts as served by its first byte: a slow
+// client lowers neither the admission rate nor the estimate of its endpoint.
+TEST(RequestControllerTest, ExcludesBodyTransferFromLatency) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  gateway.ServeRequests(100, 50);
+  const LearnedState before = gateway.policy.ExportState();
+  for (int i = 0; i < 40; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "view", 2000));
+    ASSERT_FALSE(endpoint.empty());
+    gateway.AdvanceTime(3000);  // the client sends its body
+    gateway.Handle(RequestComplete{id, 2000});
+    gateway.AdvanceTime(50);
+    gateway.Handle(ResponseStarted{id, 0});
+    gateway.AdvanceTime(5000);  // the client reads the response
+    gateway.Handle(AttemptOutcome{id, 0, endpoint, AttemptResult::kServed, true, 5050, {}});
+  }
+  const LearnedState after = gateway.policy.ExportState();
+  EXPECT_GE(after.rate, before.rate);
+  for (const auto& endpoint : after.endpoints) EXPECT_LT(endpoint.latency, 100);
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/retry_policy_test.cpp
@@ -0,0 +1,138 @@
+// Which requests are retried, where, and how many.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(RetryPolicyTest, RetriesRejectedRequestAtAnotherEndpoint) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("a", "pay"));
+  const std::string second =
+      FakeGateway::SentEndpoint(gateway.FinishAttempt("a", first, AttemptResult::kRejected, 1));
+  EXPECT_FALSE(second.empty());
+  EXPECT_NE(first, second);
+}
+
+TEST(RetryPolicyTest, FailsNonIdempotentRequestThatMayHaveExecuted) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(2);
+  const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("a", "pay"));
+  const auto actions = gateway.FinishAttempt("a", first, AttemptResult::kError, 1);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(actions), 0);
+  EXPECT_EQ(FakeGateway::CountActions<Fail>(actions), 1);
+}
+
+TEST(RetryPolicyTest, KeepsRetryWithIdempotencyKeyInItsCell) {
+  for (int seed = 0; seed < 20; ++seed) {
+    FakeGateway gateway(MakeSettings(), seed);
+    gateway.ReplaceEndpoints(
+        {MakeEndpoint("a0", "0"), MakeEndpoint("a1", "0"), MakeEndpoint("b0", "1"), MakeEndpoint("b1", "1")});
+    const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("a", "key"));
+    const std::string second =
+        FakeGateway::SentEndpoint(gateway.FinishAttempt("a", first, AttemptResult::kError, 1));
+    ASSERT_FALSE(second.empty());
+    EXPECT_EQ(first[0], second[0]);
+    EXPECT_NE(first, second);
+  }
+}
+
+TEST(RetryPolicyTest, KeepsRetryWithIdempotencyKeyInItsZone) {
+  Settings settings = MakeSettings();
+  settings.classes[1].deduplication_scope = DeduplicationScope::kZone;
+  const auto make_endpoint = [](std::string id, std::string zone, std::string cell) {
+    EndpointInfo endpoint = MakeEndpoint(std::move(id), std::move(cell));
+    endpoint.zone = std::move(zone);
+    return endpoint;
+  };
+  int retried = 0;
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+    FakeGateway gateway(settings, seed);
+    gateway.ReplaceEndpoints({make_endpoint("a0", "a", "0"), make_endpoint("a1", "a", "1"),
+                              make_endpoint("b0", "b", "0"), make_endpoint("b1", "b", "1")});
+    const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("r", "key"));
+    gateway.now += 20;
+    gateway.FinishAttempt("r", first, AttemptResult::kError, 20);
+    if (gateway.sent.size() < 2) continue;
+    ++retried;
+    EXPECT_EQ(gateway.sent[1].endpoint[0], first[0]) << "endpoints of another zone do not drop the repeat";
+    EXPECT_NE(gateway.sent[1].endpoint, first);
+  }
+  EXPECT_GT(retried, 10);
+}
+
+TEST(RetryPolicyTest, BudgetLimitsRetries) {
+  FakeGateway gateway;
+  gateway.AddEndpoints(300);
+  gateway.ServeRequests(200);
+  int first_attempts = 0;
+  int retries = 0;
+  for (int i = 0; i < 400; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+    gateway.now += 20;
+    if (endpoint.empty()) continue;
+    ++first_attempts;
+    std::string retry_endpoint;
+    for (const Action& action : gateway.FinishAttempt(id, endpoint, AttemptResult::kRejected, 20)) {
+      const auto* send = std::get_if<Send>(&action);
+      if (send != nullptr && send->request == id) retry_endpoint = send->endpoint;
+    }
+    if (retry_endpoint.empty()) continue;
+    ++retries;
+    gateway.now += 20;
+    gateway.FinishAttempt(id, retry_endpoint, AttemptResult::kServed, 20, 1);
+  }
+  EXPECT_GT(first_attempts, 100);
+  EXPECT_GT(retries, 0);
+  EXPECT_LT(retries, 0.1 * (first_attempts + 200) + 2);
+}
+
+// A request with an idempotency key that may have been executed is retried only while the repeat arrives
+// within the deduplication window: neither the retry nor the start of its writing comes too late for that.
+TEST(RetryPolicyTest, RetryWithIdempotencyKeyArrivesWithinTheDeduplicationWindow) {
+  for (const Millis window : {50.0, 400.0, 5000.0}) {
+    Settings settings = MakeSettings();
+    settings.classes[1].deduplication_window = window;
+    settings.classes[1].deduplication_scope = DeduplicationScope::kAll;
+    for (Millis latency = 10; latency < window + 200; latency += window / 8) {
+      FakeGateway gateway(settings);
+      gateway.AddEndpoints(3);
+      gateway.ServeRequests(20, 5, "key");
+      const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("k", "key", 20000));
+      const std::size_t sent = gateway.sent.size();
+      gateway.now += latency;
+      gateway.FinishAttempt("k", first, AttemptResult::kReset, latency);
+      gateway.AdvanceTime(20);
+      if (latency >= window - 100) {
+        EXPECT_EQ(gateway.sent.size(), sent) << window << " " << latency;
+      }
+      if (gateway.sent.size() == sent) continue;
+      EXPECT_LE(latency + gateway.sent.back().start_writing_within, window - 100 + 20)
+          << window << " " << latency;
+    }
+  }
+}
+
+TEST(RetryPolicyTest, DoesNotRetryUnbufferedRequest) {
+  for (const bool buffered : {true, false}) {
+    FakeGateway gateway;
+    gateway.AddEndpoints(2);
+    gateway.ServeRequests(100, 50);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest("r", "pay"));
+    const auto actions = gateway.Handle(
+        AttemptOutcome{"r", 0, endpoint, AttemptResult::kConnectFailed, false, 0, {}, buffered});
+    EXPECT_EQ(FakeGateway::CountActions<Send>(actions), buffered ? 1 : 0);
+    // It was not executed, so it is rejected rather than failed.
+    EXPECT_EQ(FakeGateway::CountActions<Reject>(actions), buffered ? 0 : 1);
+  }
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -0,0 +1,251 @@
+// The warm-up of started endpoints bounds the sum of what all gateways send, however many they are and
+// however unevenly clients use them: in simulated time, with every attempt counted at the endpoint.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <random>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+constexpr Millis kStep = 10;
+constexpr double kCapacityPerMs = 0.04;  // requests that a warm endpoint serves
+constexpr Millis kLatency = 60;
+constexpr int kEndpoints = 12;
+constexpr int kRestarted = 4;  // of them, all at one moment
+constexpr Millis kFirstList = 1000;
+constexpr Millis kRestart = 30000;
+constexpr Millis kEnd = kRestart + 12000;
+
+struct Scenario {
+  int gateways = 1;
+  std::vector<double> share;              // of all traffic, by gateway
+  double load = 0.7;                      // of the capacity of all endpoints
+  Millis maximum_notification_delay = 0;  // from the restart until a gateway's list shows it
+  bool gateways_run_before = true;        // else all gateways start together with the restarted endpoints
+  bool traffic_shifts = false;            // to other gateways at the restart
+};
+
+struct Measurement {
+  // Attempts in a window over N + 2 sqrt(N) + 2, where N is the budget of the window; at most 1 is allowed.
+  double worst_ratio = 0;
+  int sent_to_restarted = 0;
+};
+
+Settings MakeFleetSettings(int gateways) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = gateways;
+  settings.poll_endpoint_list = true;
+  settings.overload_factor = 2.5;
+  settings.warm_up_initial_fraction = 0.12;
+  settings.warm_up_duration = 24000;
+  return settings;
+}
+
+std::vector<EndpointInfo> MakeFleetEndpoints(Millis restarted_at) {
+  std::vector<EndpointInfo> endpoints;
+  for (int i = 0; i < kEndpoints; ++i) {
+    endpoints.push_back(MakeEndpoint("s" + std::to_string(i), "0", i < kRestarted ? restarted_at : 0));
+  }
+  return endpoints;
+}
+
+// Gateways that share the endpoints, with their clients.
+class FleetSimulation {
+ public:
+  FleetSimulation(const Scenario& scenario, std::uint64_t seed)
+      : scenario_(scenario), settings_(MakeFleetSettings(scenario.gateways)), random_(seed) {
+    std::uniform_real_distribution<double> uniform(0, 1);
+    for (settings_.gateway_index = 0; settings_.gateway_index < scenario_.gateways;
+         ++settings_.gateway_index) {
+      Member& member = members_.emplace_back();
+      member.gateway = std::make_unique<FakeGateway>(settings_, random_());
+      member.notified_at = kRestart + scenario_.maximum_notification_delay * uniform(random_);
+    }
+  }
+
+  Measurement Run() {
+    for (now_ = scenario_.gateways_run_before ? kFirstList : kRestart; now_ < kEnd; now_ += kStep) {
+      for (Member& member : members_) UpdateList(member);
+      FinishAttempts();
+      for (std::size_t i = 0; i < members_.size(); ++i) SendRequests(i);
+    }
+    return Measure();
+  }
+
+ private:
+  struct Member {
+    std::unique_ptr<FakeGateway> gateway;
+    Millis notified_at = 0;  // of the restart
+    bool notified = false;
+    std::map<std::string, int> attempts;  // by request
+  };
+  struct AttemptInFlight {
+    Millis finishes_at;
+    Member* member;
+    std::string request;
+    std::string endpoint;
+    int attempt;
+  };
+
+  void UpdateList(Member& member) {
+    FakeGateway& gateway = *member.gateway;
+    gateway.now = now_;
+    if (now_ <= kFirstList) gateway.ReplaceEndpoints(MakeFleetEndpoints(0));
+    if (!member.notified && now_ >= member.notified_at) {
+      member.notified = true;
+      gateway.ReplaceEndpoints(MakeFleetEndpoints(kRestart));
+    }
+    RecordSends(member, gateway.Handle(TimerFired{"sweep"}));
+  }
+
+  void FinishAttempts() {
+    while (!in_flight_.empty() && in_flight_.front().finishes_at <= now_) {
+      const AttemptInFlight finished = in_flight_.front();
+      in_flight_.pop_front();
+      RecordSends(*finished.member, finished.member->gateway->FinishAttempt(
+                                        finished.request, finished.endpoint, AttemptResult::kServed, kLatency,
+                                        finished.attempt));
+    }
+  }
+
+  void SendRequests(std::size_t index) {
+    const bool shifted = scenario_.traffic_shifts && now_ >= kRestart;
+    const double share = scenario_.share[shifted ? members_.size() - 1 - index : index];
+    std::poisson_distribution<int> arrivals(scenario_.load * kEndpoints * kCapacityPerMs * kStep * share);
+    Member& member = members_[index];
+    for (int n = arrivals(random_); n > 0; --n) {
+      RecordSends(member, member.gateway->SendRequest("r" + std::to_string(request_count_++)));
+    }
+  }
+
+  void RecordSends(Member& member, const std::vector<Action>& actions) {
+    for (const Action& action : actions) {
+      const auto* send = std::get_if<Send>(&action);
+      if (send == nullptr) continue;
+      const int endpoint = std::stoi(send->endpoint.substr(1));
+      if (endpoint < kRestarted && now_ >= kRestart && member.notified) {
+        sent_at_[static_cast<std::size_t>(endpoint)].push_back(now_);
+      }
+      const int attempt = member.attempts[send->request]++;
+      in_flight_.push_back({now_ + kLatency, &member, send->request, send->endpoint, attempt});
+    }
+  }
+
+  Measurement Measure() const {
+    Measurement measurement;
+    for (const std::vector<Millis>& sent_at : sent_at_) {
+      measurement.sent_to_restarted += static_cast<int>(sent_at.size());
+      for (const Millis window : {1000.0, 3000.0}) {
+        measurement.worst_ratio = std::max(measurement.worst_ratio, WorstRatio(sent_at, window));
+      }
+    }
+    return measurement;
+  }
+
+  double WorstRatio(const std::vector<Millis>& sent_at, Millis window) const {
+    double worst = 0;
+    std::size_t first = 0;
+    for (std::size_t last = 0; last < sent_at.size(); ++last) {
+      while (sent_at[first] <= sent_at[last] - window) ++first;
+      const double budget = Budget(std::max(kRestart, sent_at[last] - window), sent_at[last] + kStep);
+      worst = std::max(worst, static_cast<double>(last - first + 1) / (budget + 2 * std::sqrt(budget) + 2));
+    }
+    return worst;
+  }
+
+  // The attempts that the settings allow in the window, with the warm-up fraction of its middle.
+  double Budget(Millis begin, Millis end) const {
+    const Millis age = (begin + end) / 2 - kRestart;
+    const double fraction = settings_.warm_up_initial_fraction +
+                            (1 - settings_.warm_up_initial_fraction) * age / settings_.warm_up_duration;
+    return settings_.overload_factor * fraction * kCapacityPerMs * (end - begin);
+  }
+
+  const Scenario scenario_;
+  Settings settings_;
+  std::mt19937_64 random_;
+  std::deque<Member> members_;  // addresses stay valid
+  Millis now_ = 0;
+  int request_count_ = 0;
+  std::deque<AttemptInFlight> in_flight_;  // in the order of their ends: each takes as long
+  std::vector<std::vector<Millis>> sent_at_ = std::vector<std::vector<Millis>>(kRestarted);
+};
+
+Measurement Simulate(const Scenario& scenario, std::uint64_t seed) {
+  return FleetSimulation(scenario, seed).Run();
+}
+
+// Equal shares, or the second gateway half of the first one's, the third a third ...
+std::vector<double> TrafficShares(int gateways, bool even) {
+  std::vector<double> shares;
+  double sum = 0;
+  for (int i = 0; i < gateways; ++i) {
+    shares.push_back(even ? 1 : 1.0 / (1 + i));
+    sum += shares.back();
+  }
+  for (double& share : shares) share /= sum;
+  return shares;
+}
+
+TEST(SlowStartFleetTest, BoundsTheSumOfAllGateways) {
+  for (const int gateways : {1, 5, 20, 30}) {
+    for (const bool even : {true, false}) {
+      for (const double load : {0.4, 0.7, 1.2}) {
+        for (const Millis notification_delay : {0.0, 1500.0}) {
+          for (std::uint64_t seed = 1; seed <= 2; ++seed) {
+            const Measurement measured =
+                Simulate({gateways, TrafficShares(gateways, even), load, notification_delay}, seed);
+            EXPECT_LE(measured.worst_ratio, 1)
+                << gateways << " gateways, even " << even << ", load " << load << ", notified within "
+                << notification_delay << ", seed " << seed;
+            EXPECT_GT(measured.sent_to_restarted, 0);
+          }
+        }
+      }
+    }
+  }
+}
+
+// The same while clients move to other gateways, which know the endpoints by other traffic.
+TEST(SlowStartFleetTest, BoundsTheSumWhileTrafficShifts) {
+  for (const int gateways : {5, 20, 30}) {
+    for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+      const Scenario scenario = {gateways,
+                                 TrafficShares(gateways, false),
+                                 0.9,
+                                 500,
+                                 true,
+                                 /*traffic_shifts=*/true};
+      EXPECT_LE(Simulate(scenario, seed).worst_ratio, 1) << gateways << " gateways, seed " << seed;
+    }
+  }
+}
+
+// The same where all gateways start with the endpoints, and have learned nothing of any.
+TEST(SlowStartFleetTest, BoundsTheSumForGatewaysThatStartWithTheEndpoints) {
+  for (const int gateways : {1, 5, 20, 30}) {
+    for (const bool even : {true, false}) {
+      for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+        const Scenario scenario = {gateways, TrafficShares(gateways, even), 0.7, 0,
+                                   /*gateways_run_before=*/false};
+        EXPECT_LE(Simulate(scenario, seed).worst_ratio, 1)
+            << gateways << " gateways, even " << even << ", seed " << seed;
+      }
+    }
+  }
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,167 +1,161 @@
-// The ramp of started servers holds for the sum of what all gateways send, however many they are and however
-// unevenly clients come to them: in simulated time, with every send counted at the server.
+// What an endpoint is sent while it warms up.
 #include <gtest/gtest.h>
 
-#include <cmath>
-#include <deque>
-#include <memory>
-#include <random>
-#include <vector>
+#include <cstddef>
+#include <map>
+#include <string>
 
 #include "fake_gateway.hpp"
 
 namespace gateway::policy::testing {
 namespace {
 
-constexpr Millis kTick = 10;
-constexpr double kBears = 0.04;  // requests/ms that a warm server can do
-constexpr Millis kLatency = 60;
-constexpr int kServers = 12, kRestarted = 4;  // the latter start cold, all at one moment
-
-struct Play {
-  int gateways = 1;
-  std::vector<double> share;  // of all traffic, by gateway
-  double load = 0.7;          // of what all servers can do
-  Millis told_within = 0;     // the gateways hear of the start at times of their own
-  bool knows = true;          // else all gateways start together with the cold servers
-  bool shifts = false;        // the traffic goes to other gateways at the start
-};
-
-struct Ramp {
-  double worst = 0;  // requests in a window over N + 2 sqrt(N) + 2, at most; 1 is the bound
-  int sent = 0;      // to the started servers
-};
-
-Ramp Count(const Play& play, std::uint64_t seed) {
-  std::mt19937_64 random(seed);
-  std::uniform_real_distribution<double> uniform(0, 1);
+TEST(SlowStartTest, LimitsStartedEndpointToItsWarmUpFraction) {
   Settings settings = MakeSettings();
-  settings.gateway_count = play.gateways;
-  settings.poll_endpoint_list = true;
-  settings.overload_factor = 2.5;
-  settings.warm_up_initial_fraction = 0.12;
-  settings.warm_up_duration = 24000;
-  const Millis start = 30000, end = start + 12000;
-  std::vector<std::unique_ptr<Gateway>> all;
-  std::vector<Millis> told_at;
-  const auto list = [&](Millis started_at) {
-    std::vector<EndpointInfo> servers;
-    for (int i = 0; i < kServers; ++i)
-      servers.push_back(MakeServer("s" + std::to_string(i), "0", i < kRestarted ? started_at : 0));
-    return servers;
-  };
-  for (settings.gateway_index = 0; settings.gateway_index < play.gateways; ++settings.gateway_index) {
-    all.push_back(std::make_unique<Gateway>(settings, random()));
-    told_at.push_back(start + play.told_within * uniform(random));
-  }
-  struct Answer {
-    Millis at;
-    std::size_t gateway;
-    std::string request, endpoint;
-    int attempt;
-  };
-  std::deque<Answer> answers;  // in the order of their times: each takes as long
-  std::vector<std::vector<Millis>> got(kRestarted);
-  std::vector<std::map<std::string, int>> attempts(all.size());
-  std::vector<bool> told(all.size());
-  int requests = 0;
-  for (Millis now = play.knows ? 1000 : start; now < end; now += kTick) {
-    const auto take = [&](std::size_t g, const std::vector<Action>& actions) {
-      for (const Action& action : actions) {
-        const auto* send = std::get_if<Send>(&action);
-        if (send == nullptr) continue;
-        const int server = std::stoi(send->endpoint.substr(1));
-        if (server < kRestarted && now >= start && told[g]) got[server].push_back(now);
-        answers.push_back({now + kLatency, g, send->request, send->endpoint, attempts[g][send->request]++});
-      }
-    };
-    for (std::size_t g = 0; g < all.size(); ++g) {
-      Gateway& gateway = *all[g];
-      gateway.now = now;
-      if (now <= 1000) gateway.List(list(0));
-      if (!told[g] && now >= told_at[g]) {
-        told[g] = true;
-        gateway.List(list(start));
-      }
-      take(g, gateway.Do(TimerFired{"sweep"}));
-    }
-    while (!answers.empty() && answers.front().at <= now) {
-      const Answer answer = answers.front();
-      answers.pop_front();
-      take(answer.gateway, all[answer.gateway]->End(answer.request, answer.endpoint, AttemptResult::kServed,
-                                                    kLatency, answer.attempt));
-    }
-    for (std::size_t g = 0; g < all.size(); ++g) {
-      const std::size_t from = play.shifts && now >= start ? all.size() - 1 - g : g;
-      std::poisson_distribution<int> arrivals(play.load * kServers * kBears * kTick * play.share[from]);
-      for (int n = arrivals(random); n > 0; --n) take(g, all[g]->Ask("r" + std::to_string(requests++)));
-    }
-  }
-  Ramp ramp;
-  for (const std::vector<Millis>& sends : got) {
-    ramp.sent += static_cast<int>(sends.size());
-    for (const Millis window : {1000.0, 3000.0}) {
-      std::size_t first = 0;
-      for (std::size_t last = 0; last < sends.size(); ++last) {
-        while (sends[first] <= sends[last] - window) ++first;
-        // What the settings allow in the window: its warmth is that of its middle, but not before the start.
-        const Millis begun = std::max(start, sends[last] - window);
-        const Millis age = (begun + sends[last] + kTick) / 2 - start;
-        const double warmth = settings.warm_up_initial_fraction +
-                              (1 - settings.warm_up_initial_fraction) * age / settings.warm_up_duration;
-        const double n = settings.overload_factor * warmth * kBears * (sends[last] + kTick - begun);
-        ramp.worst = std::max(ramp.worst, static_cast<double>(last - first + 1) / (n + 2 * std::sqrt(n) + 2));
-      }
-    }
-  }
-  return ramp;
+  FakeGateway gateway(settings);
+  gateway.now = 100000;
+  gateway.ReplaceEndpoints({MakeEndpoint("s0"), MakeEndpoint("s1"), MakeEndpoint("new", "0", gateway.now)});
+  auto received = gateway.ServeRequests(200, 10);  // 2 s
+  EXPECT_GE(received["new"], 1);
+  // Its warm-up fraction is 0.36 by now; a warm endpoint is sent about half of all.
+  EXPECT_LT(received["new"], 0.36 * received["s0"] + 1);
 }
 
-std::vector<double> Shares(int gateways, bool even) {
-  std::vector<double> share(static_cast<std::size_t>(gateways));
-  double sum = 0;
-  for (int g = 0; g < gateways; ++g) sum += share[g] = even ? 1 : 1.0 / (1 + g);  // the first has the most
-  for (double& s : share) s /= sum;
-  return share;
+TEST(SlowStartTest, WarmsUpUnreachableEndpointOnceItServesAgain) {
+  FakeGateway gateway;
+  gateway.now = 100000;
+  gateway.AddEndpoints(3);
+  gateway.ServeRequests(90, 10);
+  int failed = 0;
+  gateway.now += 1100;
+  for (int i = 0; i < 100 && failed < 2; ++i) {
+    const std::string id = "f" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+    gateway.now += 10;
+    if (endpoint == "s0") ++failed;
+    gateway.FinishAttempt(id, endpoint,
+                          endpoint == "s0" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 10);
+  }
+  gateway.now += 1000;
+  auto received = gateway.ServeRequests(300, 10);
+  EXPECT_GE(received["s0"], 1);
+  EXPECT_LT(received["s0"], 75);  // a quarter of all: a warm endpoint is sent a third
 }
 
-TEST(SlowStart, HoldsForTheSumOfTheFleet) {
-  for (const int gateways : {1, 5, 20, 30}) {
-    for (const bool even : {true, false}) {
-      for (const double load : {0.4, 0.7, 1.2}) {
-        for (const Millis told_within : {0.0, 1500.0}) {
-          for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-            const Ramp ramp = Count({gateways, Shares(gateways, even), load, told_within}, seed);
-            EXPECT_LE(ramp.worst, 1) << gateways << " gateways, even " << even << ", load " << load
-                                     << ", told within " << told_within << ", seed " << seed;
-            EXPECT_GT(ramp.sent, 0);
-          }
-        }
-      }
+TEST(SlowStartTest, FailedConnectionsOfARecentlyServingEndpointStartNoWarmUp) {
+  FakeGateway gateway;
+  gateway.now = 100000;
+  gateway.AddEndpoints(3);
+  gateway.ServeRequests(90, 10);
+  int received = 0;
+  int failed = 0;
+  for (int i = 0; i < 600; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+    gateway.now += 10;
+    if (i >= 300) received += endpoint == "s0";
+    if (endpoint == "s0" && failed < 2) {
+      ++failed;
+      const std::string retry_endpoint =
+          FakeGateway::SentEndpoint(gateway.FinishAttempt(id, endpoint, AttemptResult::kConnectFailed, 10));
+      if (!retry_endpoint.empty()) gateway.FinishAttempt(id, retry_endpoint, AttemptResult::kServed, 10, 1);
+    } else if (!endpoint.empty()) {
+      gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 10);
     }
   }
+  EXPECT_EQ(failed, 2);
+  EXPECT_GT(received, 75);
 }
 
-// The same while clients move to other gateways, which know the servers by other traffic.
-TEST(SlowStart, HoldsWhileTrafficShifts) {
-  for (const int gateways : {5, 20, 30}) {
-    for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      const Ramp ramp = Count({gateways, Shares(gateways, false), 0.9, 500, true, /*shifts=*/true}, seed);
-      EXPECT_LE(ramp.worst, 1) << gateways << " gateways, seed " << seed;
-    }
+TEST(SlowStartTest, ManyGatewaysTogetherDoNotOverloadAWarmingEndpoint) {
+  Settings settings = MakeSettings();  // warm-up fraction 0.2 at first, 1 after 10 s
+  settings.gateway_count = 200;
+  int warming = 0;
+  int all = 0;
+  int later = 0;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       ++settings.gateway_index) {
+    FakeGateway gateway(settings, settings.gateway_index);
+    gateway.now = 100000;
+    auto endpoints = MakeEndpoints(20);
+    gateway.ReplaceEndpoints(endpoints);
+    gateway.ServeRequests(50, 200);
+    endpoints.push_back(MakeEndpoint("new", "0", gateway.now));
+    gateway.ReplaceEndpoints(endpoints);
+    const auto first = gateway.ServeRequests(10, 200);  // the 2 s after its start; 6 s more follow
+    for (const auto& [id, n] : first) (id == "new" ? warming : all) += n;
+    const auto following = gateway.ServeRequests(30, 200);
+    if (following.contains("new")) later += following.at("new");
   }
+  // One attempt of each gateway would be 60 and more; a warm endpoint is sent about 100 in that time.
+  EXPECT_LT(warming, 0.5 * all / 20);  // 0.84 of a warm one would overload it
+  EXPECT_GT(later, warming);
 }
 
-// The same where all gateways start with the servers, and know nothing of any.
-TEST(SlowStart, HoldsForGatewaysThatStartWithTheServers) {
-  for (const int gateways : {1, 5, 20, 30}) {
-    for (const bool even : {true, false}) {
-      for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const Ramp ramp = Count({gateways, Shares(gateways, even), 0.7, 0, /*knows=*/false}, seed);
-        EXPECT_LE(ramp.worst, 1) << gateways << " gateways, even " << even << ", seed " << seed;
+// Where each gateway uses a subset of the endpoints, those that use a warming one together send it its
+// warm-up fraction. A gateway that knows the warm ones only for a moment goes by the rate of arriving
+// requests.
+TEST(SlowStartTest, GatewaysWithSubsetsTogetherSendTheWarmUpFraction) {
+  Settings settings = MakeSettings();  // warm-up fraction 0.2 at first, 1 after 10 s
+  settings.gateway_count = 100;
+  double warming = 0;
+  double warm = 0;
+  for (const bool just_started : {false, true}) {
+    warming = 0;
+    warm = 0;
+    for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+         ++settings.gateway_index) {
+      FakeGateway gateway(settings, settings.gateway_index);
+      gateway.now = 100000;
+      auto endpoints = MakeEndpoints(60);
+      gateway.ReplaceEndpoints(endpoints);
+      if (!just_started) gateway.ServeRequests(300, 50);
+      for (int i = 0; i < 30; ++i) endpoints[i].started_at = gateway.now;
+      gateway.ReplaceEndpoints(endpoints);
+      for (const auto& [id, n] : gateway.ServeRequests(60, 50)) {
+        if (id.empty()) continue;
+        (std::stoi(id.substr(1)) < 30 ? warming : warm) += n;
       }
     }
+    // In 3 s an endpoint warms up to 0.32 of its capacity, and is sent some of that: 2.5 or 3 times as much
+    // would overload it.
+    EXPECT_GT(warming, 0.08 * warm) << just_started;
+    EXPECT_LT(warming, 0.6 * warm) << just_started;
+  }
+}
+
+// An endpoint of a machine type that serves a third of what another type serves is sent so much less while it
+// warms up.
+TEST(SlowStartTest, SendsWarmingEndpointByTheSpeedOfItsMachineType) {
+  FakeGateway gateway;
+  gateway.now = 100000;
+  auto endpoints = MakeEndpoints(12);
+  for (std::size_t i = 0; i < endpoints.size(); ++i) endpoints[i].machine_type = i % 2 ? "slow" : "fast";
+  std::map<std::string, int> received;
+  const auto serve_requests = [&](int n) {
+    for (int i = 0; i < n; ++i) {
+      const std::string id = "r" + std::to_string(gateway.served_requests++);
+      const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+      gateway.now += 10;
+      gateway.Handle(TimerFired{"sweep"});
+      const bool warming = endpoint[0] == 'c';
+      const bool fast = !warming && std::stoi(endpoint.substr(1)) % 2 == 0;
+      const Millis latency = warming ? 1 : (fast ? 20 : 60);
+      gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, latency);
+      ++received[endpoint];
+    }
+  };
+  gateway.ReplaceEndpoints(endpoints);
+  serve_requests(2000);
+  for (const char* machine_type : {"slow", "fast"}) {
+    endpoints.push_back(MakeEndpoint(std::string("cold-") + machine_type, "0", gateway.now));
+    endpoints.back().machine_type = machine_type;
   }
+  gateway.ReplaceEndpoints(endpoints);
+  received.clear();
+  serve_requests(500);
+  EXPECT_GT(received["cold-fast"], 1.5 * received["cold-slow"]);
+  EXPECT_GT(received["cold-slow"], 0);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/policy/subsetting_test.cpp
@@ -0,0 +1,97 @@
+// Which endpoints each of many gateways uses.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <map>
+#include <set>
+#include <string>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(SubsettingTest, SpreadsManyGatewaysEvenlyOverFewEndpointsEach) {
+  std::map<std::string, int> gateways_by_endpoint;
+  std::size_t largest_subset = 0;
+  Settings settings = MakeSettings();
+  settings.gateway_count = 300;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       ++settings.gateway_index) {
+    FakeGateway gateway(settings, settings.gateway_index);
+    gateway.ReplaceEndpoints(MakeEndpoints(60));
+    const auto sent_by_endpoint = gateway.ServeRequests(60, 200);
+    for (const auto& [id, n] : sent_by_endpoint) ++gateways_by_endpoint[id];
+    largest_subset = std::max(largest_subset, sent_by_endpoint.size());
+  }
+  EXPECT_LE(largest_subset, 9u);
+  ASSERT_EQ(gateways_by_endpoint.size(), 60u);
+  for (const auto& [id, n] : gateways_by_endpoint) EXPECT_TRUE(n >= 20 && n <= 50) << id << " " << n;
+}
+
+// A small subset is learned from few requests; a gateway that most clients use must not crowd it.
+TEST(SubsettingTest, GrowsWithRequestsInFlight) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 100;
+  FakeGateway gateway(settings);
+  gateway.ReplaceEndpoints(MakeEndpoints(60));
+  EXPECT_LE(gateway.ServeRequests(300, 66).size(), 8u);
+  std::set<std::string> used;
+  std::size_t finished = gateway.sent.size();
+  for (int i = 0; i < 500; ++i) {  // 20 in flight
+    gateway.SendRequest("busy" + std::to_string(i));
+    gateway.now += 20;
+    gateway.Handle(TimerFired{"sweep"});
+    for (; finished + 20 < gateway.sent.size(); ++finished) {
+      gateway.FinishAttempt(gateway.sent[finished].request, gateway.sent[finished].endpoint,
+                            AttemptResult::kServed, 400);
+      if (i > 400) used.insert(gateway.sent[finished].endpoint);
+    }
+  }
+  EXPECT_GT(used.size(), 30u);
+}
+
+// Requests across zones have a price, but the zone of an endpoint must leave it to neither few gateways nor
+// too many.
+TEST(SubsettingTest, PrefersOwnZoneAndLoadsEndpointsEvenly) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 99;
+  auto endpoints = MakeEndpoints(60);
+  for (int i = 0; i < 60; ++i) endpoints[i].zone = "z" + std::to_string(i / 20);
+  std::map<std::string, int> received;
+  int own_zone = 0;
+  int all = 0;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       ++settings.gateway_index) {
+    settings.zone = "z" + std::to_string(settings.gateway_index % 3);
+    FakeGateway gateway(settings, settings.gateway_index);
+    gateway.ReplaceEndpoints(endpoints);
+    for (const auto& [id, n] : gateway.ServeRequests(100, 50)) {
+      received[id] += n;
+      all += n;
+      own_zone += std::stoi(id.substr(1)) / 20 == settings.gateway_index % 3 ? n : 0;
+    }
+  }
+  EXPECT_GT(own_zone, 0.7 * all);
+  EXPECT_LT(own_zone, 0.9 * all);
+  EXPECT_EQ(received.size(), 60u);
+  const auto fewer = [](const auto& left, const auto& right) { return left.second < right.second; };
+  EXPECT_LT(std::max_element(received.begin(), received.end(), fewer)->second, 2.0 * all / 60);
+  EXPECT_GT(std::min_element(received.begin(), received.end(), fewer)->second, 0.4 * all / 60);
+}
+
+TEST(SubsettingTest, IsHalfAsLargeWithMultiplexedConnections) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 100;
+  settings.gateway_index = 7;
+  FakeGateway single_stream(settings);
+  single_stream.ReplaceEndpoints(MakeEndpoints(30));
+  settings.streams_per_connection = 100;
+  FakeGateway multiplexed(settings);
+  multiplexed.ReplaceEndpoints(MakeEndpoints(30));
+  EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
--- /dev/null
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -0,0 +1,68 @@
+// Requests within and beyond their tenant's quota.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "fake_gateway.hpp"
+
+namespace gateway::policy::testing {
+namespace {
+
+TEST(TenantQuotasTest, SendsTrafficWithinQuotaFirst) {
+  Settings settings = MakeSettings();
+  settings.tenants = {{"small", 10}, {"big", 10}};
+  FakeGateway gateway(settings);
+  for (int i = 0; i < 20; ++i) gateway.SendRequest("big" + std::to_string(i), "view", 2000, "big");
+  gateway.now += 150;
+  gateway.SendRequest("small", "view", 2000, "small");
+  gateway.AddEndpoints(1);
+  // The part of big within its quota is in front; small comes before the part of big beyond it.
+  ASSERT_FALSE(gateway.sent.empty());
+  std::vector<std::string> order;
+  for (std::size_t i = 0; i < gateway.sent.size(); ++i) {
+    order.push_back(gateway.sent[i].request);
+    gateway.FinishAttempt(gateway.sent[i].request, "s0", AttemptResult::kServed, 20);
+  }
+  const auto position = std::find(order.begin(), order.end(), "small") - order.begin();
+  EXPECT_LE(position, 12);
+  EXPECT_EQ(order.size(), 21u);
+}
+
+TEST(TenantQuotasTest, ServesUnknownTenantAfterTrafficWithinQuota) {
+  Settings settings = MakeSettings();
+  settings.tenants = {{"known", 100}};
+  FakeGateway gateway(settings);
+  gateway.SendRequest("stranger", "view", 2000, "nobody");
+  gateway.SendRequest("guest", "view", 2000, "known");
+  gateway.AddEndpoints(1);
+  gateway.AdvanceTime(10);
+  ASSERT_EQ(gateway.sent.size(), 2u);
+  EXPECT_EQ(gateway.sent[0].request, "guest");
+}
+
+TEST(TenantQuotasTest, SmallPartOfAQuotaAllowsABurst) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 300;
+  settings.tenants = {{"t", 30}};  // 0.1 per second for this gateway
+  FakeGateway gateway(settings);
+  gateway.AddEndpoints(3);
+  // Failures of another tenant hold back all traffic beyond its quota.
+  for (int i = 0; i < 20; ++i) {
+    const std::string id = "f" + std::to_string(i);
+    if (const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay", 2000, "other"));
+        !to.empty()) {
+      gateway.now += 50;
+      gateway.FinishAttempt(id, to, AttemptResult::kError, 50);
+    }
+  }
+  gateway.now += 20000;
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a", "view", 2000, "t")), 1);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("b", "view", 2000, "t")), 1);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("spare", "view", 2000, "other")), 0);
+}
+
+}  // namespace
+}  // namespace gateway::policy::testing
