--- a/tests/policy/admission_rate_test.cpp
+++ b/tests/policy/admission_rate_test.cpp
@@ -1,6 +1,9 @@
 // When the admission rate is decreased, and by how much.
+#include "policy/admission_rate.hpp"
+
 #include <gtest/gtest.h>
 
+#include <cmath>
 #include <deque>
 #include <map>
 #include <string>
@@ -9,6 +12,7 @@
 #include <vector>
 
 #include "fake_gateway.hpp"
+#include "policy/rate_estimator.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -107,5 +111,38 @@
   EXPECT_LT(gateway.policy.ExportState().rate, 220);
 }
 
+TEST(AdmissionRateTest, DecreasesOnceARoundTripAndIncreasesByEachResponse) {
+  constexpr AdmissionRate::Fleet kFleet = {.endpoints_up = 10};
+  AdmissionRate rate;
+  rate.Advance(100, kFleet);
+  for (int i = 0; i < 50; ++i) rate.TakeToken(kFleet);
+  const auto fails = [&](Millis sent_at, Millis now) {
+    return rate.RecordOutcome(/*within_objective=*/false, sent_at, now, kFleet);
+  };
+  for (int i = 0; i < 4; ++i) EXPECT_FALSE(fails(900, 1000));
+  EXPECT_TRUE(fails(900, 1000)) << "failure rate " << rate.failure_rate();
+  rate.Decrease(1000, /*round_trip=*/200, kFleet);
+  EXPECT_DOUBLE_EQ(rate.rate(), 0.85 * rate.SentPerSecond());
+  EXPECT_FALSE(fails(1000, 1199));
+  EXPECT_FALSE(fails(999, 1200)) << "sent before the decrease";
+  EXPECT_TRUE(fails(1000, 1200));
+  const double decreased = rate.rate();
+  rate.RecordOutcome(/*within_objective=*/true, 1000, 1200, kFleet);
+  EXPECT_DOUBLE_EQ(rate.rate(), decreased + 0.3);
+  rate.Advance(1e6, kFleet);  // nothing is sent
+  rate.Decrease(1e6, 200, kFleet);
+  EXPECT_EQ(rate.rate(), 10) << "one per second and endpoint is the floor";
+}
+
+TEST(RateEstimatorTest, IgnoresTheTimeBeforeItsStartAndDecays) {
+  RateEstimator estimator;
+  estimator.Advance(100, /*memory=*/1000);
+  estimator.Add(10);
+  EXPECT_NEAR(estimator.Rate(), 100, 6);
+  estimator.Restore(100, /*observed_share=*/1);
+  estimator.Advance(1000, /*memory=*/1000);
+  EXPECT_DOUBLE_EQ(estimator.Rate(), 100 * std::exp(-1.0));
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/class_queues_test.cpp
+++ b/tests/policy/class_queues_test.cpp
@@ -1,8 +1,14 @@
 // The queues of the traffic classes: bounds, expiry, order and Most Credit First.
+#include "policy/class_queues.hpp"
+
 #include <gtest/gtest.h>
 
+#include <array>
+#include <cstddef>
 #include <map>
 #include <string>
+#include <utility>
+#include <variant>
 #include <vector>
 
 #include "fake_gateway.hpp"
@@ -150,5 +156,30 @@
   EXPECT_GT(served, 30);
 }
 
+TEST(ClassQueuesTest, OrdersRetriesThenRequestsWithinThenBeyondQuota) {
+  ClassQueues queues({MakeClass("view")});
+  std::array<ActiveRequest, 4> requests;  // in the order expected
+  for (const std::size_t i : {0, 2, 3}) requests[i].within_quota = false;
+  for (const std::size_t i : {2, 3, 1}) queues.Push(requests[i]);
+  queues.PushRetry(requests[0]);
+  EXPECT_EQ(queues.LastBeyondQuota(0), &requests[3]);
+  for (ActiveRequest& request : requests) {
+    EXPECT_EQ(&queues.Next(0), &request);
+    queues.Remove(request);
+  }
+}
+
+TEST(MostCreditFirstTest, PicksWaitingClassesInTheRatioOfTheirWeights) {
+  ClassQueues queues({MakeClass("view"), MakeClass("pay", Idempotency::kIdempotent, 3)});
+  std::array<ActiveRequest, 2> requests;
+  requests[1].class_index = 1;
+  for (ActiveRequest& request : requests) queues.Push(request);
+  EXPECT_EQ(queues.NextClass(ClassQueues::MaskOf(1)), 0u);
+  for (const std::size_t expected : {1, 0, 1, 1, 1, 0, 1, 1}) {
+    EXPECT_EQ(queues.NextClass(0), expected);
+    queues.SettleCredit(expected);
+  }
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/endpoint_ring_test.cpp
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -4,11 +4,13 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cstddef>
 #include <map>
 #include <memory>
 #include <random>
 #include <string>
 #include <tuple>
+#include <utility>
 #include <vector>
 
 #include "policy/endpoint.hpp"
@@ -32,6 +34,7 @@
   }
   std::ranges::sort(placed);
   std::vector<const Endpoint*> sorted;
+  sorted.reserve(placed.size());
   for (const auto& [position, hash, endpoint] : placed) sorted.push_back(endpoint);
   return sorted;
 }
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -3,6 +3,7 @@
 #define GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
@@ -52,6 +53,7 @@
 // Endpoints named s0, s1 ... that started long ago.
 inline std::vector<EndpointInfo> MakeEndpoints(int count) {
   std::vector<EndpointInfo> endpoints;
+  endpoints.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) endpoints.push_back(MakeEndpoint("s" + std::to_string(i)));
   return endpoints;
 }
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -1,4 +1,6 @@
 // When a gateway calls for the endpoint list, at the start and after failed calls.
+#include "policy/list_polling.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -7,6 +9,7 @@
 #include <vector>
 
 #include "fake_gateway.hpp"
+#include "policy/random_source.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -137,5 +140,22 @@
   }
 }
 
+TEST(ListPollingTest, BackoffDoublesUpToItsBound) {
+  Settings settings = MakeSettings();
+  settings.poll_endpoint_list = true;
+  RandomSource random(1);
+  ListPolling polling(settings, /*ring_position=*/0.5);
+  Millis now = 1000;
+  EXPECT_TRUE(polling.TakeDueCall(/*list_known=*/true, now));
+  polling.RecordFailure(0, now, random);
+  EXPECT_TRUE(polling.TakeDueCall(true, now + 100));
+  for (const Millis backoff : {200, 400, 800, 1600, 2500, 2500}) {
+    polling.RecordFailure(0, now, random);
+    EXPECT_FALSE(polling.TakeDueCall(true, now + 0.74 * backoff));
+    now += backoff;
+    EXPECT_TRUE(polling.TakeDueCall(true, now));
+  }
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,4 +1,6 @@
 // Which endpoint an attempt is sent to.
+#include "policy/load_balancer.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -8,6 +10,7 @@
 #include <vector>
 
 #include "fake_gateway.hpp"
+#include "policy/endpoint_table.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -55,7 +58,7 @@
       endpoints[4].machine_type = "slow";
       gateway.ReplaceEndpoints(endpoints);
       const auto serve_request = [&](const std::string& id) {
-        const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+        std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
         gateway.AdvanceTime(100);
         if (!to.empty()) gateway.FinishAttempt(id, to, AttemptResult::kServed, to < "s4" ? 20 : 100);
         return to;
@@ -90,5 +93,18 @@
   for (const auto& [key, endpoints] : endpoints_by_key) EXPECT_LE(endpoints.size(), 2u) << key;
 }
 
+TEST(LoadBalancerTest, CostIsLatencyTimesAttemptsInFlightAndHigherInOtherZones) {
+  EndpointTable table("z0");
+  Endpoint& measured = table.Update(MakeEndpoint("a", "0")).endpoint;
+  Endpoint& unmeasured = table.Update(MakeEndpoint("b", "1")).endpoint;
+  measured.concurrency.latency = {.current = 50, .samples = 100};
+  measured.in_flight = 2;
+  table.MarkMeasured(measured);
+  measured.machine_type->latency.current = 110;
+  EXPECT_DOUBLE_EQ(LoadBalancer::Cost(measured, false, table), 3 * 50);
+  EXPECT_DOUBLE_EQ(LoadBalancer::Cost(measured, true, table), 3 * 60);  // 10 samples of 50, 2 of 110
+  EXPECT_DOUBLE_EQ(LoadBalancer::Cost(unmeasured, false, table), 1.3 * 50);
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,6 @@
 // Which failures eject an endpoint, and how ejected endpoints are probed and readmitted.
+#include "policy/outlier_detection.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,9 +12,11 @@
 #include <string>
 #include <tuple>
 #include <utility>
+#include <variant>
 #include <vector>
 
 #include "fake_gateway.hpp"
+#include "policy/endpoint.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -161,6 +165,13 @@
   EXPECT_LE(SendOverBreakingConnections(80, 0).second, 20);
 }
 
+// The number of attempts that the gateway has sent for the request.
+int SentAttempts(const FakeGateway& gateway, const std::string& request) {
+  const auto count = std::count_if(gateway.sent.begin(), gateway.sent.end(),
+                                   [&](const Send& send) { return send.request == request; });
+  return static_cast<int>(count);
+}
+
 // Sends eight requests each 20 ms to eight endpoints. s0 drains before the list says so: it rejects all
 // attempts at once.
 TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllWithoutDecreasingRate) {
@@ -184,9 +195,7 @@
     }
     gateway.AdvanceTime(20);
     for (const auto& [id, to] : sent) {
-      const auto attempts = std::count_if(gateway.sent.begin(), gateway.sent.end(),
-                                          [&](const Send& send) { return send.request == id; });
-      gateway.FinishAttempt(id, to, AttemptResult::kServed, 20, static_cast<int>(attempts) - 1);
+      gateway.FinishAttempt(id, to, AttemptResult::kServed, 20, SentAttempts(gateway, id) - 1);
     }
   }
   EXPECT_LE(rejected, 20);  // 3 s
@@ -337,5 +346,26 @@
   EXPECT_GT(gateway.policy.EjectedEndpoints(), 0u);
 }
 
+TEST(OutlierDetectionTest, EjectsAboveAFailureRateOf30PercentAndDoublesTheProbeBackoff) {
+  const OutlierDetection detection(/*class_count=*/1);
+  RandomSource random(1);
+  Zone zone;
+  Endpoint endpoint;
+  endpoint.zone = &zone;
+  detection.Reset(endpoint.outlier);
+  const auto record = [&](AttemptResult result, Millis now) {
+    return detection.RecordOutcome(endpoint, {result, /*latency=*/10, 0}, now, random).change;
+  };
+  EXPECT_EQ(record(AttemptResult::kError, 0), OutlierDetection::Change::kNone);
+  EXPECT_EQ(record(AttemptResult::kError, 0), OutlierDetection::Change::kEjected);
+  Millis now = 0;
+  for (const Millis backoff : {300, 600, 1200, 2400, 4000, 4000}) {
+    EXPECT_FALSE(detection.IsProbeDue(endpoint, now + 0.74 * backoff));
+    now += 1.25 * backoff;
+    EXPECT_TRUE(detection.IsProbeDue(endpoint, now));
+    record(AttemptResult::kError, now);
+  }
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -4,6 +4,7 @@
 #include <cstddef>
 #include <limits>
 #include <string>
+#include <variant>
 
 #include "fake_gateway.hpp"
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,11 +1,16 @@
 // Which requests are retried, where, and how many.
+#include "policy/retry_policy.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
+#include <utility>
+#include <variant>
 
 #include "fake_gateway.hpp"
+#include "policy/endpoint.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -134,5 +139,66 @@
   }
 }
 
+TEST(RetryBudgetTest, EarnsOneRetryForTenRequestsAndSavesTwenty) {
+  RetryBudget budget;
+  budget.TakeToken();
+  for (int i = 0; i < 9; ++i) budget.RecordRequest();
+  EXPECT_FALSE(budget.HasToken());
+  for (int i = 0; i < 2; ++i) budget.RecordRequest();
+  EXPECT_TRUE(budget.HasToken());
+  for (int i = 0; i < 1000; ++i) budget.RecordRequest();
+  for (int i = 0; i < 20; ++i) budget.TakeToken();
+  EXPECT_FALSE(budget.HasToken());
+}
+
+// A request whose only attempt, at an endpoint of cell 0, has ended.
+class RetryRulesTest : public ::testing::Test {
+ protected:
+  RetryRulesTest() {
+    endpoint_.info = MakeEndpoint("a", "0");
+    request_.objective_at = 1000;
+    request_.repeat_by = 500;
+    request_.attempts = {Attempt{&endpoint_, 0, /*in_flight=*/false, /*may_have_executed=*/true}};
+  }
+
+  Endpoint endpoint_;
+  ActiveRequest request_;
+  const TrafficClassSettings idempotent_ = MakeClass("view");
+  TrafficClassSettings with_key_ = MakeClass("key", Idempotency::kIdempotencyKey);
+};
+
+TEST_F(RetryRulesTest, ShouldRetryOnlyUnderAllConditions) {
+  const RetryConditions met = {AttemptResult::kError, false, 3, 50, true};
+  EXPECT_TRUE(ShouldRetry(request_, idempotent_, met, 949));
+  EXPECT_FALSE(ShouldRetry(request_, idempotent_, met, 950)) << "the response would be late";
+  EXPECT_FALSE(ShouldRetry(request_, idempotent_, {AttemptResult::kError, false, 1, 50, true}, 0));
+  EXPECT_FALSE(ShouldRetry(request_, idempotent_, {AttemptResult::kError, false, 3, 50, false}, 0));
+  EXPECT_FALSE(ShouldRetry(request_, idempotent_, {AttemptResult::kTimedOut, false, 3, 50, true}, 0));
+  EXPECT_TRUE(ShouldRetry(request_, idempotent_, {AttemptResult::kTimedOut, true, 3, 50, true}, 0));
+  EXPECT_FALSE(ShouldRetry(request_, MakeClass("pay", Idempotency::kNotIdempotent), met, 0));
+  request_.buffered = false;
+  EXPECT_FALSE(ShouldRetry(request_, idempotent_, met, 0));
+}
+
+TEST_F(RetryRulesTest, MaySendToDeduplicationScopeWithinItsWindow) {
+  EndpointInfo other_cell = MakeEndpoint("b", "1");
+  other_cell.zone = endpoint_.info.zone;
+  EXPECT_TRUE(MaySendTo(request_, with_key_, endpoint_.info, 499));
+  EXPECT_FALSE(MaySendTo(request_, with_key_, endpoint_.info, 500));
+  EXPECT_FALSE(MaySendTo(request_, with_key_, other_cell, 0));
+  with_key_.deduplication_scope = DeduplicationScope::kZone;
+  EXPECT_TRUE(MaySendTo(request_, with_key_, other_cell, 0));
+  EXPECT_FALSE(MaySendTo(request_, with_key_, MakeEndpoint("c", "1"), 0));
+}
+
+TEST_F(RetryRulesTest, IsSafeForClientToRetryAtAnyEndpoint) {
+  const TrafficClassSettings not_idempotent = MakeClass("pay", Idempotency::kNotIdempotent);
+  EXPECT_TRUE(IsSafeForClientToRetry(request_, idempotent_));
+  EXPECT_FALSE(IsSafeForClientToRetry(request_, not_idempotent));
+  EXPECT_FALSE(IsSafeForClientToRetry(request_, with_key_)) << "deduplicated in one cell only";
+  request_.attempts[0].may_have_executed = false;
+  EXPECT_TRUE(IsSafeForClientToRetry(request_, not_idempotent));
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -1,4 +1,6 @@
 // Validation of the settings.
+#include "policy/settings.hpp"
+
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -37,5 +39,34 @@
   EXPECT_EQ(error_text([](Settings&) {}), "");
 }
 
+TEST(SettingsTest, ErrorHasTheFieldOfEachInvalidValue) {
+  const auto expect_field = [](const std::string& field, void (*invalidate)(Settings&)) {
+    Settings settings = MakeSettings();
+    invalidate(settings);
+    try {
+      ValidateSettings(settings);
+      ADD_FAILURE() << "accepts an invalid value of " << field;
+    } catch (const SettingsError& error) {
+      EXPECT_EQ(error.field(), field);
+    }
+  };
+  expect_field("classes", [](Settings& s) { s.classes.clear(); });
+  expect_field("classes", [](Settings& s) { s.classes.resize(65, s.classes[0]); });
+  expect_field("classes.deadline", [](Settings& s) { s.classes[2].deadline = 0; });
+  expect_field("classes.latency_objective", [](Settings& s) { s.classes[2].latency_objective = 0; });
+  expect_field("classes.priority_weight", [](Settings& s) { s.classes[2].priority_weight = -1; });
+  expect_field("classes.late_weight", [](Settings& s) { s.classes[2].late_weight = -1; });
+  expect_field("classes.deduplication_window", [](Settings& s) { s.classes[2].deduplication_window = -1; });
+  expect_field("tenants.quota_per_second", [](Settings& s) { s.tenants = {{"t", -1}}; });
+  expect_field("gateway_count", [](Settings& s) { s.gateway_count = 0; });
+  expect_field("max_attempts", [](Settings& s) { s.max_attempts = 0; });
+  expect_field("streams_per_connection", [](Settings& s) { s.streams_per_connection = 0; });
+  expect_field("maximum_poll_interval", [](Settings& s) { s.maximum_poll_interval = 0; });
+  expect_field("maximum_retry_after", [](Settings& s) { s.maximum_retry_after = -1; });
+  expect_field("warm_up_initial_fraction", [](Settings& s) { s.warm_up_initial_fraction = 1.1; });
+  expect_field("warm_up_duration", [](Settings& s) { s.warm_up_duration = -1; });
+  expect_field("overload_factor", [](Settings& s) { s.overload_factor = 0; });
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -55,6 +55,7 @@
 
 std::vector<EndpointInfo> MakeFleetEndpoints(Millis restarted_at) {
   std::vector<EndpointInfo> endpoints;
+  endpoints.reserve(kEndpoints);
   for (int i = 0; i < kEndpoints; ++i) {
     endpoints.push_back(MakeEndpoint("s" + std::to_string(i), "0", i < kRestarted ? restarted_at : 0));
   }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,6 @@
 // What an endpoint is sent while it warms up.
+#include "policy/slow_start.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -158,5 +160,12 @@
   EXPECT_GT(received["cold-slow"], 0);
 }
 
+TEST(SlowStartTest, WarmUpFractionGrowsLinearly) {
+  const SlowStart slow_start(MakeSettings());  // from 0.2 to 1 in 10 s
+  const SlowStartState state = {.started_at = 1000};
+  EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 6000), 0.6);
+  EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 11000), 1);
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -1,4 +1,6 @@
 // Which endpoints each of many gateways uses.
+#include "policy/subsetting.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,6 +10,7 @@
 #include <string>
 
 #include "fake_gateway.hpp"
+#include "policy/endpoint_table.hpp"
 
 namespace gateway::policy::testing {
 namespace {
@@ -93,5 +96,17 @@
   EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
 }
 
+TEST(SubsettingTest, SizeIsAnEvenShareOrByConcurrentRequests) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 100;
+  EndpointTable table("");
+  for (const EndpointInfo& endpoint : MakeEndpoints(60)) table.Update(endpoint);
+  Subsetting subsetting(settings, /*ring_position=*/0.5);
+  subsetting.Choose(table, /*concurrent_requests=*/10);
+  EXPECT_EQ(subsetting.endpoints().size(), 30u);  // 3 for each request
+  subsetting.Choose(table, 0);
+  EXPECT_EQ(subsetting.endpoints().size(), 8u);  // 12 gateways per endpoint make 7.2
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,4 +1,6 @@
 // Requests within and beyond their tenant's quota.
+#include "policy/tenant_quotas.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -64,5 +66,17 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("spare", "view", 2000, "other")), 0);
 }
 
+TEST(TenantQuotasTest, GrantsThisGatewaysPartOfAQuota) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 2;
+  settings.tenants = {{"limited", 10}, {"unlimited", 0}};
+  TenantQuotas quotas(settings);
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(quotas.TakeToken("limited", 100000)) << "of the last second";
+  EXPECT_FALSE(quotas.TakeToken("limited", 100199));
+  EXPECT_TRUE(quotas.TakeToken("limited", 100201));
+  for (int i = 0; i < 100; ++i) EXPECT_TRUE(quotas.TakeToken("unlimited", 0));
+  EXPECT_FALSE(quotas.TakeToken("unknown", 100000));
+}
+
 }  // namespace
 }  // namespace gateway::policy::testing
