--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "proxy/clock.hpp"
-#include "proxy/listen.hpp"
+#include "proxy/listener.hpp"
 
 namespace gateway::proxy {
 namespace {
@@ -112,7 +112,7 @@
 ManagementServer::ManagementServer(asio::io_context& io, const tcp::endpoint& address,
                                    std::size_t most_callers, Answer answer)
     : io_(io), acceptor_(io), accept_again_(io), most_callers_(most_callers), answer_(std::move(answer)) {
-  Listen(acceptor_, address, "NODE_MGMT");
+  OpenListener(acceptor_, address, "NODE_MGMT");
   Accept();
 }
 
--- /dev/null
+++ b/src/proxy/body_framing.hpp
@@ -0,0 +1,23 @@
+// The framing of a streamed body on the wire: with Content-Length, or with chunked transfer coding.
+#ifndef GATEWAY_PROXY_BODY_FRAMING_HPP_
+#define GATEWAY_PROXY_BODY_FRAMING_HPP_
+
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <string>
+#include <string_view>
+
+namespace gateway::proxy {
+
+// What is written to the socket for one piece: what precedes it, the piece itself, and what follows it.
+using FramedPiece = std::array<boost::asio::const_buffer, 3>;
+
+// Frames a piece of a body for a gathering write. `prefix` holds what has to be written before the piece, a
+// message head for example; the chunk header is appended to it. The last piece is copied into `prefix` too,
+// because its memory is not valid for the duration of the write. Both `prefix` and any other piece must stay
+// unchanged until the write has completed.
+FramedPiece FrameBodyPiece(std::string& prefix, std::string_view piece, bool last, bool chunked);
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_BODY_FRAMING_HPP_
--- /dev/null
+++ b/src/proxy/body_source.hpp
@@ -0,0 +1,40 @@
+// The interface through which the body of a message is streamed from one connection to another.
+#ifndef GATEWAY_PROXY_BODY_SOURCE_HPP_
+#define GATEWAY_PROXY_BODY_SOURCE_HPP_
+
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <functional>
+#include <string_view>
+
+namespace gateway::proxy {
+
+// Upper bound on the size of one piece of a streamed body.
+constexpr std::size_t kBodyPieceBytes = 16 * 1024;
+
+// The part of a body that has not been read from its connection yet. Pieces are pulled one at a time: the
+// next one is read from the socket when it is requested, so that a slow reader slows down the writer.
+//
+// The connection that the body arrives on implements this interface. A shared pointer to the source keeps the
+// connection object alive, but not its socket. All calls are made on the thread of the event loop.
+class BodySource {
+ public:
+  // Receives one piece, or an error after which nothing follows. `piece` stays valid until the next call to
+  // ReadNext; the last piece stays valid until the handler returns. `last` is set on the final piece, which
+  // may be empty.
+  using PieceHandler =
+      std::function<void(const boost::system::error_code& error, std::string_view piece, bool last)>;
+
+  virtual ~BodySource() = default;
+  // Reads the next piece. Calls `handler` exactly once, and never before this call returns. At most one read
+  // may be pending.
+  virtual void ReadNext(PieceHandler handler) = 0;
+  // Declares that the rest of the body is not wanted. ReadNext must not be called afterwards.
+  virtual void Cancel() = 0;
+  // Returns whether ReadNext was called. From then on the body cannot be read again from its start.
+  virtual bool started() const = 0;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_BODY_SOURCE_HPP_
--- a/src/proxy/client/arrival.cpp
+++ b/src/proxy/client/accept_queue.cpp
@@ -1,4 +1,4 @@
-#include "proxy/client/arrival.hpp"
+#include "proxy/client/accept_queue.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -9,16 +9,16 @@
 
 namespace gateway::proxy {
 
-std::optional<Millis> SinceLastReceived(int socket) {
+std::optional<Millis> TimeSinceLastReceived(int socket) {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
-  // A connection always has a retransmission time-out: without one the structure was not filled in.
+  // A connection always has a retransmission timeout: without one the structure was not filled in.
   if (info.tcpi_rto == 0) return std::nullopt;
   return info.tcpi_last_data_recv;
 }
 
-bool HasPending(int listener) {
+bool HasPendingConnections(int listener) {
   pollfd queue{listener, POLLIN, 0};
   return ::poll(&queue, 1, 0) > 0;
 }
--- /dev/null
+++ b/src/proxy/client/client_connection.cpp
@@ -0,0 +1,362 @@
+#include "proxy/client/client_connection.hpp"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/field.hpp>
+#include <boost/beast/http/status.hpp>
+#include <optional>
+#include <utility>
+
+#include "proxy/client/accept_queue.hpp"
+#include "proxy/client/body_progress.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+// The time after which a connection that waits for its first request is closed.
+constexpr Millis kFirstRequestTimeoutMs = 2000;
+// The time after which a connection that waits for a further request is closed.
+constexpr Millis kIdleTimeoutMs = 75000;
+
+http::status StatusOfReadError(error_code error) {
+  if (error == http::error::body_limit) return http::status::payload_too_large;
+  if (error == http::error::header_limit) return http::status::request_header_fields_too_large;
+  return http::status::bad_request;
+}
+
+}  // namespace
+
+void ClientResponder::Respond(HttpResponse response, std::shared_ptr<BodySource> remaining_body) const {
+  if (const auto connection = connection_.lock()) {
+    connection->Respond(request_number_, std::move(response), std::move(remaining_body));
+  } else if (remaining_body) {
+    remaining_body->Cancel();
+  }
+}
+
+bool ClientResponder::ClientDisconnected() const {
+  const auto connection = connection_.lock();
+  return !connection || connection->DetectDisconnect(request_number_);
+}
+
+ClientConnection::ClientConnection(ClientConnectionContext& context, tcp::socket socket, bool transferred)
+    : context_(context),
+      socket_(std::move(socket)),
+      reader_(context.io, socket_, context.body_budget, *this),
+      writer_(socket_, *this),
+      linger_(socket_, *this),
+      request_number_(transferred ? 1 : 0) {}
+
+// --- Lifecycle
+
+void ClientConnection::Start(Millis accept_wait_ms) {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  if (accept_wait_ms > 0 && socket_.available(ignored) > 0) accept_wait_ms_ = accept_wait_ms;
+  AwaitRequest();
+}
+
+void ClientConnection::Shed() {
+  shed_ = true;
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  RejectAndClose({http::status::service_unavailable, "no place is free"}, context_.shed_retry_after_ms);
+}
+
+void ClientConnection::Close() {
+  const Phase previous = std::exchange(phase_, Phase::kClosed);
+  if (previous == Phase::kClosed) return;
+  reader_.Stop();
+  linger_.Stop();
+  const bool response_cut = previous == Phase::kWriting && request_open_;
+  EndRequest();
+  if (response_cut) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/false);
+  error_code ignored;
+  socket_.close(ignored);
+  context_.owner.OnConnectionClosed(shared_from_this());
+  reader_.ReleaseCharge();
+  writer_.Stop();
+  reader_.FailPendingPiece();
+}
+
+bool ClientConnection::Transfer() {
+  if (!IsBetweenRequests()) return false;
+  phase_ = Phase::kClosed;
+  error_code error;
+  Descriptor client(socket_.release(error));
+  if (!error) context_.transfer(std::move(client));
+  context_.owner.OnConnectionClosed(shared_from_this());
+  return true;
+}
+
+void ClientConnection::EnterPhase(Phase phase) {
+  phase_ = phase;
+  phase_entered_at_ = Now();
+  request_started_at_ = phase_entered_at_;
+}
+
+bool ClientConnection::IsIdle() {
+  error_code ignored;
+  return IsBetweenRequests() && socket_.available(ignored) == 0;
+}
+
+bool ClientConnection::IsRequestStalled() {
+  error_code ignored;
+  return phase_ == Phase::kReading && reading_request_ && socket_.available(ignored) == 0;
+}
+
+bool ClientConnection::IsReclaimable() const {
+  return phase_ == Phase::kReading || (phase_ == Phase::kLingering && !shed_);
+}
+
+Millis ClientConnection::last_progress_at() const {
+  return std::max(phase_entered_at_, reader_.last_progress_at());
+}
+
+// --- Reading a request
+
+// Begins the next request: at once if some of it was read with the last one, else when it arrives.
+void ClientConnection::AwaitRequest() {
+  reading_request_ = reader_.has_unparsed_bytes();
+  if (reading_request_) return reader_.ReadHead();
+  const std::uint64_t wait_number = ++wait_number_;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), wait_number](error_code error) {
+    if (self->phase_ != Phase::kReading || self->wait_number_ != wait_number) return;
+    if (error) return self->Close();
+    self->reading_request_ = true;
+    self->reader_.ReadHead();
+  });
+}
+
+void ClientConnection::OnRequestHead() {
+  const HttpRequest& head = reader_.request();
+  keep_alive_ = reader_.keep_alive();
+  http_version_ = head.version();
+  attributes_ = {};
+  if (const auto error = ValidateFraming(head, reader_.framing())) return RejectAndClose(*error);
+  is_readiness_check_ = IsReadinessCheck(head);
+  if (!is_readiness_check_) {
+    if (const auto error = context_.validator.Validate(head, attributes_)) {
+      // Where the next request begins is known only if this one has no body.
+      if (!reader_.done()) return RejectAndClose(*error);
+      EnterPhase(Phase::kServing);
+      return RespondWithError(*error);
+    }
+  }
+  reader_.ReadBody(request_started_at_);
+}
+
+void ClientConnection::OnReadError(error_code error) {
+  if (!IsProtocolViolation(error)) return OnDisconnect();
+  AbandonRequest();
+  RejectAndClose({StatusOfReadError(error), error.message()});
+}
+
+void ClientConnection::OnRequestBuffered() {
+  if (!is_readiness_check_) return DispatchRequest();
+  const bool ready = context_.callbacks.is_ready();
+  EnterPhase(Phase::kServing);
+  WriteResponse(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11), nullptr);
+}
+
+void ClientConnection::DispatchRequest() {
+  ClientRequest request;
+  static_cast<RequestAttributes&>(request) = std::move(attributes_);
+  request.http = reader_.ReleaseRequest();
+  request.received_at = Now() - TimeInKernelQueues();
+  request.responder = ClientResponder(weak_from_this(), ++request_number_);
+  request_id_ = request.id;
+  class_name_ = request.class_name;
+  request_open_ = true;
+  const Millis request_started_at = request_started_at_;
+  EnterPhase(Phase::kServing);
+  request_started_at_ = request_started_at;
+  if (reader_.in_body()) {
+    request.remaining_body = shared_from_this();
+  } else {
+    BeginServing();
+  }
+  context_.callbacks.on_request(std::move(request));
+}
+
+void ClientConnection::OnStreamedBodyComplete() {
+  BeginServing();
+  context_.callbacks.on_request_complete(request_id_, Now());
+}
+
+// The request is complete.
+void ClientConnection::BeginServing() {
+  ++context_.active_requests;
+  counted_active_ = true;
+  WatchForDisconnect();
+}
+
+// Returns an upper bound on the time between the arrival of the last bytes and now.
+Millis ClientConnection::TimeInKernelQueues() {
+  if (const auto since_received = TimeSinceLastReceived(socket_.native_handle())) return *since_received;
+  return request_number_ == 0 ? accept_wait_ms_ : 0;
+}
+
+// --- Disconnects while a request is being served
+
+// Where more was read ahead than may be buffered, CheckTimeouts looks for a disconnect instead.
+void ClientConnection::WatchForDisconnect() {
+  watches_for_disconnect_ = reader_.CanReadAhead();
+  if (!watches_for_disconnect_) return;
+  const std::uint64_t wait_number = ++wait_number_;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), wait_number](error_code error) {
+    if (self->phase_ != Phase::kServing || self->wait_number_ != wait_number) return;
+    error || self->HasDisconnected() ? self->OnDisconnect() : self->WatchForDisconnect();
+  });
+}
+
+bool ClientConnection::HasDisconnected() {
+  if (phase_ != Phase::kServing) return phase_ == Phase::kClosed;
+  return reader_.DetectDisconnect();
+}
+
+// The client has disconnected, possibly before its request was complete.
+void ClientConnection::OnDisconnect() {
+  const bool was_serving = phase_ == Phase::kServing;
+  Close();
+  if (was_serving) context_.callbacks.on_disconnect(request_id_);
+}
+
+bool ClientConnection::DetectDisconnect(std::uint64_t request_number) {
+  if (request_number_ != request_number) return true;
+  if (!HasDisconnected()) return false;
+  asio::post(context_.io, [self = shared_from_this(), request_number] {
+    if (self->request_number_ == request_number && self->phase_ == Phase::kServing) self->OnDisconnect();
+  });
+  return true;
+}
+
+// --- Timeouts
+
+void ClientConnection::CheckTimeouts(Millis now) {
+  switch (phase_) {
+    case Phase::kReading: return CheckReadingTimeouts(now);
+    case Phase::kServing: return CheckServingTimeouts(now);
+    case Phase::kWriting:
+      if (writer_.TimedOut(now)) Close();
+      return;
+    case Phase::kLingering:
+      if (linger_.TimedOut(now)) Close();
+      return;
+    case Phase::kClosed: return;
+  }
+}
+
+void ClientConnection::CheckReadingTimeouts(Millis now) {
+  const bool begun = !IsBetweenRequests();
+  const bool first = request_number_ == 0;
+  // The time of a first request counts from the start of the connection; that of a later one from the last
+  // time at which nothing of it had arrived.
+  if (!begun && !first) request_started_at_ = now;
+  reader_.ObserveHeadProgress(now);
+  const bool slow =
+      reader_.in_body() ? reader_.BodyTimedOut(now) : now - request_started_at_ > kHeadTimeoutMs;
+  if (begun && slow) return RejectSlowRequest();
+  if (begun && context_.drain.RejectsIncompleteRequests(now)) {
+    return RejectAndClose({http::status::service_unavailable, "this gateway drains"});
+  }
+  if (context_.drain.ClosesIdleConnections(now) && IsSettled(now)) return Close();
+  const Millis idle_timeout_ms = first ? kFirstRequestTimeoutMs : kIdleTimeoutMs;
+  if (now - phase_entered_at_ > idle_timeout_ms && IsIdle()) Close();
+}
+
+void ClientConnection::CheckServingTimeouts(Millis now) {
+  if (reader_.in_body()) {
+    if (reader_.BodyTimedOut(now)) RejectSlowRequest();
+  } else if (!watches_for_disconnect_ && HasDisconnected()) {
+    OnDisconnect();
+  }
+}
+
+void ClientConnection::RejectSlowRequest() {
+  AbandonRequest();
+  RejectAndClose({http::status::request_timeout, "the request is not whole"});
+}
+
+// Ends a request that was dispatched before its body was complete.
+void ClientConnection::AbandonRequest() {
+  if (phase_ != Phase::kServing) return;
+  EnterPhase(Phase::kWriting);
+  reader_.Stop();
+  context_.callbacks.on_disconnect(request_id_);
+  EndRequest();
+  reader_.FailPendingPiece();
+}
+
+// --- Responses
+
+void ClientConnection::Respond(std::uint64_t request_number, HttpResponse response,
+                               std::shared_ptr<BodySource> remaining_body) {
+  if (request_number_ == request_number && phase_ == Phase::kServing) {
+    WriteResponse(std::move(response), std::move(remaining_body));
+  } else if (remaining_body) {
+    remaining_body->Cancel();
+  }
+}
+
+void ClientConnection::RejectAndClose(const RequestError& error, Millis retry_after_ms) {
+  keep_alive_ = false;
+  RespondWithError(error, retry_after_ms);
+}
+
+void ClientConnection::RespondWithError(const RequestError& error, Millis retry_after_ms) {
+  HttpResponse response(error.status, 11);
+  if (retry_after_ms > 0) response.set(http::field::retry_after, FormatSeconds(retry_after_ms));
+  response.set(http::field::content_type, "text/plain");
+  if (error.status == http::status::method_not_allowed) response.set(http::field::allow, "GET, POST");
+  response.body() = error.text + "\n";
+  WriteResponse(std::move(response), nullptr);
+}
+
+void ClientConnection::WriteResponse(HttpResponse response, std::shared_ptr<BodySource> remaining_body) {
+  EnterPhase(Phase::kWriting);
+  reader_.Stop();
+  writer_.Write(std::move(response), std::move(remaining_body), http_version_, KeepsAliveAfterResponse());
+}
+
+// During a drain, and while clients wait for a connection, the response closes this one: unless some of the
+// next request has arrived. A body that was not read to its end always closes the connection.
+bool ClientConnection::KeepsAliveAfterResponse() {
+  if (!keep_alive_ || reader_.in_body()) return false;
+  error_code ignored;
+  const bool has_next_request = reader_.has_unparsed_bytes() || socket_.available(ignored) > 0;
+  return has_next_request || !(context_.drain.active() || context_.owner.AtConnectionLimit());
+}
+
+void ClientConnection::OnResponseWritten(error_code error) {
+  const bool was_open = request_open_;
+  EndRequest();
+  if (was_open) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/!error);
+  writer_.Reset();
+  reader_.Reset();
+  if (error) return Close();
+  if (!writer_.keep_alive()) {
+    EnterPhase(Phase::kLingering);
+    return linger_.Start();
+  }
+  EnterPhase(Phase::kReading);
+  reading_request_ = reader_.has_unparsed_bytes();
+  if (!reading_request_) reader_.ShrinkBuffer();
+  if (context_.transfer && Transfer()) return;
+  // If the listener is closed, CheckTimeouts closes the connection once the response has had time to arrive.
+  AwaitRequest();
+}
+
+// The dispatched request, if there is one, has its response or never will.
+void ClientConnection::EndRequest() {
+  request_open_ = false;
+  if (std::exchange(counted_active_, false)) --context_.active_requests;
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/client/client_listener.hpp
@@ -0,0 +1,69 @@
+// Accepts clients' connections.
+#ifndef GATEWAY_PROXY_CLIENT_CLIENT_LISTENER_HPP_
+#define GATEWAY_PROXY_CLIENT_CLIENT_LISTENER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/system/error_code.hpp>
+#include <optional>
+
+#include "proxy/client/accept_queue.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/restart/handover.hpp"
+
+namespace gateway::proxy {
+
+// A listener that accepts one connection after the other, as long as there is room for them. Meanwhile
+// further clients wait in the kernel's accept queue. Runs on the event loop's thread.
+class ClientListener {
+ public:
+  class Delegate {
+   public:
+    // Returns whether another connection may be accepted. May close a connection for that, and thereby call
+    // Resume.
+    virtual bool MayAccept() = 0;
+    // A connection was accepted. LongestWait bounds how long it has waited.
+    virtual void OnAccepted(boost::asio::ip::tcp::socket socket) = 0;
+    // An accept has failed because no descriptor was available.
+    virtual void OnOutOfDescriptors() = 0;
+
+   protected:
+    ~Delegate() = default;
+  };
+
+  // Opens the listener: uses `inherited`, if it is an open listener, else listens at `address`, where other
+  // processes may listen too if `shared`. Throws ConfigError if the address is not available. Accepts nothing
+  // before Resume.
+  ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, bool shared,
+                 Descriptor inherited, Delegate& delegate);
+
+  // Accepts connections as long as the delegate allows; tries again after a while when it does not. To be
+  // called as well when room has become available.
+  void Resume();
+  // Accepts a connection that is pending now; nothing if there is none.
+  std::optional<boost::asio::ip::tcp::socket> AcceptPending();
+  void Close();
+
+  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+  // The protocol of clients' sockets.
+  boost::asio::ip::tcp protocol() const;
+  // The listening socket, which stays owned by this; -1 if it is closed.
+  int native_handle();
+  // Returns the longest time that a connection which is accepted now can have waited.
+  Millis LongestWait() const { return queue_delay_.LongestWait(Now()); }
+
+ private:
+  void OnAcceptEnd(boost::system::error_code error, boost::asio::ip::tcp::socket socket);
+  void ResumeAfter(Millis delay_ms);
+
+  boost::asio::ip::tcp::acceptor acceptor_;
+  boost::asio::steady_timer retry_timer_;
+  Delegate& delegate_;
+  AcceptQueueDelay queue_delay_;
+  bool accepting_ = false;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_CLIENT_CLIENT_LISTENER_HPP_
--- /dev/null
+++ b/src/proxy/client/connection_table.cpp
@@ -0,0 +1,59 @@
+#include "proxy/client/connection_table.hpp"
+
+#include <algorithm>
+
+namespace gateway::proxy {
+namespace {
+
+// An idle connection is evicted no sooner, so that its client can send its request.
+constexpr Millis kMinIdleTimeMs = 50;
+// A connection with an incomplete request is evicted after no shorter silence.
+constexpr Millis kMinStallTimeMs = 1000;
+// The time without a reclaimable connection after which new clients are shed.
+constexpr Millis kShedDelayMs = 300;
+// How many connections beyond the limit may exist at a time to be shed.
+constexpr std::size_t kMaxShedConnections = 8;
+
+}  // namespace
+
+std::vector<std::shared_ptr<ClientConnection>> ConnectionTable::Snapshot() const {
+  return {connections_.begin(), connections_.end()};
+}
+
+bool ConnectionTable::MakeRoom() {
+  const bool has_room = !AtLimit() || EvictOne();
+  if (has_room || HasReclaimable()) last_reclaimable_at_ = Now();
+  return has_room;
+}
+
+bool ConnectionTable::HasReclaimable() const {
+  return std::ranges::any_of(connections_,
+                             [](const auto& connection) { return connection->IsReclaimable(); });
+}
+
+bool ConnectionTable::EvictOne() {
+  const Millis now = Now();
+  std::shared_ptr<ClientConnection> longest_idle;
+  std::shared_ptr<ClientConnection> longest_stalled;
+  Millis idle_since = now - kMinIdleTimeMs;
+  Millis stalled_since = now - kMinStallTimeMs;
+  for (const auto& connection : connections_) {
+    if (connection->phase_entered_at() < idle_since && connection->IsIdle()) {
+      longest_idle = connection;
+      idle_since = connection->phase_entered_at();
+    }
+    if (connection->last_progress_at() < stalled_since && connection->IsRequestStalled()) {
+      longest_stalled = connection;
+      stalled_since = connection->last_progress_at();
+    }
+  }
+  const auto victim = longest_idle ? longest_idle : longest_stalled;
+  if (victim) victim->Close();
+  return victim != nullptr;
+}
+
+bool ConnectionTable::ShedsNewClients() const { return Now() - last_reclaimable_at_ >= kShedDelayMs; }
+
+bool ConnectionTable::HasRoomToShed() const { return connections_.size() < limit_ + kMaxShedConnections; }
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/client/drain_state.hpp
@@ -0,0 +1,40 @@
+// The rules by which clients' connections end while the gateway drains.
+#ifndef GATEWAY_PROXY_CLIENT_DRAIN_STATE_HPP_
+#define GATEWAY_PROXY_CLIENT_DRAIN_STATE_HPP_
+
+#include <optional>
+
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
+
+// The time into a drain by which the load balancer in front has stopped sending new requests.
+constexpr Millis kDrainIdleCloseDelayMs = 500;
+// The time into a drain after which requests that have begun and are still incomplete are rejected.
+constexpr Millis kDrainRequestTimeoutMs = 1700;
+
+// Whether, and since when, the gateway drains. Every response closes its connection during a drain; idle
+// connections are closed after a delay. A state machine without I/O; times are those of Now().
+class DrainState {
+ public:
+  // Begins a drain, unless one is under way.
+  void Begin(Millis now) {
+    if (!started_at_) started_at_ = now;
+  }
+  void End() { started_at_.reset(); }
+
+  bool active() const { return started_at_.has_value(); }
+  bool ClosesIdleConnections(Millis now) const {
+    return active() && now - *started_at_ > kDrainIdleCloseDelayMs;
+  }
+  bool RejectsIncompleteRequests(Millis now) const {
+    return active() && now - *started_at_ > kDrainRequestTimeoutMs;
+  }
+
+ private:
+  std::optional<Millis> started_at_;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_CLIENT_DRAIN_STATE_HPP_
--- /dev/null
+++ b/src/proxy/client/request_reader.hpp
@@ -0,0 +1,126 @@
+// Reads requests from a client's connection.
+#ifndef GATEWAY_PROXY_CLIENT_REQUEST_READER_HPP_
+#define GATEWAY_PROXY_CLIENT_REQUEST_READER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "proxy/body_source.hpp"
+#include "proxy/buffer_budget.hpp"
+#include "proxy/client/body_progress.hpp"
+#include "proxy/client/connection_part.hpp"
+#include "proxy/client/request_validation.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+
+namespace gateway::proxy {
+
+// Reads one request at a time: first its head; then its body, buffered as long as it is small and the budget
+// allows, else streamed piece by piece. Also reads ahead of the current request, which is the one way to see
+// that the client has closed the connection.
+class RequestReader {
+ public:
+  class Delegate : public ConnectionPartOwner {
+   public:
+    // The head is complete: request() returns it. The delegate calls ReadBody, or writes a response.
+    virtual void OnRequestHead() = 0;
+    // The body is complete, or what was read of it is not to be buffered any longer: in_body() tells which.
+    // The delegate takes the request with ReleaseRequest.
+    virtual void OnRequestBuffered() = 0;
+    // The last byte of a streamed body was read. The last piece is handed on afterwards.
+    virtual void OnStreamedBodyComplete() = 0;
+    // The request is malformed, or the connection has ended before it was complete.
+    virtual void OnReadError(boost::system::error_code error) = 0;
+
+   protected:
+    ~Delegate() = default;
+  };
+
+  // The socket and the delegate belong to the connection, and outlive this.
+  RequestReader(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, BufferBudget& budget,
+                Delegate& delegate);
+
+  // Begins to read the next request.
+  void ReadHead();
+  // Reads the body of the request whose head is complete. `request_started_at` is a time not after the
+  // request's first byte.
+  void ReadBody(Millis request_started_at);
+  // Streams the body, see BodySource::ReadNext. Only while the request is incomplete.
+  void ReadNextPiece(BodySource::PieceHandler handler);
+  // Ends the notifications until the next call to ReadHead. A pending piece handler stays pending.
+  void Stop() { stopped_ = true; }
+  // Calls a pending piece handler with an error, after this returns.
+  void FailPendingPiece();
+
+  // The head, and what was buffered of the body.
+  const HttpRequest& request() const { return request_; }
+  HttpRequest ReleaseRequest() { return std::exchange(request_, {}); }
+  RequestFraming framing() const;
+  // Whether the client wants its connection to go on behind this request.
+  bool keep_alive() const { return parser_->keep_alive(); }
+  // Whether all of the request has been parsed.
+  bool done() const { return parser_->is_done(); }
+  // Whether the head has been read, and the body not to its end.
+  bool in_body() const { return in_body_; }
+  // Whether some of the current body was requested by ReadNextPiece.
+  bool streaming_started() const { return streaming_started_; }
+  // Whether bytes behind the current request, or of the next one, have been read.
+  bool has_unparsed_bytes() const { return buffer_.size() > 0; }
+
+  // Returns whether more may be read ahead of the current request.
+  bool CanReadAhead() const;
+  // Returns whether the client has closed its side or the connection has failed, by asking the socket. Reads
+  // ahead of the request as far as its body is complete.
+  bool DetectDisconnect();
+
+  // Returns whether the client is too slow with the body.
+  bool BodyTimedOut(Millis now) const { return progress_.TimedOut(now); }
+  // Records whether more of a head has arrived since the last call. Called at regular intervals.
+  void ObserveHeadProgress(Millis now);
+  // The last time at which the client was seen to make progress with the current request.
+  Millis last_progress_at() const { return in_body_ ? progress_.wait_started_at() : head_progress_at_; }
+
+  // Drops the request and the accounting of its memory.
+  void Reset();
+  // Frees the memory of an empty buffer, for a connection that becomes idle.
+  void ShrinkBuffer() { buffer_.shrink_to_fit(); }
+  void ReleaseCharge() { charge_.Set(0); }
+
+ private:
+  void SendContinue();
+  void ReadPiece();
+  void OnPiece(boost::system::error_code error, std::size_t received_bytes);
+  void StreamPiece(std::size_t received_bytes, bool last);
+  void BufferPiece(std::size_t received_bytes, bool last);
+
+  boost::asio::io_context& io_;
+  boost::asio::ip::tcp::socket& socket_;
+  BufferCharge charge_;  // for the buffered part of the body
+  Delegate& delegate_;
+  boost::beast::flat_buffer buffer_;  // bytes that are not parsed yet
+  std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
+  HttpRequest request_;
+  std::vector<char> piece_;
+  BodySource::PieceHandler piece_handler_;  // of the pending ReadNextPiece; empty if there is none
+  BodyProgress progress_;
+  bool stopped_ = false;
+  bool in_body_ = false;
+  bool streaming_started_ = false;
+  std::size_t observed_bytes_ = 0;  // size of the buffer at the last ObserveHeadProgress
+  Millis head_progress_at_ = 0;
+};
+
+// Returns whether a read error means that a message violates HTTP, as opposed to a connection that has ended.
+bool IsProtocolViolation(boost::system::error_code error);
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_CLIENT_REQUEST_READER_HPP_
--- /dev/null
+++ b/src/proxy/client/request_validation.hpp
@@ -0,0 +1,64 @@
+// Validates a client's request head against HTTP's framing rules, the platform's protocol and the settings.
+#ifndef GATEWAY_PROXY_CLIENT_REQUEST_VALIDATION_HPP_
+#define GATEWAY_PROXY_CLIENT_REQUEST_VALIDATION_HPP_
+
+#include <boost/beast/http/status.hpp>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+
+#include "gateway/policy.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+
+namespace gateway::proxy {
+
+// Why a request is rejected: the status and the text of the response.
+struct RequestError {
+  boost::beast::http::status status;
+  std::string text;
+};
+
+// What the platform's header fields say of a request.
+struct RequestAttributes {
+  std::string id;
+  std::string class_name;    // of the traffic class
+  std::string tenant;        // empty if there is none
+  std::string affinity_key;  // empty if there is none
+  Millis time_allowed = 0;   // how long the client waits, from when it sent the request
+};
+
+// How the parser understood the framing of a request's body.
+struct RequestFraming {
+  bool chunked = false;
+  std::uint64_t content_length = 0;  // bytes; 0 where none is stated
+};
+
+// Returns whether the request asks if this process accepts clients (GET /up).
+bool IsReadinessCheck(const HttpRequest& head);
+
+// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, cut to
+// ten minutes; nothing if the text is malformed or negative.
+std::optional<Millis> ParseDeadline(std::string_view text);
+
+// Rejects what two recipients could frame differently (request smuggling), and what cannot be forwarded.
+std::optional<RequestError> ValidateFraming(const HttpRequest& head, const RequestFraming& framing);
+
+// The rules that depend on the settings. Immutable.
+class RequestValidator {
+ public:
+  explicit RequestValidator(const policy::Settings& settings);
+
+  // Reads the platform's header fields into `attributes`. Returns an error if the path, the method or one of
+  // the fields is invalid; `attributes` is then filled in as far as the fields were valid.
+  std::optional<RequestError> Validate(const HttpRequest& head, RequestAttributes& attributes) const;
+
+ private:
+  std::unordered_map<std::string, policy::Idempotency> idempotency_by_class_;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_CLIENT_REQUEST_VALIDATION_HPP_
--- /dev/null
+++ b/src/proxy/client/response_writer.cpp
@@ -0,0 +1,105 @@
+#include "proxy/client/response_writer.hpp"
+
+#include <boost/asio/write.hpp>
+#include <boost/beast/http/write.hpp>
+#include <cstddef>
+#include <utility>
+
+#include "proxy/body_framing.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+// The time in which the client must have made room for what was written.
+constexpr Millis kWriteTimeoutMs = 10000;
+
+}  // namespace
+
+void ResponseWriter::Write(HttpResponse response, std::shared_ptr<BodySource> remaining_body,
+                           unsigned version, bool keep_alive) {
+  active_ = true;
+  response_ = std::move(response);
+  response_.version(version);
+  remaining_body_ = std::move(remaining_body);
+  keep_alive_ = keep_alive;
+  remaining_body_ ? WriteHead() : WriteBuffered();
+}
+
+void ResponseWriter::Stop() {
+  active_ = false;
+  if (remaining_body_) std::exchange(remaining_body_, nullptr)->Cancel();
+}
+
+bool ResponseWriter::TimedOut(Millis now) const {
+  return write_pending_ && now - write_started_at_ > kWriteTimeoutMs;
+}
+
+void ResponseWriter::WriteBuffered() {
+  response_.keep_alive(keep_alive_);
+  response_.prepare_payload();
+  write_pending_ = true;
+  write_started_at_ = Now();
+  http::async_write(socket_, response_,
+                    [this, connection = delegate_.KeepAlive()](error_code error, std::size_t) {
+                      if (active_) Finish(error);
+                    });
+}
+
+// Writes the head with what there is of the body.
+void ResponseWriter::WriteHead() {
+  chunked_ = !response_.has_content_length() && response_.version() >= 11;
+  ends_by_close_ = !response_.has_content_length() && !chunked_;
+  if (chunked_) response_.chunked(true);
+  if (ends_by_close_) keep_alive_ = false;
+  response_.keep_alive(keep_alive_);
+  frame_ = SerializeHead(response_);
+  WritePiece(response_.body(), /*last=*/false);
+}
+
+void ResponseWriter::WritePiece(std::string_view piece, bool last) {
+  write_pending_ = true;
+  write_started_at_ = Now();
+  const FramedPiece framed = FrameBodyPiece(frame_, piece, last, chunked_);
+  asio::async_write(socket_, framed,
+                    [this, last, connection = delegate_.KeepAlive()](error_code error, std::size_t) {
+                      if (active_) OnPieceWritten(error, last);
+                    });
+}
+
+void ResponseWriter::OnPieceWritten(error_code error, bool last) {
+  write_pending_ = false;
+  frame_.clear();
+  response_.body().clear();
+  if (error) return delegate_.OnResponseAborted();
+  last ? Finish(error) : ReadNextPiece();
+}
+
+void ResponseWriter::ReadNextPiece() {
+  remaining_body_->ReadNext(
+      [this, connection = delegate_.KeepAlive()](const error_code& error, std::string_view piece, bool last) {
+        if (!active_) return;
+        error ? Abort() : WritePiece(piece, last);
+      });
+}
+
+void ResponseWriter::Finish(error_code error) {
+  active_ = false;
+  write_pending_ = false;
+  remaining_body_.reset();
+  delegate_.OnResponseWritten(error);
+}
+
+// The source has failed. Where only the end of the connection delimits the body, the connection is reset: an
+// orderly close would make the response look complete.
+void ResponseWriter::Abort() {
+  error_code ignored;
+  if (ends_by_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+  remaining_body_.reset();
+  delegate_.OnResponseAborted();
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/client/response_writer.hpp
@@ -0,0 +1,80 @@
+// Writes responses on a client's connection.
+#ifndef GATEWAY_PROXY_CLIENT_RESPONSE_WRITER_HPP_
+#define GATEWAY_PROXY_CLIENT_RESPONSE_WRITER_HPP_
+
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/system/error_code.hpp>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "proxy/body_source.hpp"
+#include "proxy/client/connection_part.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+
+namespace gateway::proxy {
+
+// Writes one response at a time: in one go if its body is complete, else piece by piece as its source
+// delivers them.
+class ResponseWriter {
+ public:
+  class Delegate : public ConnectionPartOwner {
+   public:
+    // The last byte was handed to the kernel, or the write has failed.
+    virtual void OnResponseWritten(boost::system::error_code error) = 0;
+    // A piece of a streamed response could not be written, or its source has failed. The client can tell that
+    // the response is incomplete once the delegate closes the socket.
+    virtual void OnResponseAborted() = 0;
+
+   protected:
+    ~Delegate() = default;
+  };
+
+  // The socket and the delegate belong to the connection, and outlive this.
+  ResponseWriter(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
+      : socket_(socket), delegate_(delegate) {}
+
+  // Starts to write a response with the HTTP version of its request (10 or 11). `remaining_body` is the part
+  // of the body that follows what `response` contains, or null. `keep_alive` says whether the connection may
+  // go on afterwards. Calls one of the delegate's methods once, never before this returns, unless stopped.
+  void Write(HttpResponse response, std::shared_ptr<BodySource> remaining_body, unsigned version,
+             bool keep_alive);
+  // Ends the notifications, and cancels the remaining body if there is one.
+  void Stop();
+
+  // Returns whether the connection may go on behind the response being written. False where the end of the
+  // connection is what delimits the body.
+  bool keep_alive() const { return keep_alive_; }
+  // The status of the current response.
+  unsigned status() const { return response_.result_int(); }
+  // Returns whether the client has not read for too long.
+  bool TimedOut(Millis now) const;
+  // Frees the memory of the response that was written.
+  void Reset() { response_ = {}; }
+
+ private:
+  void WriteBuffered();
+  void WriteHead();
+  void WritePiece(std::string_view piece, bool last);
+  void OnPieceWritten(boost::system::error_code error, bool last);
+  void ReadNextPiece();
+  void Finish(boost::system::error_code error);
+  void Abort();
+
+  boost::asio::ip::tcp::socket& socket_;
+  Delegate& delegate_;
+  HttpResponse response_;
+  std::shared_ptr<BodySource> remaining_body_;
+  std::string frame_;            // what precedes the piece being written
+  bool active_ = false;          // a response is being written
+  bool write_pending_ = false;   // the kernel has not taken what was written yet
+  Millis write_started_at_ = 0;  // of the last write
+  bool keep_alive_ = true;       // the connection may go on behind the response
+  bool chunked_ = false;         // the body has chunked coding
+  bool ends_by_close_ = false;   // neither length nor coding delimits the body
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_CLIENT_RESPONSE_WRITER_HPP_
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -12,7 +12,7 @@
 
 #include "base/log.hpp"
 #include "proxy/clock.hpp"
-#include "proxy/listen.hpp"
+#include "proxy/listener.hpp"
 
 namespace gateway::proxy {
 namespace {
@@ -128,23 +128,27 @@
       counting_(io),
       replacement_(
           io, config.handover, std::move(inheritance.link),
-          !config.handover.empty() && !inheritance.listener && IsTaken(config.listen),
+          !config.handover.empty() && !inheritance.listener && IsAddressInUse(config.listen),
           {[this] { return Ready(); }, [this] { return stopping_; }, [this] { return clients_.listener(); },
            [this] { return Leave(); }, [this](double factor) { policy_.ScaleToShare(factor); },
            [this](bool half) { SetPlaces(half); },
-           [this](Descriptor client) { clients_.Adopt(std::move(client)); }}),
+           [this](Descriptor client) { clients_.AcceptTransferredConnection(std::move(client)); }}),
       keep_(io),
       list_old_after_(config.list_old_after),
       started_at_(Now()),
-      clients_(io, config.listen, !config.handover.empty(), std::move(inheritance.listener), most_clients_,
-               config.settings, config.memory / 4,
-               {[this] { return Ready() || (stopping_ && !draining_ && replacement_.Succeeded()); },
-                [this](ClientRequest request) { Take(std::move(request)); },
-                [this](const std::string& id, Millis at) { Whole(id, at); },
-                [this](const std::string& id) { Gone(id); },
-                [this](const std::string& class_name, unsigned status, bool whole) {
-                  metrics_.Answered(class_name, status, whole);
-                }}) {
+      clients_(
+          io,
+          {.address = config.listen,
+           .shared = !config.handover.empty(),
+           .connection_limit = most_clients_,
+           .body_budget_bytes = config.memory / 4},
+          std::move(inheritance.listener), config.settings,
+          {.is_ready = [this] { return Ready() || (stopping_ && !draining_ && replacement_.Succeeded()); },
+           .on_request = [this](ClientRequest request) { Take(std::move(request)); },
+           .on_request_complete = [this](const std::string& id, Millis at) { Whole(id, at); },
+           .on_disconnect = [this](const std::string& id) { Gone(id); },
+           .on_response_end = [this](const std::string& class_name, unsigned status,
+                                     bool complete) { metrics_.Answered(class_name, status, complete); }}) {
   if (config.management) {
     const std::size_t callers = std::max<std::size_t>(2, std::min(kMostCallers, config.sockets / 16));
     management_.emplace(io, *config.management, callers,
@@ -203,22 +207,21 @@
   if (active_requests_.contains(request.id)) {  // two answers for one id could not be told apart
     HttpResponse response(http::status::conflict, 11);
     response.body() = "Req-Id is in use\n";
-    return request.answer(std::move(response), nullptr);
+    return request.responder.Respond(std::move(response), nullptr);
   }
   ActiveRequest& active = active_requests_.try_emplace(request.id, io_).first->second;
   active.http = std::make_shared<const HttpRequest>(std::move(request.http));
-  active.answer = std::move(request.answer);
-  active.left = std::move(request.left);
-  active.rest = std::move(request.rest);
+  active.responder = std::move(request.responder);
+  active.rest = std::move(request.remaining_body);
   active.whole = active.rest == nullptr;
-  active.allowed = request.allowed;
+  active.allowed = request.time_allowed;
   active.class_name = request.class_name;
-  active.received = request.received;
-  const Millis gives_up = request.received + request.allowed;
+  active.received = request.received_at;
+  const Millis gives_up = request.received_at + request.time_allowed;
   active.leaves_at = gives_up - kMargin;
   if (active.whole) SetDeadline(request.id, active, gives_up);
-  Report(
-      policy::Request{request.id, request.class_name, request.tenant, request.key, active.leaves_at - Now()});
+  Report(policy::Request{request.id, request.class_name, request.tenant, request.affinity_key,
+                         active.leaves_at - Now()});
   if (ActiveRequest* const held = Find(request.id)) held->direct = false;
 }
 
@@ -269,7 +272,7 @@
 
 void Gateway::SetDraining(bool on) {
   draining_ = on;
-  clients_.Drain(on);
+  clients_.SetDraining(on);
   KeepLater(0);
 }
 
@@ -296,7 +299,7 @@
   const auto report = response["Srv-Load"];
   // Before the request was whole the host had nothing to work on.
   const Millis latency = active->whole ? Now() - ended.sent : 0;
-  const bool held = !active->rest || !active->rest->begun();
+  const bool held = !active->rest || !active->rest->started();
   policy::AttemptOutcome outcome{id,
                                  static_cast<int>(attempt),
                                  ended.host,
@@ -320,7 +323,7 @@
                     std::shared_ptr<BodySource> rest) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || active->answered) {
-    asio::post(io_, [rest] { rest->Drop(); });
+    asio::post(io_, [rest] { rest->Cancel(); });
     return;
   }
   StripHopByHop(response);
@@ -351,7 +354,7 @@
 bool Gateway::Awaited(const std::string& id) {
   const ActiveRequest* const active = Find(id);
   if (active == nullptr || active->answered) return false;
-  if (!active->left()) return true;
+  if (!active->responder.ClientDisconnected()) return true;
   Gone(id);
   return false;
 }
@@ -373,7 +376,7 @@
 std::string Gateway::Manage(const std::string& call) {
   if (call == "vars") {
     std::string figures =
-        metrics_.ToJson(clients_.active(), list_.hosts().size(), policy_.EjectedEndpoints());
+        metrics_.ToJson(clients_.active_requests(), list_.hosts().size(), policy_.EjectedEndpoints());
     // With no folder for states all is as before.
     if (keeper_)
       figures.insert(figures.size() - 1,
@@ -384,13 +387,14 @@
     const UpstreamPool::Counts& c = hosts_.counts();
     const auto number = [](auto value) { return static_cast<double>(value); };
     return metrics_.ToPrometheus(
-               {{"active_requests", "gauge", "Requests taken and not ended", number(clients_.active())},
+               {{"active_requests", "gauge", "Requests taken and not ended",
+                 number(clients_.active_requests())},
                 {"hosts_listed", "gauge", "Hosts in the list", number(list_.hosts().size())},
                 {"hosts_avoided", "gauge", "Listed hosts that get no more than trials",
                  number(policy_.EjectedEndpoints())},
                 {"list_revision", "gauge", "Revision of the list in force", number(list_.revision())},
                 {"ready", "gauge", "1 while this process takes clients", Ready() ? 1.0 : 0.0},
-                {"client_connections", "gauge", "Connections from clients", number(clients_.sessions())},
+                {"client_connections", "gauge", "Connections from clients", number(clients_.connections())},
                 {"host_connections", "gauge", "Connections to hosts", number(hosts_.connections())},
                 {"dials_total", "counter", "Connections dialled to hosts", number(c.dialled)},
                 {"reuses_total", "counter", "Attempts on a connection that was open", number(c.reused)},
@@ -450,7 +454,7 @@
       base::Level::kInfo, "sockets", "counts",
       Words("sockets: hosts %zu clients %zu left %d | dialled %llu reused %llu stale %llu unusable %llu "
             "reset new %llu reused %llu",
-            hosts_.connections(), clients_.sessions(), std::exchange(gone_, 0),
+            hosts_.connections(), clients_.connections(), std::exchange(gone_, 0),
             since(now.dialled, was.dialled), since(now.reused, was.reused), since(now.stale, was.stale),
             since(now.unusable, was.unusable), since(now.reset_new, was.reset_new),
             since(now.reset_reused, was.reset_reused)));
@@ -486,7 +490,7 @@
   const Millis now = Now();
   // A request that is over, or one attempt too many, is never sent, whatever was decided a moment ago.
   if (!awaited || static_cast<int>(active->attempts.size()) >= settings_.max_attempts ||
-      (active->rest && active->rest->begun())) {
+      (active->rest && active->rest->started())) {
     const int attempt = active == nullptr ? 0 : static_cast<int>(active->attempts.size());
     if (active != nullptr) active->attempts.push_back({send.endpoint, now, 0, 0, false});
     return Report(policy::AttemptOutcome{
@@ -528,7 +532,7 @@
   if (active == nullptr) return;
   if (active->attempts.empty()) Handled(*active, Now(), false);
   HttpResponse response(http::status::service_unavailable, 11);
-  response.set(http::field::retry_after, Seconds(refuse.retry_after));
+  response.set(http::field::retry_after, FormatSeconds(refuse.retry_after));
   Answer(*active, std::move(response));
   Settle(refuse.request);
 }
@@ -569,7 +573,7 @@
   if (std::exchange(active.answered, true)) return;
   active.overdue.cancel();
   metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received);
-  std::exchange(active.answer, nullptr)(std::move(response), std::move(rest));
+  active.responder.Respond(std::move(response), std::move(rest));
 }
 
 void Gateway::Settle(const std::string& id) {
@@ -583,7 +587,7 @@
 
 // While another process runs beside this one each keeps to a part.
 void Gateway::SetPlaces(bool half) {
-  clients_.SetMost(half ? std::max<std::size_t>(1, most_clients_ / 2) : most_clients_);
+  clients_.SetConnectionLimit(half ? std::max<std::size_t>(1, most_clients_ / 2) : most_clients_);
   hosts_.SetMost(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
 }
 
@@ -592,7 +596,7 @@
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
   if (replacement_.Succeeded()) return LeaveTo(std::move(done));
-  clients_.Drain(true);
+  clients_.SetDraining(true);
   stop_.expires_after(Span(kAcceptFor));
   stop_.async_wait([this, done = std::move(done)](error_code) {
     clients_.StopListening(done);
@@ -603,8 +607,8 @@
 // Another process accepts from the same queue already: it is given what rests, and the rest is finished here.
 void Gateway::LeaveTo(std::function<void()> done) {
   replacement_.Leave();
-  clients_.GiveAway([this](Descriptor client) { return replacement_.Give(std::move(client)); },
-                    [this, done] { replacement_.Flushed(done); });
+  clients_.TransferConnections([this](Descriptor client) { return replacement_.Give(std::move(client)); },
+                               [this, done] { replacement_.Flushed(done); });
   FinishBy(kAnswerAll, done);
 }
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -59,11 +59,10 @@
     std::shared_ptr<BodySource> rest;  // of the request, where it was not whole when it was taken
     bool whole = true;                 // its last byte is there
     std::string class_name;
-    Millis received = 0;         // when its last byte came, or what was held of a long one
-    bool direct = true;          // sent or refused by the very call that took it
-    Millis allowed = 0;          // from then on
-    std::function<bool()> left;  // whether its client has, by the socket
-    std::function<void(HttpResponse, std::shared_ptr<BodySource>)> answer;
+    Millis received = 0;  // when its last byte came, or what was held of a long one
+    bool direct = true;   // sent or refused by the very call that took it
+    Millis allowed = 0;   // from then on
+    ClientResponder responder;
     Millis leaves_at = 0;  // by then the policy's answer must be under way
     bool answered = false;
     std::vector<Attempt> attempts;
--- a/src/proxy/http_types.hpp
+++ b/src/proxy/http_types.hpp
@@ -1,4 +1,4 @@
-// The messages that clients, gateway and hosts exchange, and what they have in common.
+// The HTTP message types that both sides of the proxy use, their size limits, and small helpers on them.
 #ifndef GATEWAY_PROXY_HTTP_TYPES_HPP_
 #define GATEWAY_PROXY_HTTP_TYPES_HPP_
 
@@ -15,11 +15,15 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-constexpr std::uint64_t kMostBody = 32 * 1024 * 1024;
-constexpr std::size_t kMostHeld = 64 * 1024;  // of a body, whole: what is longer passes through in pieces
-constexpr std::uint32_t kMostHeader = 16 * 1024;
+// A message with a longer body is rejected.
+constexpr std::uint64_t kMaxBodyBytes = 32 * 1024 * 1024;
+// A body of up to this size is buffered until it is complete; a longer one is streamed.
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;
+// A message with a longer head is rejected.
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
-// Takes out what concerns one connection alone, and so must not be passed on. Framing is set anew.
+// Removes the header fields that concern one connection alone (RFC 9110, section 7.6.1). The framing fields
+// are set again when the message is written.
 template <typename Message>
 void StripHopByHop(Message& message) {
   using boost::beast::http::field;
@@ -29,18 +33,18 @@
   }
 }
 
-// A message's first line and fields, with the empty line behind them.
+// Returns a message's start line and header fields with the empty line that ends them.
 template <typename Message>
-std::string HeadText(const Message& message) {
+std::string SerializeHead(const Message& message) {
   std::ostringstream text;
   text << message.base();
   return text.str();
 }
 
-// As in Retry-After.
-inline std::string Seconds(double ms) {
+// Formats a duration in milliseconds as seconds with three decimals, for a Retry-After field.
+inline std::string FormatSeconds(double duration_ms) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", ms / 1000);
+  std::snprintf(text, sizeof text, "%.3f", duration_ms / 1000);
   return text;
 }
 
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -120,16 +120,16 @@
   }
 
   // The answer's next piece.
-  void Next(Taken taken) override {
+  void ReadNext(PieceHandler taken) override {
     taken_ = std::move(taken);
     if (!job_ || !passing_) return Break();
     Arm(Now() + kStill);
     ReadPiece();
   }
-  void Drop() override {
+  void Cancel() override {
     if (job_ && passing_) End(policy::AttemptResult::kCancelled);
   }
-  bool begun() const override { return passing_; }
+  bool started() const override { return passing_; }
 
  private:
   void Take(Job job) {
@@ -212,7 +212,7 @@
     const bool sized = outgoing_.has_content_length();
     if (!sized) outgoing_.chunked(true);
     Arm(std::min(job_->order.deadline, Now() + kHostStill));
-    const auto head = std::make_shared<std::string>(HeadText(outgoing_));
+    const auto head = std::make_shared<std::string>(SerializeHead(outgoing_));
     if (!sized && !held->body().empty()) *head += ChunkHead(held->body().size());
     const std::array<asio::const_buffer, 3> parts = {
         asio::buffer(*head), asio::buffer(held->body()),
@@ -230,7 +230,7 @@
 
   void Pull() {
     Arm(job_->order.deadline);  // the client is watched by who reads from it
-    job_->order.rest->Next([self = shared_from_this(), attempt = job_->attempt](
+    job_->order.rest->ReadNext([self = shared_from_this(), attempt = job_->attempt](
                                const error_code& ec, std::string_view piece, bool last) {
       if (!self->job_ || self->job_->attempt != attempt || !self->open_) return;
       if (ec) return self->End(policy::AttemptResult::kCancelled);  // the client has not sent it all
@@ -298,8 +298,8 @@
 
   void Read() {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
-    parser_->header_limit(kMostHeader);
+    parser_->body_limit(kMaxBodyBytes);
+    parser_->header_limit(kMaxHeaderBytes);
     // The head first: where Boost 1.74 reads head and body in one go, it lets a Content-Length over the limit
     // pass, and reads on.
     http::async_read_header(socket_, buffer_, *parser_,
@@ -319,13 +319,13 @@
       return Read();
     }
     if (!written_) return TooEarly(ec);
-    if (!ec && parser_->content_length().value_or(0) > kMostBody) ec = http::error::body_limit;
+    if (!ec && parser_->content_length().value_or(0) > kMaxBodyBytes) ec = http::error::body_limit;
     if (ec) return Broken(ec);
     head_at_ = Now();
     answer_ = {};
     answer_.base() = head.base();
     const bool served = head.result() == http::status::ok;
-    if (served && parser_->content_length().value_or(0) > kMostHeld) return Pass();
+    if (served && parser_->content_length().value_or(0) > kMaxBufferedBodyBytes) return Pass();
     ReadPiece();
   }
 
@@ -346,8 +346,8 @@
 
   void ReadPiece() {
     if (parser_->is_done()) return GotPiece({}, 0);
-    piece_.resize(kPiece);
-    buffer_.reserve(passing_ ? kPiece : kPiece / 4);  // else it reads half a KiB at a time
+    piece_.resize(kBodyPieceBytes);
+    buffer_.reserve(passing_ ? kBodyPieceBytes : kBodyPieceBytes / 4);  // else it reads half a KiB at a time
     auto& body = parser_->get().body();
     body.data = piece_.data();
     body.size = piece_.size();
@@ -355,7 +355,7 @@
                           [self = shared_from_this(), attempt = job_->attempt](error_code ec, std::size_t) {
                             if (!self->open_ || !self->job_ || self->job_->attempt != attempt) return;
                             if (ec == http::error::need_buffer) ec = {};
-                            self->GotPiece(ec, kPiece - self->parser_->get().body().size);
+                            self->GotPiece(ec, kBodyPieceBytes - self->parser_->get().body().size);
                           });
   }
 
@@ -367,7 +367,7 @@
     if (last) return Answered();
     Hold(answer_.body().size());
     // An answer of no stated length may turn out a long one, whose first bytes count.
-    const bool long_one = answer_.body().size() > kMostHeld || pool_.held_ > pool_.limits_.held ||
+    const bool long_one = answer_.body().size() > kMaxBufferedBodyBytes || pool_.held_ > pool_.limits_.held ||
                           (!parser_->content_length() && Now() - head_at_ > kHoldUnsized);
     if (!long_one) return ReadPiece();
     if (answer_.result() == http::status::ok) return Pass();
@@ -439,11 +439,11 @@
   tcp::socket socket_;
   asio::steady_timer timer_;
   Millis due_ = 0;
-  boost::beast::flat_buffer buffer_{2 * kMostHeader};  // unparsed bytes: a header, or the head of a chunk
+  boost::beast::flat_buffer buffer_{2 * kMaxHeaderBytes};  // unparsed bytes: a header, or the head of a chunk
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::vector<char> piece_;
   HttpResponse answer_;  // as far as it is held
-  Taken taken_;          // who waits for a piece of it
+  PieceHandler taken_;          // who waits for a piece of it
   Millis head_at_ = 0;
   std::size_t held_ = 0;
   HttpRequest outgoing_;
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "gateway/policy.hpp"
-#include "proxy/body.hpp"
+#include "proxy/body_source.hpp"
 #include "proxy/clock.hpp"
 #include "proxy/discovery/discovery.hpp"
 #include "proxy/http_types.hpp"
--- a/tests/proxy/arrival_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -1,5 +1,5 @@
 // The time that a request spends in the system's queues before the gateway reads it: its client counts it.
-#include "proxy/client/arrival.hpp"
+#include "proxy/client/accept_queue.hpp"
 
 #include <gtest/gtest.h>
 
@@ -116,15 +116,15 @@
 
 // Guards systems that don't tell when data came: without a connection, or of another kind.
 TEST(Arrival, IsUnknownWhereTheSystemDoesNotTell) {
-  EXPECT_EQ(proxy::SinceLastReceived(-1), std::nullopt);
+  EXPECT_EQ(proxy::TimeSinceLastReceived(-1), std::nullopt);
   asio::io_context io;
   asio::ip::udp::socket other(io, asio::ip::udp::v4());
-  EXPECT_EQ(proxy::SinceLastReceived(other.native_handle()), std::nullopt);
+  EXPECT_EQ(proxy::TimeSinceLastReceived(other.native_handle()), std::nullopt);
 }
 
 // Guards the bound that stands in there: a queue is as old as the last moment at which it was empty.
-TEST(AcceptQueue, BoundsTheWaitByWhenItWasLastEmpty) {
-  proxy::AcceptQueue queue;
+TEST(AcceptQueueDelay, BoundsTheWaitByWhenItWasLastEmpty) {
+  proxy::AcceptQueueDelay queue;
   EXPECT_EQ(queue.LongestWait(1000), 0);
   queue.Observe(1000, true);
   queue.Observe(1200, true);
@@ -135,15 +135,15 @@
   EXPECT_EQ(queue.LongestWait(1900), 100);
 }
 
-TEST(AcceptQueue, IsSeenOnTheListener) {
+TEST(AcceptQueueDelay, IsSeenOnTheListener) {
   asio::io_context io;
   tcp::acceptor listener(io, Loopback());
-  EXPECT_FALSE(proxy::HasPending(listener.native_handle()));
+  EXPECT_FALSE(proxy::HasPendingConnections(listener.native_handle()));
   tcp::socket client(io);
   client.connect(listener.local_endpoint());
-  EXPECT_TRUE(proxy::HasPending(listener.native_handle()));
+  EXPECT_TRUE(proxy::HasPendingConnections(listener.native_handle()));
   listener.accept();
-  EXPECT_FALSE(proxy::HasPending(listener.native_handle()));
+  EXPECT_FALSE(proxy::HasPendingConnections(listener.native_handle()));
 }
 
 }  // namespace
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -73,21 +73,23 @@
 // The clients' side of a gateway; each request is answered at once, unless the test does that.
 struct Server {
   explicit Server(asio::io_context& io)
-      : clients(io, Loopback(), /*shared=*/false, Descriptor(), /*most_sessions=*/100, OneClass(),
-                /*most_held=*/1 << 20,
-                {[] { return true; },
-                 [this](ClientRequest request) {
-                   taken.push_back(request.id);
-                   if (serve) return serve(std::move(request));
-                   HttpResponse response(http::status::ok, 11);
-                   response.body() = "answer to " + request.id;
-                   request.answer(std::move(response), nullptr);
-                 },
-                 [](const std::string&, Millis) {}, [](const std::string&) {},
-                 [this](const std::string&, unsigned, bool) { ++answered; }}) {}
+      : clients(io, {.address = Loopback(), .connection_limit = 100, .body_budget_bytes = 1 << 20},
+                Descriptor(), OneClass(),
+                {.is_ready = [] { return true; },
+                 .on_request =
+                     [this](ClientRequest request) {
+                       received.push_back(request.id);
+                       if (serve) return serve(std::move(request));
+                       HttpResponse response(http::status::ok, 11);
+                       response.body() = "answer to " + request.id;
+                       request.responder.Respond(std::move(response), nullptr);
+                     },
+                 .on_request_complete = [](const std::string&, Millis) {},
+                 .on_disconnect = [](const std::string&) {},
+                 .on_response_end = [this](const std::string&, unsigned, bool) { ++answered; }}) {}
 
   std::function<void(ClientRequest)> serve;
-  std::vector<std::string> taken;  // ids
+  std::vector<std::string> received;  // ids of requests
   int answered = 0;
   ClientServer clients;
 };
@@ -193,10 +195,10 @@
     switch (cause_) {
       case Cause::kIdle: return;  // the sweep comes
       case Cause::kEvicted:
-        server_.clients.SetMost(1);
+        server_.clients.SetConnectionLimit(1);
         other_.emplace(io_, server_.clients.address());
         return;
-      case Cause::kDrained: return server_.clients.Drain(true);
+      case Cause::kDrained: return server_.clients.SetDraining(true);
       case Cause::kStopped:
         // Those that were answered a moment ago are not closed at once.
         Rest();
@@ -209,14 +211,14 @@
     ASSERT_TRUE(RunUntil(io_, [&] { return std::chrono::steady_clock::now() > until; }));
   }
 
-  long TimesTaken() const { return std::ranges::count(server_.taken, "crossing"); }
+  long TimesReceived() const { return std::ranges::count(server_.received, "crossing"); }
 
   // What was there before the look keeps the connection open, and is answered on it.
   void ExpectServed() {
     client_.Write(kRequest().substr(now_.size()));
     ASSERT_TRUE(client_.ReadUntil("answer to crossing")) << client_.text();
     EXPECT_EQ(Answers(client_.text()), cause_ == Cause::kIdle ? 1u : 2u);
-    EXPECT_EQ(TimesTaken(), 1);
+    EXPECT_EQ(TimesReceived(), 1);
     const bool last = client_.text().find("Connection: close") != std::string::npos;
     EXPECT_EQ(last, cause_ != Cause::kIdle);
   }
@@ -226,16 +228,16 @@
     const std::string text = client_.ReadToEnd();
     EXPECT_TRUE(cause_ == Cause::kIdle || text.ends_with("answer to first")) << text;
     EXPECT_EQ(Answers(text), cause_ == Cause::kIdle ? 0u : 1u);
-    EXPECT_EQ(TimesTaken(), 0);
+    EXPECT_EQ(TimesReceived(), 0);
     if (cause_ == Cause::kStopped) {
       EXPECT_TRUE(RunUntil(io_, [&] { return done_; }));
-      EXPECT_EQ(TimesTaken(), 0);
+      EXPECT_EQ(TimesReceived(), 0);
       return;  // the next one is another gateway's
     }
     QuietClient again(io_, server_.clients.address());
     again.Write(kRequest());
     EXPECT_TRUE(again.ReadUntil("answer to crossing")) << again.text();
-    EXPECT_EQ(TimesTaken(), 1);
+    EXPECT_EQ(TimesReceived(), 1);
   }
 
   const Cause cause_;
@@ -289,10 +291,10 @@
       const auto write = [&] { client.Write(request.substr(0, bytes)); };
       if (moment == GiveMoment::kBefore) write();
       bool done = false;
-      old.clients.GiveAway(
+      old.clients.TransferConnections(
           [&](Descriptor given) {
             if (moment == GiveMoment::kWhileGiven) write();
-            next.clients.Adopt(std::move(given));
+            next.clients.AcceptTransferredConnection(std::move(given));
             return true;
           },
           [&] { done = true; });
@@ -301,8 +303,8 @@
       if (bytes < request.size()) client.Write(request.substr(bytes));
       ASSERT_TRUE(client.ReadUntil("answer to crossing")) << client.text();
       EXPECT_EQ(Answers(client.text()), 2u);
-      EXPECT_EQ(old.taken, std::vector<std::string>{"first"});
-      EXPECT_EQ(next.taken, std::vector<std::string>{"crossing"});
+      EXPECT_EQ(old.received, std::vector<std::string>{"first"});
+      EXPECT_EQ(next.received, std::vector<std::string>{"crossing"});
     }
   }
 }
@@ -319,7 +321,7 @@
     ASSERT_TRUE(RunUntil(io, [&] { return old.answered == 1; }));
     if (moment == GiveMoment::kBefore) client.Write(ApiCall("crossing"));
     bool done = false;
-    old.clients.GiveAway(
+    old.clients.TransferConnections(
         [&](Descriptor) {
           if (moment == GiveMoment::kWhileGiven) client.Write(ApiCall("crossing"));
           return false;
@@ -330,7 +332,7 @@
     const std::string text = client.ReadToEnd();
     EXPECT_TRUE(text.ends_with("answer to first")) << text;
     EXPECT_EQ(Answers(text), 1u);
-    EXPECT_EQ(old.taken, std::vector<std::string>{"first"});
+    EXPECT_EQ(old.received, std::vector<std::string>{"first"});
   }
 }
 
@@ -338,27 +340,27 @@
 TEST(ClosedAtRest, ServesAClientThatConnectedRightBeforeTheStop) {
   asio::io_context io;
   Server server(io);
-  server.clients.Drain(true);
+  server.clients.SetDraining(true);
   QuietClient client(io, server.clients.address());  // in the queue: the loop has not run
   bool done = false;
   server.clients.StopListening([&] { done = true; });
   client.Write(ApiCall("crossing"));
   const std::string text = client.ReadToEnd();
   EXPECT_TRUE(text.ends_with("answer to crossing")) << text;
-  EXPECT_EQ(server.taken, std::vector<std::string>{"crossing"});
+  EXPECT_EQ(server.received, std::vector<std::string>{"crossing"});
 }
 
-// Of an answer, the rest that the test holds back.
-class HeldRest : public BodySource {
+// The remaining body of a response, which the test holds back.
+class PausedBody : public BodySource {
  public:
-  void Next(Taken taken) override { taken_ = std::move(taken); }
-  void Drop() override {}
-  bool begun() const override { return true; }
-  bool awaited() const { return taken_ != nullptr; }
-  void Finish(std::string_view piece) { std::exchange(taken_, nullptr)({}, piece, /*last=*/true); }
+  void ReadNext(PieceHandler handler) override { handler_ = std::move(handler); }
+  void Cancel() override {}
+  bool started() const override { return true; }
+  bool awaited() const { return handler_ != nullptr; }
+  void Finish(std::string_view piece) { std::exchange(handler_, nullptr)({}, piece, /*last=*/true); }
 
  private:
-  Taken taken_;
+  PieceHandler handler_;
 };
 
 // Guards an answer that is still on its way when the listener has closed: a close over a request that crosses
@@ -367,16 +369,16 @@
   constexpr std::size_t kSize = 64 * 1024;
   asio::io_context io;
   Server server(io);
-  const auto rest = std::make_shared<HeldRest>();
+  const auto rest = std::make_shared<PausedBody>();
   server.serve = [&](ClientRequest request) {
     if (request.id == "crossing") {
       HttpResponse response(http::status::ok, 11);
       response.body() = "answer to crossing";
-      return request.answer(std::move(response), nullptr);
+      return request.responder.Respond(std::move(response), nullptr);
     }
     HttpResponse head(http::status::ok, 11);
     head.content_length(kSize);
-    request.answer(std::move(head), rest);
+    request.responder.Respond(std::move(head), rest);
   };
   QuietClient client(io, server.clients.address(), /*receive_buffer=*/4096);
   client.Write(ApiCall("first"));
@@ -391,7 +393,7 @@
   const auto begin = text.find("\r\n\r\n");
   ASSERT_NE(begin, std::string::npos);
   EXPECT_TRUE(text.substr(begin + 4) == body) << text.size() << " bytes came";
-  EXPECT_EQ(server.taken, std::vector<std::string>{"first"});
+  EXPECT_EQ(server.received, std::vector<std::string>{"first"});
   look_hook = {};
 }
 
