--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -30,20 +30,16 @@
   return http::status::bad_request;
 }
 
-}  // namespace
-
-void ClientResponder::Respond(HttpResponse response, std::shared_ptr<BodySource> remaining_body) const {
-  if (const auto connection = connection_.lock()) {
-    connection->Respond(request_number_, std::move(response), std::move(remaining_body));
-  } else if (remaining_body) {
-    remaining_body->Cancel();
-  }
+HttpResponse MakeErrorResponse(const RequestError& error, Millis retry_after_ms) {
+  HttpResponse response(error.status, 11);
+  if (retry_after_ms > 0) response.set(http::field::retry_after, FormatSeconds(retry_after_ms));
+  response.set(http::field::content_type, "text/plain");
+  if (error.status == http::status::method_not_allowed) response.set(http::field::allow, "GET, POST");
+  response.body() = error.text + "\n";
+  return response;
 }
 
-bool ClientResponder::ClientDisconnected() const {
-  const auto connection = connection_.lock();
-  return !connection || connection->DetectDisconnect(request_number_);
-}
+}  // namespace
 
 ClientConnection::ClientConnection(ClientConnectionContext& context, tcp::socket socket, bool transferred)
     : context_(context),
@@ -311,12 +307,7 @@
 }
 
 void ClientConnection::RespondWithError(const RequestError& error, Millis retry_after_ms) {
-  HttpResponse response(error.status, 11);
-  if (retry_after_ms > 0) response.set(http::field::retry_after, FormatSeconds(retry_after_ms));
-  response.set(http::field::content_type, "text/plain");
-  if (error.status == http::status::method_not_allowed) response.set(http::field::allow, "GET, POST");
-  response.body() = error.text + "\n";
-  WriteResponse(std::move(response), nullptr);
+  WriteResponse(MakeErrorResponse(error, retry_after_ms), nullptr);
 }
 
 void ClientConnection::WriteResponse(HttpResponse response, std::shared_ptr<BodySource> remaining_body) {
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -40,7 +40,7 @@
   virtual void OnConnectionClosed(const std::shared_ptr<ClientConnection>& connection) = 0;
 
  protected:
-  ~ClientConnectionOwner() = default;
+  virtual ~ClientConnectionOwner() = default;
 };
 
 // What all connections of a ClientServer share. Must outlive their last event.
--- a/src/proxy/client/client_listener.hpp
+++ b/src/proxy/client/client_listener.hpp
@@ -29,7 +29,7 @@
     virtual void OnOutOfDescriptors() = 0;
 
    protected:
-    ~Delegate() = default;
+    virtual ~Delegate() = default;
   };
 
   // Opens the listener: uses `inherited`, if it is an open listener, else listens at `address`, where other
--- a/src/proxy/client/lingering_close.hpp
+++ b/src/proxy/client/lingering_close.hpp
@@ -5,8 +5,8 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
 
-#include "proxy/client/connection_part.hpp"
 #include "proxy/clock.hpp"
+#include "proxy/connection_part.hpp"
 
 namespace gateway::proxy {
 
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -16,9 +16,9 @@
 #include "proxy/body_source.hpp"
 #include "proxy/buffer_budget.hpp"
 #include "proxy/client/body_progress.hpp"
-#include "proxy/client/connection_part.hpp"
 #include "proxy/client/request_validation.hpp"
 #include "proxy/clock.hpp"
+#include "proxy/connection_part.hpp"
 #include "proxy/http_types.hpp"
 
 namespace gateway::proxy {
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -9,8 +9,8 @@
 #include <string_view>
 
 #include "proxy/body_source.hpp"
-#include "proxy/client/connection_part.hpp"
 #include "proxy/clock.hpp"
+#include "proxy/connection_part.hpp"
 #include "proxy/http_types.hpp"
 
 namespace gateway::proxy {
--- a/src/proxy/client/connection_part.hpp
+++ b/src/proxy/connection_part.hpp
@@ -1,12 +1,12 @@
-// What the asynchronous parts of a client's connection have in common.
-#ifndef GATEWAY_PROXY_CLIENT_CONNECTION_PART_HPP_
-#define GATEWAY_PROXY_CLIENT_CONNECTION_PART_HPP_
+// What the asynchronous parts of a connection have in common, on both sides of the proxy.
+#ifndef GATEWAY_PROXY_CONNECTION_PART_HPP_
+#define GATEWAY_PROXY_CONNECTION_PART_HPP_
 
 #include <memory>
 
 namespace gateway::proxy {
 
-// Implemented by a connection for the parts that it owns (RequestReader, ResponseWriter, LingeringClose).
+// Implemented by a connection for the parts that it owns (its reader and its writer, for example).
 class ConnectionPartOwner {
  public:
   // Returns a pointer that keeps the connection, and with it the part, alive. A part holds it for the
@@ -19,4 +19,4 @@
 
 }  // namespace gateway::proxy
 
-#endif  // GATEWAY_PROXY_CLIENT_CONNECTION_PART_HPP_
+#endif  // GATEWAY_PROXY_CONNECTION_PART_HPP_
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -247,7 +247,7 @@
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
-  hosts_.Update(list);  // first: nothing may be sent by the old list any more
+  hosts_.ApplyEndpointList(list);  // first: nothing may be sent by the old list any more
   listed_ = listed_ || !list.endpoints.empty();
   Report(ToNews(list));
   replacement_.ReadyNow();
@@ -347,7 +347,7 @@
       if (attempt.out) out.push_back(attempt.number);
     }
   }
-  for (const std::uint64_t attempt : out) hosts_.Withdraw(attempt);
+  for (const std::uint64_t attempt : out) hosts_.CancelUnsent(attempt);
 }
 
 // Whether someone still waits for the answer; a client that has left unseen is told as gone.
@@ -384,7 +384,7 @@
     return figures + "\nEOT\n";
   }
   if (call == "metrics") {
-    const UpstreamPool::Counts& c = hosts_.counts();
+    const UpstreamCounts& c = hosts_.counts();
     const auto number = [](auto value) { return static_cast<double>(value); };
     return metrics_.ToPrometheus(
                {{"active_requests", "gauge", "Requests taken and not ended",
@@ -396,12 +396,12 @@
                 {"ready", "gauge", "1 while this process takes clients", Ready() ? 1.0 : 0.0},
                 {"client_connections", "gauge", "Connections from clients", number(clients_.connections())},
                 {"host_connections", "gauge", "Connections to hosts", number(hosts_.connections())},
-                {"dials_total", "counter", "Connections dialled to hosts", number(c.dialled)},
-                {"reuses_total", "counter", "Attempts on a connection that was open", number(c.reused)},
+                {"dials_total", "counter", "Connections dialled to hosts", number(c.connects)},
+                {"reuses_total", "counter", "Attempts on a connection that was open", number(c.reuses)},
                 {"stale_total", "counter", "Connections found closed when they were to be reused",
                  number(c.stale)},
                 {"resets_total", "counter", "Connections that broke under an attempt",
-                 number(c.reset_new + c.reset_reused)},
+                 number(c.resets_new + c.resets_reused)},
                 {"clients_left_total", "counter", "Clients that left unanswered", number(left_)},
                 {"list_age_seconds", "gauge", "Since the list was last known to hold",
                  (Now() - std::max(list_.heard_at(), list_confirmed_at_)) / 1000},
@@ -447,17 +447,17 @@
               said_old_ ? Words("discovery: no list for %.0f s; the old one holds", list_old_after_ / 1000)
                         : "discovery: the list is fresh again");
   }
-  const UpstreamPool::Counts& now = hosts_.counts();
-  const UpstreamPool::Counts was = std::exchange(counted_, now);
+  const UpstreamCounts& now = hosts_.counts();
+  const UpstreamCounts was = std::exchange(counted_, now);
   const auto since = [](std::uint64_t a, std::uint64_t b) { return static_cast<unsigned long long>(a - b); };
   base::Log(
       base::Level::kInfo, "sockets", "counts",
       Words("sockets: hosts %zu clients %zu left %d | dialled %llu reused %llu stale %llu unusable %llu "
             "reset new %llu reused %llu",
             hosts_.connections(), clients_.connections(), std::exchange(gone_, 0),
-            since(now.dialled, was.dialled), since(now.reused, was.reused), since(now.stale, was.stale),
-            since(now.unusable, was.unusable), since(now.reset_new, was.reset_new),
-            since(now.reset_reused, was.reset_reused)));
+            since(now.connects, was.connects), since(now.reuses, was.reuses), since(now.stale, was.stale),
+            since(now.not_started, was.not_started), since(now.resets_new, was.resets_new),
+            since(now.resets_reused, was.resets_reused)));
   CountLater();
 }
 
@@ -500,24 +500,25 @@
   if (index == 0) Handled(*active, now, true);
   const Millis timeout = send.timeout > 0 ? send.timeout : kMostUpload;
   active->attempts.push_back({send.endpoint, now, timeout});
-  UpstreamPool::Order order;
-  order.request = active->http;
-  if (!active->whole) order.rest = active->rest;
-  order.deadline = active->whole ? std::min(now + timeout, active->leaves_at) : now + kMostUpload;
-  order.wanted = [this, id = send.request, write_by = now + send.start_writing_within] {
+  UpstreamRequest attempt;
+  attempt.request = active->http;
+  if (!active->whole) attempt.remaining_body = active->rest;
+  attempt.deadline = active->whole ? std::min(now + timeout, active->leaves_at) : now + kMostUpload;
+  attempt.may_send = [this, id = send.request, write_by = now + send.start_writing_within] {
     return Now() <= write_by && Awaited(id);
   };
-  order.done = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
+  attempt.on_end = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
     Ended(id, index, result, std::move(response));
   };
-  order.begun = [this, id = send.request, index](HttpResponse response, std::shared_ptr<BodySource> rest) {
+  attempt.on_response_streaming = [this, id = send.request, index](HttpResponse response,
+                                                                   std::shared_ptr<BodySource> rest) {
     Begun(id, index, std::move(response), std::move(rest));
   };
-  order.passing = [this, id = send.request] {
+  attempt.on_buffered_part_sent = [this, id = send.request] {
     if (ActiveRequest* const passing = Find(id)) passing->http.reset();
   };
-  order.written = [this] { metrics_.Tried(); };
-  const std::uint64_t number = hosts_.Start(send.endpoint, std::move(order));
+  attempt.on_request_sent = [this] { metrics_.Tried(); };
+  const std::uint64_t number = hosts_.Start(send.endpoint, std::move(attempt));
   active->attempts[index].number = number;
 }
 
@@ -588,7 +589,7 @@
 // While another process runs beside this one each keeps to a part.
 void Gateway::SetPlaces(bool half) {
   clients_.SetConnectionLimit(half ? std::max<std::size_t>(1, most_clients_ / 2) : most_clients_);
-  hosts_.SetMost(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
+  hosts_.SetConnectionLimit(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
 }
 
 HandoverState Gateway::Leave() const { return {list_.Listed(), policy_.ExportState()}; }
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -127,9 +127,9 @@
   Metrics metrics_;
   boost::asio::steady_timer stop_;
   boost::asio::steady_timer counting_;
-  UpstreamPool::Counts counted_;  // as last logged
-  int gone_ = 0;                  // clients that left unanswered, since then
-  std::uint64_t left_ = 0;        // and since the start
+  UpstreamCounts counted_;  // as last logged
+  int gone_ = 0;            // clients that left unanswered, since then
+  std::uint64_t left_ = 0;  // and since the start
   HotRestart replacement_;
   std::optional<StateSaver> keeper_;
   boost::asio::steady_timer keep_;
--- /dev/null
+++ b/src/proxy/upstream/response_classification.hpp
@@ -0,0 +1,16 @@
+// Maps an endpoint's response to the result of the attempt.
+#ifndef GATEWAY_PROXY_UPSTREAM_RESPONSE_CLASSIFICATION_HPP_
+#define GATEWAY_PROXY_UPSTREAM_RESPONSE_CLASSIFICATION_HPP_
+
+#include "gateway/policy.hpp"
+#include "proxy/http_types.hpp"
+
+namespace gateway::proxy {
+
+// Returns kServed for status 200, kRejected for a response that proves that the endpoint did not execute the
+// request (503 or 504 with Srv-Declined: 1), and kError for any other.
+policy::AttemptResult ClassifyResponse(const HttpResponse::header_type& head);
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_UPSTREAM_RESPONSE_CLASSIFICATION_HPP_
--- /dev/null
+++ b/src/proxy/upstream/response_reader.cpp
@@ -0,0 +1,146 @@
+#include "proxy/upstream/response_reader.hpp"
+
+#include <boost/asio/error.hpp>
+#include <boost/asio/post.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/status.hpp>
+#include <memory>
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+// The largest number of unparsed bytes: a message head, or the header of a chunk.
+constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
+// The read size while a body is buffered. Beast's own choice is 512 bytes.
+constexpr std::size_t kBufferedReadBytes = kBodyPieceBytes / 4;
+// The time for which a body of unknown length is buffered. It may be a long one, whose client waits for its
+// first bytes.
+constexpr Millis kMaxUnsizedBufferTimeMs = 50;
+
+}  // namespace
+
+ResponseReader::ResponseReader(asio::io_context& io, asio::ip::tcp::socket& socket, BufferBudget& budget,
+                               Delegate& delegate)
+    : io_(io), socket_(socket), charge_(budget), delegate_(delegate), buffer_(kMaxUnparsedBytes) {}
+
+// The head is read by itself, because http::async_read of Boost 1.74 does not apply the body limit to a
+// Content-Length.
+void ResponseReader::ReadHead() {
+  parser_.emplace();
+  parser_->body_limit(kMaxBodyBytes);
+  parser_->header_limit(kMaxHeaderBytes);
+  http::async_read_header(socket_, buffer_, *parser_,
+                          [this, connection = delegate_.KeepAlive()](error_code error, std::size_t) {
+                            delegate_.OnResponseHead(error);
+                          });
+}
+
+bool ResponseReader::is_interim() const {
+  constexpr unsigned kInformationalClass = 1;
+  return head().result_int() / 100 == kInformationalClass &&
+         head().result() != http::status::switching_protocols;
+}
+
+bool ResponseReader::exceeds_body_limit() const {
+  return parser_->content_length().value_or(0) > kMaxBodyBytes;
+}
+
+void ResponseReader::ReadBody() {
+  reading_body_ = true;
+  head_arrived_at_ = Now();
+  response_ = {};
+  response_.base() = head();
+  const bool long_body = parser_->content_length().value_or(0) > kMaxBufferedBodyBytes;
+  const bool served = response_.result() == http::status::ok;
+  served&& long_body ? delegate_.OnBufferLimitReached() : ReadPiece();
+}
+
+void ResponseReader::StartStreaming() {
+  streaming_ = true;
+  charge_.Set(0);
+}
+
+void ResponseReader::ReadNextPiece(BodySource::PieceHandler handler) {
+  piece_handler_ = std::move(handler);
+  ReadPiece();
+}
+
+void ResponseReader::Stop() {
+  reading_body_ = false;
+  streaming_ = false;
+  charge_.Set(0);
+}
+
+void ResponseReader::FailPendingPiece() {
+  if (piece_handler_) Fail(std::exchange(piece_handler_, nullptr));
+}
+
+void ResponseReader::Fail(BodySource::PieceHandler handler) {
+  asio::post(io_, [connection = delegate_.KeepAlive(), handler = std::move(handler)] {
+    handler(asio::error::connection_reset, {}, false);
+  });
+}
+
+void ResponseReader::ReadPiece() {
+  if (parser_->is_done()) return OnPiece({}, 0);
+  piece_.resize(kBodyPieceBytes);
+  buffer_.reserve(streaming_ ? kBodyPieceBytes : kBufferedReadBytes);
+  auto& body = parser_->get().body();
+  body.data = piece_.data();
+  body.size = piece_.size();
+  http::async_read_some(socket_, buffer_, *parser_,
+                        [this, connection = delegate_.KeepAlive()](error_code error, std::size_t) {
+                          if (!reading_body_) return;
+                          if (error == http::error::need_buffer) error = {};
+                          OnPiece(error, kBodyPieceBytes - parser_->get().body().size);
+                        });
+}
+
+void ResponseReader::OnPiece(error_code error, std::size_t received_bytes) {
+  if (error) return delegate_.OnResponseBroken(error);
+  const bool last = parser_->is_done();
+  streaming_ ? StreamPiece(received_bytes, last) : BufferPiece(received_bytes, last);
+}
+
+void ResponseReader::BufferPiece(std::size_t received_bytes, bool last) {
+  response_.body().append(piece_.data(), received_bytes);
+  if (last) return delegate_.OnResponseBuffered();
+  charge_.Set(response_.body().size());
+  ReachesBufferLimit() ? delegate_.OnBufferLimitReached() : ReadPiece();
+}
+
+bool ResponseReader::ReachesBufferLimit() const {
+  if (response_.body().size() > kMaxBufferedBodyBytes || charge_.budget().Exceeded()) return true;
+  return !parser_->content_length() && Now() - head_arrived_at_ > kMaxUnsizedBufferTimeMs;
+}
+
+// Pieces are posted, because a piece handler is never called from within ReadNextPiece.
+void ResponseReader::StreamPiece(std::size_t received_bytes, bool last) {
+  if (received_bytes == 0 && !last) return ReadPiece();
+  auto handler = std::exchange(piece_handler_, nullptr);
+  if (!last) {
+    delegate_.OnPieceStreamed();
+    return asio::post(
+        io_, [this, connection = delegate_.KeepAlive(), handler = std::move(handler), received_bytes] {
+          handler({}, {piece_.data(), received_bytes}, false);
+        });
+  }
+  // The last piece takes its memory along: the connection may serve another request by then.
+  asio::post(io_, [piece = std::make_shared<std::vector<char>>(std::exchange(piece_, {})),
+                   handler = std::move(handler), received_bytes] {
+    handler({}, {piece->data(), received_bytes}, true);
+  });
+  delegate_.OnResponseStreamed();
+}
+
+void ResponseReader::ReleaseMemory() {
+  piece_ = {};
+  buffer_.shrink_to_fit();
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/upstream/response_reader.hpp
@@ -0,0 +1,107 @@
+// Reads responses from a connection to an endpoint.
+#ifndef GATEWAY_PROXY_UPSTREAM_RESPONSE_READER_HPP_
+#define GATEWAY_PROXY_UPSTREAM_RESPONSE_READER_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "proxy/body_source.hpp"
+#include "proxy/buffer_budget.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/connection_part.hpp"
+#include "proxy/http_types.hpp"
+
+namespace gateway::proxy {
+
+// Reads one response at a time: its head; then its body, which is buffered as long as it is small and the
+// budget allows. Beyond that the delegate decides whether the rest is streamed.
+class ResponseReader {
+ public:
+  class Delegate : public ConnectionPartOwner {
+   public:
+    // A head has arrived, or the read has failed. Called as well if the endpoint closes an idle connection or
+    // sends something on it. The delegate calls ReadBody, or ReadHead after an interim response.
+    virtual void OnResponseHead(boost::system::error_code error) = 0;
+    // The response is complete, and buffered.
+    virtual void OnResponseBuffered() = 0;
+    // What was read of the body is not to be buffered any longer. The delegate calls StartStreaming, or Stop.
+    virtual void OnBufferLimitReached() = 0;
+    // A piece of a streamed body, not the last one, is passed on.
+    virtual void OnPieceStreamed() = 0;
+    // The last piece of a streamed body is passed on.
+    virtual void OnResponseStreamed() = 0;
+    // The body's read has failed, or the body violates HTTP.
+    virtual void OnResponseBroken(boost::system::error_code error) = 0;
+
+   protected:
+    ~Delegate() = default;
+  };
+
+  // The socket and the delegate belong to the connection, and outlive this.
+  ResponseReader(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, BufferBudget& budget,
+                 Delegate& delegate);
+
+  // Begins to read a head. One such read is pending on an idle connection.
+  void ReadHead();
+  // Reads the body of the response whose head has arrived.
+  void ReadBody();
+  // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the part before.
+  void StartStreaming();
+  // Streams the body, see BodySource::ReadNext. Only between StartStreaming and the last piece.
+  void ReadNextPiece(BodySource::PieceHandler handler);
+  // Ends the notifications on the body, and the accounting of its memory. A pending piece handler stays
+  // pending.
+  void Stop();
+  // Calls a pending piece handler with an error, after this returns.
+  void FailPendingPiece();
+  // The same for a handler that comes too late.
+  void Fail(BodySource::PieceHandler handler);
+
+  // The head of the current response, before ReadBody.
+  const HttpResponse::header_type& head() const { return parser_->get().base(); }
+  // Whether the head is that of an interim response such as 100 Continue: the response itself follows. A
+  // switch of protocols is not interim; it was never asked for.
+  bool is_interim() const;
+  // Whether the head states a longer body than is accepted.
+  bool exceeds_body_limit() const;
+  // The response as far as it is buffered.
+  const HttpResponse& response() const { return response_; }
+  HttpResponse ReleaseResponse() { return std::exchange(response_, {}); }
+  bool streaming() const { return streaming_; }
+  // Whether the endpoint keeps the connection open, and has sent nothing behind the response.
+  bool AllowsReuse() const { return parser_->keep_alive() && buffer_.size() == 0; }
+  // Frees the memory for bodies, for a connection that becomes idle.
+  void ReleaseMemory();
+
+ private:
+  void ReadPiece();
+  void OnPiece(boost::system::error_code error, std::size_t received_bytes);
+  void BufferPiece(std::size_t received_bytes, bool last);
+  void StreamPiece(std::size_t received_bytes, bool last);
+  bool ReachesBufferLimit() const;
+
+  boost::asio::io_context& io_;
+  boost::asio::ip::tcp::socket& socket_;
+  BufferCharge charge_;
+  Delegate& delegate_;
+  boost::beast::flat_buffer buffer_;  // bytes that are not parsed yet
+  std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
+  std::vector<char> piece_;
+  HttpResponse response_;
+  BodySource::PieceHandler piece_handler_;  // of the pending ReadNextPiece; empty if there is none
+  Millis head_arrived_at_ = 0;
+  bool reading_body_ = false;
+  bool streaming_ = false;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_UPSTREAM_RESPONSE_READER_HPP_
--- /dev/null
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -0,0 +1,159 @@
+// One connection to an endpoint.
+#ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_CONNECTION_HPP_
+#define GATEWAY_PROXY_UPSTREAM_UPSTREAM_CONNECTION_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "gateway/policy.hpp"
+#include "proxy/body_source.hpp"
+#include "proxy/buffer_budget.hpp"
+#include "proxy/clock.hpp"
+#include "proxy/http_types.hpp"
+#include "proxy/upstream/request_writer.hpp"
+#include "proxy/upstream/response_reader.hpp"
+#include "proxy/upstream/upstream_error_log.hpp"
+#include "proxy/upstream/upstream_request.hpp"
+
+namespace gateway::proxy {
+
+class UpstreamConnection;
+
+// Implemented by the pool.
+class UpstreamConnectionOwner {
+ public:
+  // Returns whether requests may be sent to this endpoint at this address.
+  virtual bool MayUse(const std::string& endpoint, const boost::asio::ip::tcp::endpoint& address) const = 0;
+  // The connection serves the attempt from now on, or not any longer.
+  virtual void OnAttemptStarted(AttemptId attempt, const std::shared_ptr<UpstreamConnection>& connection) = 0;
+  virtual void OnAttemptEnded(AttemptId attempt) = 0;
+  // The connection can serve another attempt. Called only while MayUse returns true.
+  virtual void OnIdle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
+  // An idle connection is about to close.
+  virtual void OnIdleClosed(const UpstreamConnection& connection) = 0;
+
+ protected:
+  virtual ~UpstreamConnectionOwner() = default;
+};
+
+// Cumulative numbers since the start of the process.
+struct UpstreamCounts {
+  std::uint64_t connects = 0;       // connections that were begun
+  std::uint64_t reuses = 0;         // attempts that got an idle connection
+  std::uint64_t stale = 0;          // idle connections found closed when they were to be reused
+  std::uint64_t resets_new = 0;     // connections that broke after their first request was sent
+  std::uint64_t resets_reused = 0;  // connections that broke after a later request was sent
+  std::uint64_t not_started = 0;    // attempts for which there was no endpoint or no connection
+};
+
+// What all connections of a pool share. Must outlive their last event.
+struct UpstreamConnectionContext {
+  boost::asio::io_context& io;
+  UpstreamConnectionOwner& owner;
+  const Millis connect_timeout_ms;
+  const Millis idle_timeout_ms;  // after which a connection is closed
+  BufferBudget response_budget;  // for the buffered parts of response bodies
+  std::size_t open_connections = 0;
+  UpstreamCounts counts = {};
+  UpstreamErrorLog error_log = {};
+};
+
+// Serves the attempts for one endpoint, one after the other. A read is always pending, so that a close by the
+// endpoint is noticed while the connection is idle. For a response that is streamed the connection is the
+// body's source.
+//
+// The owner holds a shared pointer while the connection serves an attempt or is idle; pending operations and
+// streamed bodies hold others. Runs on the event loop's thread.
+class UpstreamConnection final : public BodySource,
+                                 public std::enable_shared_from_this<UpstreamConnection>,
+                                 private RequestWriter::Delegate,
+                                 private ResponseReader::Delegate {
+ public:
+  UpstreamConnection(UpstreamConnectionContext& context, std::string endpoint,
+                     const boost::asio::ip::tcp::endpoint& address);
+
+  const std::string& endpoint() const { return endpoint_; }
+
+  // Creates the socket. Returns false if no descriptor is available. To be followed by Connect.
+  bool Open();
+  // Connects to the endpoint, and then sends the request.
+  void Connect(AttemptId id, UpstreamRequest request);
+  // Sends the request on an idle connection.
+  void Send(AttemptId id, UpstreamRequest request);
+  // Changes the deadline of the current attempt.
+  void SetDeadline(Millis deadline);
+  // Ends the current attempt, if there is one, with this result, and closes the connection.
+  void EndAttempt(policy::AttemptResult result);
+  // Closes the connection, which must not serve an attempt. No effect if it is closed.
+  void Close();
+
+  // Asks the socket whether an idle connection is open still, with nothing received on it.
+  bool IsUsable();
+  bool connecting() const { return connecting_; }
+
+  // BodySource: the rest of the current response's body.
+  void ReadNext(PieceHandler handler) override;
+  void Cancel() override;
+  bool started() const override { return reader_.streaming(); }
+
+ private:
+  struct Attempt {
+    AttemptId id;
+    UpstreamRequest request;
+  };
+
+  // RequestWriter::Delegate, ResponseReader::Delegate
+  std::shared_ptr<void> KeepAlive() override { return shared_from_this(); }
+  void OnWaitForEndpoint() override;
+  void OnWaitForBody() override;
+  void OnBufferedPartSent() override;
+  void OnRequestSent(boost::system::error_code error) override;
+  void OnBodyFailed() override;
+  void OnResponseHead(boost::system::error_code error) override;
+  void OnResponseBuffered() override;
+  void OnBufferLimitReached() override;
+  void OnPieceStreamed() override;
+  void OnResponseStreamed() override;
+  void OnResponseBroken(boost::system::error_code error) override;
+
+  void StartAttempt(AttemptId id, UpstreamRequest request);
+  void FinishAttempt(policy::AttemptResult result, HttpResponse response);
+  void OnConnected(boost::system::error_code error);
+  void SendRequest();
+  void OnEarlyResponse(boost::system::error_code error);
+  void StartStreaming();
+  void CloseIdle();
+  void ReuseOrClose();
+  void BecomeIdle();
+  void SetTimer(Millis due);
+  void OnTimer();
+
+  UpstreamConnectionContext& context_;
+  const std::string endpoint_;
+  const boost::asio::ip::tcp::endpoint address_;
+  boost::asio::ip::tcp::socket socket_;
+  boost::asio::steady_timer timer_;
+  Millis timer_due_ = 0;
+  RequestWriter writer_;
+  ResponseReader reader_;
+
+  std::optional<Attempt> attempt_;
+  bool open_ = false;
+  bool connecting_ = false;
+  bool request_sent_ = false;        // completely
+  bool broken_before_sent_ = false;  // the endpoint responded or closed while the last part was being sent
+  int uses_ = 0;                     // attempts that it has served, with the current one
+  Millis attempt_started_at_ = 0;
+  Millis idle_since_ = 0;  // before the current attempt
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_UPSTREAM_UPSTREAM_CONNECTION_HPP_
--- /dev/null
+++ b/src/proxy/upstream/upstream_error_log.cpp
@@ -0,0 +1,52 @@
+#include "proxy/upstream/upstream_error_log.hpp"
+
+#include <algorithm>
+#include <cstdio>
+
+#include "base/log.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+constexpr Millis kLineIntervalMs = 500;
+constexpr std::size_t kMaxClassNameBytes = 40;
+constexpr std::size_t kMaxDetailBytes = 160;
+
+std::string DescribeReset(const ConnectionReset& reset) {
+  const auto name_bytes = static_cast<int>(std::min(reset.class_name.size(), kMaxClassNameBytes));
+  char text[kMaxDetailBytes];
+  std::snprintf(
+      text, sizeof text,
+      ", %.*s with %zu bytes of body, use %d of the connection, rested %.1f ms, broke after %.1f ms",
+      name_bytes, reset.class_name.data(), reset.request_body_bytes, reset.use, reset.idle_ms,
+      reset.since_used_ms);
+  return text;
+}
+
+}  // namespace
+
+bool UpstreamErrorLog::BeginLine() {
+  const Millis now = Now();
+  if (now < silent_until_) return false;
+  silent_until_ = now + kLineIntervalMs;
+  return true;
+}
+
+void UpstreamErrorLog::LogReset(const ConnectionReset& reset) {
+  if (!BeginLine()) return;
+  base::Log(base::Level::kWarning, "hosts", "reset",
+            "reset by " + reset.endpoint + ": " + reset.error.message() + DescribeReset(reset),
+            {{"host", reset.endpoint},
+             {"class", reset.class_name},
+             {"use", reset.use},
+             {"rested_ms", reset.idle_ms},
+             {"after_ms", reset.since_used_ms}});
+}
+
+void UpstreamErrorLog::LogErrorResponse(const std::string& endpoint, unsigned status) {
+  if (!BeginLine()) return;
+  base::Log(base::Level::kWarning, "hosts", "error_answer",
+            "answer " + std::to_string(status) + " by " + endpoint, {{"host", endpoint}, {"status", status}});
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -0,0 +1,41 @@
+// The log of failures on connections to endpoints.
+#ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_ERROR_LOG_HPP_
+#define GATEWAY_PROXY_UPSTREAM_UPSTREAM_ERROR_LOG_HPP_
+
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
+
+// A connection that broke after its request was sent and before the response was complete.
+struct ConnectionReset {
+  const std::string& endpoint;
+  boost::system::error_code error;
+  std::string_view class_name;  // of the request's traffic class
+  std::size_t request_body_bytes;
+  int use;               // which request of the connection it was, from 1
+  Millis idle_ms;        // how long the connection had been idle before it; 0 if it was new
+  Millis since_used_ms;  // how long the request had the connection
+};
+
+// Writes at most one line per interval, of whichever kind: failures come in crowds.
+class UpstreamErrorLog {
+ public:
+  void LogReset(const ConnectionReset& reset);
+  // A response whose status means that the attempt has failed.
+  void LogErrorResponse(const std::string& endpoint, unsigned status);
+
+ private:
+  // Returns whether a line may be written now, and starts the next interval if so.
+  bool BeginLine();
+
+  Millis silent_until_ = 0;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_UPSTREAM_UPSTREAM_ERROR_LOG_HPP_
--- /dev/null
+++ b/tests/proxy/body_progress_test.cpp
@@ -0,0 +1,56 @@
+// The deadline for request bodies, and the rules of a drain, in simulated time.
+#include "proxy/client/body_progress.hpp"
+
+#include <gtest/gtest.h>
+
+#include "proxy/client/drain_state.hpp"
+
+namespace gateway::proxy::testing {
+namespace {
+
+TEST(BodyProgress, CountsOnlyTheTimeSpentWaiting) {
+  BodyProgress progress;
+  progress.Start(/*request_started_at=*/0, /*now=*/2700);
+  EXPECT_FALSE(progress.TimedOut(100000));  // the client was not asked for anything
+  progress.BeginWait(100000);
+  EXPECT_FALSE(progress.TimedOut(100700));
+  EXPECT_TRUE(progress.TimedOut(100701));
+  progress.EndWait(100600, /*received_bytes=*/3200);  // which take 100 ms at the least rate
+  progress.BeginWait(200000);
+  EXPECT_FALSE(progress.TimedOut(200200));
+  EXPECT_TRUE(progress.TimedOut(200201));
+}
+
+TEST(BodyProgress, AddsWhatTheHeadHasLeft) {
+  BodyProgress progress;
+  progress.Start(/*request_started_at=*/0, /*now=*/1000);
+  progress.BeginWait(1000);
+  EXPECT_FALSE(progress.TimedOut(2700));
+  EXPECT_TRUE(progress.TimedOut(2701));
+}
+
+TEST(BodyProgress, BoundsEachPause) {
+  BodyProgress progress;
+  progress.Start(0, 0);
+  progress.BeginWait(0);
+  progress.EndWait(1, /*received_bytes=*/1 << 20);
+  progress.BeginWait(1);
+  EXPECT_FALSE(progress.TimedOut(2001));
+  EXPECT_TRUE(progress.TimedOut(2002));
+}
+
+TEST(DrainState, ClosesIdleConnectionsBeforeItRejectsRequests) {
+  DrainState drain;
+  EXPECT_FALSE(drain.ClosesIdleConnections(10000));
+  drain.Begin(1000);
+  drain.Begin(1400);  // it is under way
+  EXPECT_FALSE(drain.ClosesIdleConnections(1500));
+  EXPECT_TRUE(drain.ClosesIdleConnections(1501));
+  EXPECT_FALSE(drain.RejectsIncompleteRequests(2700));
+  EXPECT_TRUE(drain.RejectsIncompleteRequests(2701));
+  drain.End();
+  EXPECT_FALSE(drain.active());
+}
+
+}  // namespace
+}  // namespace gateway::proxy::testing
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -9,13 +9,13 @@
 namespace gateway::proxy::testing {
 namespace {
 
-proxy::UpstreamPool::Order MakeOrder(std::shared_ptr<const HttpRequest> request, Millis deadline,
-                                     std::function<void(policy::AttemptResult)> done) {
-  proxy::UpstreamPool::Order order;
-  order.request = std::move(request);
-  order.deadline = deadline;
-  order.done = [done = std::move(done)](policy::AttemptResult result, HttpResponse) { done(result); };
-  return order;
+proxy::UpstreamRequest MakeUpstreamRequest(std::shared_ptr<const HttpRequest> request, Millis deadline,
+                                           std::function<void(policy::AttemptResult)> done) {
+  proxy::UpstreamRequest attempt;
+  attempt.request = std::move(request);
+  attempt.deadline = deadline;
+  attempt.on_end = [done = std::move(done)](policy::AttemptResult result, HttpResponse) { done(result); };
+  return attempt;
 }
 
 policy::EndpointInfo MakeHost(const std::string& id) {
@@ -450,12 +450,13 @@
   proxy::UpstreamPool pool(io, {20000, 60000, 10});
   proxy::EndpointList list;
   list.endpoints.push_back({MakeHost("h0"), at});
-  pool.Update(list);
+  pool.ApplyEndpointList(list);
   std::optional<policy::AttemptResult> result;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
-  pool.Start("h0", MakeOrder(request, proxy::Now() + 20000, [&](policy::AttemptResult r) { result = r; }));
+  pool.Start(
+      "h0", MakeUpstreamRequest(request, proxy::Now() + 20000, [&](policy::AttemptResult r) { result = r; }));
   list.endpoints[0].info.state = policy::EndpointState::kDraining;
-  pool.Update(list);
+  pool.ApplyEndpointList(list);
   std::vector<tcp::socket> accepted;
   ASSERT_TRUE(RunUntil(io, [&] {
     error_code ec;
@@ -479,18 +480,19 @@
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), host.address()}};
-  pool.Update(list);
+  pool.ApplyEndpointList(list);
   for (const bool cancelled : {true, false}) {
     std::vector<policy::AttemptResult> results;
     std::uint64_t attempt = 0;
-    auto order = MakeOrder(std::make_shared<const HttpRequest>(http::verb::get, "/api", 11),
-                           proxy::Now() + 60000, [&](policy::AttemptResult r) { results.push_back(r); });
+    auto upstream_request =
+        MakeUpstreamRequest(std::make_shared<const HttpRequest>(http::verb::get, "/api", 11),
+                            proxy::Now() + 60000, [&](policy::AttemptResult r) { results.push_back(r); });
     const std::string held(100, 'x');  // on the heap, so that a sanitizer sees it freed too soon
-    order.wanted = [&, held] {
+    upstream_request.may_send = [&, held] {
       if (cancelled) pool.Cancel(attempt);
       return held.empty();
     };
-    attempt = pool.Start("h1", std::move(order));
+    attempt = pool.Start("h1", std::move(upstream_request));
     ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
     EXPECT_EQ(results, std::vector<policy::AttemptResult>{cancelled ? policy::AttemptResult::kCancelled
                                                                     : policy::AttemptResult::kNotSent});
@@ -506,12 +508,12 @@
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
-  pool.Update(list);
+  pool.ApplyEndpointList(list);
   std::vector<policy::AttemptResult> results;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
   const auto start = [&](const char* host) {
-    return pool.Start(host, MakeOrder(request, proxy::Now() + 60000,
-                                      [&](policy::AttemptResult r) { results.push_back(r); }));
+    return pool.Start(host, MakeUpstreamRequest(request, proxy::Now() + 60000,
+                                                [&](policy::AttemptResult r) { results.push_back(r); }));
   };
   start("h1");
   const auto second = start("h1");
@@ -536,14 +538,14 @@
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), host.address()}};
-  pool.Update(list);
+  pool.ApplyEndpointList(list);
   std::vector<policy::AttemptResult> results;
   HttpRequest get(http::verb::get, "/api", 11);
   get.set("Req-Id", "r1");
   const auto request = std::make_shared<const HttpRequest>(std::move(get));
   const auto start = [&] {
-    return pool.Start("h1", MakeOrder(request, proxy::Now() + 60000,
-                                      [&](policy::AttemptResult r) { results.push_back(r); }));
+    return pool.Start("h1", MakeUpstreamRequest(request, proxy::Now() + 60000,
+                                                [&](policy::AttemptResult r) { results.push_back(r); }));
   };
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
--- /dev/null
+++ b/tests/proxy/response_classification_test.cpp
@@ -0,0 +1,32 @@
+// What an endpoint's response says of its attempt.
+#include "proxy/upstream/response_classification.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/beast/http/status.hpp>
+
+namespace gateway::proxy::testing {
+namespace {
+
+namespace http = boost::beast::http;
+using policy::AttemptResult;
+
+AttemptResult Classify(http::status status, const char* declined) {
+  HttpResponse response(status, 11);
+  if (declined != nullptr) response.set("Srv-Declined", declined);
+  return ClassifyResponse(response);
+}
+
+// Only 503 and 504 prove that a request was not executed, and only if they say so.
+TEST(ResponseClassification, TakesOnlyAMarkedRejectionForOne) {
+  EXPECT_EQ(Classify(http::status::ok, nullptr), AttemptResult::kServed);
+  EXPECT_EQ(Classify(http::status::ok, "1"), AttemptResult::kServed);
+  EXPECT_EQ(Classify(http::status::service_unavailable, "1"), AttemptResult::kRejected);
+  EXPECT_EQ(Classify(http::status::gateway_timeout, "1"), AttemptResult::kRejected);
+  EXPECT_EQ(Classify(http::status::service_unavailable, nullptr), AttemptResult::kError);
+  EXPECT_EQ(Classify(http::status::service_unavailable, "0"), AttemptResult::kError);
+  EXPECT_EQ(Classify(http::status::internal_server_error, "1"), AttemptResult::kError);
+}
+
+}  // namespace
+}  // namespace gateway::proxy::testing
