--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -34,13 +34,11 @@
 // Implemented by the owner of the connections.
 class ClientConnectionOwner {
  public:
+  virtual ~ClientConnectionOwner() = default;
   // Returns whether there are as many connections as there may be.
   virtual bool AtConnectionLimit() const = 0;
   // The connection was closed or transferred. The owner drops its pointer to it.
   virtual void OnConnectionClosed(const std::shared_ptr<ClientConnection>& connection) = 0;
-
- protected:
-  virtual ~ClientConnectionOwner() = default;
 };
 
 // What all connections of a ClientServer share. Must outlive their last event.
--- a/src/proxy/client/client_listener.hpp
+++ b/src/proxy/client/client_listener.hpp
@@ -20,6 +20,7 @@
  public:
   class Delegate {
    public:
+    virtual ~Delegate() = default;
     // Returns whether another connection may be accepted. May close a connection for that, and thereby call
     // Resume.
     virtual bool MayAccept() = 0;
@@ -27,9 +28,6 @@
     virtual void OnAccepted(boost::asio::ip::tcp::socket socket) = 0;
     // An accept has failed because no descriptor was available.
     virtual void OnOutOfDescriptors() = 0;
-
-   protected:
-    virtual ~Delegate() = default;
   };
 
   // Opens the listener: uses `inherited`, if it is an open listener, else listens at `address`, where other
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -29,6 +29,7 @@
 // Implemented by the pool.
 class UpstreamConnectionOwner {
  public:
+  virtual ~UpstreamConnectionOwner() = default;
   // Returns whether requests may be sent to this endpoint at this address.
   virtual bool MayUse(const std::string& endpoint, const boost::asio::ip::tcp::endpoint& address) const = 0;
   // The connection serves the attempt from now on, or not any longer.
@@ -38,9 +39,6 @@
   virtual void OnIdle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
   // An idle connection is about to close.
   virtual void OnIdleClosed(const UpstreamConnection& connection) = 0;
-
- protected:
-  virtual ~UpstreamConnectionOwner() = default;
 };
 
 // Cumulative numbers since the start of the process.
