--- a/src/proxy/client/lingering_close.hpp
+++ b/src/proxy/client/lingering_close.hpp
@@ -11,7 +11,7 @@
 namespace gateway::proxy {
 
 // Closes the sending side of a connection and discards what the client still sends. Closing a socket with
-// unread bytes would reset the connection, which can take the last response from the client.
+// unread bytes would reset the connection, and the client could lose the last response.
 class LingeringClose {
  public:
   class Delegate : public ConnectionPartOwner {
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -149,7 +149,7 @@
 
 bool RequestReader::DetectDisconnect() {
   const int socket = socket_.native_handle();
-  if (in_body_) {  // which is read as its recipient asks for it
+  if (in_body_) {  // its bytes are left for ReadNextPiece
     char byte = 0;
     return !IsOpen(::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT));
   }
--- a/src/proxy/client/request_validation.hpp
+++ b/src/proxy/client/request_validation.hpp
@@ -21,7 +21,7 @@
   std::string text;
 };
 
-// What the platform's header fields say of a request.
+// The values of a request's platform header fields.
 struct RequestAttributes {
   std::string id;
   std::string class_name;    // of the traffic class
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -130,7 +130,7 @@
           handler({}, {piece_.data(), received_bytes}, false);
         });
   }
-  // The last piece takes its memory along: the connection may serve another request by then.
+  // The last piece owns its memory: the connection may serve another request by then.
   asio::post(io_, [piece = std::make_shared<std::vector<char>>(std::exchange(piece_, {})),
                    handler = std::move(handler), received_bytes] {
     handler({}, {piece->data(), received_bytes}, true);
--- a/src/proxy/upstream/upstream_error_log.hpp
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -22,7 +22,7 @@
   Millis since_used_ms;  // how long the request had the connection
 };
 
-// Writes at most one line per interval, of whichever kind: failures come in crowds.
+// Writes at most one line per interval, of whichever kind: an outage breaks many connections at once.
 class UpstreamErrorLog {
  public:
   void LogReset(const ConnectionReset& reset);
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -34,9 +34,9 @@
  public:
   UpstreamPool(boost::asio::io_context& io, const UpstreamPoolOptions& options);
 
-  // Applies a list of endpoints, or a change of one. Takes effect at once: nothing more is sent to an
-  // endpoint that drains or is not listed any more, not even on a connection that is being established. The
-  // cost of a change does not depend on the number of endpoints.
+  // Applies a complete list of endpoints, or a change of the list. Takes effect at once: nothing more is sent
+  // to an endpoint that drains or is not listed any more, not even on a connection that is being established.
+  // The cost of a change does not depend on the length of the list.
   void ApplyEndpointList(const EndpointList& list);
 
   // Sends the request, unless the endpoint must not be used, its deadline has passed, or no connection is to
--- a/src/proxy/upstream/upstream_request.hpp
+++ b/src/proxy/upstream/upstream_request.hpp
@@ -17,8 +17,8 @@
 using AttemptId = std::uint64_t;
 
 // What to send, and the callbacks that report the attempt's progress. Callbacks are called on the event
-// loop's thread and may call back into the pool. Callbacks that are not set are not called; `on_end` is
-// required.
+// loop's thread and may call back into the pool. `on_end` is required, and `on_response_streaming` too unless
+// all responses are short enough to be buffered; the others may be empty.
 struct UpstreamRequest {
   // The head, and the body as far as it is buffered. Shared among the attempts of one request.
   std::shared_ptr<const HttpRequest> request;
