--- a/src/proxy/admin/gateway_status.hpp
+++ b/src/proxy/admin/gateway_status.hpp
@@ -20,7 +20,7 @@
   std::uint64_t disconnected_clients = 0;  // that had no answer yet, since the start
 
   std::size_t upstream_connections = 0;
-  UpstreamPool::Counts upstream_counts;  // since the start
+  UpstreamCounts upstream_counts;  // since the start
 
   std::size_t endpoints = 0;          // in the list, draining ones too
   std::size_t ejected_endpoints = 0;  // by outlier detection
--- a/src/proxy/admin/management_commands.cpp
+++ b/src/proxy/admin/management_commands.cpp
@@ -13,16 +13,16 @@
 double Flag(bool value) { return value ? 1 : 0; }
 
 std::vector<Metrics::Sample> ConnectionSamples(const GatewayStatus& status) {
-  const UpstreamPool::Counts& counts = status.upstream_counts;
+  const UpstreamCounts& counts = status.upstream_counts;
   return {
       {"client_connections", "gauge", "Connections from clients", Number(status.client_connections)},
       {"host_connections", "gauge", "Connections to hosts", Number(status.upstream_connections)},
-      {"dials_total", "counter", "Connections dialled to hosts", Number(counts.dialled)},
-      {"reuses_total", "counter", "Attempts on a connection that was open", Number(counts.reused)},
+      {"dials_total", "counter", "Connections dialled to hosts", Number(counts.connects)},
+      {"reuses_total", "counter", "Attempts on a connection that was open", Number(counts.reuses)},
       {"stale_total", "counter", "Connections found closed when they were to be reused",
        Number(counts.stale)},
       {"resets_total", "counter", "Connections that broke under an attempt",
-       Number(counts.reset_new + counts.reset_reused)},
+       Number(counts.resets_new + counts.resets_reused)},
       {"clients_left_total", "counter", "Clients that left unanswered", Number(status.disconnected_clients)},
   };
 }
--- a/src/proxy/admin/status_log.cpp
+++ b/src/proxy/admin/status_log.cpp
@@ -43,17 +43,17 @@
 }
 
 void StatusLog::WriteConnections(const GatewayStatus& status) {
-  const UpstreamPool::Counts& now = status.upstream_counts;
-  const UpstreamPool::Counts before = std::exchange(counts_, now);
+  const UpstreamCounts& now = status.upstream_counts;
+  const UpstreamCounts before = std::exchange(counts_, now);
   const std::uint64_t disconnected_before = std::exchange(disconnected_clients_, status.disconnected_clients);
   base::Log(base::Level::kInfo, "sockets", "counts",
             Format("sockets: hosts %zu clients %zu left %llu | dialled %llu reused %llu stale %llu "
                    "unusable %llu reset new %llu reused %llu",
                    status.upstream_connections, status.client_connections,
                    Since(status.disconnected_clients, disconnected_before),
-                   Since(now.dialled, before.dialled), Since(now.reused, before.reused),
-                   Since(now.stale, before.stale), Since(now.unusable, before.unusable),
-                   Since(now.reset_new, before.reset_new), Since(now.reset_reused, before.reset_reused)));
+                   Since(now.connects, before.connects), Since(now.reuses, before.reuses),
+                   Since(now.stale, before.stale), Since(now.not_started, before.not_started),
+                   Since(now.resets_new, before.resets_new), Since(now.resets_reused, before.resets_reused)));
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/status_log.hpp
+++ b/src/proxy/admin/status_log.hpp
@@ -27,8 +27,8 @@
   boost::asio::steady_timer timer_;
   const Millis list_stale_after_;
   const std::function<GatewayStatus()> status_;
-  bool list_stale_ = false;      // as last logged
-  UpstreamPool::Counts counts_;  // the same
+  bool list_stale_ = false;  // as last logged
+  UpstreamCounts counts_;    // the same
   std::uint64_t disconnected_clients_ = 0;
 };
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -8,7 +8,7 @@
 #include "base/log.hpp"
 #include "proxy/admin/start_log.hpp"
 #include "proxy/clock.hpp"
-#include "proxy/listen.hpp"
+#include "proxy/listener.hpp"
 
 namespace gateway::proxy {
 namespace {
@@ -19,6 +19,7 @@
 constexpr Millis kAcceptAfterStop = 500;   // the front sends new connections for up to 400 ms after SIGTERM
 constexpr Millis kAnswerAllWithin = 3300;  // after SIGTERM: SIGKILL comes at 3,700 ms or later
 constexpr Millis kFlushTime = 200;         // for the last answers to leave
+constexpr std::size_t kBodyBudgetDivisor = 4;        // of the memory, for bodies of each side
 constexpr std::size_t kMaximumManagementCalls = 16;  // at a time
 
 InheritedState InheritFromRunningProcess(const Config& config) {
@@ -54,9 +55,27 @@
   return options;
 }
 
+ClientServerOptions MakeClientServerOptions(const Config& config, const DescriptorBudget& budget) {
+  ClientServerOptions options;
+  options.address = config.listen;
+  options.shared = !config.handover.empty();
+  options.connection_limit = budget.client_connections;
+  options.body_budget_bytes = config.memory / kBodyBudgetDivisor;
+  return options;
+}
+
+UpstreamPoolOptions MakeUpstreamPoolOptions(const Config& config, const DescriptorBudget& budget) {
+  UpstreamPoolOptions options;
+  options.connect_timeout_ms = config.dial_timeout;
+  options.endpoint_idle_timeout_ms = config.idle_timeout;
+  options.connection_limit = budget.upstream_connections;
+  options.response_budget_bytes = config.memory / kBodyBudgetDivisor;
+  return options;
+}
+
 // Whether another process listens there that handed nothing over.
 bool IsAddressTaken(const Config& config, const InheritedState& inherited) {
-  return !config.handover.empty() && !inherited.listener && IsTaken(config.listen);
+  return !config.handover.empty() && !inherited.listener && IsAddressInUse(config.listen);
 }
 
 }  // namespace
@@ -70,8 +89,7 @@
       settings_(config.settings),
       budget_(MakeDescriptorBudget(config.sockets)),
       driver_(io, config.settings, config.seed, requests_, [this] { list_.Watch(); }),
-      upstream_(io,
-                {config.dial_timeout, config.idle_timeout, budget_.upstream_connections, config.memory / 4}),
+      upstream_(io, MakeUpstreamPoolOptions(config, budget_)),
       list_(io, WatcherOptions(config, inherited, saved), ListHandlers()),
       metrics_(config.settings),
       requests_(io, settings_, driver_, upstream_, metrics_),
@@ -80,8 +98,8 @@
       list_stale_after_(config.list_old_after),
       started_at_(Now()),
       stop_timer_(io),
-      clients_(io, config.listen, !config.handover.empty(), std::move(inherited.listener),
-               budget_.client_connections, config.settings, config.memory / 4, ClientHandlers()),
+      clients_(io, MakeClientServerOptions(config, budget_), std::move(inherited.listener), settings_,
+               MakeClientCallbacks()),
       commands_(*this, metrics_),
       status_log_(io, list_stale_after_, [this] { return Status(); }) {
   StartManagement(config);
@@ -115,20 +133,22 @@
   handlers.handed_over = [this] { return StateForSuccessor(); };
   handlers.scale = [this](double factor) { driver_.policy().ScaleToShare(factor); };
   handlers.places = [this](bool half) { UseHalfOfConnections(half); };
-  handlers.adopt = [this](Descriptor client) { clients_.Adopt(std::move(client)); };
+  handlers.adopt = [this](Descriptor client) { clients_.AcceptTransferredConnection(std::move(client)); };
   return handlers;
 }
 
-ClientServer::Handlers Gateway::ClientHandlers() {
-  ClientServer::Handlers handlers;
-  handlers.ready = [this] { return AnswersReady(); };
-  handlers.taken = [this](ClientRequest request) { requests_.OnRequest(std::move(request)); };
-  handlers.whole = [this](const std::string& id, Millis at) { requests_.OnRequestComplete(id, at); };
-  handlers.gone = [this](const std::string& id) { requests_.OnClientDisconnected(id); };
-  handlers.ended = [this](const std::string& class_name, unsigned status, bool complete) {
+ClientCallbacks Gateway::MakeClientCallbacks() {
+  ClientCallbacks callbacks;
+  callbacks.is_ready = [this] { return AnswersReady(); };
+  callbacks.on_request = [this](ClientRequest request) { requests_.OnRequest(std::move(request)); };
+  callbacks.on_request_complete = [this](const std::string& id, Millis received_at) {
+    requests_.OnRequestComplete(id, received_at);
+  };
+  callbacks.on_disconnect = [this](const std::string& id) { requests_.OnClientDisconnected(id); };
+  callbacks.on_response_end = [this](const std::string& class_name, unsigned status, bool complete) {
     metrics_.Answered(class_name, status, complete);
   };
-  return handlers;
+  return callbacks;
 }
 
 void Gateway::StartManagement(const Config& config) {
@@ -170,7 +190,7 @@
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
-  upstream_.Update(list);  // before the policy: from now on nothing is sent by the former list
+  upstream_.ApplyEndpointList(list);  // before the policy: from now on nothing is sent by the former list
   listed_ = listed_ || !list.endpoints.empty();
   driver_.Report(ToNews(list));
   hot_restart_.ReadyNow();
@@ -208,8 +228,8 @@
   status.ready = IsReady();
   status.stopping = stopping_;
   status.draining = draining_;
-  status.active_requests = clients_.active();
-  status.client_connections = clients_.sessions();
+  status.active_requests = clients_.active_requests();
+  status.client_connections = clients_.connections();
   status.disconnected_clients = requests_.disconnected();
   status.upstream_connections = upstream_.connections();
   status.upstream_counts = upstream_.counts();
@@ -230,20 +250,20 @@
 
 void Gateway::SetDraining(bool draining) {
   draining_ = draining;
-  clients_.Drain(draining);
+  clients_.SetDraining(draining);
   SaveWithin(0);
 }
 
 void Gateway::UseHalfOfConnections(bool half) {
   const DescriptorBudget budget = half ? budget_.Half() : budget_;
-  clients_.SetMost(budget.client_connections);
-  upstream_.SetMost(budget.upstream_connections);
+  clients_.SetConnectionLimit(budget.client_connections);
+  upstream_.SetConnectionLimit(budget.upstream_connections);
 }
 
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
   if (hot_restart_.Succeeded()) return StopForSuccessor(done);
-  clients_.Drain(true);
+  clients_.SetDraining(true);
   stop_timer_.expires_after(Span(kAcceptAfterStop));
   stop_timer_.async_wait([this, done = std::move(done)](error_code) {
     clients_.StopListening(done);
@@ -255,8 +275,8 @@
 // that are active are finished here.
 void Gateway::StopForSuccessor(const std::function<void()>& done) {
   hot_restart_.Leave();
-  clients_.GiveAway([this](Descriptor client) { return hot_restart_.Give(std::move(client)); },
-                    [this, done] { hot_restart_.Flushed(done); });
+  clients_.TransferConnections([this](Descriptor client) { return hot_restart_.Give(std::move(client)); },
+                               [this, done] { hot_restart_.Flushed(done); });
   FinishWithin(kAnswerAllWithin, done);
 }
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -53,7 +53,7 @@
 
   HotRestart::Handlers HotRestartHandlers();
   EndpointListWatcher::Handlers ListHandlers();
-  ClientServer::Handlers ClientHandlers();
+  ClientCallbacks MakeClientCallbacks();
 
   // Start.
   void RestoreList(const Config& config, const std::optional<HandoverState>& handed_over,
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -33,25 +33,24 @@
   if (requests_.contains(request.id)) {  // outcomes of both could not be told apart
     HttpResponse response(http::status::conflict, kHttpVersion);
     response.body() = "Req-Id is in use\n";
-    return request.answer(std::move(response), nullptr);
+    return request.responder.Respond(std::move(response), nullptr);
   }
   const ActiveRequest& active = Add(request);
-  driver_.Report(
-      policy::Request{request.id, request.class_name, request.tenant, request.key, active.answer_by - Now()});
+  driver_.Report(policy::Request{request.id, request.class_name, request.tenant, request.affinity_key,
+                                 active.answer_by - Now()});
   if (ActiveRequest* const waiting = Find(request.id)) waiting->handled_on_arrival = false;
 }
 
 RequestForwarder::ActiveRequest& RequestForwarder::Add(ClientRequest& request) {
   ActiveRequest& active = requests_.try_emplace(request.id, io_).first->second;
   active.http = std::make_shared<const HttpRequest>(std::move(request.http));
-  active.answer = std::move(request.answer);
-  active.has_disconnected = std::move(request.left);
-  active.rest = std::move(request.rest);
-  active.complete = active.rest == nullptr;
-  active.allowed = request.allowed;
+  active.responder = request.responder;
+  active.remaining_body = std::move(request.remaining_body);
+  active.complete = active.remaining_body == nullptr;
+  active.allowed = request.time_allowed;
   active.class_name = request.class_name;
-  active.received_at = request.received;
-  const Millis client_gives_up_at = request.received + request.allowed;
+  active.received_at = request.received_at;
+  const Millis client_gives_up_at = request.received_at + request.time_allowed;
   active.answer_by = client_gives_up_at - kAnswerMargin;
   if (active.complete) SetDeadline(request.id, active, client_gives_up_at);
   return active;
@@ -92,7 +91,7 @@
   outcome.result = result;
   outcome.latency = active->complete ? Now() - attempt.sent_at : 0;
   outcome.load = ParseLoadReport({load_report.data(), load_report.size()}, settings_.load_report_fields);
-  outcome.request_buffered = !active->rest || !active->rest->begun();
+  outcome.request_buffered = !active->remaining_body || !active->remaining_body->started();
   if (result == policy::AttemptResult::kServed) {
     metrics_.Took(active->class_name, Metrics::Span::kAtHost, outcome.latency);
     if (!active->answered) {
@@ -104,14 +103,14 @@
 }
 
 void RequestForwarder::OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
-                                         std::shared_ptr<BodySource> rest) {
+                                         std::shared_ptr<BodySource> remaining_body) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || active->answered) {
-    asio::post(io_, [rest] { rest->Drop(); });
+    asio::post(io_, [remaining_body] { remaining_body->Cancel(); });
     return;
   }
   StripUpstreamFields(response);
-  Answer(*active, std::move(response), std::move(rest));
+  Answer(*active, std::move(response), std::move(remaining_body));
   driver_.Report(policy::ResponseStarted{id, static_cast<int>(attempt)});
 }
 
@@ -124,17 +123,17 @@
   driver_.Report(policy::ClientDisconnected{id});
   const ActiveRequest* const remaining = Find(id);
   if (remaining == nullptr) return;
-  std::vector<std::uint64_t> in_flight;  // a withdrawn attempt may erase the request
+  std::vector<AttemptId> in_flight;  // a withdrawn attempt may erase the request
   for (const Attempt& attempt : remaining->attempts) {
     if (attempt.in_flight) in_flight.push_back(attempt.number);
   }
-  for (const std::uint64_t attempt : in_flight) upstream_.Withdraw(attempt);
+  for (const AttemptId attempt : in_flight) upstream_.CancelUnsent(attempt);
 }
 
 bool RequestForwarder::IsAwaited(const std::string& id) {
   const ActiveRequest* const active = Find(id);
   if (active == nullptr || active->answered) return false;
-  if (!active->has_disconnected()) return true;
+  if (!active->responder.ClientDisconnected()) return true;
   OnClientDisconnected(id);
   return false;
 }
@@ -158,15 +157,15 @@
   ActiveRequest* const active = Find(send.request);
   if (!awaited) return RefuseToSend(send, active);
   const bool attempts_left = static_cast<int>(active->attempts.size()) < settings_.max_attempts;
-  const bool buffered = !active->rest || !active->rest->begun();
+  const bool buffered = !active->remaining_body || !active->remaining_body->started();
   if (!attempts_left || !buffered) return RefuseToSend(send, active);
   const Millis now = Now();
   const std::size_t index = active->attempts.size();
   if (index == 0) RecordFirstDecision(*active, now, true);
   const Millis timeout = send.timeout > 0 ? send.timeout : kMaximumUpload;
   active->attempts.push_back({send.endpoint, now, timeout});
-  const std::uint64_t number =
-      upstream_.Start(send.endpoint, MakeAttempt(send, *active, index, now, timeout));
+  const AttemptId number =
+      upstream_.Start(send.endpoint, MakeUpstreamRequest(send, *active, index, now, timeout));
   active->attempts[index].number = number;
 }
 
@@ -184,26 +183,27 @@
   driver_.Report(std::move(outcome));
 }
 
-UpstreamPool::Order RequestForwarder::MakeAttempt(const policy::Send& send, const ActiveRequest& active,
-                                                  std::size_t index, Millis now, Millis timeout) {
-  UpstreamPool::Order order;
-  order.request = active.http;
-  if (!active.complete) order.rest = active.rest;
-  order.deadline = active.complete ? std::min(now + timeout, active.answer_by) : now + kMaximumUpload;
-  order.wanted = [this, id = send.request, write_by = now + send.start_writing_within] {
+UpstreamRequest RequestForwarder::MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
+                                                      std::size_t index, Millis now, Millis timeout) {
+  UpstreamRequest request;
+  request.request = active.http;
+  if (!active.complete) request.remaining_body = active.remaining_body;
+  request.deadline = active.complete ? std::min(now + timeout, active.answer_by) : now + kMaximumUpload;
+  request.may_send = [this, id = send.request, write_by = now + send.start_writing_within] {
     return Now() <= write_by && IsAwaited(id);
   };
-  order.done = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
+  request.on_end = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
     OnAttemptEnded(id, index, result, std::move(response));
   };
-  order.begun = [this, id = send.request, index](HttpResponse response, std::shared_ptr<BodySource> rest) {
-    OnResponseStarted(id, index, std::move(response), std::move(rest));
+  request.on_response_streaming = [this, id = send.request, index](
+                                      HttpResponse response, std::shared_ptr<BodySource> remaining_body) {
+    OnResponseStarted(id, index, std::move(response), std::move(remaining_body));
   };
-  order.passing = [this, id = send.request] {
+  request.on_buffered_part_sent = [this, id = send.request] {
     if (ActiveRequest* const streaming = Find(id)) streaming->http.reset();
   };
-  order.written = [this] { metrics_.Tried(); };
-  return order;
+  request.on_request_sent = [this] { metrics_.Tried(); };
+  return request;
 }
 
 void RequestForwarder::Execute(const policy::Reject& reject) {
@@ -211,7 +211,7 @@
   if (active == nullptr) return;
   if (active->attempts.empty()) RecordFirstDecision(*active, Now(), false);
   HttpResponse response(http::status::service_unavailable, kHttpVersion);
-  response.set(http::field::retry_after, Seconds(reject.retry_after));
+  response.set(http::field::retry_after, FormatSeconds(reject.retry_after));
   Answer(*active, std::move(response));
   EraseIfEnded(reject.request);
 }
@@ -243,11 +243,11 @@
 }
 
 void RequestForwarder::Answer(ActiveRequest& active, HttpResponse response,
-                              std::shared_ptr<BodySource> rest) {
+                              std::shared_ptr<BodySource> remaining_body) {
   if (std::exchange(active.answered, true)) return;
   active.overdue.cancel();
   metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received_at);
-  std::exchange(active.answer, nullptr)(std::move(response), std::move(rest));
+  active.responder.Respond(std::move(response), std::move(remaining_body));
 }
 
 void RequestForwarder::RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent) {
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -17,7 +17,7 @@
 
 #include "gateway/policy.hpp"
 #include "proxy/admin/metrics.hpp"
-#include "proxy/body.hpp"
+#include "proxy/body_source.hpp"
 #include "proxy/client/client_server.hpp"
 #include "proxy/clock.hpp"
 #include "proxy/http_types.hpp"
@@ -55,23 +55,22 @@
  private:
   struct Attempt {
     std::string endpoint;
-    Millis sent_at = 0;        // or when the request was complete, if that was later
-    Millis timeout = 0;        // from then on
-    std::uint64_t number = 0;  // of the upstream pool
+    Millis sent_at = 0;    // or when the request was complete, if that was later
+    Millis timeout = 0;    // from then on
+    AttemptId number = 0;  // of the upstream pool
     bool in_flight = true;
   };
   // A client's request until it is answered and all its attempts have ended.
   struct ActiveRequest {
     explicit ActiveRequest(boost::asio::io_context& io) : overdue(io) {}
     std::shared_ptr<const HttpRequest> http;
-    std::shared_ptr<BodySource> rest;  // of the body, if the request was forwarded before it was complete
+    std::shared_ptr<BodySource> remaining_body;  // if the request was reported before it was complete
     bool complete = true;
     std::string class_name;
     Millis received_at = 0;
-    Millis allowed = 0;                      // time that the client waits, counted from received_at
-    bool handled_on_arrival = true;          // the policy sent or answered it while it was being reported
-    std::function<bool()> has_disconnected;  // asks the client's socket
-    std::function<void(HttpResponse, std::shared_ptr<BodySource>)> answer;
+    Millis allowed = 0;              // time that the client waits, counted from received_at
+    bool handled_on_arrival = true;  // the policy sent or answered it while it was being reported
+    ClientResponder responder;
     Millis answer_by = 0;  // for the policy
     bool answered = false;
     std::vector<Attempt> attempts;
@@ -85,13 +84,14 @@
   // Whether the client still waits for the answer. Notices a disconnection that was not reported yet.
   bool IsAwaited(const std::string& id);
   void RefuseToSend(const policy::Send& send, ActiveRequest* active);
-  UpstreamPool::Order MakeAttempt(const policy::Send& send, const ActiveRequest& active, std::size_t index,
-                                  Millis now, Millis timeout);
+  UpstreamRequest MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
+                                      std::size_t index, Millis now, Millis timeout);
   void OnAttemptEnded(const std::string& id, std::size_t attempt, policy::AttemptResult result,
                       HttpResponse response);
   void OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
-                         std::shared_ptr<BodySource> rest);
-  void Answer(ActiveRequest& active, HttpResponse response, std::shared_ptr<BodySource> rest = nullptr);
+                         std::shared_ptr<BodySource> remaining_body);
+  void Answer(ActiveRequest& active, HttpResponse response,
+              std::shared_ptr<BodySource> remaining_body = nullptr);
   // Records how long the request waited for the policy's first decision.
   void RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent);
   void EraseIfEnded(const std::string& id);
