--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -23,8 +23,8 @@
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
   options.revision = config.known.revision;
-  options.guarded = config.list_guarded;
-  options.most_removed = config.most_removed;
+  options.guard_mass_removal = config.list_guarded;
+  options.max_removed_share = config.most_removed;
   return options;
 }
 
@@ -38,7 +38,7 @@
       list_(io, FollowerOptions(config),
             {[this] { heard_ = true; },
              [this](const proxy::EndpointList& list) {
-               Report(proxy::ToNews(list));
+               Report(proxy::ToListEvent(list));
                if (heard_) told_(list_.revision());
              },
              [this](Millis took) {
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,6 +1,6 @@
 // A hollow gateway: all that a gateway does towards the list service, and no request path. It is made of the
-// gateway's own parts: the watch (Discovery), the list in force (EndpointListWatcher) and the decisions on
-// when to ask again (Policy). Thousands fit in one process. One thread.
+// gateway's own parts: the watch (DiscoveryClient), the list in force (EndpointListWatcher) and the decisions
+// on when to ask again (Policy). Thousands fit in one process. One thread.
 //
 // The one difference: while a call is out, the policy's periodic check, due every 10 ms for the sake of
 // queued requests, runs four times a second, for there are none. Until the first call and after a failed one
@@ -30,7 +30,7 @@
   HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, Told told);
 
   std::int64_t revision() const { return list_.revision(); }
-  std::size_t hosts() const { return list_.hosts().size(); }
+  std::size_t hosts() const { return list_.endpoints().size(); }
   // Whether a call has ever been answered.
   bool heard() const { return heard_; }
 
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -7,6 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "base/endpoint.hpp"
 #include "simulator/wire.hpp"
 
 namespace gateway::proxy {
@@ -67,7 +68,7 @@
   } else {
     throw ConfigError(name + ": not set");
   }
-  const auto endpoint = ParseEndpoint(text);
+  const auto endpoint = base::ParseEndpoint(text);
   if (!endpoint) throw ConfigError(name + ": '" + text + "' is not an address and port");
   return *endpoint;
 }
@@ -93,7 +94,7 @@
     const json& all = file["discovery_endpoints"];
     if (!all.is_array() || all.empty()) throw ConfigError("discovery_endpoints: must be a list of addresses");
     for (const json& one : all) {
-      const auto endpoint = ParseEndpoint(one.is_string() ? one.get<std::string>() : "");
+      const auto endpoint = base::ParseEndpoint(one.is_string() ? one.get<std::string>() : "");
       if (!endpoint) throw ConfigError("discovery_endpoints: " + one.dump() + " is not an address and port");
       config.other_discoveries.push_back(*endpoint);
     }
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -15,7 +15,7 @@
 #include "base/log.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/clock.hpp"
-#include "proxy/discovery/discovery.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 
 namespace gateway::proxy {
 
--- /dev/null
+++ b/src/proxy/discovery/call_log.cpp
@@ -0,0 +1,33 @@
+#include "proxy/discovery/call_log.hpp"
+
+#include <cmath>
+
+namespace gateway::proxy {
+namespace {
+
+constexpr Millis kMinLineInterval = 500;
+
+}  // namespace
+
+void CallLog::LogList(const EndpointList& list, Millis duration) {
+  const char* const scope = list.complete ? " hosts, the whole list" : " hosts changed";
+  Write(base::Level::kInfo, "told",
+        "revision " + std::to_string(list.revision) + ", " + std::to_string(list.endpoints.size()) + scope,
+        duration);
+}
+
+void CallLog::LogFailure(const ListError& error, Millis duration) {
+  Write(base::Level::kWarning, "call_failed", "call failed: " + error.message, duration);
+}
+
+void CallLog::Write(base::Level level, const char* event, const std::string& text, Millis duration) {
+  const Millis now = Now();
+  if (now < silent_until_) return;
+  silent_until_ = now + kMinLineInterval;
+  const Millis rounded = std::round(duration);
+  base::Log(level, "discovery", event,
+            "discovery: " + text + ", after " + std::to_string(static_cast<int>(rounded)) + " ms",
+            {{"ms", rounded}});
+}
+
+}  // namespace gateway::proxy
--- a/src/proxy/discovery/endpoint_list_watcher.cpp
+++ b/src/proxy/discovery/endpoint_list_watcher.cpp
@@ -1,76 +1,76 @@
 #include "proxy/discovery/endpoint_list_watcher.hpp"
 
+#include <optional>
 #include <utility>
 
-#include "proxy/clock.hpp"
-
 namespace gateway::proxy {
+namespace {
+
+DiscoveryClient::Options ClientOptions(EndpointListWatcher::Options options) {
+  DiscoveryClient::Options client;
+  client.services = std::move(options.other_services);
+  client.services.insert(client.services.begin(), options.service);
+  client.position = {options.revision, std::move(options.epoch)};
+  client.position_is_current = options.position_is_current;
+  client.seed = options.seed;
+  return client;
+}
+
+}  // namespace
 
-EndpointListWatcher::EndpointListWatcher(boost::asio::io_context& io, Options options, Handlers handlers)
-    : handlers_(std::move(handlers)),
-      most_removed_(options.most_removed),
-      discovery_(io, options.service, options.revision, options.sure,
-                 {[this](const EndpointList& list) {
-                    handlers_.answered();
-                    Apply(list);
-                  },
-                  [this](Millis took) { handlers_.failed(took); },
-                  options.guarded ? [this](const EndpointList& list) { return Refused(list); }
-                                  : std::function<std::string(const EndpointList&)>()},
-                 {std::move(options.other_services), options.seed, std::move(options.epoch)}) {}
+EndpointListWatcher::EndpointListWatcher(boost::asio::io_context& io, Options options, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
+      guard_mass_removal_(options.guard_mass_removal),
+      max_removed_share_(options.max_removed_share),
+      client_(io, ClientOptions(std::move(options)), *this) {}
 
 void EndpointListWatcher::Apply(const EndpointList& list) {
   revision_ = list.revision;
   if (!list.epoch.empty()) epoch_ = list.epoch;
-  if (list.complete) hosts_.clear();
-  for (const ListedEndpoint& host : list.endpoints) {
-    if (host.info.state == policy::EndpointState::kRemoved) {
-      hosts_.erase(host.info.id);
+  if (list.complete) endpoints_.clear();
+  for (const ListedEndpoint& endpoint : list.endpoints) {
+    if (endpoint.info.state == policy::EndpointState::kRemoved) {
+      endpoints_.erase(endpoint.info.id);
     } else {
-      hosts_[host.info.id] = host;
+      endpoints_[endpoint.info.id] = endpoint;
     }
   }
-  handlers_.changed(list);
+  callbacks_.list_changed(list);
 }
 
-EndpointList EndpointListWatcher::Listed() const {
+EndpointList EndpointListWatcher::Snapshot() const {
   EndpointList list;
   list.revision = revision_;
   list.epoch = epoch_;
-  for (const auto& [id, host] : hosts_) list.endpoints.push_back(host);
+  for (const auto& [id, endpoint] : endpoints_) list.endpoints.push_back(endpoint);
   return list;
 }
 
-// Why the list must not be believed: it loses more hosts at once than any trouble explains but the service's
-// own. What it says of drains binds all the same.
-std::string EndpointListWatcher::Refused(const EndpointList& list) {
-  std::size_t left = 0, gone = 0;
-  EndpointList draining;
-  draining.revision = revision_;
-  draining.complete = false;
-  for (const ListedEndpoint& host : list.endpoints) {
-    const auto known = hosts_.find(host.info.id);
-    if (known == hosts_.end()) continue;
-    if (host.info.state == policy::EndpointState::kRemoved) ++gone;
-    if (host.info.state != policy::EndpointState::kRemoved) ++left;
-    if (host.info.state == policy::EndpointState::kDraining)
-      draining.endpoints.push_back({host.info, known->second.address});
-  }
-  if (list.complete) gone = hosts_.size() - left;
-  const bool many =
-      gone > 1 && static_cast<double>(gone) > most_removed_ * static_cast<double>(hosts_.size());
-  if (!many || list.confirmed > revision_) return "";
-  if (!draining.endpoints.empty()) Apply(draining);
-  return "a list without " + std::to_string(gone) + " of " + std::to_string(hosts_.size()) +
+void EndpointListWatcher::OnEndpointList(EndpointList list) {
+  callbacks_.list_received();
+  Apply(list);
+}
+
+void EndpointListWatcher::OnWatchFailed(Millis call_duration) { callbacks_.watch_failed(call_duration); }
+
+// Applies the drains of a list that the guard rejects: a drain is safe to believe.
+std::string EndpointListWatcher::RejectionReason(const EndpointList& list) {
+  if (!guard_mass_removal_) return "";
+  const std::optional<MassRemoval> removal =
+      FindUnconfirmedMassRemoval(list, endpoints_, revision_, max_removed_share_);
+  if (!removal) return "";
+  const EndpointList drains = ExtractDrains(list, endpoints_, revision_);
+  if (!drains.endpoints.empty()) Apply(drains);
+  return "a list without " + std::to_string(removal->removed) + " of " + std::to_string(removal->known) +
          " hosts, which no operator has confirmed";
 }
 
-policy::EndpointListEvent ToNews(const EndpointList& list) {
-  policy::EndpointListEvent news;
-  news.kind =
-      list.complete ? policy::EndpointListEvent::Kind::kSnapshot : policy::EndpointListEvent::Kind::kDelta;
-  for (const ListedEndpoint& host : list.endpoints) news.endpoints.push_back(host.info);
-  return news;
+policy::EndpointListEvent ToListEvent(const EndpointList& list) {
+  using Kind = policy::EndpointListEvent::Kind;
+  policy::EndpointListEvent event;
+  event.kind = list.complete ? Kind::kSnapshot : Kind::kDelta;
+  for (const ListedEndpoint& endpoint : list.endpoints) event.endpoints.push_back(endpoint.info);
+  return event;
 }
 
 }  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/discovery/list_call.cpp
@@ -0,0 +1,126 @@
+#include "proxy/discovery/list_call.hpp"
+
+#include <boost/beast/http.hpp>
+#include <cstddef>
+#include <optional>
+#include <utility>
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+constexpr std::size_t kMaxListBytes = 8 << 20;
+constexpr int kHttp11 = 11;
+
+}  // namespace
+
+ListCall::ListCall(asio::io_context& io, const Options& options, Connection connection, Observer& observer)
+    : options_(options),
+      connection_(std::move(connection)),
+      observer_(&observer),
+      connected_(connection_ != nullptr),
+      timer_(io),
+      request_(http::verb::get, options.target, kHttp11) {
+  if (!connection_) connection_ = std::make_unique<tcp::socket>(io);
+  request_.set(http::field::host, options.service.address().to_string());
+  if (!options.keep_alive) request_.keep_alive(false);
+  parser_.body_limit(kMaxListBytes);
+}
+
+void ListCall::Start() {
+  started_at_ = Now();
+  if (!connected_) return Connect();
+  SetTimeout(options_.response_timeout);
+  SendRequest();
+}
+
+void ListCall::Connect() {
+  ExpireAfter(options_.connect_timeout, {ListError::Kind::kConnectTimeout, "no connection in time"});
+  connection_->async_connect(options_.service, [self = shared_from_this()](error_code ec) {
+    if (!self->observer_) return;
+    if (ec) return self->End(self->TransportError(ec));
+    self->connected_ = true;
+    self->SetTimeout(self->started_at_ + self->options_.response_timeout - Now());
+    self->SendRequest();
+  });
+}
+
+void ListCall::SendRequest() {
+  http::async_write(*connection_, request_, [self = shared_from_this()](error_code ec, std::size_t) {
+    if (!self->observer_) return;
+    if (ec) return self->End(self->TransportError(ec));
+    self->ReadHeader();
+  });
+}
+
+// The header is read on its own because Boost 1.74 does not check the announced length against the body
+// limit.
+void ListCall::ReadHeader() {
+  http::async_read_header(*connection_, buffer_, parser_,
+                          [self = shared_from_this()](error_code ec, std::size_t) {
+                            if (!self->observer_) return;
+                            if (ec) return self->End(self->TransportError(ec));
+                            if (self->parser_.content_length().value_or(0) > kMaxListBytes) {
+                              return self->End(ListError{ListError::Kind::kTooLong, "too long a list"});
+                            }
+                            self->ReadBody();
+                          });
+}
+
+void ListCall::ReadBody() {
+  http::async_read(*connection_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
+    if (!self->observer_) return;
+    if (ec) return self->End(self->TransportError(ec));
+    self->End(self->ParseResponse());
+  });
+}
+
+void ListCall::SetTimeout(Millis timeout) {
+  ExpireAfter(timeout, {ListError::Kind::kResponseTimeout, "no answer in time"});
+}
+
+void ListCall::ExpireAfter(Millis timeout, ListError error) {
+  timer_.expires_after(Span(timeout));
+  timer_.async_wait([self = shared_from_this(), error = std::move(error)](error_code ec) {
+    if (!ec) self->End(error);
+  });
+}
+
+ListError ListCall::TransportError(const error_code& ec) const {
+  return {ListError::Kind::kTransport, ec.message()};
+}
+
+ListCall::Result ListCall::ParseResponse() const {
+  const auto& response = parser_.get();
+  if (response.result() != http::status::ok) {
+    return ListError{ListError::Kind::kHttpStatus, "status " + std::to_string(response.result_int())};
+  }
+  std::optional<EndpointList> list = ParseEndpointList(response.body());
+  if (!list) return ListError{ListError::Kind::kMalformed, "not a list of hosts"};
+  return *std::move(list);
+}
+
+void ListCall::End(Result result) {
+  if (!observer_) return;
+  timer_.cancel();
+  Observer* const observer = std::exchange(observer_, nullptr);
+  if (std::holds_alternative<ListError>(result)) connection_.reset();
+  observer->OnListCallEnded(*this, std::move(result));
+}
+
+void ListCall::Abandon() {
+  if (!std::exchange(observer_, nullptr)) return;
+  timer_.cancel();
+  connection_.reset();
+}
+
+ListCall::Connection ListCall::TakeConnection() {
+  if (!connection_ || !parser_.get().keep_alive()) return nullptr;
+  return std::move(connection_);
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/discovery/list_call.hpp
@@ -0,0 +1,90 @@
+// One HTTP call to a list service.
+#ifndef GATEWAY_PROXY_DISCOVERY_LIST_CALL_HPP_
+#define GATEWAY_PROXY_DISCOVERY_LIST_CALL_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/empty_body.hpp>
+#include <boost/beast/http/message.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/beast/http/string_body.hpp>
+#include <boost/system/error_code.hpp>
+#include <memory>
+#include <string>
+#include <variant>
+
+#include "proxy/clock.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
+#include "proxy/discovery/list_error.hpp"
+
+namespace gateway::proxy {
+
+// A GET that asks a list service for the endpoint list. Ends once: with the list, with an error or by
+// Abandon(). Its asynchronous operations own it jointly with the caller, so it is always held by a
+// std::shared_ptr. One thread: the event loop's.
+class ListCall : public std::enable_shared_from_this<ListCall> {
+ public:
+  using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
+  using Result = std::variant<EndpointList, ListError>;
+
+  class Observer {
+   public:
+    // The call has ended; it is not called again. Called from the event loop, never from within Start(). May
+    // release `call`, take its connection and start other calls.
+    virtual void OnListCallEnded(ListCall& call, Result result) = 0;
+
+   protected:
+    ~Observer() = default;
+  };
+
+  struct Options {
+    boost::asio::ip::tcp::endpoint service;
+    std::string target;           // path and query
+    bool keep_alive = true;       // whether the connection may serve a later call
+    Millis connect_timeout = 0;   // from Start(), while a connection is opened
+    Millis response_timeout = 0;  // from Start() to the last byte of the response
+  };
+
+  // `connection` is an open one to the service that an earlier call has left, or null: then Start() opens
+  // one. `observer` must outlive the call or Abandon() it.
+  ListCall(boost::asio::io_context& io, const Options& options, Connection connection, Observer& observer);
+
+  void Start();
+  // Ends the call with kResponseTimeout after `timeout` from now, whatever the options said.
+  void SetTimeout(Millis timeout);
+  // Ends the call without a word to the observer and closes the connection. Does nothing once it has ended.
+  void Abandon();
+
+  Millis started_at() const { return started_at_; }
+  // Whether the connection is open, so that the request has been or is being sent.
+  bool connected() const { return connected_; }
+  // The connection for a later call, to be taken once the call has ended with a list; null where it can't be
+  // used again.
+  Connection TakeConnection();
+
+ private:
+  void Connect();
+  void SendRequest();
+  void ReadHeader();
+  void ReadBody();
+  void ExpireAfter(Millis timeout, ListError error);
+  ListError TransportError(const boost::system::error_code& ec) const;
+  Result ParseResponse() const;
+  void End(Result result);
+
+  const Options options_;
+  Connection connection_;
+  Observer* observer_;  // null once the call has ended
+  bool connected_;
+  Millis started_at_ = 0;
+  boost::asio::steady_timer timer_;
+  boost::beast::http::request<boost::beast::http::empty_body> request_;
+  boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
+  boost::beast::flat_buffer buffer_;
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_DISCOVERY_LIST_CALL_HPP_
--- /dev/null
+++ b/src/proxy/discovery/service_failover.hpp
@@ -0,0 +1,66 @@
+// Failover between several services of one endpoint list: which of them is watched, when the watch moves to
+// another one and when it returns to the first. A state machine without I/O, clock or randomness: the caller
+// hands the time in. One thread.
+#ifndef GATEWAY_PROXY_DISCOVERY_SERVICE_FAILOVER_HPP_
+#define GATEWAY_PROXY_DISCOVERY_SERVICE_FAILOVER_HPP_
+
+#include <cstddef>
+
+#include "proxy/clock.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
+#include "proxy/discovery/watch_position.hpp"
+
+namespace gateway::proxy {
+
+// What to do after a probe, a call to a service that is not the one being watched.
+enum class ProbeDecision {
+  kStay,
+  kReturnToFirst,
+  // The probed service is ahead: switch to it if the watched one has not caught up in a moment.
+  kSwitchUnlessCaughtUp,
+};
+
+class ServiceFailover {
+ public:
+  // `service_count` is at least 1. `return_after`: time to stay away from the first service before a return
+  // to it; doubles, up to ten minutes, each time that the first one fails again within it.
+  ServiceFailover(std::size_t service_count, Millis return_after);
+
+  // Index of the service to watch, from 0; the first one is preferred.
+  std::size_t current() const { return current_; }
+
+  // A call to the current service has failed: the next service becomes the current one. Returns whether every
+  // service has now failed in turn, so that an immediate call to the next one would only repeat the round.
+  bool RecordFailure(Millis now);
+  // A list from the current service was taken.
+  void RecordSuccess() { failures_in_a_row_ = 0; }
+
+  // Makes `service` the current one.
+  void SwitchTo(std::size_t service, Millis now);
+  // The services' addresses have changed: begins with the first.
+  void StartOver() { current_ = 0; }
+
+  // The service to probe next: the first one when a return to it is due, otherwise each of the others in
+  // turn. Requires at least two services.
+  std::size_t NextProbe(Millis now);
+
+  // Judges the list that the probe of `service` returned, compared with the position of the watch. A list of
+  // another epoch can't be compared and changes nothing.
+  ProbeDecision EvaluateProbe(std::size_t service, const EndpointList& list, const WatchPosition& position,
+                              Millis now) const;
+
+ private:
+  bool ReturnIsDue(Millis now) const { return current_ != 0 && now - left_first_at_ >= return_after_; }
+
+  const std::size_t service_count_;
+  Millis return_after_;
+  std::size_t current_ = 0;
+  std::size_t failures_in_a_row_ = 0;
+  std::size_t last_probe_ = 0;
+  Millis left_first_at_ = 0;
+  Millis returned_at_ = 0;  // to the first; 0: never
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_DISCOVERY_SERVICE_FAILOVER_HPP_
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -92,9 +92,10 @@
   options.epoch = inheritance.handed_over ? inheritance.handed_over->list.epoch
                   : kept                  ? kept->list.epoch
                                           : "";
-  options.sure = inheritance.handed_over || !kept || kept->list.revision <= config.known.revision;
-  options.guarded = config.list_guarded;
-  options.most_removed = config.most_removed;
+  options.position_is_current =
+      inheritance.handed_over || !kept || kept->list.revision <= config.known.revision;
+  options.guard_mass_removal = config.list_guarded;
+  options.max_removed_share = config.most_removed;
   return options;
 }
 
@@ -157,12 +158,14 @@
   list_confirmed_at_ = list_kept_ ? kept->kept_at : Now();
   list_.Apply(handed_over ? handed_over->list : list_kept_ ? kept->list : config.known);
   if (list_kept_) {
-    base::Log(
-        base::Level::kInfo, "state", "list_restored",
-        Words("state kept: list of revision %lld with %zu hosts in force until discovery answers, kept "
-              "%.0f s ago",
-              static_cast<long long>(list_.revision()), list_.hosts().size(), (Now() - kept->kept_at) / 1000),
-        {{"revision", list_.revision()}, {"hosts", list_.hosts().size()}, {"age_ms", Now() - kept->kept_at}});
+    base::Log(base::Level::kInfo, "state", "list_restored",
+              Words("state kept: list of revision %lld with %zu hosts in force until discovery answers, kept "
+                    "%.0f s ago",
+                    static_cast<long long>(list_.revision()), list_.endpoints().size(),
+                    (Now() - kept->kept_at) / 1000),
+              {{"revision", list_.revision()},
+               {"hosts", list_.endpoints().size()},
+               {"age_ms", Now() - kept->kept_at}});
   }
   if (!config.state_folder.empty())
     keeper_.emplace(config.state_folder, config.state_owner, config.state_sync_delay);
@@ -246,10 +249,10 @@
 void Gateway::ApplyList(const EndpointList& list) {
   hosts_.Update(list);  // first: nothing may be sent by the old list any more
   listed_ = listed_ || !list.endpoints.empty();
-  Report(ToNews(list));
+  Report(ToListEvent(list));
   replacement_.ReadyNow();
   // Not all of a fleet at once.
-  if (keeper_ && !list_.hosts().empty()) {
+  if (keeper_ && !list_.endpoints().empty()) {
     KeepLater(kKeepWithin * (settings_.gateway_index % kKeepSteps) / kKeepSteps);
   }
 }
@@ -262,7 +265,7 @@
   keep_.expires_at(due);
   keep_.async_wait([this](error_code ec) {
     if (ec || !keeper_->ok()) return;
-    keeper_->Keep({list_.Listed(), draining_, list_confirmed_at_, policy_.ExportState()});
+    keeper_->Keep({list_.Snapshot(), draining_, list_confirmed_at_, policy_.ExportState()});
     KeepLater(kKeepEvery);  // what is learned goes on changing
   });
 }
@@ -277,10 +280,12 @@
   const std::string where = address.address().to_string() + ":" + std::to_string(address.port());
   base::Log(base::Level::kInfo, "discovery", "moved", "discovery is at " + where + " now",
             {{"address", where}});
-  list_.Move(address);
+  list_.ChangeAddress(address);
 }
 
-bool Gateway::ListOld() const { return Now() - std::max(list_.heard_at(), started_at_) > list_old_after_; }
+bool Gateway::ListOld() const {
+  return Now() - std::max(list_.last_list_at(), started_at_) > list_old_after_;
+}
 
 void Gateway::ListFailed(Millis took) {
   Report(policy::EndpointListEvent{
@@ -373,7 +378,7 @@
 std::string Gateway::Manage(const std::string& call) {
   if (call == "vars") {
     std::string figures =
-        metrics_.ToJson(clients_.active(), list_.hosts().size(), policy_.EjectedEndpoints());
+        metrics_.ToJson(clients_.active(), list_.endpoints().size(), policy_.EjectedEndpoints());
     // With no folder for states all is as before.
     if (keeper_)
       figures.insert(figures.size() - 1,
@@ -385,7 +390,7 @@
     const auto number = [](auto value) { return static_cast<double>(value); };
     return metrics_.ToPrometheus(
                {{"active_requests", "gauge", "Requests taken and not ended", number(clients_.active())},
-                {"hosts_listed", "gauge", "Hosts in the list", number(list_.hosts().size())},
+                {"hosts_listed", "gauge", "Hosts in the list", number(list_.endpoints().size())},
                 {"hosts_avoided", "gauge", "Listed hosts that get no more than trials",
                  number(policy_.EjectedEndpoints())},
                 {"list_revision", "gauge", "Revision of the list in force", number(list_.revision())},
@@ -400,11 +405,11 @@
                  number(c.reset_new + c.reset_reused)},
                 {"clients_left_total", "counter", "Clients that left unanswered", number(left_)},
                 {"list_age_seconds", "gauge", "Since the list was last known to hold",
-                 (Now() - std::max(list_.heard_at(), list_confirmed_at_)) / 1000},
+                 (Now() - std::max(list_.last_list_at(), list_confirmed_at_)) / 1000},
                 {"list_old", "gauge", "1 while no list service has answered for too long",
                  ListOld() ? 1.0 : 0.0},
                 {"list_service", "gauge", "Which of the list services is watched, from 0",
-                 number(list_.service())},
+                 number(list_.service_index())},
                 {"list_from_state", "gauge", "1 while the list in force is from the disk",
                  list_kept_ ? 1.0 : 0.0},
                 {"state_ok", "gauge", "0 once keeping state has failed",
@@ -587,7 +592,7 @@
   hosts_.SetMost(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
 }
 
-HandoverState Gateway::Leave() const { return {list_.Listed(), policy_.ExportState()}; }
+HandoverState Gateway::Leave() const { return {list_.Snapshot(), policy_.ExportState()}; }
 
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
--- a/src/proxy/restart/handover.cpp
+++ b/src/proxy/restart/handover.cpp
@@ -120,7 +120,7 @@
 
 std::string ToText(const HandoverState& handed_over) {
   json all = ToJson(handed_over.learned);
-  all["list"] = json::parse(ToText(handed_over.list));
+  all["list"] = json::parse(SerializeEndpointList(handed_over.list));
   return all.dump();
 }
 
--- a/src/proxy/restart/handover.hpp
+++ b/src/proxy/restart/handover.hpp
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "gateway/policy.hpp"
-#include "proxy/discovery/discovery.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 
 namespace gateway::proxy {
 
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -29,7 +29,7 @@
 
 std::string ToText(const SavedState& state) {
   json form = {
-      {"list", json::parse(ToText(state.list))}, {"draining", state.draining}, {"kept_at_ms", state.kept_at}};
+      {"list", json::parse(SerializeEndpointList(state.list))}, {"draining", state.draining}, {"kept_at_ms", state.kept_at}};
   if (state.learned) form["learned"] = ToJson(*state.learned);
   return form.dump();
 }
--- a/src/proxy/restart/state_saver.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "proxy/clock.hpp"
-#include "proxy/discovery/discovery.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 
 namespace gateway::proxy {
 
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -16,7 +16,7 @@
 #include "gateway/policy.hpp"
 #include "proxy/body.hpp"
 #include "proxy/clock.hpp"
-#include "proxy/discovery/discovery.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 #include "proxy/http_types.hpp"
 
 namespace gateway::proxy {
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,24 +1,27 @@
-// Several services of one list: one watch at a time, that moves, comes back and never goes back in time.
+// The watch of the endpoint list: failover between several services, the guard against mass removal, and a
+// change of the service's address.
 #include <gtest/gtest.h>
 
 #include "base/clock.hpp"
+#include "proxy/discovery/discovery_client.hpp"
+#include "proxy/discovery/mass_removal_guard.hpp"
+#include "proxy/discovery/service_failover.hpp"
 #include "world.hpp"
 
 namespace gateway::proxy::testing {
 namespace {
 
-using proxy::Discovery;
+using proxy::DiscoveryClient;
 using proxy::EndpointList;
 
-// Two services that say what the test sets, and the watch on them.
-struct TwoServices {
+// Two services that answer what the test sets, and a client that watches them.
+struct TwoServices : DiscoveryClient::Observer {
   struct One {
     explicit One(asio::io_context& io) : peer(io) {}
     Peer peer;
     std::int64_t revision = 50;
     std::string epoch = "e1";
     int status = 200;
-    bool mute = false;        // a call is never answered
     std::size_t watches = 0;  // calls that may wait
   };
   TwoServices() {
@@ -27,103 +30,158 @@
         const std::string target(taken.http.target());
         const bool waits = target.find("wait_ms=0") == std::string::npos;
         one->watches += waits;
-        if (one->mute) return;
         nlohmann::json list = List(one->revision, true, {Member("h0", Loopback(80))});
         list["epoch"] = one->epoch;
         const auto after = target.find("after=" + std::to_string(one->revision) + "&");
-        if (waits && after != std::string::npos && one->status == 200) return;  // no news: it waits
+        if (waits && after != std::string::npos && one->status == 200) return;  // nothing new: it waits
         taken.Answer(one->status, list.dump());
       };
     }
-    Discovery::Several several;
-    several.others = {second.peer.address()};
-    several.look_every = 40;
-    several.news_within = 60;
-    several.return_after = 150;
-    discovery.emplace(
-        io, first.peer.address(), 0, true,
-        Discovery::Handlers{[this](const EndpointList& list) { told.push_back(list.revision); },
-                            [this](Millis) { ++failed; }, [this](const EndpointList&) { return refuse; }},
-        several);
-    discovery->Watch();
+    DiscoveryClient::Options options;
+    options.services = {first.peer.address(), second.peer.address()};
+    options.probe_interval = 40;
+    options.catch_up_within = 60;
+    options.return_after = 150;
+    client.emplace(io, options, *this);
+    client->Watch();
   }
+  void OnEndpointList(EndpointList list) override { revisions.push_back(list.revision); }
+  void OnWatchFailed(Millis) override { ++failures; }
+  std::string RejectionReason(const EndpointList&) override { return rejection_reason; }
   ::testing::AssertionResult Until(const std::function<bool()>& done) {
     if (RunUntil(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "did not come about";
+    return ::testing::AssertionFailure() << "condition not met in time";
   }
 
   asio::io_context io;
   One first{io}, second{io};
-  std::vector<std::int64_t> told;
-  int failed = 0;
-  std::string refuse;
-  std::optional<Discovery> discovery;
+  std::vector<std::int64_t> revisions;  // of the lists taken
+  int failures = 0;                     // of the watch
+  std::string rejection_reason;
+  std::optional<DiscoveryClient> client;
 };
 
-TEST(Discovery, MovesToAnotherServiceAndComesBack) {
+TEST(DiscoveryClient, FailsOverToAnotherServiceAndReturns) {
   TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.told == std::vector<std::int64_t>{50}; }));
-  EXPECT_EQ(w.discovery->service(), 0u);
+  ASSERT_TRUE(w.Until([&] { return w.revisions == std::vector<std::int64_t>{50}; }));
+  EXPECT_EQ(w.client->service_index(), 0u);
   w.first.status = 503;
   for (const auto& connection : w.first.peer.connections) connection->Reset();
-  ASSERT_TRUE(w.Until([&] { return w.discovery->service() == 1 && w.second.watches > 0; }));
-  EXPECT_EQ(w.failed, 0);  // the other one was tried before anyone waits
+  ASSERT_TRUE(w.Until([&] { return w.client->service_index() == 1 && w.second.watches > 0; }));
+  EXPECT_EQ(w.failures, 0);  // the other one was tried first
   w.second.revision = 51;
   w.first.status = 200;
   w.first.revision = 51;
-  ASSERT_TRUE(w.Until([&] { return w.discovery->service() == 0 && w.told.back() == 51; }));
+  ASSERT_TRUE(w.Until([&] { return w.client->service_index() == 0 && w.revisions.back() == 51; }));
 }
 
-TEST(Discovery, AsksEachServiceOnceBeforeItWaits) {
+TEST(DiscoveryClient, CallsEachServiceOnceBeforeTheWatchFails) {
   TwoServices w;
   w.first.status = w.second.status = 503;
-  ASSERT_TRUE(w.Until([&] { return w.failed == 1; }));
+  ASSERT_TRUE(w.Until([&] { return w.failures == 1; }));
   EXPECT_EQ(w.first.watches + w.second.watches, 2u);
 }
 
-TEST(Discovery, LeavesAServiceThatGetsNoNews) {
+TEST(DiscoveryClient, LeavesAServiceThatLagsBehind) {
   TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.told.size() == 1; }));
+  ASSERT_TRUE(w.Until([&] { return w.revisions.size() == 1; }));
   w.second.revision = 52;  // the first one stays at 50
-  ASSERT_TRUE(w.Until([&] { return w.told.back() == 52; }));
-  EXPECT_EQ(w.discovery->service(), 1u);
-  // The first one, which lags, is not gone back to: it would tell an older list.
+  ASSERT_TRUE(w.Until([&] { return w.revisions.back() == 52; }));
+  EXPECT_EQ(w.client->service_index(), 1u);
+  // No return to the first one, which lags: its list is older.
   const Millis until = base::Now() + 500;
   ASSERT_TRUE(w.Until([&] { return base::Now() > until; }));
-  EXPECT_EQ(w.discovery->service(), 1u);
-  EXPECT_EQ(w.told.back(), 52);
+  EXPECT_EQ(w.client->service_index(), 1u);
+  EXPECT_EQ(w.revisions.back(), 52);
 }
 
-TEST(Discovery, TakesAnOlderRevisionOnlyOfAnotherHistory) {
+TEST(DiscoveryClient, TakesAnOlderRevisionOnlyOfAnotherEpoch) {
   TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.told.size() == 1; }));
+  ASSERT_TRUE(w.Until([&] { return w.revisions.size() == 1; }));
   w.second.revision = 40;
   for (const auto& connection : w.first.peer.connections) connection->Reset();
   w.first.status = 503;
-  ASSERT_TRUE(w.Until([&] { return w.failed > 0; }));
-  EXPECT_EQ(w.told, std::vector<std::int64_t>{50});
+  ASSERT_TRUE(w.Until([&] { return w.failures > 0; }));
+  EXPECT_EQ(w.revisions, std::vector<std::int64_t>{50});
   w.second.epoch = "e2";  // the service lost its disk
-  w.discovery->Watch();
+  w.client->Watch();
   ASSERT_TRUE(w.Until([&] {
-    if (w.failed > 1) w.failed = 0, w.discovery->Watch();
-    return w.told.back() == 40;
+    if (w.failures > 1) {
+      w.failures = 0;
+      w.client->Watch();
+    }
+    return w.revisions.back() == 40;
   }));
 }
 
-TEST(Discovery, RefusesAListAsAWhole) {
+TEST(DiscoveryClient, TakesNothingFromARejectedList) {
   TwoServices w;
-  w.refuse = "too many are gone";
-  ASSERT_TRUE(w.Until([&] { return w.failed == 1; }));
-  EXPECT_TRUE(w.told.empty());
-  EXPECT_EQ(w.discovery->heard_at(), 0);
+  w.rejection_reason = "too many are gone";
+  ASSERT_TRUE(w.Until([&] { return w.failures == 1; }));
+  EXPECT_TRUE(w.revisions.empty());
+  EXPECT_EQ(w.client->last_list_at(), 0);
+}
+
+// Rules of failover, called directly. Times in ms.
+TEST(ServiceFailover, ReportsARoundOnlyWhenEveryServiceFailed) {
+  proxy::ServiceFailover failover(3, 30000);
+  EXPECT_FALSE(failover.RecordFailure(1));
+  EXPECT_FALSE(failover.RecordFailure(2));
+  EXPECT_TRUE(failover.RecordFailure(3));
+  EXPECT_EQ(failover.current(), 0u);
+  EXPECT_FALSE(failover.RecordFailure(4));
+  failover.RecordSuccess();
+  EXPECT_FALSE(failover.RecordFailure(5));
+  EXPECT_EQ(failover.current(), 2u);
+}
+
+TEST(ServiceFailover, StaysAwayTwiceAsLongAfterAReturnThatFailed) {
+  proxy::ServiceFailover failover(2, 100);
+  const EndpointList current{7, true, {}, "e1", 0};
+  const proxy::WatchPosition position{7, "e1"};
+  failover.RecordFailure(1000);
+  EXPECT_EQ(failover.EvaluateProbe(0, current, position, 1099), proxy::ProbeDecision::kStay);
+  EXPECT_EQ(failover.EvaluateProbe(0, current, position, 1100), proxy::ProbeDecision::kReturnToFirst);
+  failover.SwitchTo(0, 1100);
+  failover.RecordFailure(1150);
+  EXPECT_EQ(failover.EvaluateProbe(0, current, position, 1349), proxy::ProbeDecision::kStay);
+  EXPECT_EQ(failover.EvaluateProbe(0, current, position, 1350), proxy::ProbeDecision::kReturnToFirst);
+}
+
+TEST(ServiceFailover, IgnoresAProbeOfAnotherEpoch) {
+  const proxy::ServiceFailover failover(2, 100);
+  const proxy::WatchPosition position{7, "e1"};
+  EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e1", 0}, position, 0),
+            proxy::ProbeDecision::kSwitchUnlessCaughtUp);
+  EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e2", 0}, position, 0), proxy::ProbeDecision::kStay);
+}
+
+// Rule of the guard, called directly: a delta counts the endpoints that it names, a snapshot those that it
+// leaves out; one endpoint alone is never a mass removal.
+TEST(MassRemovalGuard, CountsSnapshotsAndDeltas) {
+  proxy::EndpointsById known;
+  for (const char* id : {"h0", "h1", "h2"}) known[id].info.id = id;
+  EndpointList removal{8, false, {known["h0"], known["h1"]}, "", 0};
+  for (proxy::ListedEndpoint& endpoint : removal.endpoints) {
+    endpoint.info.state = policy::EndpointState::kRemoved;
+  }
+  EXPECT_TRUE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.5));
+  EXPECT_FALSE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.7));
+  EXPECT_FALSE(
+      proxy::FindUnconfirmedMassRemoval({8, true, {known["h0"], known["h1"]}, "", 0}, known, 7, 0.3));
+  const EndpointList snapshot{8, true, {known["h0"]}, "", 0};
+  ASSERT_TRUE(proxy::FindUnconfirmedMassRemoval(snapshot, known, 7, 0.5));
+  EXPECT_EQ(proxy::FindUnconfirmedMassRemoval(snapshot, known, 7, 0.5)->removed, 2u);
+  removal.confirmed_revision = 8;
+  EXPECT_FALSE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.5));
 }
 
-// Guards the hosts against a service that forgot them: its list is not believed without operators' word, but
-// what drains in it drains.
-TEST(Discovery, GatewayKeepsHostsThatNobodyConfirmedToBeGone) {
+// Guards the endpoints against a service that lost them: its list is not taken without an operator's
+// confirmation, but the endpoints that it drains are drained.
+TEST(MassRemovalGuard, KeepsEndpointsWhoseMassRemovalIsUnconfirmed) {
   World world(6);
   world.GuardList();
-  const auto told = [&](std::int64_t revision, std::size_t hosts, std::int64_t confirmed) {
+  const auto list_of = [&](std::int64_t revision, std::size_t hosts, std::int64_t confirmed) {
     std::vector<nlohmann::json> members;
     for (std::size_t i = 0; i < hosts; ++i) {
       members.push_back(Member("h" + std::to_string(i), world.host(i).address(), i == 0 ? "draining" : "up"));
@@ -137,18 +195,18 @@
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() > asked; }));
     world.discovery.requests.back().Answer(200, body);
   };
-  answer(told(42, 2, 0));
-  answer(told(43, 2, 0));
+  answer(list_of(42, 2, 0));
+  answer(list_of(43, 2, 0));
   EXPECT_EQ(world.Vars()["pool_size"], 6);
-  answer(told(44, 3, 0));  // half of them is not too many
+  answer(list_of(44, 3, 0));  // half of them is not too many
   ASSERT_TRUE(world.Until([&] { return world.Vars()["pool_size"] == 3; }));
-  answer(told(46, 1, 45));  // confirmed
+  answer(list_of(46, 1, 45));  // confirmed
   ASSERT_TRUE(world.Until([&] { return world.Vars()["pool_size"] == 1; }));
 }
 
-// What discovery has counts as told 6 s later, whether or not it arrived: a watch that has fallen silent, the
-// first call of it or one that goes on, is opened anew so early that a second is left for the answer.
-TEST(Discovery, OpensASilentWatchAnewInTime) {
+// A change counts as received 6 s after discovery had it, whether or not it arrived. So a watch that fell
+// silent, in its first call or a later one, is reopened early enough to leave a second for the response.
+TEST(DiscoveryClient, ReopensASilentWatchInTime) {
   for (const std::size_t silent : {0u, 1u}) {  // the call that is never answered
     World world(2);
     ASSERT_TRUE(world.Until([&] { return !world.discovery.requests.empty(); }));
@@ -167,8 +225,8 @@
     EXPECT_LT(base::Now() - begun, 5000) << "call " << silent;
     EXPECT_NE(world.discovery.requests[silent].on, world.discovery.requests[silent + 1].on);
     answer(silent + 1, "draining");
-    const std::string told = "list_revision " + std::to_string(43 + silent) + "\n";
-    ASSERT_TRUE(world.Until([&] { return world.Call("metrics\n").find(told) != std::string::npos; }));
+    const std::string metric = "list_revision " + std::to_string(43 + silent) + "\n";
+    ASSERT_TRUE(world.Until([&] { return world.Call("metrics\n").find(metric) != std::string::npos; }));
     const auto client = world.Connect();
     client->Send(ApiCall("a"));
     ASSERT_TRUE(world.Until([&] { return !world.host(1).requests.empty(); }));
@@ -176,29 +234,29 @@
   }
 }
 
-// A gateway whose discovery moves while a call is on at the old address. The new address takes the call and
-// answers when the test says so.
+// A gateway whose discovery gets a new address while a call to the former one is in progress. The new address
+// answers when the test makes it.
 struct MovingWorld : World {
   MovingWorld() : World(2) {
     for (const auto& host : hosts) {
       host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
     }
   }
-  bool Asked() {
+  bool FirstCallArrived() {
     return Until([&] { return discovery.requests.size() == 1; });
   }
-  // Puts bytes into the gateway's socket at once: they stand there unread until the loop runs. A gateway that
-  // has closed it is told by what follows.
+  // Puts bytes into the gateway's socket, where they stay unread until the event loop runs. If the gateway
+  // has closed it, the checks that follow fail.
   void Write(const std::string& text) {
     error_code ignored;
     asio::write(discovery.requests[0].on->socket, asio::buffer(text), ignored);
   }
   void Move() { gateway->MoveDiscovery(moved.address()); }
-  // So many operators' calls from connect to close: what stood in a socket before them has been read by then.
+  // Runs the event loop for a few complete management calls: it has read what its sockets held before them.
   void TurnLoop() {
     for (int i = 0; i < 5; ++i) Call("check\n");
   }
-  // How many of 20 requests that follow each other come to the host.
+  // How many of 20 consecutive requests reach the host.
   std::size_t Share(std::size_t of) {
     const std::size_t before = host(of).requests.size();
     const auto client = Connect();
@@ -220,11 +278,11 @@
   int asked = 0;
 };
 
-// Guards a drain that discovery has written and that nobody has read when the word comes that discovery has
-// moved: it is told, and binds at once, however long the new address takes for its first answer.
-TEST(Discovery, TakesWhatItsOldAddressWroteBeforeTheMove) {
+// Guards a drain that discovery has written and that is unread when its address changes: it takes effect at
+// once, however long the new address takes for its first response.
+TEST(DiscoveryClient, TakesAResponseWrittenAtTheFormerAddressBeforeTheChange) {
   MovingWorld world;
-  ASSERT_TRUE(world.Asked());
+  ASSERT_TRUE(world.FirstCallArrived());
   EXPECT_GT(world.Share(0), 0u);
   world.Write(world.Answer(world.Drained(42)));
   world.Move();
@@ -232,7 +290,7 @@
   EXPECT_EQ(world.Share(0), 0u);
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
   EXPECT_EQ(world.Share(0), 0u);
-  // The new address is asked from the revision known at the move, and goes on from there.
+  // The watch at the new address begins at the revision known at the change.
   EXPECT_NE(std::string(world.moved.requests[0].http.target()).find("after=41&"), std::string::npos);
   world.moved.requests[0].Answer(200, world.Drained(42).dump());
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 2; }));
@@ -240,13 +298,13 @@
   EXPECT_EQ(world.Share(0), 0u);
 }
 
-// Guards the same for an answer of which a part has come, at every place that may part it, and for one that
-// discovery writes when it knows that the new address is asked.
-TEST(Discovery, TakesWhatItsOldAddressWritesDuringTheMove) {
-  for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes that stand in the socket at the move
+// Guards the same for a response that has arrived in part, cut at each of several places, and for one that
+// discovery writes after the new address got its first call.
+TEST(DiscoveryClient, TakesAResponseWrittenAtTheFormerAddressDuringTheChange) {
+  for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes in the socket at the change
     SCOPED_TRACE(part);
     MovingWorld world;
-    ASSERT_TRUE(world.Asked());
+    ASSERT_TRUE(world.FirstCallArrived());
     const std::string answer = world.Answer(world.Drained(42));
     ASSERT_LT(part, answer.size());
     world.Write(answer.substr(0, part));
@@ -258,12 +316,12 @@
   }
 }
 
-// Guards the order of two addresses that speak: behind the new one's answer the old one is not heard any
-// more, whose revisions may be those of another history. And where the new one is silent, the old connection
-// is not kept beyond the 1.5 s for which discovery keeps it.
-TEST(Discovery, HearsItsOldAddressOnlyUntilTheNewOneAnswers) {
+// Guards the order of the two addresses: once the new one has answered, a list from the former one, whose
+// revisions may be of another epoch, is ignored. If the new one is silent, the former connection is closed
+// after the 1.5 s for which discovery keeps it.
+TEST(DiscoveryClient, IgnoresTheFormerAddressOnceTheNewOneAnswers) {
   MovingWorld world;
-  ASSERT_TRUE(world.Asked());
+  ASSERT_TRUE(world.FirstCallArrived());
   world.Move();
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
   EXPECT_FALSE(world.discovery.connections[0]->ended);
@@ -276,7 +334,7 @@
   ASSERT_TRUE(world.Until([&] { return world.discovery.connections[0]->ended; }));
 
   MovingWorld silent;
-  ASSERT_TRUE(silent.Asked());
+  ASSERT_TRUE(silent.FirstCallArrived());
   silent.Move();
   const Millis moved_at = base::Now();
   ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
@@ -284,11 +342,11 @@
   ASSERT_TRUE(silent.Until([&] { return silent.moved.requests.size() == 2; }));  // the next call, by 4.5 s
 }
 
-// Guards a guarded list: what the old address says of hosts that are gone is believed no sooner than before.
-TEST(Discovery, BelievesItsOldAddressNoMoreThanBefore) {
+// Guards that lists from the former address pass the guard against mass removal too.
+TEST(DiscoveryClient, GuardsAgainstMassRemovalByTheFormerAddress) {
   MovingWorld world;
   world.GuardList();
-  ASSERT_TRUE(world.Asked());
+  ASSERT_TRUE(world.FirstCallArrived());
   world.Write(world.Answer(List(42, true, nlohmann::json::array())));
   world.Move();
   world.TurnLoop();
