--- /dev/null
+++ b/src/base/file_descriptor.hpp
@@ -0,0 +1,42 @@
+// Ownership of a file descriptor.
+#ifndef GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
+#define GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
+
+#include <unistd.h>
+
+#include <utility>
+
+namespace gateway::base {
+
+// Closes its descriptor when it is destroyed or replaced. Empty by default.
+class FileDescriptor {
+ public:
+  FileDescriptor() = default;
+  // Takes ownership of `fd`; a negative one makes an empty object.
+  explicit FileDescriptor(int fd) : fd_(fd) {}
+  FileDescriptor(FileDescriptor&& other) noexcept : fd_(other.Release()) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
+    if (this == &other) return *this;
+    Close();
+    fd_ = other.Release();
+    return *this;
+  }
+  ~FileDescriptor() { Close(); }
+
+  explicit operator bool() const { return fd_ >= 0; }
+  // -1 if empty.
+  int get() const { return fd_; }
+  // Gives ownership to the caller and leaves this empty.
+  int Release() { return std::exchange(fd_, -1); }
+
+ private:
+  void Close() {
+    if (fd_ >= 0) ::close(fd_);
+  }
+
+  int fd_ = -1;
+};
+
+}  // namespace gateway::base
+
+#endif  // GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -146,7 +146,7 @@
     if (!Resting()) return false;
     phase_ = Phase::kClosed;
     error_code ec;
-    Descriptor client(socket_.release(ec));
+    base::FileDescriptor client(socket_.release(ec));
     if (!ec) server_.give_(std::move(client));
     server_.Closed(shared_from_this());
     return true;
@@ -611,8 +611,8 @@
 };
 
 ClientServer::ClientServer(asio::io_context& io, const tcp::endpoint& address, bool shared,
-                           Descriptor listener, std::size_t most_sessions, const policy::Settings& settings,
-                           std::size_t most_held, Handlers handlers)
+                           base::FileDescriptor listener, std::size_t most_sessions,
+                           const policy::Settings& settings, std::size_t most_held, Handlers handlers)
     : io_(io),
       acceptor_(io),
       most_sessions_(most_sessions),
@@ -737,7 +737,7 @@
 
 int ClientServer::listener() { return acceptor_.is_open() ? acceptor_.native_handle() : -1; }
 
-void ClientServer::Adopt(Descriptor client) {
+void ClientServer::Adopt(base::FileDescriptor client) {
   tcp::socket socket(io_);
   error_code ec;
   socket.assign(acceptor_.is_open() ? acceptor_.local_endpoint().protocol() : tcp::v4(), client.get(), ec);
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -13,12 +13,12 @@
 #include <unordered_map>
 #include <unordered_set>
 
+#include "base/file_descriptor.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/body.hpp"
 #include "proxy/client/arrival.hpp"
 #include "proxy/clock.hpp"
 #include "proxy/http_types.hpp"
-#include "proxy/restart/handover.hpp"
 
 namespace gateway::proxy {
 
@@ -49,7 +49,7 @@
   // Listens at once: on the listener given, or else at the address, where others may listen too if it is to
   // be shared. Throws ConfigError if it can't.
   ClientServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, bool shared,
-               Descriptor listener, std::size_t most_sessions, const policy::Settings& settings,
+               base::FileDescriptor listener, std::size_t most_sessions, const policy::Settings& settings,
                std::size_t most_held, Handlers handlers);
   ~ClientServer();
 
@@ -68,10 +68,10 @@
   // The listener, for another process; -1 if there is none any more.
   int listener();
   // A client's connection from another process, between two requests.
-  void Adopt(Descriptor client);
+  void Adopt(base::FileDescriptor client);
   // Stops accepting, for another process does from the same queue, and gives it each connection that has
   // nothing read of a request. What it doesn't take is closed. `done` follows when none is left.
-  using Give = std::function<bool(Descriptor client)>;
+  using Give = std::function<bool(base::FileDescriptor client)>;
   void GiveAway(Give give, std::function<void()> done);
 
   // Takes what has connected so far, then closes the listener and the connections between requests.
--- a/src/proxy/discovery/call_log.hpp
+++ b/src/proxy/discovery/call_log.hpp
@@ -14,7 +14,7 @@
 // Writes at most two lines a second, of whichever kind comes first; the others are dropped. One thread.
 class CallLog {
  public:
-  // A list was taken from a call that lasted `duration`.
+  // A call that lasted `duration` brought a list that was accepted.
   void LogList(const EndpointList& list, Millis duration);
   void LogFailure(const ListError& error, Millis duration);
 
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -104,7 +104,7 @@
   failover_.RecordSuccess();
   const std::shared_ptr<ListCall> call = std::exchange(call_, nullptr);
   connection_ = call->TakeConnection();
-  TakeList(*call, std::get<EndpointList>(std::move(result)));
+  AcceptList(*call, std::get<EndpointList>(std::move(result)));
   StartCallAfter(kMinCallInterval - (Now() - call->started_at()));
 }
 
@@ -130,7 +130,7 @@
   return result;
 }
 
-void DiscoveryClient::TakeList(const ListCall& call, EndpointList list) {
+void DiscoveryClient::AcceptList(const ListCall& call, EndpointList list) {
   log_.LogList(list, Now() - call.started_at());
   last_list_at_ = Now();
   position_ = {list.revision, list.epoch};
@@ -157,7 +157,7 @@
   const std::shared_ptr<ListCall> call = former_call_;
   DropFormerCall();
   auto* const list = std::get_if<EndpointList>(&result);
-  if (list != nullptr) TakeList(*call, std::move(*list));
+  if (list != nullptr) AcceptList(*call, std::move(*list));
 }
 
 void DiscoveryClient::DropFormerCall() {
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -1,7 +1,7 @@
 // The client of the list services: keeps a watch of the endpoint list open on one of them.
 //
-// A watch is a sequence of long-poll calls (ListCall), each of which asks for what follows the last list that
-// was taken (WatchPosition). With several services of the same list ServiceFailover decides which one is
+// A watch is a sequence of long-poll calls (ListCall), each of which requests what follows the last list that
+// was accepted (WatchPosition). With several services of the same list ServiceFailover decides which one is
 // watched, and probes, calls that wait for nothing, show whether another one is ahead or answers again.
 #ifndef GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
 #define GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
@@ -32,13 +32,13 @@
   // All methods are called from the event loop. Each may call Watch() and the accessors.
   class Observer {
    public:
-    // A list was taken from a service; the position of the watch is that of `list` already.
+    // A list from a service was accepted; the position of the watch is that of `list` already.
     virtual void OnEndpointList(EndpointList list) = 0;
     // The watch has ended: every service has failed in turn. `call_duration`: since the last call began.
     // Nothing more is called until Watch() begins a new one, which this may do.
     virtual void OnWatchFailed(Millis call_duration) = 0;
-    // Returns why a list must not be taken, for the log; empty: it may. A rejected list counts as a failed
-    // call.
+    // Returns why a list must not be accepted, for the log; empty: it may be. A rejected list counts as a
+    // failed call.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
 
    protected:
@@ -50,7 +50,7 @@
     std::vector<boost::asio::ip::tcp::endpoint> services;
     WatchPosition position;  // where the first call begins
     // Whether the position came from these services. Otherwise, as after a start from disk, they may count
-    // their revisions anew, so the first list is taken whatever its revision is.
+    // their revisions anew, so the first list is accepted whatever its revision is.
     bool position_is_current = true;
     std::uint64_t seed = 0;  // of the jitter
     // The following concern several services only.
@@ -70,11 +70,11 @@
   void Watch();
 
   // Changes the first service's address and watches there at once, from the current position. A call in
-  // progress at the former address is not cut off: a list in its response is taken if it arrives before the
-  // first one from the new address and within 1.5 s.
+  // progress at the former address is not cut off: a list in its response is accepted if it arrives before
+  // the first one from the new address and within 1.5 s.
   void ChangeAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // When a list was last taken from a service; 0: never.
+  // When a list from a service was last accepted; 0: never.
   Millis last_list_at() const { return last_list_at_; }
   // Index of the service that is watched, from 0.
   std::size_t service_index() const { return failover_.current(); }
@@ -90,7 +90,7 @@
   void WatchCallEnded(ListCall::Result result);
   void WatchCallFailed(const ListError& error);
   ListCall::Result Validate(ListCall::Result result, bool same_service);
-  void TakeList(const ListCall& call, EndpointList list);
+  void AcceptList(const ListCall& call, EndpointList list);
   void DropCall();
 
   // The call at the address before a change.
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -39,7 +39,7 @@
   // Called from the event loop, and list_changed from within Apply() too. Each may call Watch() and the
   // accessors.
   struct Callbacks {
-    // A service answered with a list that is taken; list_changed follows at once.
+    // A list from a service was accepted; list_changed follows at once.
     std::function<void()> list_received;
     // The list in force has changed by `list`, a snapshot or a delta.
     std::function<void(const EndpointList& list)> list_changed;
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -21,7 +21,7 @@
 
 namespace gateway::proxy {
 
-// A GET that asks a list service for the endpoint list. Ends once: with the list, with an error or by
+// A GET request to a list service for the endpoint list. Ends once: with the list, with an error or by
 // Abandon(). Its asynchronous operations own it jointly with the caller, so it is always held by a
 // std::shared_ptr. One thread: the event loop's.
 class ListCall : public std::enable_shared_from_this<ListCall> {
@@ -54,13 +54,13 @@
   void Start();
   // Ends the call with kResponseTimeout after `timeout` from now, whatever the options said.
   void SetTimeout(Millis timeout);
-  // Ends the call without a word to the observer and closes the connection. Does nothing once it has ended.
+  // Ends the call without notifying the observer, and closes the connection. Does nothing once it has ended.
   void Abandon();
 
   Millis started_at() const { return started_at_; }
   // Whether the connection is open, so that the request has been or is being sent.
   bool connected() const { return connected_; }
-  // The connection for a later call, to be taken once the call has ended with a list; null where it can't be
+  // The connection for a later call, available once the call has ended with a list; null where it can't be
   // used again.
   Connection TakeConnection();
 
--- a/src/proxy/discovery/list_error.hpp
+++ b/src/proxy/discovery/list_error.hpp
@@ -1,4 +1,4 @@
-// Why a call to a list service brought no list that could be used.
+// Why a call to a list service brought no list that was accepted.
 #ifndef GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 #define GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 
--- a/src/proxy/discovery/service_failover.hpp
+++ b/src/proxy/discovery/service_failover.hpp
@@ -32,7 +32,7 @@
   // A call to the current service has failed: the next service becomes the current one. Returns whether every
   // service has now failed in turn, so that an immediate call to the next one would only repeat the round.
   bool RecordFailure(Millis now);
-  // A list from the current service was taken.
+  // A list from the current service was accepted.
   void RecordSuccess() { failures_in_a_row_ = 0; }
 
   // Makes `service` the current one.
--- a/src/proxy/discovery/watch_position.hpp
+++ b/src/proxy/discovery/watch_position.hpp
@@ -18,7 +18,7 @@
   std::string epoch;  // empty: unknown, or the service has none
 };
 
-// Path and query of a call that asks for what follows `position`. The service may hold its response back for
+// Path and query of a call that requests what follows `position`. The service may hold its response back for
 // up to `max_wait` while there is nothing new; 0: it answers at once.
 std::string FormatListTarget(const WatchPosition& position, Millis max_wait);
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -86,14 +86,14 @@
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
-  options.revision = inheritance.handed_over
-                         ? inheritance.handed_over->list.revision
+  options.revision = inheritance.transferred
+                         ? inheritance.transferred->list.revision
                          : std::max(config.known.revision, kept ? kept->list.revision : 0);
-  options.epoch = inheritance.handed_over ? inheritance.handed_over->list.epoch
+  options.epoch = inheritance.transferred ? inheritance.transferred->list.epoch
                   : kept                  ? kept->list.epoch
                                           : "";
   options.position_is_current =
-      inheritance.handed_over || !kept || kept->list.revision <= config.known.revision;
+      inheritance.transferred || !kept || kept->list.revision <= config.known.revision;
   options.guard_mass_removal = config.list_guarded;
   options.max_removed_share = config.most_removed;
   return options;
@@ -102,11 +102,12 @@
 }  // namespace
 
 Gateway::Gateway(asio::io_context& io, const Config& config)
-    : Gateway(io, config,
-              config.handover.empty() ? InheritedState{} : Inherit(config.handover, config.listen),
-              config.state_folder.empty() || !config.state_loaded
-                  ? std::nullopt
-                  : LoadState(config.state_folder, config.state_owner)) {}
+    : Gateway(
+          io, config,
+          config.handover.empty() ? InheritedState{} : InheritFromPredecessor(config.handover, config.listen),
+          config.state_folder.empty() || !config.state_loaded
+              ? std::nullopt
+              : LoadSavedState(config.state_folder, config.state_owner)) {}
 
 // Hosts get a third of the descriptors, clients the rest: both sides together stay under the limit.
 Gateway::Gateway(asio::io_context& io, const Config& config, InheritedState inheritance,
@@ -128,18 +129,18 @@
       stop_(io),
       counting_(io),
       replacement_(
-          io, config.handover, std::move(inheritance.link),
+          io, config.handover, std::move(inheritance.predecessor),
           !config.handover.empty() && !inheritance.listener && IsTaken(config.listen),
           {[this] { return Ready(); }, [this] { return stopping_; }, [this] { return clients_.listener(); },
            [this] { return Leave(); }, [this](double factor) { policy_.ScaleToShare(factor); },
            [this](bool half) { SetPlaces(half); },
-           [this](Descriptor client) { clients_.Adopt(std::move(client)); }}),
+           [this](base::FileDescriptor client) { clients_.Adopt(std::move(client)); }}),
       keep_(io),
       list_old_after_(config.list_old_after),
       started_at_(Now()),
       clients_(io, config.listen, !config.handover.empty(), std::move(inheritance.listener), most_clients_,
                config.settings, config.memory / 4,
-               {[this] { return Ready() || (stopping_ && !draining_ && replacement_.Succeeded()); },
+               {[this] { return Ready() || (stopping_ && !draining_ && replacement_.HasReadySuccessor()); },
                 [this](ClientRequest request) { Take(std::move(request)); },
                 [this](const std::string& id, Millis at) { Whole(id, at); },
                 [this](const std::string& id) { Gone(id); },
@@ -151,21 +152,21 @@
     management_.emplace(io, *config.management, callers,
                         [this](const std::string& call) { return Manage(call); });
   }
-  const std::optional<HandoverState>& handed_over = inheritance.handed_over;
+  const std::optional<TransferredState>& handed_over = inheritance.transferred;
   // A process that still runs knows better than the disk.
   list_kept_ = !handed_over && kept && kept->list.revision > config.known.revision;
   if (!handed_over && kept && kept->draining) SetDraining(true);
-  list_confirmed_at_ = list_kept_ ? kept->kept_at : Now();
+  list_confirmed_at_ = list_kept_ ? kept->list_valid_at : Now();
   list_.Apply(handed_over ? handed_over->list : list_kept_ ? kept->list : config.known);
   if (list_kept_) {
     base::Log(base::Level::kInfo, "state", "list_restored",
               Words("state kept: list of revision %lld with %zu hosts in force until discovery answers, kept "
                     "%.0f s ago",
                     static_cast<long long>(list_.revision()), list_.endpoints().size(),
-                    (Now() - kept->kept_at) / 1000),
+                    (Now() - kept->list_valid_at) / 1000),
               {{"revision", list_.revision()},
                {"hosts", list_.endpoints().size()},
-               {"age_ms", Now() - kept->kept_at}});
+               {"age_ms", Now() - kept->list_valid_at}});
   }
   if (!config.state_folder.empty())
     keeper_.emplace(config.state_folder, config.state_owner, config.state_sync_delay);
@@ -178,7 +179,7 @@
                     kept->learned->endpoints.size(), (Now() - kept->learned->exported_at) / 1000),
               {{"hosts", kept->learned->endpoints.size()}, {"age_ms", Now() - kept->learned->exported_at}});
   }
-  replacement_.Begin();
+  replacement_.Start();
   if (!settings_.poll_endpoint_list) list_.Watch();
   for (const policy::TrafficClassSettings& c : settings_.classes) {
     base::Log(base::Level::kInfo, "start", "class",
@@ -250,7 +251,7 @@
   hosts_.Update(list);  // first: nothing may be sent by the old list any more
   listed_ = listed_ || !list.endpoints.empty();
   Report(ToListEvent(list));
-  replacement_.ReadyNow();
+  replacement_.NotifyReadiness();
   // Not all of a fleet at once.
   if (keeper_ && !list_.endpoints().empty()) {
     KeepLater(kKeepWithin * (settings_.gateway_index % kKeepSteps) / kKeepSteps);
@@ -265,7 +266,7 @@
   keep_.expires_at(due);
   keep_.async_wait([this](error_code ec) {
     if (ec || !keeper_->ok()) return;
-    keeper_->Keep({list_.Snapshot(), draining_, list_confirmed_at_, policy_.ExportState()});
+    keeper_->Save({list_.Snapshot(), draining_, list_confirmed_at_, policy_.ExportState()});
     KeepLater(kKeepEvery);  // what is learned goes on changing
   });
 }
@@ -415,7 +416,7 @@
                 {"state_ok", "gauge", "0 once keeping state has failed",
                  !keeper_ || keeper_->ok() ? 1.0 : 0.0},
                 {"state_writes_total", "counter", "States written to the disk",
-                 keeper_ ? number(keeper_->written()) : 0}}) +
+                 keeper_ ? number(keeper_->writes()) : 0}}) +
            "EOT\n";
   }
   if (call == "check") {
@@ -592,11 +593,11 @@
   hosts_.SetMost(half ? std::max<std::size_t>(1, most_hosts_ / 2) : most_hosts_);
 }
 
-HandoverState Gateway::Leave() const { return {list_.Snapshot(), policy_.ExportState()}; }
+TransferredState Gateway::Leave() const { return {list_.Snapshot(), policy_.ExportState()}; }
 
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
-  if (replacement_.Succeeded()) return LeaveTo(std::move(done));
+  if (replacement_.HasReadySuccessor()) return LeaveTo(std::move(done));
   clients_.Drain(true);
   stop_.expires_after(Span(kAcceptFor));
   stop_.async_wait([this, done = std::move(done)](error_code) {
@@ -607,9 +608,10 @@
 
 // Another process accepts from the same queue already: it is given what rests, and the rest is finished here.
 void Gateway::LeaveTo(std::function<void()> done) {
-  replacement_.Leave();
-  clients_.GiveAway([this](Descriptor client) { return replacement_.Give(std::move(client)); },
-                    [this, done] { replacement_.Flushed(done); });
+  replacement_.AnnounceLeaving();
+  clients_.GiveAway(
+      [this](base::FileDescriptor client) { return replacement_.TransferClient(std::move(client)); },
+      [this, done] { replacement_.WhenTransfersSent(done); });
   FinishBy(kAnswerAll, done);
 }
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -24,7 +24,10 @@
 #include "proxy/config.hpp"
 #include "proxy/discovery/endpoint_list_watcher.hpp"
 #include "proxy/restart/hot_restart.hpp"
+#include "proxy/restart/inherited_state.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "proxy/restart/state_saver.hpp"
+#include "proxy/restart/transferred_state.hpp"
 #include "proxy/upstream/upstream_pool.hpp"
 
 namespace gateway::proxy {
@@ -73,7 +76,7 @@
   Gateway(boost::asio::io_context& io, const Config& config, InheritedState inheritance,
           std::optional<SavedState> kept);
 
-  HandoverState Leave() const;
+  TransferredState Leave() const;
   void SetPlaces(bool half);
   void LeaveTo(std::function<void()> done);
   void FinishBy(Millis time, const std::function<void()>& done);
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -1,7 +1,8 @@
 #include "proxy/restart/hot_restart.hpp"
 
-#include <string_view>
+#include <boost/system/error_code.hpp>
 #include <utility>
+#include <variant>
 
 #include "base/log.hpp"
 #include "proxy/clock.hpp"
@@ -11,93 +12,135 @@
 
 using boost::system::error_code;
 
-constexpr Millis kOverlap = 11000;  // both processes run for so long at most, where no link tells
-constexpr Millis kLook = 10;        // from one look at what has left to the next
+constexpr Millis kMaxOverlap = 11000;         // with an unresponsive predecessor
+constexpr Millis kTransferPollInterval = 10;  // from one check whether all was sent to the next
 
 }  // namespace
 
-HotRestart::HotRestart(boost::asio::io_context& io, const std::string& path, Descriptor link, bool taken,
-                       Handlers handlers)
-    : io_(io), path_(path), taken_(taken), handlers_(std::move(handlers)), overlap_(io) {
-  if (link) predecessor_ = std::make_unique<Link>(io, std::move(link));
+HotRestart::HotRestart(boost::asio::io_context& io, const std::string& path, base::FileDescriptor predecessor,
+                       bool address_in_use, Callbacks callbacks)
+    : io_(io), path_(path), callbacks_(std::move(callbacks)), overlap_timer_(io), transfer_timer_(io) {
+  if (predecessor) {
+    predecessor_ = std::make_unique<HotRestartChannel>(io, std::move(predecessor));
+    predecessor_state_ = PredecessorState::kServing;
+  } else if (address_in_use) {
+    predecessor_state_ = PredecessorState::kUnresponsive;
+  }
 }
 
-void HotRestart::Begin() {
-  if (predecessor_ || taken_) {
-    whole_ = false;
-    handlers_.places(/*half=*/true);
-    handlers_.scale(0.5);
-  }
+void HotRestart::Start() {
+  if (predecessor_state_ != PredecessorState::kNone) BeginOverlap();
+  if (predecessor_state_ == PredecessorState::kUnresponsive) EndOverlapLater();
   if (predecessor_) {
-    ShareWithPredecessor();
-  } else if (taken_) {
-    overlap_.expires_after(Span(kOverlap));
-    overlap_.async_wait([this](error_code ec) {
-      if (!ec) TakeAll();
-    });
+    base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a process that serves");
+    predecessor_->SetObserver(*this);
+    NotifyReadiness();
   }
   if (path_.empty()) return;
-  handover_.emplace(
-      io_, path_,
-      Handover::Handlers{[this] { return successor_ || handlers_.stopping() ? -1 : handlers_.listener(); },
-                         handlers_.handed_over,
-                         [this](std::unique_ptr<Link> link) { ShareWithSuccessor(std::move(link)); }});
+  SuccessorAcceptor::Delegate& delegate = *this;
+  acceptor_.emplace(io_, path_, delegate);
 }
 
-void HotRestart::ReadyNow() {
-  if (handlers_.ready() && predecessor_ && !std::exchange(predecessor_told_, true))
-    predecessor_->Say("ready");
+void HotRestart::NotifyReadiness() {
+  if (predecessor_state_ != PredecessorState::kServing || !callbacks_.is_ready()) return;
+  predecessor_state_ = PredecessorState::kNotified;
+  predecessor_->Send(SuccessorReady{});
 }
 
-// What the process leaves that this one replaces: until it is gone both are one gateway.
-void HotRestart::ShareWithPredecessor() {
-  base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a process that serves");
-  predecessor_->Listen({[this](std::string_view word, Descriptor with) {
-                          if (word == "client" && with) handlers_.adopt(std::move(with));
-                          if (word == "leaving") TakeAll();
-                        },
-                        [this] {
-                          predecessor_.reset();
-                          TakeAll();
-                        }});
-  ReadyNow();
+bool HotRestart::HasReadySuccessor() const {
+  return successor_state_ == SuccessorState::kReady && successor_->open();
 }
 
-// From here on this process acts alone. The places of the other are free once it is gone.
-void HotRestart::TakeAll() {
-  if (!std::exchange(whole_, true)) handlers_.scale(2);
-  if (!predecessor_ && !successor_) handlers_.places(/*half=*/false);
-}
+void HotRestart::AnnounceLeaving() { successor_->Send(PredecessorLeaving{}); }
 
-void HotRestart::ShareWithSuccessor(std::unique_ptr<Link> successor) {
-  base::Log(base::Level::kInfo, "replacement", "successor_came", "a process that replaces this one has come");
-  successor_ = std::move(successor);
-  successor_ready_ = false;
-  if (std::exchange(whole_, false)) handlers_.scale(0.5);
-  handlers_.places(/*half=*/true);
-  successor_->Listen({[this](std::string_view word, const Descriptor&) {
-                        if (word == "ready") successor_ready_ = true;
-                      },
-                      [this] {
-                        base::Log(base::Level::kWarning, "replacement", "successor_gone",
-                                  "the process that replaces this one has gone");
-                        successor_.reset();
-                        if (!handlers_.stopping()) TakeAll();
-                      }});
-}
-
-void HotRestart::Leave() { successor_->Say("leaving"); }
-
-bool HotRestart::Give(Descriptor client) {
+bool HotRestart::TransferClient(base::FileDescriptor connection) {
   if (!successor_ || !successor_->open()) return false;
-  successor_->Say("client", std::move(client));
+  successor_->Send(ClientTransfer{std::move(connection)});
   return true;
 }
 
-void HotRestart::Flushed(const std::function<void()>& done) {
-  if (!successor_ || successor_->flushed()) return done();
-  overlap_.expires_after(Span(kLook));
-  overlap_.async_wait([this, done](error_code) { Flushed(done); });
+void HotRestart::WhenTransfersSent(const std::function<void()>& done) {
+  if (!successor_ || successor_->all_sent()) return done();
+  transfer_timer_.expires_after(Span(kTransferPollInterval));
+  transfer_timer_.async_wait([this, done](error_code ec) {
+    if (!ec) WhenTransfersSent(done);
+  });
+}
+
+void HotRestart::OnMessage(HotRestartChannel& channel, HotRestartMessage message) {
+  if (&channel == predecessor_.get()) {
+    OnPredecessorMessage(std::move(message));
+  } else if (std::holds_alternative<SuccessorReady>(message)) {
+    successor_state_ = SuccessorState::kReady;
+  }
+}
+
+void HotRestart::OnClosed(HotRestartChannel& channel) {
+  if (&channel == predecessor_.get()) {
+    OnPredecessorGone();
+  } else {
+    OnSuccessorGone();
+  }
+}
+
+void HotRestart::OnPredecessorMessage(HotRestartMessage message) {
+  if (auto* const client = std::get_if<ClientTransfer>(&message)) {
+    callbacks_.adopt_client(std::move(client->connection));
+  } else if (std::holds_alternative<PredecessorLeaving>(message)) {
+    predecessor_state_ = PredecessorState::kLeaving;
+    EndOverlap();
+  }
+}
+
+void HotRestart::OnPredecessorGone() {
+  predecessor_state_ = PredecessorState::kNone;
+  predecessor_.reset();
+  EndOverlap();
+}
+
+// There is at most one successor at a time.
+int HotRestart::ListenerForSuccessor() {
+  if (successor_ || callbacks_.is_stopping()) return -1;
+  return callbacks_.listener();
+}
+
+TransferredState HotRestart::StateForSuccessor() { return callbacks_.export_state(); }
+
+void HotRestart::OnSuccessor(std::unique_ptr<HotRestartChannel> channel) {
+  base::Log(base::Level::kInfo, "replacement", "successor_came", "a process that replaces this one has come");
+  successor_ = std::move(channel);
+  successor_state_ = SuccessorState::kStarting;
+  BeginOverlap();
+  successor_->SetObserver(*this);
+}
+
+void HotRestart::OnSuccessorGone() {
+  base::Log(base::Level::kWarning, "replacement", "successor_gone",
+            "the process that replaces this one has gone");
+  successor_state_ = SuccessorState::kNone;
+  successor_.reset();
+  if (!callbacks_.is_stopping()) EndOverlap();
+}
+
+void HotRestart::EndOverlapLater() {
+  overlap_timer_.expires_after(Span(kMaxOverlap));
+  overlap_timer_.async_wait([this](error_code ec) {
+    if (ec) return;
+    predecessor_state_ = PredecessorState::kNone;
+    EndOverlap();
+  });
+}
+
+void HotRestart::BeginOverlap() {
+  if (!std::exchange(rate_is_halved_, true)) callbacks_.scale_rate(0.5);
+  callbacks_.limit_connections(/*half=*/true);
+}
+
+// The rate is this process's alone as soon as the other one stops sending; the other one's connections become
+// available only once it has ended.
+void HotRestart::EndOverlap() {
+  if (std::exchange(rate_is_halved_, false)) callbacks_.scale_rate(2);
+  if (!predecessor_ && !successor_) callbacks_.limit_connections(/*half=*/false);
 }
 
 }  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/restart/hot_restart_channel.cpp
@@ -0,0 +1,77 @@
+#include "proxy/restart/hot_restart_channel.hpp"
+
+#include <boost/asio/post.hpp>
+#include <boost/system/error_code.hpp>
+#include <utility>
+
+#include "proxy/clock.hpp"
+
+namespace gateway::proxy {
+namespace {
+
+namespace asio = boost::asio;
+using boost::system::error_code;
+
+constexpr Millis kSendRetryInterval = 5;
+
+}  // namespace
+
+HotRestartChannel::HotRestartChannel(asio::io_context& io, base::FileDescriptor socket)
+    : socket_(io, socket.Release()), retry_timer_(io) {}
+
+HotRestartChannel::~HotRestartChannel() { *alive_ = false; }
+
+void HotRestartChannel::SetObserver(Observer& observer) {
+  const bool is_first = observer_ == nullptr;
+  observer_ = &observer;
+  if (is_first && open_) Receive();
+}
+
+void HotRestartChannel::Receive() {
+  socket_.async_wait(asio::posix::stream_descriptor::wait_read, [this, alive = alive_](error_code ec) {
+    if (!*alive || !open_) return;
+    while (!ec) {
+      Packet packet;
+      const ReceiveResult result = ReceivePacket(socket_.native_handle(), packet);
+      if (result == ReceiveResult::kNothingYet) return Receive();
+      if (result == ReceiveResult::kEnded) break;
+      observer_->OnMessage(*this, DecodeMessage(std::move(packet)));
+      if (!*alive || !open_) return;
+    }
+    Close();
+  });
+}
+
+void HotRestartChannel::Send(HotRestartMessage message) {
+  if (!open_) return;
+  send_queue_.push_back(EncodeMessage(std::move(message)));
+  if (send_queue_.size() == 1) SendQueued();
+}
+
+void HotRestartChannel::SendQueued() {
+  while (!send_queue_.empty()) {
+    const SendResult result = SendPacket(socket_.native_handle(), send_queue_.front());
+    if (result == SendResult::kTryLater) return RetrySending();
+    if (result == SendResult::kBroken) return Close();
+    send_queue_.pop_front();
+  }
+}
+
+void HotRestartChannel::RetrySending() {
+  retry_timer_.expires_after(Span(kSendRetryInterval));
+  retry_timer_.async_wait([this, alive = alive_](error_code ec) {
+    if (!ec && *alive && open_) SendQueued();
+  });
+}
+
+void HotRestartChannel::Close() {
+  if (!std::exchange(open_, false)) return;
+  send_queue_.clear();
+  error_code ignored;
+  socket_.close(ignored);
+  asio::post(socket_.get_executor(), [this, alive = alive_] {
+    if (*alive && observer_ != nullptr) observer_->OnClosed(*this);
+  });
+}
+
+}  // namespace gateway::proxy
--- /dev/null
+++ b/src/proxy/restart/hot_restart_channel.hpp
@@ -0,0 +1,64 @@
+// The connection between a running process and the one that replaces it, in the event loop of either.
+#ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
+#define GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/posix/stream_descriptor.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <deque>
+#include <memory>
+
+#include "base/file_descriptor.hpp"
+#include "proxy/restart/hot_restart_message.hpp"
+#include "proxy/restart/packet_socket.hpp"
+
+namespace gateway::proxy {
+
+// Sends and receives messages without blocking. One thread: the event loop's.
+class HotRestartChannel {
+ public:
+  // Both methods are called from the event loop, and may destroy the channel.
+  class Observer {
+   public:
+    virtual void OnMessage(HotRestartChannel& channel, HotRestartMessage message) = 0;
+    // The other process has ended or the connection broke; nothing more is called. Never called from within
+    // Send().
+    virtual void OnClosed(HotRestartChannel& channel) = 0;
+
+   protected:
+    ~Observer() = default;
+  };
+
+  // `socket` is connected.
+  HotRestartChannel(boost::asio::io_context& io, base::FileDescriptor socket);
+  ~HotRestartChannel();
+  HotRestartChannel(const HotRestartChannel&) = delete;
+  HotRestartChannel& operator=(const HotRestartChannel&) = delete;
+
+  // Begins to receive; a later call replaces the observer, which must outlive the channel or be replaced.
+  void SetObserver(Observer& observer);
+
+  // What the other side can't take yet is queued; a message that is too long for the socket is dropped. Does
+  // nothing once the channel is closed.
+  void Send(HotRestartMessage message);
+  bool open() const { return open_; }
+  bool all_sent() const { return send_queue_.empty(); }
+
+ private:
+  void Receive();
+  void SendQueued();
+  void RetrySending();
+  void Close();
+
+  boost::asio::posix::stream_descriptor socket_;
+  boost::asio::steady_timer retry_timer_;
+  Observer* observer_ = nullptr;
+  std::deque<Packet> send_queue_;
+  bool open_ = true;
+  // False once this is destroyed: pending handlers share it and then touch nothing else.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace gateway::proxy
+
+#endif  // GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
--- a/src/proxy/restart/learned_state_json.cpp
+++ b/src/proxy/restart/learned_state_json.cpp
@@ -1,77 +1,103 @@
 #include "proxy/restart/learned_state_json.hpp"
 
+#include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <utility>
 
 namespace gateway::proxy {
 namespace {
 
 using nlohmann::json;
+using policy::LearnedState;
 
-// Of a time or figure that a policy can have; the checksums of a file do not tell who wrote it.
-double Figure(const json& value) {
-  const double figure = value.get<double>();
-  if (!std::isfinite(figure) || figure < 0 || figure > 1e12) throw std::out_of_range("a figure out of range");
-  return figure;
+constexpr double kMaxNumber = 1e12;  // above any time or rate that a policy can have
+constexpr double kMaxCount = 1e9;
+
+// Positions in an element of "servers".
+constexpr std::size_t kLastOutcomeIndex = 10;
+
+// The checksums of a file show damage, not that a policy wrote it.
+double ParseNumber(const json& value) {
+  const double number = value.get<double>();
+  if (!std::isfinite(number) || number < 0 || number > kMaxNumber) {
+    throw std::out_of_range("a figure out of range");
+  }
+  return number;
+}
+
+int ParseCount(const json& value) { return static_cast<int>(std::min(kMaxCount, ParseNumber(value))); }
+
+json FormatEndpoint(const LearnedState::Endpoint& endpoint) {
+  return {endpoint.id,           endpoint.latency,        endpoint.long_term_latency,
+          endpoint.base_latency, endpoint.failure_rate,   endpoint.concurrency_limit,
+          endpoint.samples,      endpoint.ejected,        endpoint.restart_suspected,
+          endpoint.started_at,   endpoint.last_outcome_at};
 }
 
-int Count(const json& value) { return static_cast<int>(std::min(1e9, Figure(value))); }
+LearnedState::Endpoint ParseEndpoint(const json& form) {
+  LearnedState::Endpoint endpoint;
+  endpoint.id = form.at(0);
+  endpoint.latency = ParseNumber(form.at(1));
+  endpoint.long_term_latency = ParseNumber(form.at(2));
+  endpoint.base_latency = ParseNumber(form.at(3));
+  endpoint.failure_rate = ParseNumber(form.at(4));
+  endpoint.concurrency_limit = ParseNumber(form.at(5));
+  endpoint.samples = ParseCount(form.at(6));
+  endpoint.ejected = form.at(7);
+  endpoint.restart_suspected = form.at(8);
+  endpoint.started_at = form.at(9);
+  if (form.size() > kLastOutcomeIndex) endpoint.last_outcome_at = form.at(kLastOutcomeIndex);
+  return endpoint;
+}
 
 }  // namespace
 
-json ToJson(const policy::LearnedState& l) {
-  json classes = json::array(), servers = json::array(), kinds = json::array();
-  for (const auto& c : l.classes) classes.push_back({c.name, c.latency, c.samples, c.longest_time_left});
-  for (const auto& s : l.endpoints) {
-    servers.push_back({s.id, s.latency, s.long_term_latency, s.base_latency, s.failure_rate,
-                       s.concurrency_limit, s.samples, s.ejected, s.restart_suspected, s.started_at,
-                       s.last_outcome_at});
+json LearnedStateToJson(const LearnedState& learned) {
+  json classes = json::array();
+  for (const LearnedState::TrafficClass& traffic_class : learned.classes) {
+    classes.push_back(
+        {traffic_class.name, traffic_class.latency, traffic_class.samples, traffic_class.longest_time_left});
+  }
+  json endpoints = json::array();
+  for (const LearnedState::Endpoint& endpoint : learned.endpoints) {
+    endpoints.push_back(FormatEndpoint(endpoint));
   }
-  for (const auto& k : l.machine_types) kinds.push_back({k.name, k.served, k.endpoint_time});
-  return {{"rate", l.rate},
-          {"spent", l.sent_rate},
-          {"failing", l.failure_rate},
-          {"mean_latency", l.mean_latency},
-          {"samples", l.samples},
-          {"at", l.exported_at},
-          {"gateways", l.gateway_count},
-          {"kinds", std::move(kinds)},
+  json machine_types = json::array();
+  for (const LearnedState::MachineType& type : learned.machine_types) {
+    machine_types.push_back({type.name, type.served, type.endpoint_time});
+  }
+  return {{"rate", learned.rate},
+          {"spent", learned.sent_rate},
+          {"failing", learned.failure_rate},
+          {"mean_latency", learned.mean_latency},
+          {"samples", learned.samples},
+          {"at", learned.exported_at},
+          {"gateways", learned.gateway_count},
+          {"kinds", std::move(machine_types)},
           {"classes", std::move(classes)},
-          {"servers", std::move(servers)}};
+          {"servers", std::move(endpoints)}};
 }
 
-policy::LearnedState LearnedFromJson(const json& form) {
-  policy::LearnedState l;
-  l.rate = Figure(form.at("rate"));
-  l.sent_rate = Figure(form.at("spent"));
-  l.failure_rate = Figure(form.at("failing"));
-  l.mean_latency = Figure(form.at("mean_latency"));
-  l.samples = Count(form.at("samples"));
-  l.exported_at = form.value("at", 0.0);
-  l.gateway_count = form.value("gateways", 0);
-  for (const json& c : form.at("classes")) {
-    policy::LearnedState::TrafficClass& known = l.classes.emplace_back();
-    known = {c.at(0), Figure(c.at(1)), Count(c.at(2)), Figure(c.at(3))};
-  }
-  for (const json& s : form.at("servers")) {
-    policy::LearnedState::Endpoint& known = l.endpoints.emplace_back();
-    known.id = s.at(0);
-    known.latency = Figure(s.at(1));
-    known.long_term_latency = Figure(s.at(2));
-    known.base_latency = Figure(s.at(3));
-    known.failure_rate = Figure(s.at(4));
-    known.concurrency_limit = Figure(s.at(5));
-    known.samples = Count(s.at(6));
-    known.ejected = s.at(7);
-    known.restart_suspected = s.at(8);
-    known.started_at = s.at(9);
-    if (s.size() > 10) known.last_outcome_at = s.at(10);
+LearnedState LearnedStateFromJson(const json& form) {
+  LearnedState learned;
+  learned.rate = ParseNumber(form.at("rate"));
+  learned.sent_rate = ParseNumber(form.at("spent"));
+  learned.failure_rate = ParseNumber(form.at("failing"));
+  learned.mean_latency = ParseNumber(form.at("mean_latency"));
+  learned.samples = ParseCount(form.at("samples"));
+  learned.exported_at = form.value("at", 0.0);
+  learned.gateway_count = form.value("gateways", 0);
+  for (const json& element : form.at("classes")) {
+    learned.classes.push_back(
+        {element.at(0), ParseNumber(element.at(1)), ParseCount(element.at(2)), ParseNumber(element.at(3))});
   }
-  for (const json& k : form.value("kinds", json::array())) {
-    l.machine_types.push_back({k.at(0), Figure(k.at(1)), Figure(k.at(2))});
+  for (const json& element : form.at("servers")) learned.endpoints.push_back(ParseEndpoint(element));
+  for (const json& element : form.value("kinds", json::array())) {
+    learned.machine_types.push_back({element.at(0), ParseNumber(element.at(1)), ParseNumber(element.at(2))});
   }
-  return l;
+  return learned;
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -1,77 +1,156 @@
 #include "proxy/restart/state_saver.hpp"
 
+#include <atomic>
 #include <chrono>
-#include <nlohmann/json.hpp>
 #include <thread>
 #include <utility>
 
 #include "base/log.hpp"
-#include "proxy/clock.hpp"
-#include "proxy/restart/learned_state_json.hpp"
 #include "storage/memory_file_system.hpp"
 #include "storage/store.hpp"
 
 namespace gateway::proxy {
 namespace {
 
-using nlohmann::json;
+constexpr auto kOpenPollInterval = std::chrono::milliseconds(50);
+constexpr int kPollsPerOpenAttempt = 20;  // so a busy folder is tried once a second
+constexpr auto kMaxLastWrite = std::chrono::milliseconds(200);
+constexpr auto kLastWritePollInterval = std::chrono::milliseconds(1);
 
-constexpr std::uint16_t kVersion = 1;  // of the payload
-constexpr auto kLookAgain = std::chrono::milliseconds(50);
-constexpr auto kLastWrite = std::chrono::milliseconds(200);  // how long the process's end waits for it
-constexpr int kTryAgain = 20;  // looks, from one try for a folder that another process holds to the next
-
-void Say(base::Level level, const char* event, const std::string& text) {
+void LogState(base::Level level, const char* event, const std::string& text) {
   base::Log(level, "state", event, "state kept: " + text);
 }
 
+// Delays each sync of `files`.
+storage::FaultyFileSystem DelaySyncs(storage::FileSystem& files, Millis delay) {
+  using Faulty = storage::FaultyFileSystem;
+  return Faulty(files, [delay](Faulty::Call call, const std::string&) {
+    if (call == Faulty::Call::kSync) std::this_thread::sleep_for(Span(delay));
+    return Faulty::Verdict{};
+  });
+}
+
 }  // namespace
 
-std::string ToText(const SavedState& state) {
-  json form = {
-      {"list", json::parse(SerializeEndpointList(state.list))}, {"draining", state.draining}, {"kept_at_ms", state.kept_at}};
-  if (state.learned) form["learned"] = ToJson(*state.learned);
-  return form.dump();
+struct StateSaver::Shared {
+  ~Shared() { delete newest.load(); }
+
+  std::atomic<std::string*> newest{nullptr};  // owned by whoever exchanges it out
+  std::atomic<std::uint32_t> wakes{0};        // counts changes that the thread has to look at
+  std::atomic<bool> stopping{false};
+  std::atomic<bool> done{false};  // the thread has ended
+  std::atomic<bool> ok{true};
+  std::atomic<std::uint64_t> writes{0};
+  std::atomic<std::uint64_t> bytes{0};
+};
+
+// Runs in the thread.
+class StateSaver::Writer {
+ public:
+  Writer(std::string folder, const std::string& owner, Millis sync_delay, std::shared_ptr<Shared> shared);
+
+  // Returns when the saver stops, or can't go on writing.
+  void Run();
+
+ private:
+  enum class OpenResult { kOpened, kBusy, kUnusable };
+
+  std::unique_ptr<std::string> WaitForState();
+  bool OpenStore();
+  OpenResult TryToOpen();
+  OpenResult Unusable(const std::string& reason);
+  bool Write(const std::string& state);
+
+  const std::string folder_;
+  const std::shared_ptr<Shared> shared_;
+  const std::unique_ptr<storage::FileSystem> disk_;
+  storage::FaultyFileSystem slow_disk_;
+  storage::FileSystem& files_;
+  storage::StoreOptions options_;
+  std::unique_ptr<storage::Store> store_;  // null until it could be opened
+  int open_polls_ = 0;
+  std::string last_open_error_;  // logged once
+  std::uint32_t seen_wakes_ = 0;
+};
+
+StateSaver::Writer::Writer(std::string folder, const std::string& owner, Millis sync_delay,
+                           std::shared_ptr<Shared> shared)
+    : folder_(std::move(folder)),
+      shared_(std::move(shared)),
+      disk_(storage::MakePosixFileSystem()),
+      slow_disk_(DelaySyncs(*disk_, sync_delay)),
+      files_(sync_delay > 0 ? static_cast<storage::FileSystem&>(slow_disk_) : *disk_) {
+  options_.owner = owner;
+  options_.program = GATEWAY_VERSION;
+  options_.begin_after_damage = true;  // a newer state follows anyway; the damaged files are set aside
+}
+
+void StateSaver::Writer::Run() {
+  for (;;) {
+    const std::unique_ptr<std::string> state = WaitForState();
+    if (!state || !OpenStore() || !Write(*state)) return;
+  }
+}
+
+// Null when the saver stops.
+std::unique_ptr<std::string> StateSaver::Writer::WaitForState() {
+  for (;;) {
+    std::unique_ptr<std::string> state(shared_->newest.exchange(nullptr));
+    if (state || shared_->stopping) return state;
+    shared_->wakes.wait(seen_wakes_);
+    seen_wakes_ = shared_->wakes;
+  }
 }
 
-std::optional<SavedState> ParseSavedState(const std::string& text) {
-  const json parsed = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!parsed.is_object() || !parsed.contains("list")) return std::nullopt;
-  const json draining = parsed.value("draining", json()), kept_at = parsed.value("kept_at_ms", json());
-  auto list = ParseEndpointList(parsed["list"].dump());
-  if (!list || !list->complete || !draining.is_boolean() || !kept_at.is_number()) return std::nullopt;
-  SavedState state{std::move(*list), draining.get<bool>(), kept_at.get<double>(), std::nullopt};
-  if (parsed.contains("learned")) {  // an older program kept none
-    try {
-      state.learned = LearnedFromJson(parsed["learned"]);
-    } catch (const std::exception& error) {
-      Say(base::Level::kWarning, "not_read",
-          std::string("what was learned is not believed: ") + error.what());
-    }
+// Waits until the folder can be opened; false: it is not opened, because it is unusable or the saver stops.
+bool StateSaver::Writer::OpenStore() {
+  while (!store_) {
+    const bool attempt_is_due = open_polls_++ % kPollsPerOpenAttempt == 0;
+    const OpenResult result = attempt_is_due ? TryToOpen() : OpenResult::kBusy;
+    if (result == OpenResult::kOpened) return true;
+    if (result == OpenResult::kUnusable || shared_->stopping) return false;
+    std::this_thread::sleep_for(kOpenPollInterval);
   }
-  return state;
+  return true;
 }
 
-std::optional<SavedState> LoadState(const std::string& folder, const std::string& owner) {
-  const auto files = storage::MakePosixFileSystem();
+StateSaver::Writer::OpenResult StateSaver::Writer::TryToOpen() {
   storage::Examination found;
-  const storage::Status status = storage::Examine(*files, folder, owner, found);
+  const storage::Status status = storage::Store::Open(files_, folder_, options_, store_, found);
+  if (found.found == storage::Found::kForeign) return Unusable(status.Text() + "; it is left as it is");
+  if (status.ok() && found.snapshot && found.snapshot->version > kSavedStateVersion) {
+    return Unusable(folder_ + ": kept by a newer program; it is left as it is");
+  }
+  if (status.ok()) return OpenResult::kOpened;
+  if (std::exchange(last_open_error_, status.Text()) != status.Text()) {
+    LogState(base::Level::kWarning, "waits", status.Text() + "; tried again every second");
+  }
+  return OpenResult::kBusy;
+}
+
+StateSaver::Writer::OpenResult StateSaver::Writer::Unusable(const std::string& reason) {
+  LogState(base::Level::kError, "not_written", reason);
+  shared_->ok = false;
+  return OpenResult::kUnusable;
+}
+
+bool StateSaver::Writer::Write(const std::string& state) {
+  const storage::Status status = store_->TakeSnapshot(kSavedStateVersion, state);
   if (!status.ok()) {
-    if (status.code != std::errc::no_such_file_or_directory)
-      Say(base::Level::kWarning, "not_read", status.Text());
-    return std::nullopt;
+    LogState(base::Level::kError, "not_written",
+             status.Text() + "; nothing more is kept until the next start");
+    shared_->ok = false;
+    return false;
   }
-  if (!found.why.empty()) Say(base::Level::kWarning, "not_read", folder + ": " + found.why);
-  if (!found.snapshot) return std::nullopt;
-  auto state = found.snapshot->version > kVersion ? std::nullopt : ParseSavedState(found.snapshot->payload);
-  if (!state) Say(base::Level::kWarning, "not_read", folder + ": a snapshot that this program can't read");
-  return state;
+  ++shared_->writes;
+  shared_->bytes = state.size();
+  return true;
 }
 
 StateSaver::StateSaver(std::string folder, std::string owner, Millis sync_delay)
     : shared_(std::make_shared<Shared>()) {
   std::thread([shared = shared_, folder = std::move(folder), owner = std::move(owner), sync_delay] {
-    Write(folder, owner, sync_delay, *shared);
+    Writer(folder, owner, sync_delay, shared).Run();
     shared->done = true;
   }).detach();
 }
@@ -80,77 +159,21 @@
   shared_->stopping = true;
   shared_->wakes.fetch_add(1);
   shared_->wakes.notify_one();
-  const auto until = std::chrono::steady_clock::now() + kLastWrite;
-  while (!shared_->done && std::chrono::steady_clock::now() < until) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  const auto deadline = std::chrono::steady_clock::now() + kMaxLastWrite;
+  while (!shared_->done && std::chrono::steady_clock::now() < deadline) {
+    std::this_thread::sleep_for(kLastWritePollInterval);
   }
 }
 
-void StateSaver::Keep(const SavedState& state) {
+void StateSaver::Save(const SavedState& state) {
   if (!shared_->ok) return;
-  delete shared_->newest.exchange(new std::string(ToText(state)));
+  delete shared_->newest.exchange(new std::string(SerializeSavedState(state)));
   shared_->wakes.fetch_add(1);
   shared_->wakes.notify_one();
 }
 
-void StateSaver::Write(const std::string& folder, const std::string& owner, Millis sync_delay,
-                       Shared& shared) {
-  const auto disk = storage::MakePosixFileSystem();
-  storage::FaultyFileSystem slow(*disk,
-                                 [sync_delay](storage::FaultyFileSystem::Call call, const std::string&) {
-                                   if (call == storage::FaultyFileSystem::Call::kSync)
-                                     std::this_thread::sleep_for(Span(sync_delay));
-                                   return storage::FaultyFileSystem::Verdict{};
-                                 });
-  storage::FileSystem* const files = sync_delay > 0 ? static_cast<storage::FileSystem*>(&slow) : disk.get();
-  storage::StoreOptions options;
-  options.owner = owner;
-  options.program = GATEWAY_VERSION;
-  options.begin_after_damage =
-      true;  // a list that is newer is on its way anyway; the old files are kept aside
-  std::unique_ptr<storage::Store> opened;
-  int looks = 0;
-  std::string said;
-  for (std::uint32_t seen = 0;;) {
-    const std::unique_ptr<std::string> state(shared.newest.exchange(nullptr));
-    if (!state) {
-      if (shared.stopping) return;
-      shared.wakes.wait(seen);
-      seen = shared.wakes;
-      continue;
-    }
-    while (!opened) {
-      storage::Examination found;
-      if (looks++ % kTryAgain == 0) {
-        const storage::Status status = storage::Store::Open(*files, folder, options, opened, found);
-        if (found.found == storage::Found::kForeign) {
-          Say(base::Level::kError, "not_written", status.Text() + "; it is left as it is");
-          shared.ok = false;
-          return;
-        }
-        if (status.ok() && found.snapshot && found.snapshot->version > kVersion) {
-          Say(base::Level::kError, "not_written", folder + ": kept by a newer program; it is left as it is");
-          shared.ok = false;
-          return;
-        }
-        if (!status.ok() && std::exchange(said, status.Text()) != status.Text()) {
-          Say(base::Level::kWarning, "waits", status.Text() + "; tried again every second");
-        }
-      }
-      if (opened) break;
-      if (shared.stopping) return;
-      std::this_thread::sleep_for(kLookAgain);
-    }
-    // A newer one that came meanwhile is taken in the next round.
-    const storage::Status status = opened->TakeSnapshot(kVersion, *state);
-    if (!status.ok()) {
-      Say(base::Level::kError, "not_written", status.Text() + "; nothing more is kept until the next start");
-      shared.ok = false;
-      return;
-    }
-    ++shared.written;
-    shared.bytes = state->size();
-  }
-}
+bool StateSaver::ok() const { return shared_->ok; }
+std::uint64_t StateSaver::writes() const { return shared_->writes; }
+std::uint64_t StateSaver::bytes() const { return shared_->bytes; }
 
 }  // namespace gateway::proxy
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -18,10 +18,10 @@
 namespace gateway::proxy::testing {
 namespace {
 
+using base::FileDescriptor;
 using proxy::BodySource;
 using proxy::ClientRequest;
 using proxy::ClientServer;
-using proxy::Descriptor;
 
 // What happens right before and right behind the next look at how much the client of that port has sent.
 struct LookHook {
@@ -73,7 +73,7 @@
 // The clients' side of a gateway; each request is answered at once, unless the test does that.
 struct Server {
   explicit Server(asio::io_context& io)
-      : clients(io, Loopback(), /*shared=*/false, Descriptor(), /*most_sessions=*/100, OneClass(),
+      : clients(io, Loopback(), /*shared=*/false, FileDescriptor(), /*most_sessions=*/100, OneClass(),
                 /*most_held=*/1 << 20,
                 {[] { return true; },
                  [this](ClientRequest request) {
@@ -290,7 +290,7 @@
       if (moment == GiveMoment::kBefore) write();
       bool done = false;
       old.clients.GiveAway(
-          [&](Descriptor given) {
+          [&](FileDescriptor given) {
             if (moment == GiveMoment::kWhileGiven) write();
             next.clients.Adopt(std::move(given));
             return true;
@@ -320,7 +320,7 @@
     if (moment == GiveMoment::kBefore) client.Write(ApiCall("crossing"));
     bool done = false;
     old.clients.GiveAway(
-        [&](Descriptor) {
+        [&](FileDescriptor) {
           if (moment == GiveMoment::kWhileGiven) client.Write(ApiCall("crossing"));
           return false;
         },
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// The replacement of the running process by another. Each test says what it guards.
+// Hot restart: the replacement of the running process by another, and the messages between both. Each test
+// says what it guards.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -8,6 +9,7 @@
 #include <filesystem>
 
 #include "process.hpp"
+#include "proxy/restart/hot_restart_message.hpp"
 
 namespace gateway::proxy::testing {
 namespace {
@@ -76,6 +78,32 @@
                       .dump()};
 };
 
+// Guards the form on the socket between an old and a new process, which may be of different builds.
+TEST(HotRestartMessage, KeepsItsWords) {
+  EXPECT_EQ(proxy::EncodeMessage(proxy::Hello{}).text, "forkwick 1");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::ListenerTransfer{}).text, "listener");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::SuccessorReady{}).text, "ready");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::PredecessorLeaving{}).text, "leaving");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::ClientTransfer{}).text, "client");
+  const proxy::TransferredState state{{42, true, {}, "", 0}, {}};
+  EXPECT_EQ(proxy::EncodeMessage(proxy::StateTransfer{state}).text,
+            R"({"at":0.0,"classes":[],"failing":0.0,"gateways":0,"kinds":[],)"
+            R"("list":{"complete":true,"members":[],"revision":42},)"
+            R"("mean_latency":0.0,"rate":0.0,"samples":0,"servers":[],"spent":0.0})");
+}
+
+// Guards against messages that name a descriptor and carry none, and against other versions of the protocol.
+TEST(HotRestartMessage, IsUnknownUnlessComplete) {
+  for (const char* text : {"forkwick 2", "listener", "client", "{}", ""}) {
+    const proxy::HotRestartMessage message = proxy::DecodeMessage({text, {}});
+    EXPECT_TRUE(std::holds_alternative<proxy::UnknownMessage>(message)) << text;
+  }
+  base::FileDescriptor descriptor(::dup(0));
+  ASSERT_TRUE(descriptor);
+  const auto message = proxy::DecodeMessage({"client", std::move(descriptor)});
+  EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
+}
+
 // Guards a replacement as the platform does it: the connection that a client holds idle outlives the old
 // process, so does one whose request is under way, that request is answered, and nobody is refused meanwhile.
 TEST(HotRestart, TakesOverWithoutTurningAnyoneBack) {
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "base/log.hpp"
-#include "proxy/restart/state_saver.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "storage/store.hpp"
 #include "world.hpp"
 
@@ -182,14 +182,14 @@
              world.Call("metrics\n").find("elderhead_state_writes_total 2\n") != std::string::npos;
     }));
     ASSERT_TRUE(world.Until([&] {
-      const auto kept = proxy::LoadState(folder.path, world.owner());
-      return kept && kept->draining && kept->list.revision == 42;
+      const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+      return saved && saved->draining && saved->list.revision == 42;
     }));
     EXPECT_EQ(world.Vars()["list_from"], "discovery");
     world.gateway.reset();
-    EXPECT_FALSE(proxy::LoadState(folder.path, "another"));
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    ASSERT_TRUE(kept);
+    EXPECT_FALSE(proxy::LoadSavedState(folder.path, "another"));
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    ASSERT_TRUE(saved);
     world.Restart(/*with_state=*/false);  // as after two crashes upon it
     EXPECT_EQ(world.Vars()["pool_size"], 2);
     world.Restart();  // discovery has not answered it
@@ -216,7 +216,7 @@
     World world(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
     world.discovery.requests[0].Answer(200, List(42, true, {Member("h0", world.host().address())}).dump());
-    ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
+    ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
     world.gateway.reset();
     for (const auto& entry : std::filesystem::directory_iterator(folder.path)) {
       if (damage == 0) std::ofstream(entry.path()) << "not what was written";
@@ -227,7 +227,7 @@
       std::filesystem::remove_all(folder.path);
       std::ofstream(folder.path) << "a file stands where the folder was";
     }
-    EXPECT_FALSE(proxy::LoadState(folder.path, world.owner()));
+    EXPECT_FALSE(proxy::LoadSavedState(folder.path, world.owner()));
     world.Restart();
     EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
     world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -241,11 +241,11 @@
 TEST(State, OfAnOlderProgramIsRead) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
-  const auto kept = proxy::LoadState(folder.path, "n1 at 127.0.0.1:18080");
-  ASSERT_TRUE(kept);
-  EXPECT_TRUE(kept->draining);
-  EXPECT_EQ(kept->list.endpoints.size(), 2u);
-  EXPECT_FALSE(kept->learned);
+  const auto saved = proxy::LoadSavedState(folder.path, "n1 at 127.0.0.1:18080");
+  ASSERT_TRUE(saved);
+  EXPECT_TRUE(saved->draining);
+  EXPECT_EQ(saved->list.endpoints.size(), 2u);
+  EXPECT_FALSE(saved->learned);
 }
 
 // Guards a newer program's state: not read, and still there when this one has served and ended.
@@ -254,7 +254,7 @@
   const std::string newer = R"({"draining":"maybe"})";
   World world(1, TestSettings(), 300, WithState(folder));
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
-  ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
+  ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
   world.gateway.reset();
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
@@ -286,22 +286,23 @@
   }
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
   const auto samples = [&] {
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    return kept && kept->learned && !kept->learned->endpoints.empty() ? kept->learned->endpoints[0].samples
-                                                                      : 0;
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    return saved && saved->learned && !saved->learned->endpoints.empty()
+               ? saved->learned->endpoints[0].samples
+               : 0;
   };
   ASSERT_TRUE(world.Until([&] { return samples() == 5; }));
   world.Restart();  // discovery says nothing; what it writes next is what it began with
   EXPECT_TRUE(world.Call("drain-off\n").starts_with("SUCCESS"));
   ASSERT_TRUE(world.Until([&] {
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    return kept && !kept->draining;
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    return saved && !saved->draining;
   }));
   EXPECT_EQ(samples(), 5);
 }
 
 TEST(State, IsReadWholeOrNotAtAll) {
-  const std::string good = ToText(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
+  const std::string good = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
   ASSERT_TRUE(proxy::ParseSavedState(good));
   EXPECT_TRUE(proxy::ParseSavedState(good)->draining);
   for (const char* bad :
