--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -27,11 +27,12 @@
 namespace gateway::proxy {
 
 // One thread: the event loop's.
-class DiscoveryClient : private ListCall::Observer {
+class DiscoveryClient final : private ListCall::Observer {
  public:
   // All methods are called from the event loop. Each may call Watch() and the accessors.
   class Observer {
    public:
+    virtual ~Observer() = default;
     // A list from a service was accepted; the position of the watch is that of `list` already.
     virtual void OnEndpointList(EndpointList list) = 0;
     // The watch has ended: every service has failed in turn. `call_duration`: since the last call began.
@@ -40,9 +41,6 @@
     // Returns why a list must not be accepted, for the log; empty: it may be. A rejected list counts as a
     // failed call.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
-
-   protected:
-    ~Observer() = default;
   };
 
   struct Options {
@@ -62,7 +60,7 @@
   // `observer` must outlive the client. Nothing is called before Watch(), but probes begin.
   DiscoveryClient(boost::asio::io_context& io, Options options, Observer& observer);
   // Abandons all calls.
-  ~DiscoveryClient();
+  ~DiscoveryClient() override;
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -21,7 +21,7 @@
 namespace gateway::proxy {
 
 // One thread: the event loop's.
-class EndpointListWatcher : private DiscoveryClient::Observer {
+class EndpointListWatcher final : private DiscoveryClient::Observer {
  public:
   struct Options {
     boost::asio::ip::tcp::endpoint service;
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -31,12 +31,10 @@
 
   class Observer {
    public:
+    virtual ~Observer() = default;
     // The call has ended; it is not called again. Called from the event loop, never from within Start(). May
     // release `call`, take its connection and start other calls.
     virtual void OnListCallEnded(ListCall& call, Result result) = 0;
-
-   protected:
-    ~Observer() = default;
   };
 
   struct Options {
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -33,7 +33,7 @@
 namespace gateway::proxy {
 
 // Both roles of one process: it may replace another and be replaced later. One thread: the event loop's.
-class HotRestart : private HotRestartChannel::Observer, private SuccessorAcceptor::Delegate {
+class HotRestart final : private HotRestartChannel::Observer, private SuccessorAcceptor::Delegate {
  public:
   // What the gateway provides. All must be set and remain valid for this object's lifetime. Called from the
   // event loop, or from within Start() and NotifyReadiness(); they must not call back.
--- a/src/proxy/restart/hot_restart_channel.hpp
+++ b/src/proxy/restart/hot_restart_channel.hpp
@@ -20,13 +20,11 @@
   // Both methods are called from the event loop, and may destroy the channel.
   class Observer {
    public:
+    virtual ~Observer() = default;
     virtual void OnMessage(HotRestartChannel& channel, HotRestartMessage message) = 0;
     // The other process has ended or the connection broke; nothing more is called. Never called from within
     // Send().
     virtual void OnClosed(HotRestartChannel& channel) = 0;
-
-   protected:
-    ~Observer() = default;
   };
 
   // `socket` is connected.
--- a/src/proxy/restart/successor_acceptor.hpp
+++ b/src/proxy/restart/successor_acceptor.hpp
@@ -17,26 +17,24 @@
 // Listens on a Unix socket. Gives the listener and the state to each process of the same user that says Hello
 // while there is a listener to give, and then the channel to the delegate. One caller at a time: a later one
 // takes the place of one that has not said Hello. One thread: the event loop's.
-class SuccessorAcceptor : private HotRestartChannel::Observer {
+class SuccessorAcceptor final : private HotRestartChannel::Observer {
  public:
   // All methods are called from the event loop, none from within the constructor.
   class Delegate {
    public:
+    virtual ~Delegate() = default;
     // The clients' listening socket, which stays the delegate's; -1: there is none to give.
     virtual int ListenerForSuccessor() = 0;
     // The state to transfer; called right after ListenerForSuccessor().
     virtual TransferredState StateForSuccessor() = 0;
     // A successor has been sent both. May destroy the acceptor.
     virtual void OnSuccessor(std::unique_ptr<HotRestartChannel> channel) = 0;
-
-   protected:
-    ~Delegate() = default;
   };
 
   // Replaces a socket that stands at `path`, but no other kind of file. Where it can't listen it logs a
   // warning, and no successor ever comes. `delegate` must outlive this.
   SuccessorAcceptor(boost::asio::io_context& io, const std::string& path, Delegate& delegate);
-  ~SuccessorAcceptor();
+  ~SuccessorAcceptor() override;
   SuccessorAcceptor(const SuccessorAcceptor&) = delete;
   SuccessorAcceptor& operator=(const SuccessorAcceptor&) = delete;
 
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -104,9 +104,9 @@
   EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
 }
 
-// Guards a replacement as the platform does it: the connection that a client holds idle outlives the old
-// process, so does one whose request is under way, that request is answered, and nobody is refused meanwhile.
-TEST(HotRestart, TakesOverWithoutTurningAnyoneBack) {
+// Guards a replacement as the platform does it: an idle connection of a client survives the old process, as
+// does one with a request in flight; that request is answered, and no client is rejected meanwhile.
+TEST(HotRestart, TakesOverWithoutRejectingClients) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -139,8 +139,8 @@
   EXPECT_EQ(platform.Ask(idle, "four", 3), "four");
 }
 
-// Guards a drain of the old process while the new one is there: it says no for as long as it is drained.
-TEST(HotRestart, LeavesADrainItsNo) {
+// Guards a drain of the old process during the overlap: it fails its health check for as long as it drains.
+TEST(HotRestart, PreservesADrainOfThePredecessor) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -154,9 +154,8 @@
   EXPECT_EQ(platform.Call(next, "check\n"), "SUCCESS");
 }
 
-// Guards against an old process that is killed in the middle, and against a new one that dies: the other goes
-// on.
-TEST(HotRestart, OutlivesTheEndOfEitherSide) {
+// Guards against the end of either process by SIGKILL during the overlap: the other one continues.
+TEST(HotRestart, SurvivesTheEndOfEitherProcess) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -178,9 +177,9 @@
   }
 }
 
-// Guards the start against whatever lies in the common folder, and against an old process that hangs: the
-// address is shared all the same.
-TEST(HotRestart, StartsWithoutTheHandover) {
+// Guards the start against any file at the socket's path, and against an old process that hangs: the clients'
+// address is shared nevertheless.
+TEST(HotRestart, StartsWithoutATransfer) {
   for (const std::string there : {"file", "folder", "stale socket", "hung process"}) {
     SCOPED_TRACE(there);
     Platform platform;
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -166,9 +166,9 @@
   return {{"state_dir", folder.path}, {"name", name}};
 }
 
-// Guards what a gateway keeps: after its end the next one has the newest list and the drain, marked as from
-// the disk until discovery answers, even by a service that counts anew.
-TEST(State, OutlivesTheProcess) {
+// Guards what a gateway saves: the next process starts with the newest list, marked as from the disk until
+// discovery answers, and with the drain, even if the service counts its revisions anew.
+TEST(SavedState, SurvivesTheProcess) {
   const StateFolder folder;
   {
     World world(2, TestSettings(), 300, WithState(folder));
@@ -207,9 +207,9 @@
   }
 }
 
-// Guards the start beside a state that is damaged, of a newer program or no folder at all: without it, and
-// serving.
-TEST(State, IsDoneWithoutWhereItCantBeHad) {
+// Guards the start beside a state that is damaged or truncated, or a file in place of the folder: the gateway
+// serves without it.
+TEST(SavedState, IsIgnoredWhereItCantBeRead) {
   const StateFolder folder;
   for (const int damage : {0, 1, 2}) {
     std::filesystem::remove_all(folder.path);
@@ -237,8 +237,8 @@
   }
 }
 
-// Guards formats: what program 0.1.0 kept before anything learned was kept is read, and goes on from there.
-TEST(State, OfAnOlderProgramIsRead) {
+// Guards formats: a state of program 0.1.0, which saved nothing learned, is read.
+TEST(SavedState, OfAnOlderProgramIsRead) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
   const auto saved = proxy::LoadSavedState(folder.path, "n1 at 127.0.0.1:18080");
@@ -248,8 +248,8 @@
   EXPECT_FALSE(saved->learned);
 }
 
-// Guards a newer program's state: not read, and still there when this one has served and ended.
-TEST(State, OfANewerProgramIsLeftAsItIs) {
+// Guards a newer program's state: it is not read, and is unchanged after this program has served and ended.
+TEST(SavedState, OfANewerProgramIsNotChanged) {
   const StateFolder folder;
   const std::string newer = R"({"draining":"maybe"})";
   World world(1, TestSettings(), 300, WithState(folder));
@@ -274,8 +274,8 @@
   EXPECT_EQ(found.snapshot->payload, newer);
 }
 
-// Guards what was learned: it is kept while requests are served, and the next process begins with it.
-TEST(State, HoldsWhatWasLearned) {
+// Guards what was learned: it is saved while requests are served, and the next process begins with it.
+TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
   World world(1, TestSettings(), 300, WithState(folder));
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -301,7 +301,7 @@
   EXPECT_EQ(samples(), 5);
 }
 
-TEST(State, IsReadWholeOrNotAtAll) {
+TEST(SavedState, IsRejectedIfAnyPartIsMalformed) {
   const std::string good = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
   ASSERT_TRUE(proxy::ParseSavedState(good));
   EXPECT_TRUE(proxy::ParseSavedState(good)->draining);
