--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -85,7 +85,7 @@
   if (!IsBetweenRequests()) return false;
   phase_ = Phase::kClosed;
   error_code error;
-  Descriptor client(socket_.release(error));
+  base::FileDescriptor client(socket_.release(error));
   if (!error) context_.transfer(std::move(client));
   context_.owner.OnConnectionClosed(shared_from_this());
   return true;
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -11,6 +11,7 @@
 #include <memory>
 #include <string>
 
+#include "base/file_descriptor.hpp"
 #include "proxy/body_source.hpp"
 #include "proxy/buffer_budget.hpp"
 #include "proxy/client/client_request.hpp"
@@ -21,7 +22,6 @@
 #include "proxy/client/response_writer.hpp"
 #include "proxy/clock.hpp"
 #include "proxy/http_types.hpp"
-#include "proxy/restart/handover.hpp"
 
 namespace gateway::proxy {
 
@@ -29,7 +29,7 @@
 
 // Sends a client's idle connection to another process. Returns false if that does not take it; the connection
 // is closed then.
-using ConnectionTransfer = std::function<bool(Descriptor client)>;
+using ConnectionTransfer = std::function<bool(base::FileDescriptor client)>;
 
 // Implemented by the owner of the connections.
 class ClientConnectionOwner {
--- a/src/proxy/client/client_listener.cpp
+++ b/src/proxy/client/client_listener.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 ClientListener::ClientListener(asio::io_context& io, const tcp::endpoint& address, bool shared,
-                               Descriptor inherited, Delegate& delegate)
+                               base::FileDescriptor inherited, Delegate& delegate)
     : acceptor_(io), retry_timer_(io), delegate_(delegate) {
   if (inherited) {
     error_code error;
--- a/src/proxy/client/client_listener.hpp
+++ b/src/proxy/client/client_listener.hpp
@@ -8,9 +8,9 @@
 #include <boost/system/error_code.hpp>
 #include <optional>
 
+#include "base/file_descriptor.hpp"
 #include "proxy/client/accept_queue.hpp"
 #include "proxy/clock.hpp"
-#include "proxy/restart/handover.hpp"
 
 namespace gateway::proxy {
 
@@ -34,7 +34,7 @@
   // processes may listen too if `shared`. Throws ConfigError if the address is not available. Accepts nothing
   // before Resume.
   ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, bool shared,
-                 Descriptor inherited, Delegate& delegate);
+                 base::FileDescriptor inherited, Delegate& delegate);
 
   // Accepts connections as long as the delegate allows; tries again after a while when it does not. To be
   // called as well when room has become available.
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 ClientServer::ClientServer(asio::io_context& io, const ClientServerOptions& options,
-                           Descriptor inherited_listener, const policy::Settings& settings,
+                           base::FileDescriptor inherited_listener, const policy::Settings& settings,
                            ClientCallbacks callbacks)
     : io_(io),
       context_{.io = io,
@@ -89,7 +89,7 @@
   if (!table_.AtLimit()) listener_.Resume();
 }
 
-void ClientServer::AcceptTransferredConnection(Descriptor client) {
+void ClientServer::AcceptTransferredConnection(base::FileDescriptor client) {
   tcp::socket socket(io_);
   error_code error;
   socket.assign(listener_.protocol(), client.get(), error);
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -9,12 +9,12 @@
 #include <functional>
 #include <memory>
 
+#include "base/file_descriptor.hpp"
 #include "gateway/policy.hpp"
 #include "proxy/client/client_connection.hpp"
 #include "proxy/client/client_listener.hpp"
 #include "proxy/client/client_request.hpp"
 #include "proxy/client/connection_table.hpp"
-#include "proxy/restart/handover.hpp"
 
 namespace gateway::proxy {
 
@@ -32,8 +32,9 @@
  public:
   // Accepts at once: on `inherited_listener` if that is open, else at the options' address. Throws
   // ConfigError if the address is not available. Callbacks are called from the event loop only.
-  ClientServer(boost::asio::io_context& io, const ClientServerOptions& options, Descriptor inherited_listener,
-               const policy::Settings& settings, ClientCallbacks callbacks);
+  ClientServer(boost::asio::io_context& io, const ClientServerOptions& options,
+               base::FileDescriptor inherited_listener, const policy::Settings& settings,
+               ClientCallbacks callbacks);
 
   boost::asio::ip::tcp::endpoint address() const { return listener_.address(); }
   std::size_t connections() const { return table_.size(); }
@@ -49,7 +50,7 @@
   // The listening socket for another process, still owned by this; -1 if it is closed.
   int listener() { return listener_.native_handle(); }
   // Takes over a client's connection from another process, where it was between two requests.
-  void AcceptTransferredConnection(Descriptor client);
+  void AcceptTransferredConnection(base::FileDescriptor client);
   // Stops accepting, since another process accepts from the same queue, and transfers each connection as soon
   // as nothing of a request has been read on it. Calls `done` when none is left.
   void TransferConnections(ConnectionTransfer transfer, std::function<void()> done);
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -24,12 +24,12 @@
 
 InheritedState InheritFromRunningProcess(const Config& config) {
   if (config.handover.empty()) return {};
-  return Inherit(config.handover, config.listen);
+  return InheritFromPredecessor(config.handover, config.listen);
 }
 
-std::optional<SavedState> LoadSavedState(const Config& config) {
+std::optional<SavedState> LoadConfiguredState(const Config& config) {
   if (config.state_folder.empty() || !config.state_loaded) return std::nullopt;
-  return LoadState(config.state_folder, config.state_owner);
+  return LoadSavedState(config.state_folder, config.state_owner);
 }
 
 // The watch begins at the newest revision known. The revision of a list from the disk is unsure: the service
@@ -40,17 +40,17 @@
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
-  options.guarded = config.list_guarded;
-  options.most_removed = config.most_removed;
+  options.guard_mass_removal = config.list_guarded;
+  options.max_removed_share = config.most_removed;
   options.revision = config.known.revision;
-  options.sure = true;
-  if (inherited.handed_over) {
-    options.revision = inherited.handed_over->list.revision;
-    options.epoch = inherited.handed_over->list.epoch;
+  options.position_is_current = true;
+  if (inherited.transferred) {
+    options.revision = inherited.transferred->list.revision;
+    options.epoch = inherited.transferred->list.epoch;
   } else if (saved) {
     options.revision = std::max(config.known.revision, saved->list.revision);
     options.epoch = saved->list.epoch;
-    options.sure = saved->list.revision <= config.known.revision;
+    options.position_is_current = saved->list.revision <= config.known.revision;
   }
   return options;
 }
@@ -81,7 +81,7 @@
 }  // namespace
 
 Gateway::Gateway(asio::io_context& io, const Config& config)
-    : Gateway(io, config, InheritFromRunningProcess(config), LoadSavedState(config)) {}
+    : Gateway(io, config, InheritFromRunningProcess(config), LoadConfiguredState(config)) {}
 
 Gateway::Gateway(asio::io_context& io, const Config& config, InheritedState inherited,
                  std::optional<SavedState> saved)
@@ -90,11 +90,11 @@
       budget_(MakeDescriptorBudget(config.sockets)),
       driver_(io, config.settings, config.seed, requests_, [this] { list_.Watch(); }),
       upstream_(io, MakeUpstreamPoolOptions(config, budget_)),
-      list_(io, WatcherOptions(config, inherited, saved), ListHandlers()),
+      list_(io, WatcherOptions(config, inherited, saved), MakeListCallbacks()),
       metrics_(config.settings),
       requests_(io, settings_, driver_, upstream_, metrics_),
-      hot_restart_(io, config.handover, std::move(inherited.link), IsAddressTaken(config, inherited),
-                   HotRestartHandlers()),
+      hot_restart_(io, config.handover, std::move(inherited.predecessor), IsAddressTaken(config, inherited),
+                   MakeHotRestartCallbacks()),
       list_stale_after_(config.list_old_after),
       started_at_(Now()),
       stop_timer_(io),
@@ -103,38 +103,40 @@
       commands_(*this, metrics_),
       status_log_(io, list_stale_after_, [this] { return Status(); }) {
   StartManagement(config);
-  RestoreList(config, inherited.handed_over, saved);
+  RestoreList(config, inherited.transferred, saved);
   StartSaving(config);
-  RestoreLearnedState(inherited.handed_over, saved);
-  hot_restart_.Begin();
+  RestoreLearnedState(inherited.transferred, saved);
+  hot_restart_.Start();
   if (!settings_.poll_endpoint_list) list_.Watch();
   LogSettings(settings_);
   status_log_.Start();
 }
 
-EndpointListWatcher::Handlers Gateway::ListHandlers() {
-  EndpointListWatcher::Handlers handlers;
-  handlers.answered = [this] {
+EndpointListWatcher::Callbacks Gateway::MakeListCallbacks() {
+  EndpointListWatcher::Callbacks callbacks;
+  callbacks.list_received = [this] {
     list_from_state_ = false;
     list_confirmed_at_ = Now();
   };
-  handlers.changed = [this](const EndpointList& list) { ApplyList(list); };
-  handlers.failed = [this](Millis call_duration) {
+  callbacks.list_changed = [this](const EndpointList& list) { ApplyList(list); };
+  callbacks.watch_failed = [this](Millis call_duration) {
     driver_.Report(policy::EndpointListEvent{policy::EndpointListEvent::Kind::kFailure, {}, call_duration});
   };
-  return handlers;
+  return callbacks;
 }
 
-HotRestart::Handlers Gateway::HotRestartHandlers() {
-  HotRestart::Handlers handlers;
-  handlers.ready = [this] { return IsReady(); };
-  handlers.stopping = [this] { return stopping_; };
-  handlers.listener = [this] { return clients_.listener(); };
-  handlers.handed_over = [this] { return StateForSuccessor(); };
-  handlers.scale = [this](double factor) { driver_.policy().ScaleToShare(factor); };
-  handlers.places = [this](bool half) { UseHalfOfConnections(half); };
-  handlers.adopt = [this](Descriptor client) { clients_.AcceptTransferredConnection(std::move(client)); };
-  return handlers;
+HotRestart::Callbacks Gateway::MakeHotRestartCallbacks() {
+  HotRestart::Callbacks callbacks;
+  callbacks.is_ready = [this] { return IsReady(); };
+  callbacks.is_stopping = [this] { return stopping_; };
+  callbacks.listener = [this] { return clients_.listener(); };
+  callbacks.export_state = [this] { return StateForSuccessor(); };
+  callbacks.scale_rate = [this](double factor) { driver_.policy().ScaleToShare(factor); };
+  callbacks.limit_connections = [this](bool half) { UseHalfOfConnections(half); };
+  callbacks.adopt_client = [this](base::FileDescriptor client) {
+    clients_.AcceptTransferredConnection(std::move(client));
+  };
+  return callbacks;
 }
 
 ClientCallbacks Gateway::MakeClientCallbacks() {
@@ -160,19 +162,20 @@
 
 // A running process knows a newer list than the disk, and the disk may know a newer one than the
 // configuration.
-void Gateway::RestoreList(const Config& config, const std::optional<HandoverState>& handed_over,
+void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
-  list_from_state_ = !handed_over && saved && saved->list.revision > config.known.revision;
-  if (!handed_over && saved && saved->draining) SetDraining(true);
-  list_confirmed_at_ = list_from_state_ ? saved->kept_at : Now();
-  if (handed_over) return list_.Apply(handed_over->list);
+  list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
+  if (!transferred && saved && saved->draining) SetDraining(true);
+  list_confirmed_at_ = list_from_state_ ? saved->list_valid_at : Now();
+  if (transferred) return list_.Apply(transferred->list);
   list_.Apply(list_from_state_ ? saved->list : config.known);
-  if (list_from_state_) LogRestoredList(list_.revision(), list_.hosts().size(), Now() - saved->kept_at);
+  if (list_from_state_)
+    LogRestoredList(list_.revision(), list_.endpoints().size(), Now() - saved->list_valid_at);
 }
 
-void Gateway::RestoreLearnedState(const std::optional<HandoverState>& handed_over,
+void Gateway::RestoreLearnedState(const std::optional<TransferredState>& transferred,
                                   const std::optional<SavedState>& saved) {
-  if (handed_over) return driver_.policy().ImportState(Now(), handed_over->learned);
+  if (transferred) return driver_.policy().ImportState(Now(), transferred->learned);
   if (!saved || !saved->learned) return;
   const policy::LearnedState& learned = *saved->learned;
   driver_.policy().ImportState(Now(), learned);
@@ -185,16 +188,16 @@
   if (config.state_folder.empty()) return;
   state_saver_.emplace(config.state_folder, config.state_owner, config.state_sync_delay);
   save_schedule_.emplace(io_, *state_saver_, [this] {
-    return SavedState{list_.Listed(), draining_, list_confirmed_at_, driver_.policy().ExportState()};
+    return SavedState{list_.Snapshot(), draining_, list_confirmed_at_, driver_.policy().ExportState()};
   });
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
   upstream_.ApplyEndpointList(list);  // before the policy: from now on nothing is sent by the former list
   listed_ = listed_ || !list.endpoints.empty();
-  driver_.Report(ToNews(list));
-  hot_restart_.ReadyNow();
-  if (list_.hosts().empty()) return;
+  driver_.Report(ToListEvent(list));
+  hot_restart_.NotifyReadiness();
+  if (list_.endpoints().empty()) return;
   SaveWithin(StateSaveSchedule::DelayAfterListChange(settings_.gateway_index));
 }
 
@@ -203,14 +206,14 @@
 }
 
 bool Gateway::IsListStale() const {
-  return Now() - std::max(list_.heard_at(), started_at_) > list_stale_after_;
+  return Now() - std::max(list_.last_list_at(), started_at_) > list_stale_after_;
 }
 
 void Gateway::MoveDiscovery(const asio::ip::tcp::endpoint& address) {
   const std::string text = address.address().to_string() + ":" + std::to_string(address.port());
   base::Log(base::Level::kInfo, "discovery", "moved", "discovery is at " + text + " now",
             {{"address", text}});
-  list_.Move(address);
+  list_.ChangeAddress(address);
 }
 
 std::optional<asio::ip::tcp::endpoint> Gateway::management() const {
@@ -220,7 +223,7 @@
 
 // While it stops, a process that was replaced leaves the answer to its successor, which shares the listener.
 bool Gateway::AnswersReady() const {
-  return IsReady() || (stopping_ && !draining_ && hot_restart_.Succeeded());
+  return IsReady() || (stopping_ && !draining_ && hot_restart_.HasReadySuccessor());
 }
 
 GatewayStatus Gateway::Status() const {
@@ -233,17 +236,17 @@
   status.disconnected_clients = requests_.disconnected();
   status.upstream_connections = upstream_.connections();
   status.upstream_counts = upstream_.counts();
-  status.endpoints = list_.hosts().size();
+  status.endpoints = list_.endpoints().size();
   status.ejected_endpoints = driver_.policy().EjectedEndpoints();
   status.list_revision = list_.revision();
-  status.list_service = list_.service();
-  status.list_age = Now() - std::max(list_.heard_at(), list_confirmed_at_);
+  status.list_service = list_.service_index();
+  status.list_age = Now() - std::max(list_.last_list_at(), list_confirmed_at_);
   status.list_stale = IsListStale();
   status.list_from_state = list_from_state_;
   status.saves_state = state_saver_.has_value();
   if (state_saver_) {
     status.state_ok = state_saver_->ok();
-    status.state_writes = state_saver_->written();
+    status.state_writes = state_saver_->writes();
   }
   return status;
 }
@@ -262,7 +265,7 @@
 
 void Gateway::Stop(std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
-  if (hot_restart_.Succeeded()) return StopForSuccessor(done);
+  if (hot_restart_.HasReadySuccessor()) return StopForSuccessor(done);
   clients_.SetDraining(true);
   stop_timer_.expires_after(Span(kAcceptAfterStop));
   stop_timer_.async_wait([this, done = std::move(done)](error_code) {
@@ -274,9 +277,10 @@
 // The successor accepts from the same listener and is given the connections between requests; the requests
 // that are active are finished here.
 void Gateway::StopForSuccessor(const std::function<void()>& done) {
-  hot_restart_.Leave();
-  clients_.TransferConnections([this](Descriptor client) { return hot_restart_.Give(std::move(client)); },
-                               [this, done] { hot_restart_.Flushed(done); });
+  hot_restart_.AnnounceLeaving();
+  clients_.TransferConnections(
+      [this](base::FileDescriptor client) { return hot_restart_.TransferClient(std::move(client)); },
+      [this, done] { hot_restart_.WhenTransfersSent(done); });
   FinishWithin(kAnswerAllWithin, done);
 }
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -22,8 +22,11 @@
 #include "proxy/policy_driver.hpp"
 #include "proxy/request_forwarder.hpp"
 #include "proxy/restart/hot_restart.hpp"
+#include "proxy/restart/inherited_state.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "proxy/restart/state_save_schedule.hpp"
 #include "proxy/restart/state_saver.hpp"
+#include "proxy/restart/transferred_state.hpp"
 #include "proxy/upstream/upstream_pool.hpp"
 
 namespace gateway::proxy {
@@ -51,14 +54,14 @@
   Gateway(boost::asio::io_context& io, const Config& config, InheritedState inherited,
           std::optional<SavedState> saved);
 
-  HotRestart::Handlers HotRestartHandlers();
-  EndpointListWatcher::Handlers ListHandlers();
+  HotRestart::Callbacks MakeHotRestartCallbacks();
+  EndpointListWatcher::Callbacks MakeListCallbacks();
   ClientCallbacks MakeClientCallbacks();
 
   // Start.
-  void RestoreList(const Config& config, const std::optional<HandoverState>& handed_over,
+  void RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                    const std::optional<SavedState>& saved);
-  void RestoreLearnedState(const std::optional<HandoverState>& handed_over,
+  void RestoreLearnedState(const std::optional<TransferredState>& transferred,
                            const std::optional<SavedState>& saved);
   void StartSaving(const Config& config);
   void StartManagement(const Config& config);
@@ -74,7 +77,7 @@
   void SetDraining(bool draining) override;
   void SaveWithin(Millis delay);
   void UseHalfOfConnections(bool half);
-  HandoverState StateForSuccessor() const { return {list_.Listed(), driver_.policy().ExportState()}; }
+  TransferredState StateForSuccessor() const { return {list_.Snapshot(), driver_.policy().ExportState()}; }
   void StopForSuccessor(const std::function<void()>& done);
   void FinishWithin(Millis time, const std::function<void()>& done);
 
--- a/src/proxy/restart/state_save_schedule.cpp
+++ b/src/proxy/restart/state_save_schedule.cpp
@@ -33,7 +33,7 @@
 
 void StateSaveSchedule::Save() {
   if (!saver_.ok()) return;
-  saver_.Keep(get_state_());
+  saver_.Save(get_state_());
   SaveWithin(kInterval);
 }
 
--- a/src/proxy/restart/state_save_schedule.hpp
+++ b/src/proxy/restart/state_save_schedule.hpp
@@ -7,6 +7,7 @@
 #include <functional>
 
 #include "proxy/clock.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "proxy/restart/state_saver.hpp"
 
 namespace gateway::proxy {
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "proxy/clock.hpp"
-#include "proxy/discovery/discovery.hpp"
+#include "proxy/discovery/endpoint_list.hpp"
 #include "proxy/upstream/upstream_connection.hpp"
 #include "proxy/upstream/upstream_request.hpp"
 
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -21,7 +21,7 @@
 using proxy::BodySource;
 using proxy::ClientRequest;
 using proxy::ClientServer;
-using proxy::Descriptor;
+using base::FileDescriptor;
 
 // What happens right before and right behind the next look at how much the client of that port has sent.
 struct LookHook {
@@ -74,7 +74,7 @@
 struct Server {
   explicit Server(asio::io_context& io)
       : clients(io, {.address = Loopback(), .connection_limit = 100, .body_budget_bytes = 1 << 20},
-                Descriptor(), OneClass(),
+                base::FileDescriptor(), OneClass(),
                 {.is_ready = [] { return true; },
                  .on_request =
                      [this](ClientRequest request) {
@@ -292,7 +292,7 @@
       if (moment == GiveMoment::kBefore) write();
       bool done = false;
       old.clients.TransferConnections(
-          [&](Descriptor given) {
+          [&](base::FileDescriptor given) {
             if (moment == GiveMoment::kWhileGiven) write();
             next.clients.AcceptTransferredConnection(std::move(given));
             return true;
@@ -322,7 +322,7 @@
     if (moment == GiveMoment::kBefore) client.Write(ApiCall("crossing"));
     bool done = false;
     old.clients.TransferConnections(
-        [&](Descriptor) {
+        [&](base::FileDescriptor) {
           if (moment == GiveMoment::kWhileGiven) client.Write(ApiCall("crossing"));
           return false;
         },
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// The replacement of the running process by another. Each test says what it guards.
+// Hot restart: the replacement of the running process by another, and the messages between both. Each test
+// says what it guards.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -8,6 +9,7 @@
 #include <filesystem>
 
 #include "process.hpp"
+#include "proxy/restart/hot_restart_message.hpp"
 
 namespace gateway::proxy::testing {
 namespace {
@@ -76,9 +78,35 @@
                       .dump()};
 };
 
-// Guards a replacement as the platform does it: the connection that a client holds idle outlives the old
-// process, so does one whose request is under way, that request is answered, and nobody is refused meanwhile.
-TEST(HotRestart, TakesOverWithoutTurningAnyoneBack) {
+// Guards the form on the socket between an old and a new process, which may be of different builds.
+TEST(HotRestartMessage, KeepsItsWords) {
+  EXPECT_EQ(proxy::EncodeMessage(proxy::Hello{}).text, "forkwick 1");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::ListenerTransfer{}).text, "listener");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::SuccessorReady{}).text, "ready");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::PredecessorLeaving{}).text, "leaving");
+  EXPECT_EQ(proxy::EncodeMessage(proxy::ClientTransfer{}).text, "client");
+  const proxy::TransferredState state{{42, true, {}, "", 0}, {}};
+  EXPECT_EQ(proxy::EncodeMessage(proxy::StateTransfer{state}).text,
+            R"({"at":0.0,"classes":[],"failing":0.0,"gateways":0,"kinds":[],)"
+            R"("list":{"complete":true,"members":[],"revision":42},)"
+            R"("mean_latency":0.0,"rate":0.0,"samples":0,"servers":[],"spent":0.0})");
+}
+
+// Guards against messages that name a descriptor and carry none, and against other versions of the protocol.
+TEST(HotRestartMessage, IsUnknownUnlessComplete) {
+  for (const char* text : {"forkwick 2", "listener", "client", "{}", ""}) {
+    const proxy::HotRestartMessage message = proxy::DecodeMessage({text, {}});
+    EXPECT_TRUE(std::holds_alternative<proxy::UnknownMessage>(message)) << text;
+  }
+  base::FileDescriptor descriptor(::dup(0));
+  ASSERT_TRUE(descriptor);
+  const auto message = proxy::DecodeMessage({"client", std::move(descriptor)});
+  EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
+}
+
+// Guards a replacement as the platform does it: an idle connection of a client survives the old process, as
+// does one with a request in flight; that request is answered, and no client is rejected meanwhile.
+TEST(HotRestart, TakesOverWithoutRejectingClients) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -111,8 +139,8 @@
   EXPECT_EQ(platform.Ask(idle, "four", 3), "four");
 }
 
-// Guards a drain of the old process while the new one is there: it says no for as long as it is drained.
-TEST(HotRestart, LeavesADrainItsNo) {
+// Guards a drain of the old process during the overlap: it fails its health check for as long as it drains.
+TEST(HotRestart, PreservesADrainOfThePredecessor) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -126,9 +154,8 @@
   EXPECT_EQ(platform.Call(next, "check\n"), "SUCCESS");
 }
 
-// Guards against an old process that is killed in the middle, and against a new one that dies: the other goes
-// on.
-TEST(HotRestart, OutlivesTheEndOfEitherSide) {
+// Guards against the end of either process by SIGKILL during the overlap: the other one continues.
+TEST(HotRestart, SurvivesTheEndOfEitherProcess) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.Ready(old));
@@ -150,9 +177,9 @@
   }
 }
 
-// Guards the start against whatever lies in the common folder, and against an old process that hangs: the
-// address is shared all the same.
-TEST(HotRestart, StartsWithoutTheHandover) {
+// Guards the start against any file at the socket's path, and against an old process that hangs: the clients'
+// address is shared nevertheless.
+TEST(HotRestart, StartsWithoutATransfer) {
   for (const std::string there : {"file", "folder", "stale socket", "hung process"}) {
     SCOPED_TRACE(there);
     Platform platform;
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "base/log.hpp"
-#include "proxy/restart/state_saver.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "storage/store.hpp"
 #include "world.hpp"
 
@@ -166,9 +166,9 @@
   return {{"state_dir", folder.path}, {"name", name}};
 }
 
-// Guards what a gateway keeps: after its end the next one has the newest list and the drain, marked as from
-// the disk until discovery answers, even by a service that counts anew.
-TEST(State, OutlivesTheProcess) {
+// Guards what a gateway saves: the next process starts with the newest list, marked as from the disk until
+// discovery answers, and with the drain, even if the service counts its revisions anew.
+TEST(SavedState, SurvivesTheProcess) {
   const StateFolder folder;
   {
     World world(2, TestSettings(), 300, WithState(folder));
@@ -182,14 +182,14 @@
              world.Call("metrics\n").find("elderhead_state_writes_total 2\n") != std::string::npos;
     }));
     ASSERT_TRUE(world.Until([&] {
-      const auto kept = proxy::LoadState(folder.path, world.owner());
-      return kept && kept->draining && kept->list.revision == 42;
+      const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+      return saved && saved->draining && saved->list.revision == 42;
     }));
     EXPECT_EQ(world.Vars()["list_from"], "discovery");
     world.gateway.reset();
-    EXPECT_FALSE(proxy::LoadState(folder.path, "another"));
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    ASSERT_TRUE(kept);
+    EXPECT_FALSE(proxy::LoadSavedState(folder.path, "another"));
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    ASSERT_TRUE(saved);
     world.Restart(/*with_state=*/false);  // as after two crashes upon it
     EXPECT_EQ(world.Vars()["pool_size"], 2);
     world.Restart();  // discovery has not answered it
@@ -207,16 +207,16 @@
   }
 }
 
-// Guards the start beside a state that is damaged, of a newer program or no folder at all: without it, and
-// serving.
-TEST(State, IsDoneWithoutWhereItCantBeHad) {
+// Guards the start beside a state that is damaged or truncated, or a file in place of the folder: the gateway
+// serves without it.
+TEST(SavedState, IsIgnoredWhereItCantBeRead) {
   const StateFolder folder;
   for (const int damage : {0, 1, 2}) {
     std::filesystem::remove_all(folder.path);
     World world(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
     world.discovery.requests[0].Answer(200, List(42, true, {Member("h0", world.host().address())}).dump());
-    ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
+    ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
     world.gateway.reset();
     for (const auto& entry : std::filesystem::directory_iterator(folder.path)) {
       if (damage == 0) std::ofstream(entry.path()) << "not what was written";
@@ -227,7 +227,7 @@
       std::filesystem::remove_all(folder.path);
       std::ofstream(folder.path) << "a file stands where the folder was";
     }
-    EXPECT_FALSE(proxy::LoadState(folder.path, world.owner()));
+    EXPECT_FALSE(proxy::LoadSavedState(folder.path, world.owner()));
     world.Restart();
     EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
     world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -237,24 +237,24 @@
   }
 }
 
-// Guards formats: what program 0.1.0 kept before anything learned was kept is read, and goes on from there.
-TEST(State, OfAnOlderProgramIsRead) {
+// Guards formats: a state of program 0.1.0, which saved nothing learned, is read.
+TEST(SavedState, OfAnOlderProgramIsRead) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
-  const auto kept = proxy::LoadState(folder.path, "n1 at 127.0.0.1:18080");
-  ASSERT_TRUE(kept);
-  EXPECT_TRUE(kept->draining);
-  EXPECT_EQ(kept->list.endpoints.size(), 2u);
-  EXPECT_FALSE(kept->learned);
+  const auto saved = proxy::LoadSavedState(folder.path, "n1 at 127.0.0.1:18080");
+  ASSERT_TRUE(saved);
+  EXPECT_TRUE(saved->draining);
+  EXPECT_EQ(saved->list.endpoints.size(), 2u);
+  EXPECT_FALSE(saved->learned);
 }
 
-// Guards a newer program's state: not read, and still there when this one has served and ended.
-TEST(State, OfANewerProgramIsLeftAsItIs) {
+// Guards a newer program's state: it is not read, and is unchanged after this program has served and ended.
+TEST(SavedState, OfANewerProgramIsNotChanged) {
   const StateFolder folder;
   const std::string newer = R"({"draining":"maybe"})";
   World world(1, TestSettings(), 300, WithState(folder));
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
-  ASSERT_TRUE(world.Until([&] { return proxy::LoadState(folder.path, world.owner()).has_value(); }));
+  ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
   world.gateway.reset();
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
@@ -274,8 +274,8 @@
   EXPECT_EQ(found.snapshot->payload, newer);
 }
 
-// Guards what was learned: it is kept while requests are served, and the next process begins with it.
-TEST(State, HoldsWhatWasLearned) {
+// Guards what was learned: it is saved while requests are served, and the next process begins with it.
+TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
   World world(1, TestSettings(), 300, WithState(folder));
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -286,22 +286,23 @@
   }
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
   const auto samples = [&] {
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    return kept && kept->learned && !kept->learned->endpoints.empty() ? kept->learned->endpoints[0].samples
-                                                                      : 0;
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    return saved && saved->learned && !saved->learned->endpoints.empty()
+               ? saved->learned->endpoints[0].samples
+               : 0;
   };
   ASSERT_TRUE(world.Until([&] { return samples() == 5; }));
   world.Restart();  // discovery says nothing; what it writes next is what it began with
   EXPECT_TRUE(world.Call("drain-off\n").starts_with("SUCCESS"));
   ASSERT_TRUE(world.Until([&] {
-    const auto kept = proxy::LoadState(folder.path, world.owner());
-    return kept && !kept->draining;
+    const auto saved = proxy::LoadSavedState(folder.path, world.owner());
+    return saved && !saved->draining;
   }));
   EXPECT_EQ(samples(), 5);
 }
 
-TEST(State, IsReadWholeOrNotAtAll) {
-  const std::string good = ToText(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
+TEST(SavedState, IsRejectedIfAnyPartIsMalformed) {
+  const std::string good = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
   ASSERT_TRUE(proxy::ParseSavedState(good));
   EXPECT_TRUE(proxy::ParseSavedState(good)->draining);
   for (const char* bad :
--- a/tests/proxy/saved_state_compatibility_test.cpp
+++ b/tests/proxy/saved_state_compatibility_test.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "proxy/restart/state_saver.hpp"
+#include "proxy/restart/saved_state.hpp"
 #include "storage/examination.hpp"
 
 namespace gateway::proxy::testing {
@@ -18,7 +18,7 @@
 class SavedStateCompatibility : public ::testing::Test {
  protected:
   void SetUp() override {
-    auto loaded = LoadState(kFixture, kOwner);
+    auto loaded = LoadSavedState(kFixture, kOwner);
     ASSERT_TRUE(loaded);
     state = std::move(*loaded);
   }
@@ -40,11 +40,11 @@
 
 TEST_F(SavedStateCompatibility, ReadsTheListAndTheDrain) {
   EXPECT_TRUE(state.draining);
-  EXPECT_EQ(state.kept_at, 1796285272906.8577);
+  EXPECT_EQ(state.list_valid_at, 1796285272906.8577);
   EXPECT_EQ(state.list.revision, 42);
   EXPECT_TRUE(state.list.complete);
   EXPECT_EQ(state.list.epoch, "c0ffee");
-  EXPECT_EQ(state.list.confirmed, 0);
+  EXPECT_EQ(state.list.confirmed_revision, 0);
   ASSERT_EQ(state.list.endpoints.size(), 5u);
   ExpectEndpoint(state.list.endpoints[0], {"h0", "a", "m2", "3", policy::EndpointState::kUp, 1, 0}, 18090);
   ExpectEndpoint(state.list.endpoints[1],
@@ -146,7 +146,7 @@
   EXPECT_EQ(found.manifest->program, "0.1.0");
   ASSERT_TRUE(found.snapshot);
   EXPECT_EQ(found.snapshot->version, 1);
-  EXPECT_EQ(ToText(state), found.snapshot->payload);
+  EXPECT_EQ(SerializeSavedState(state), found.snapshot->payload);
 }
 
 }  // namespace
