--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -12,8 +12,10 @@
 #include "base/descriptor_limit.hpp"
 #include "cli/config.hpp"
 #include "cli/scale.hpp"
-#include "lab/lab.hpp"
+#include "lab/evaluation.hpp"
+#include "lab/experiment_runner.hpp"
 #include "lab/registry_load.hpp"
+#include "lab/report.hpp"
 #include "lab/schedule.hpp"
 #include "lab/stand_in.hpp"
 
@@ -49,9 +51,9 @@
 
 const char* VerdictWord(lab::Verdict::Kind kind) {
   switch (kind) {
-    case lab::Verdict::Kind::kHeld: return "held";
-    case lab::Verdict::Kind::kBroken: return "BROKEN";
-    case lab::Verdict::Kind::kNotJudged: return "not judged";
+    case lab::Verdict::Kind::kPassed: return "held";
+    case lab::Verdict::Kind::kViolated: return "BROKEN";
+    case lab::Verdict::Kind::kInconclusive: return "not judged";
   }
   return "";
 }
@@ -61,8 +63,8 @@
   int code = kSuccess;
   for (const lab::Verdict& verdict : verdicts) {
     fmt::print("{:10} {}\n", VerdictWord(verdict.kind), verdict.text);
-    if (verdict.kind == lab::Verdict::Kind::kBroken) code = kFailure;
-    if (verdict.kind == lab::Verdict::Kind::kNotJudged && code == kSuccess) code = kInconclusive;
+    if (verdict.kind == lab::Verdict::Kind::kViolated) code = kFailure;
+    if (verdict.kind == lab::Verdict::Kind::kInconclusive && code == kSuccess) code = kInconclusive;
   }
   return code;
 }
@@ -75,23 +77,23 @@
   signal(SIGPIPE, SIG_IGN);
   lab::RunOptions run_options = options.lab;
   run_options.progress = isatty(STDERR_FILENO) != 0;
-  const lab::Results results = lab::Run(experiment, run_options);
+  const lab::Results results = lab::RunExperiment(experiment, run_options);
   if (run_options.progress) fmt::print(stderr, "\r{:78}\r", "");
   if (!options.json.empty()) WriteJson(results, options.json);
   fmt::print("{}: {}\n", results.experiment, results.about);
   PrintFaultTimeline(experiment, "  ");
   fmt::print("\n{}\n", lab::Summary(results));
-  for (const lab::Play& play : results.plays) {
-    for (const std::string& violation : play.breaches) {
-      fmt::print("{}, seed {}: {}\n", play.variant, play.seed, violation);
+  for (const lab::RunResult& run : results.runs) {
+    for (const std::string& violation : run.violations) {
+      fmt::print("{}, seed {}: {}\n", run.variant, run.seed, violation);
     }
   }
-  return PrintVerdicts(lab::Judge(experiment, results));
+  return PrintVerdicts(lab::Evaluate(experiment, results));
 }
 
 void AddRunExperiment(CLI::App& lab, const ProgramPaths& programs, Command& selected) {
   const auto options = std::make_shared<RunOptions>();
-  options->lab.self = programs.gatewayctl;
+  options->lab.gatewayctl = programs.gatewayctl;
   options->lab.gateway = programs.gateway;
   CLI::App* const run = lab.add_subcommand("run", "Plays an experiment and judges its bounds");
   run->add_option("FILE", options->file, "The experiment, see experiments/")->required();
@@ -103,7 +105,7 @@
       ->capture_default_str();
   run->add_option("--baseline", options->lab.earlier, "Command of an earlier build, played as 'earlier'");
   run->add_option("--json", options->json, "Write all figures and series there");
-  run->add_option("--logs", options->lab.logs, "Keep the processes' logs in this folder");
+  run->add_option("--logs", options->lab.log_folder, "Keep the processes' logs in this folder");
   run->footer(std::string(kLabExitCodes) +
               "\nExample: gatewayctl lab run experiments/steady-3x12.toml --repeat 3 --json steady.json");
   SelectWhenGiven(*run, selected, [options] { return RunExperimentFile(*options); });
@@ -146,7 +148,7 @@
 }
 
 int PlotResult(const std::string& result, const std::string& folder) {
-  lab::Plot(ReadResults(result), folder);
+  lab::WriteReport(ReadResults(result), folder);
   fmt::print("{}/report.html\n", folder);
   return kSuccess;
 }
@@ -191,7 +193,7 @@
 }
 
 void AddStandIn(CLI::App& lab, Command& selected) {
-  const auto options = std::make_shared<lab::StandIn>();
+  const auto options = std::make_shared<lab::StandInOptions>();
   CLI::App* const stand_in =
       lab.add_subcommand("stand-in", "Serves as the plainest gateway, for the lab's own use");
   stand_in->add_option("--policy", options->policy, "How it picks hosts")
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -36,7 +36,7 @@
   bool quick = false;
   bool plots = true;
   bool compare = false;    // run the standard comparison first
-  int plays = 0;           // of each point; 0: as the file says
+  int runs = 0;            // of each point; 0: as the file says
   std::uint64_t seed = 0;  // of the first play; 0: as the file says
   lab::ScalePrograms programs;
 };
@@ -50,7 +50,7 @@
 
 void PrintProgress(const std::string& line) { fmt::print(stderr, "{}\n", line); }
 
-double Mean(const lab::PlayValues& values) {
+double Mean(const lab::RunValues& values) {
   double sum = 0;
   for (const double value : values) sum += value;
   return values.empty() ? 0 : sum / static_cast<double>(values.size());
@@ -81,7 +81,7 @@
   lab::FleetMeasurer measurer(experiment, options.programs, options.quick, deadline);
   lab::SweepOptions sweep;
   sweep.quick = options.quick;
-  sweep.plays = options.plays;
+  sweep.runs = options.runs;
   sweep.seed = options.seed;
   sweep.deadline = deadline;
   sweep.note = PrintProgress;
@@ -96,8 +96,8 @@
 
 int RunStormsFile(const lab::ScaleExperiment& experiment, const ScaleOptions& options,
                   base::Millis deadline) {
-  const std::vector<lab::StormResult> storms = lab::PlayStorms(
-      experiment, options.programs, {options.quick, options.plays, options.seed, deadline, PrintProgress});
+  const std::vector<lab::StormResult> storms = lab::RunStorms(
+      experiment, options.programs, {options.quick, options.runs, options.seed, deadline, PrintProgress});
   WriteFile(std::filesystem::path(options.json_dir) / (experiment.name + ".json"),
             lab::StormsToJson(storms).dump(1) + "\n");
   for (const lab::StormResult& storm : storms) {
@@ -114,7 +114,7 @@
   const lab::HollowComparison comparison =
       lab::CompareHollowGateways(options.programs, options.quick ? experiment.quick_fixed : experiment.fixed,
                                  options.quick ? experiment.quick_windows : experiment.windows,
-                                 options.plays > 0 ? options.plays : experiment.plays,
+                                 options.runs > 0 ? options.runs : experiment.runs,
                                  options.seed > 0 ? options.seed : experiment.seed, deadline);
   WriteFile(std::filesystem::path(options.json_dir) / (experiment.name + ".json"),
             lab::ToJson(comparison).dump(1) + "\n");
@@ -188,7 +188,7 @@
   scale->add_option("--json-dir", options->json_dir, "Folder for the results and plots")
       ->capture_default_str();
   scale->add_option("--gateway", options->programs.gateway, "Command of the gateway")->capture_default_str();
-  scale->add_option("--plays", options->plays, "Of each point; as the file says unless given")
+  scale->add_option("--plays", options->runs, "Of each point; as the file says unless given")
       ->check(CLI::Range(1, 100));
   scale->add_option("--seed", options->seed, "Of the first play; as the file says unless given");
   scale->add_option("--revision", options->revision, "Of the program, for the results");
--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,5 +1,5 @@
-// Who is where: each run has a block 127.A.B.0/24 to itself, and in it each gateway an address at which it is
-// reached and at which it alone reaches all others, so that any pair can be cut.
+// The socket addresses of one run. Each run has a block 127.A.B.0/24 to itself. In it each gateway has an
+// address at which it is reached, and at which it alone reaches all others, so that any pair can be cut.
 #ifndef GATEWAY_LAB_ADDRESSES_HPP_
 #define GATEWAY_LAB_ADDRESSES_HPP_
 
@@ -9,19 +9,21 @@
 #include <stdexcept>
 #include <string>
 
+#include "base/socket_address.hpp"
+
 namespace gateway::lab {
 
 class Addresses {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
 
-  // Takes the first block that no other run holds; holds it until the end of this. Throws if all are taken.
+  // Takes the first free block, until its own end. Throws std::runtime_error where there is none.
   explicit Addresses(boost::asio::io_context& io) : lock_(io) {
     for (unsigned block = 0; block < kBlocks; ++block) {
-      base_ = (127U << 24) | ((kFirst + block / 256) << 16) | ((block % 256) << 8);
+      base_ = (127U << 24) | ((kFirstSecondOctet + block / 256) << 16) | ((block % 256) << 8);
       boost::system::error_code ec;
       lock_.open(boost::asio::ip::tcp::v4(), ec);
-      if (!ec) lock_.bind(At(254, 9), ec);
+      if (!ec) lock_.bind(At(kLockAddress, kLockPort), ec);
       if (!ec) lock_.listen(1, ec);
       if (!ec) return;
       lock_.close(ec);
@@ -29,37 +31,45 @@
     throw std::runtime_error("no block of loopback addresses is free: too many runs at the same time");
   }
 
+  // Gateways and hosts are numbered from 0. Where clients reach the gateway:
   Endpoint Gateway(int gateway) const { return At(gateway + 1, 3000); }
-  Endpoint Management(int gateway, int generation) const {
-    return At(gateway + 1, static_cast<std::uint16_t>(3001 + generation % 900));
+  // Where operators reach its process; `start`: number of the start of the process.
+  Endpoint Management(int gateway, int start) const {
+    return At(gateway + 1, static_cast<std::uint16_t>(3001 + start % kManagementPorts));
   }
+  // Where the gateway reaches the list service.
   Endpoint List(int gateway) const { return At(gateway + 1, 8500); }
+  // Where the gateway reaches the host.
   Endpoint Host(int gateway, int host) const {
     return At(gateway + 1, static_cast<std::uint16_t>(10000 + host));
   }
 
-  // The list service itself, where it is a process.
-  Endpoint Registry() const { return At(253, 8500); }
+  // The project's own list service, where it is a process.
+  Endpoint Registry() const { return At(kRegistryAddress, 8500); }
 
-  // Where the gateway reaches the other one, and hears it from; and where it listens for all of them.
+  // Where the gateway reaches another one, and receives its datagrams from.
   Endpoint Peer(int gateway, int other) const {
     return At(gateway + 1, static_cast<std::uint16_t>(20000 + other));
   }
+  // Where the gateway listens for datagrams of all others.
   Endpoint PeerListen(int gateway) const { return At(gateway + 1, 7946); }
 
-  static std::string Text(const Endpoint& endpoint) {
-    return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
-  }
+  static std::string Text(const Endpoint& endpoint) { return base::FormatSocketAddress(endpoint); }
 
  private:
-  static constexpr unsigned kFirst = 77, kBlocks = 64 * 256;
+  static constexpr unsigned kFirstSecondOctet = 77;
+  static constexpr unsigned kBlocks = 64 * 256;
+  static constexpr int kLockAddress = 254;
+  static constexpr std::uint16_t kLockPort = 9;
+  static constexpr int kRegistryAddress = 253;
+  static constexpr int kManagementPorts = 900;
 
   Endpoint At(int last, std::uint16_t port) const {
     return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last)), port};
   }
 
-  boost::asio::ip::tcp::acceptor lock_;
-  unsigned base_ = 0;
+  boost::asio::ip::tcp::acceptor lock_;  // listens in the block as long as it is taken
+  unsigned base_ = 0;                    // the first address of the block
 };
 
 }  // namespace gateway::lab
--- /dev/null
+++ b/src/lab/client_targets.hpp
@@ -0,0 +1,33 @@
+// What the emulated clients send their requests to.
+#ifndef GATEWAY_LAB_CLIENT_TARGETS_HPP_
+#define GATEWAY_LAB_CLIENT_TARGETS_HPP_
+
+#include <boost/asio/ip/tcp.hpp>
+
+#include "base/millis.hpp"
+
+namespace gateway::lab {
+
+// The gateways of a run, or its hosts where clients call them directly. Targets are numbered from 0. Times
+// are of base::MonotonicNow.
+class ClientTargets {
+ public:
+  virtual ~ClientTargets() = default;
+
+  virtual int count() const = 0;
+  virtual boost::asio::ip::tcp::endpoint Address(int target) const = 0;
+  virtual int Zone(int target) const = 0;
+
+  // Whether the front balancer sends new connections to the target.
+  virtual bool TakesConnections(int target, base::Millis now) const = 0;
+
+  // Whether a fault ended or stopped the target at any time since `since`, so that it may lose requests.
+  virtual bool IsExcused(int target, base::Millis since) const = 0;
+
+  // The target has served a request that was sent to it at `sent_at`.
+  virtual void OnServed(int target, base::Millis sent_at) = 0;
+};
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_CLIENT_TARGETS_HPP_
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -5,207 +5,243 @@
 #include <algorithm>
 #include <boost/random/uniform_01.hpp>
 #include <cstdlib>
+#include <utility>
 
 namespace gateway::lab {
 namespace {
 
 using boost::system::error_code;
+using Failure = ClientConnection::Failure;
 
-constexpr Millis kFinalAnswer = 500;  // STANDING: up to half a second after its time it only earns nothing
+constexpr Millis kLateAnswerGrace = 500;  // after the timeout: an answer earns nothing, but is not lost yet
+constexpr double kMillisPerSecond = 1000;
+constexpr std::uint64_t kRandomStream = 0x636c69656e7473ULL;  // apart from the other draws of the same seed
+
+bool IsRejection(const ClientConnection::Result& result) {
+  const unsigned status = result.response.result_int();
+  return result.failure == Failure::kNone && (status == 429 || status == 503);
+}
+
+Millis RetryAfterOf(const ClientConnection::Result& result) {
+  const auto value = result.response[boost::beast::http::field::retry_after];
+  return value.empty() ? 0 : std::atof(std::string(value).c_str()) * kMillisPerSecond;
+}
 
 }  // namespace
 
-Clients::Clients(Setting setting)
-    : s_(std::move(setting)),
-      schedule_(s_.experiment, s_.seed),
-      random_(s_.seed ^ 0x636c69656e7473ULL),
-      next_timer_(s_.io),
-      idle_(static_cast<std::size_t>(s_.targets)) {}
+Clients::Clients(Environment environment)
+    : env_(environment),
+      schedule_(env_.experiment, env_.seed),
+      random_(env_.seed ^ kRandomStream),
+      arrival_timer_(env_.io),
+      idle_(static_cast<std::size_t>(env_.targets.count())) {}
 
 void Clients::Begin(Millis start) {
   start_ = start;
-  next_ = schedule_.Next();
-  Arm();
+  next_arrival_ = schedule_.Next();
+  WaitForNextArrival();
 }
 
-void Clients::Arm() {
-  if (!next_) {
-    drawn_out_ = true;
+void Clients::WaitForNextArrival() {
+  if (!next_arrival_) {
+    schedule_ended_ = true;
     return;
   }
-  next_timer_.expires_after(TimerDuration(start_ + next_->at - MonotonicNow()));
-  next_timer_.async_wait([this](error_code ec) {
+  arrival_timer_.expires_after(TimerDuration(start_ + next_arrival_->at - MonotonicNow()));
+  arrival_timer_.async_wait([this](error_code ec) {
     if (!ec) SendDue();
   });
 }
 
-// All that is due by now: a lab that is behind catches up, and says by how much it was late.
+// Sends all requests that are due, so that a lab that runs late catches up, and records how late it is.
 void Clients::SendDue() {
-  while (next_ && start_ + next_->at <= MonotonicNow()) {
-    const auto flow = std::make_shared<Flow>();
-    flow->arrival = *next_;
-    flow->first = start_ + next_->at;
-    ++flows_;
-    s_.recorder.Arrived(*next_, MonotonicNow() - flow->first);
-    Send(flow);
-    next_ = schedule_.Next();
+  while (next_arrival_ && start_ + next_arrival_->at <= MonotonicNow()) {
+    const auto request = std::make_shared<ClientRequest>();
+    request->arrival = *next_arrival_;
+    request->scheduled_at = start_ + next_arrival_->at;
+    ++open_requests_;
+    env_.recorder.OnArrival(*next_arrival_, MonotonicNow() - request->scheduled_at);
+    Send(request);
+    next_arrival_ = schedule_.Next();
   }
-  Arm();
-}
-
-int Clients::Deal(const Arrival& arrival, Millis now) {
-  double sum = 0;
-  std::vector<std::pair<int, double>> open;
-  bool first = true;
-  for (int target = 0; target < s_.targets; ++target) {
-    if (s_.zone(target) != arrival.zone) continue;
-    const double weight = first ? 1 + s_.experiment.traffic.skew : 1;
-    first = false;
-    if (!s_.deals(target, now) && idle_[static_cast<std::size_t>(target)].empty()) continue;
-    open.emplace_back(target, weight);
-    sum += weight;
+  WaitForNextArrival();
+}
+
+const TrafficClass& Clients::ClassOf(const ClientRequest& request) const {
+  return env_.experiment.classes[static_cast<std::size_t>(request.arrival.class_index)];
+}
+
+// A target of the arrival's zone, by its draw, among those that take connections or have an idle one; -1
+// where there is none.
+int Clients::ChooseTarget(const Arrival& arrival, Millis now) const {
+  struct Candidate {
+    int target;
+    double weight;
+  };
+  std::vector<Candidate> candidates;
+  double total_weight = 0;
+  bool first_of_zone = true;
+  for (int target = 0; target < env_.targets.count(); ++target) {
+    if (env_.targets.Zone(target) != arrival.zone) continue;
+    const double weight = first_of_zone ? 1 + env_.experiment.traffic.skew : 1;
+    first_of_zone = false;
+    const bool has_idle = !idle_[static_cast<std::size_t>(target)].empty();
+    if (!env_.targets.TakesConnections(target, now) && !has_idle) continue;
+    candidates.push_back({target, weight});
+    total_weight += weight;
   }
-  double at = arrival.gateway_draw * sum;
-  for (const auto& [target, weight] : open) {
-    if (at < weight) return target;
-    at -= weight;
+  double rest = arrival.gateway_draw * total_weight;
+  for (const Candidate& candidate : candidates) {
+    if (rest < candidate.weight) return candidate.target;
+    rest -= candidate.weight;
   }
-  return open.empty() ? -1 : open.back().first;
+  return candidates.empty() ? -1 : candidates.back().target;
 }
 
-void Clients::Send(const std::shared_ptr<Flow>& flow) {
-  ++flow->tries;
-  const Millis now = MonotonicNow();
-  const int target = Deal(flow->arrival, now);
+void Clients::Send(const std::shared_ptr<ClientRequest>& request) {
+  ++request->attempts;
+  const int target = ChooseTarget(request->arrival, MonotonicNow());
   if (target < 0) {
-    ++unplaced_;
-    return Retry(flow, End::kFailed, 0, true);
+    ++unroutable_;
+    return Retry(request, RequestResult::kFailed, 0, true);
   }
-  const ClassSpec& spec = s_.experiment.classes[static_cast<std::size_t>(flow->arrival.class_index)];
-  const auto attempt = std::make_shared<Try>(s_.io);
-  attempt->flow = flow;
-  attempt->id = fmt::format("{:08x}{:08x}", static_cast<std::uint32_t>(s_.seed), ++next_id_);
-  attempt->target = target;
-  attempt->sent = now;
-  attempt->patience = spec.deadline * s_.experiment.traffic.patience;
-  s_.rules.Asked(now, attempt->id, spec.repeatable, flow->arrival.work);
-  ++tries_;
-  attempt->quits.expires_after(TimerDuration(attempt->patience));
-  attempt->quits.async_wait([this, attempt](error_code ec) {
-    if (ec || !attempt->flow) return;
-    Retry(std::exchange(attempt->flow, nullptr), End::kFailed, 0, false);
+  const auto attempt = MakeAttempt(request, target);
+  env_.rules.OnRequestSent(attempt->sent_at, attempt->id, ClassOf(*request).idempotent,
+                           request->arrival.work);
+  ++open_attempts_;
+  attempt->disconnect_timer.expires_after(TimerDuration(attempt->timeout));
+  attempt->disconnect_timer.async_wait([this, attempt](error_code ec) {
+    if (ec || !attempt->request) return;
+    Retry(std::exchange(attempt->request, nullptr), RequestResult::kFailed, 0, false);
   });
   Exchange(attempt);
 }
 
-std::string Clients::Text(const Try& attempt) const {
-  const Arrival& arrival = attempt.flow->arrival;
-  const ClassSpec& spec = s_.experiment.classes[static_cast<std::size_t>(arrival.class_index)];
+std::shared_ptr<Clients::Attempt> Clients::MakeAttempt(const std::shared_ptr<ClientRequest>& request,
+                                                       int target) {
+  auto attempt = std::make_shared<Attempt>(env_.io);
+  attempt->request = request;
+  attempt->id = fmt::format("{:08x}{:08x}", static_cast<std::uint32_t>(env_.seed), ++attempts_);
+  attempt->target = target;
+  attempt->sent_at = MonotonicNow();
+  attempt->timeout = ClassOf(*request).deadline * env_.experiment.traffic.client_timeout_share;
+  return attempt;
+}
+
+std::string Clients::RequestText(const Attempt& attempt) const {
+  const Arrival& arrival = attempt.request->arrival;
+  const TrafficClass& traffic_class = ClassOf(*attempt.request);
   return fmt::format(
       "{} /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {}\r\nReq-Kind: {}\r\nReq-Owner: {}\r\n"
       "Req-Deadline: {:.0f}m\r\n{}{}\r\n{}",
-      spec.repeatable ? "GET" : "POST", attempt.id, spec.name,
-      schedule_.tenants()[static_cast<std::size_t>(arrival.tenant)], attempt.patience,
-      attempt.flow->tries > 1 ? "Req-Retry: 1\r\n" : "", spec.repeatable ? "" : "Content-Length: 4\r\n",
-      spec.repeatable ? "" : "book");
+      traffic_class.idempotent ? "GET" : "POST", attempt.id, traffic_class.name,
+      schedule_.tenants()[static_cast<std::size_t>(arrival.tenant)], attempt.timeout,
+      attempt.request->attempts > 1 ? "Req-Retry: 1\r\n" : "",
+      traffic_class.idempotent ? "" : "Content-Length: 4\r\n", traffic_class.idempotent ? "" : "book");
 }
 
-void Clients::Exchange(const std::shared_ptr<Try>& attempt) {
+void Clients::Exchange(const std::shared_ptr<Attempt>& attempt) {
   auto& idle = idle_[static_cast<std::size_t>(attempt->target)];
   if (!attempt->resent && !idle.empty()) {
     attempt->connection = std::move(idle.back());
     idle.pop_back();
   } else {
-    attempt->connection = std::make_shared<ClientConnection>(s_.io, s_.address(attempt->target));
+    attempt->connection = std::make_shared<ClientConnection>(env_.io, env_.targets.Address(attempt->target));
   }
   attempt->connection->Exchange(
-      Text(*attempt), attempt->patience + kFinalAnswer,
-      [this, attempt](ClientConnection::Result result) { Answered(attempt, std::move(result)); });
+      RequestText(*attempt), attempt->timeout + kLateAnswerGrace,
+      [this, attempt](ClientConnection::Result result) { OnResult(attempt, std::move(result)); });
 }
 
-void Clients::Keep(int target, std::shared_ptr<ClientConnection> connection) {
+void Clients::ReuseLater(int target, std::shared_ptr<ClientConnection> connection) {
   if (!connection->usable()) return;
   auto& idle = idle_[static_cast<std::size_t>(target)];
-  connection->WatchIdle([&idle, raw = connection.get()] {
-    std::erase_if(idle, [raw](const auto& kept) { return kept.get() == raw; });
+  connection->WatchIdle([&idle, closed = connection.get()] {
+    std::erase_if(idle, [closed](const auto& other) { return other.get() == closed; });
   });
   idle.push_back(std::move(connection));
 }
 
-// TERMS: the first request on a connection that the gateway closes without passing it on has failed, not been
-// lost.
-void Clients::Lose(const Try& attempt, const std::string& how, bool fresh) {
-  const bool unheard = fresh && !s_.rules.HasReached(attempt.id);
-  if (s_.excused(attempt.target, attempt.sent)) {
-    ++excused_;
-  } else if (unheard) {
-    ++unheard_;
-  } else {
-    s_.rules.Lost(attempt.id, fmt::format("by gateway {}: {}", attempt.target, how));
-  }
-}
-
-void Clients::Answered(const std::shared_ptr<Try>& attempt, ClientConnection::Result result) {
-  using Failure = ClientConnection::Failure;
+void Clients::OnResult(const std::shared_ptr<Attempt>& attempt, ClientConnection::Result result) {
   const auto connection = std::exchange(attempt->connection, nullptr);
-  const Millis now = MonotonicNow();
-  const bool excused = s_.excused(attempt->target, attempt->sent);
-  // A connection that the gateway closed between requests as this one was on its way.
-  if (result.failure == Failure::kNoResponse && connection->exchanges() > 1 && !attempt->resent && !excused &&
-      attempt->flow) {
+  // The gateway closed an idle connection while this request was on its way to it.
+  const bool closed_while_idle = result.failure == Failure::kNoResponse && connection->exchanges() > 1;
+  if (closed_while_idle && !attempt->resent && attempt->request &&
+      !env_.targets.IsExcused(attempt->target, attempt->sent_at)) {
     attempt->resent = true;
     return Exchange(attempt);
   }
-  attempt->quits.cancel();
-  --tries_;
-  const auto flow = std::exchange(attempt->flow, nullptr);
-  const unsigned status = result.response.result_int();
-  if (result.failure == Failure::kNone) {
-    if (status == 200) {
-      s_.rules.Served(attempt->id, result.response.body());
-      s_.answered(attempt->target, attempt->sent);
-    }
-    Keep(attempt->target, connection);
-  } else if (result.failure == Failure::kTimedOut) {
-    Lose(*attempt, "no answer half a second after its time", false);
-  } else if (result.failure != Failure::kConnectFailed) {
-    Lose(*attempt, "its connection ended with no whole answer", connection->exchanges() == 1);
+  attempt->disconnect_timer.cancel();
+  --open_attempts_;
+  const auto request = std::exchange(attempt->request, nullptr);
+  CheckResult(*attempt, connection, result);
+  if (!request) return;  // the client has disconnected
+  if (result.ok()) return OnServed(request);
+  const bool rejected = IsRejection(result);
+  Retry(request, rejected ? RequestResult::kRejected : RequestResult::kFailed, RetryAfterOf(result),
+        rejected || result.failure == Failure::kConnectFailed);
+}
+
+void Clients::CheckResult(const Attempt& attempt, const std::shared_ptr<ClientConnection>& connection,
+                          const ClientConnection::Result& result) {
+  switch (result.failure) {
+    case Failure::kNone:
+      if (result.ok()) {
+        env_.rules.OnResponse(attempt.id, result.response.body());
+        env_.targets.OnServed(attempt.target, attempt.sent_at);
+      }
+      return ReuseLater(attempt.target, connection);
+    case Failure::kTimedOut: return OnNoResponse(attempt, "no answer half a second after its time", false);
+    case Failure::kNoResponse:
+    case Failure::kIncompleteResponse:
+      return OnNoResponse(attempt, "its connection ended with no whole answer", connection->exchanges() == 1);
+    case Failure::kConnectFailed: return;
   }
-  if (!flow) return;  // the client has quit
-  if (result.failure == Failure::kNone && status == 200) {
-    const ClassSpec& spec = s_.experiment.classes[static_cast<std::size_t>(flow->arrival.class_index)];
-    const Millis took = now - flow->first;
-    return Finish(flow,
-                  took <= spec.aim        ? End::kInAim
-                  : took <= spec.deadline ? End::kLate
-                                          : End::kFailed,
-                  took);
+}
+
+// The first request on a connection that the gateway closes without passing it on has failed, and is not lost
+// (TERMS).
+void Clients::OnNoResponse(const Attempt& attempt, const std::string& description, bool first_on_connection) {
+  const bool unprocessed = first_on_connection && !env_.rules.HasArrived(attempt.id);
+  if (env_.targets.IsExcused(attempt.target, attempt.sent_at)) {
+    ++excused_;
+  } else if (unprocessed) {
+    ++closed_unprocessed_;
+  } else {
+    env_.rules.OnRequestLost(attempt.id, fmt::format("by gateway {}: {}", attempt.target, description));
   }
-  const bool refused = result.failure == Failure::kNone && (status == 429 || status == 503);
-  const auto advice = result.response[boost::beast::http::field::retry_after];
-  const Millis wait = advice.empty() ? 0 : std::atof(std::string(advice).c_str()) * 1000;
-  Retry(flow, refused ? End::kRefused : End::kFailed, wait,
-        refused || result.failure == Failure::kConnectFailed);
 }
 
-// What may not run twice is tried again by its client only where it has surely not run.
-void Clients::Retry(const std::shared_ptr<Flow>& flow, End otherwise, Millis wait, bool harmless) {
-  const Traffic& traffic = s_.experiment.traffic;
-  const ClassSpec& spec = s_.experiment.classes[static_cast<std::size_t>(flow->arrival.class_index)];
+void Clients::OnServed(const std::shared_ptr<ClientRequest>& request) {
+  const TrafficClass& traffic_class = ClassOf(*request);
+  const Millis latency = MonotonicNow() - request->scheduled_at;
+  const RequestResult result = latency <= traffic_class.latency_objective ? RequestResult::kInObjective
+                               : latency <= traffic_class.deadline        ? RequestResult::kLate
+                                                                          : RequestResult::kFailed;
+  Finish(request, result, latency);
+}
+
+// A client repeats a request that is not idempotent only where it was certainly not executed.
+void Clients::Retry(const std::shared_ptr<ClientRequest>& request, RequestResult result_if_last,
+                    Millis retry_after, bool not_executed) {
+  const Traffic& traffic = env_.experiment.traffic;
+  const TrafficClass& traffic_class = ClassOf(*request);
   const double jitter = 0.5 + boost::random::uniform_01<double>()(random_);
-  const Millis backoff = std::max(wait, traffic.backoff * (1 << (flow->tries - 1)) * jitter);
-  const bool in_time = MonotonicNow() + backoff < flow->first + spec.deadline;
-  if (flow->tries > traffic.retries || !in_time || !(harmless || spec.repeatable))
-    return Finish(flow, otherwise, 0);
-  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(backoff));
-  timer->async_wait([this, timer, flow](error_code ec) {
-    if (!ec) Send(flow);
+  const Millis backoff = std::max(retry_after, traffic.backoff * (1 << (request->attempts - 1)) * jitter);
+  const bool in_time = MonotonicNow() + backoff < request->scheduled_at + traffic_class.deadline;
+  const bool safe = not_executed || traffic_class.idempotent;
+  if (request->attempts > traffic.max_retries || !in_time || !safe) {
+    return Finish(request, result_if_last, 0);
+  }
+  const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(backoff));
+  timer->async_wait([this, timer, request](error_code ec) {
+    if (!ec) Send(request);
   });
 }
 
-void Clients::Finish(const std::shared_ptr<Flow>& flow, End end, Millis took) {
-  --flows_;
-  s_.recorder.Ended(flow->arrival, end, took);
+void Clients::Finish(const std::shared_ptr<ClientRequest>& request, RequestResult result, Millis latency) {
+  --open_requests_;
+  env_.recorder.OnRequestEnd(request->arrival, result, latency);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -1,84 +1,108 @@
-// The clients: send what the schedule says when it says so, whatever the answers do, and check what they get.
+// The emulated clients: send requests by the schedule, whatever the answers are, and check what they get.
 #ifndef GATEWAY_LAB_CLIENTS_HPP_
 #define GATEWAY_LAB_CLIENTS_HPP_
 
 #include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
 #include <boost/random/mersenne_twister.hpp>
-#include <functional>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
-#include "lab/http.hpp"
+#include "lab/client_targets.hpp"
+#include "lab/http_server.hpp"
 #include "lab/recorder.hpp"
-#include "lab/rules.hpp"
+#include "lab/rule_checker.hpp"
 #include "lab/schedule.hpp"
 
 namespace gateway::lab {
 
+// To be used in the thread of the io_context.
 class Clients {
  public:
-  struct Setting {
+  // All references outlive the clients.
+  struct Environment {
     boost::asio::io_context& io;
     const Experiment& experiment;
-    Rules& rules;
+    ClientTargets& targets;
+    RuleChecker& rules;
     Recorder& recorder;
     std::uint64_t seed;
-    int targets;                                // gateways; or hosts, where clients ask these directly
-    std::function<tcp::endpoint(int)> address;  // of a target
-    std::function<int(int)> zone;               // of a target
-    std::function<bool(int, Millis)> deals;     // new connections go to the target, by the front
-    std::function<bool(int, Millis)> excused;   // a fault ended or held the target at some time since then
-    std::function<void(int, Millis)> answered;  // the target has served a request sent at that time
   };
-  explicit Clients(Setting setting);
+  explicit Clients(Environment environment);
 
-  void Begin(Millis start);  // of arrivals, on the lab's clock
-  bool done() const { return drawn_out_ && flows_ == 0 && tries_ == 0; }
-  std::size_t waiting() const { return flows_; }
-  std::uint64_t unplaced() const { return unplaced_; }
-  std::uint64_t unheard() const { return unheard_; }
+  // Sends the first request of the schedule `start` from now on; `start` is of base::MonotonicNow.
+  void Begin(Millis start);
+
+  // Whether the schedule has ended and every request has its result.
+  bool done() const { return schedule_ended_ && open_requests_ == 0 && open_attempts_ == 0; }
+
+  std::size_t open_requests() const { return open_requests_; }
+  std::uint64_t attempts() const { return attempts_; }
+
+  // Attempts for which no target took connections.
+  std::uint64_t unroutable() const { return unroutable_; }
+
+  // Attempts that were the first on their connection and that the gateway closed without passing them on.
+  std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
+
+  // Attempts that had no answer from a gateway that a fault had ended or stopped.
   std::uint64_t excused() const { return excused_; }
-  std::uint64_t tries() const { return next_id_; }
 
  private:
-  struct Flow {
+  // A request of the schedule, with its retries.
+  struct ClientRequest {
     Arrival arrival;
-    Millis first = 0;  // when it should have been sent
-    int tries = 0;
+    Millis scheduled_at = 0;
+    int attempts = 0;
   };
-  struct Try {
-    explicit Try(boost::asio::io_context& io) : quits(io) {}
-    std::shared_ptr<Flow> flow;  // null once the client has quit, or the flow has ended
+  struct Attempt {
+    explicit Attempt(boost::asio::io_context& io) : disconnect_timer(io) {}
+    std::shared_ptr<ClientRequest> request;  // null once the client has disconnected
     std::string id;
     int target = 0;
-    Millis sent = 0, patience = 0;
-    bool resent = false;
+    Millis sent_at = 0;
+    Millis timeout = 0;
+    bool resent = false;  // on a new connection, after an idle one had been closed
     std::shared_ptr<ClientConnection> connection;
-    boost::asio::steady_timer quits;
+    boost::asio::steady_timer disconnect_timer;
   };
-  void Arm();
+
+  void WaitForNextArrival();
   void SendDue();
-  void Send(const std::shared_ptr<Flow>& flow);
-  void Exchange(const std::shared_ptr<Try>& attempt);
-  void Answered(const std::shared_ptr<Try>& attempt, ClientConnection::Result result);
-  void Lose(const Try& attempt, const std::string& how, bool fresh);
-  void Retry(const std::shared_ptr<Flow>& flow, End otherwise, Millis wait, bool harmless);
-  void Finish(const std::shared_ptr<Flow>& flow, End end, Millis took);
-  int Deal(const Arrival& arrival, Millis now);
-  void Keep(int target, std::shared_ptr<ClientConnection> connection);
-  std::string Text(const Try& attempt) const;
+  void Send(const std::shared_ptr<ClientRequest>& request);
+  std::shared_ptr<Attempt> MakeAttempt(const std::shared_ptr<ClientRequest>& request, int target);
+  void Exchange(const std::shared_ptr<Attempt>& attempt);
+  void OnResult(const std::shared_ptr<Attempt>& attempt, ClientConnection::Result result);
+  void CheckResult(const Attempt& attempt, const std::shared_ptr<ClientConnection>& connection,
+                   const ClientConnection::Result& result);
+  void OnServed(const std::shared_ptr<ClientRequest>& request);
+  void OnNoResponse(const Attempt& attempt, const std::string& description, bool first_on_connection);
+  void Retry(const std::shared_ptr<ClientRequest>& request, RequestResult result_if_last, Millis retry_after,
+             bool not_executed);
+  void Finish(const std::shared_ptr<ClientRequest>& request, RequestResult result, Millis latency);
+  int ChooseTarget(const Arrival& arrival, Millis now) const;
+  void ReuseLater(int target, std::shared_ptr<ClientConnection> connection);
+  const TrafficClass& ClassOf(const ClientRequest& request) const;
+  std::string RequestText(const Attempt& attempt) const;
 
-  Setting s_;
+  Environment env_;
   Schedule schedule_;
   boost::random::mt19937_64 random_;
-  boost::asio::steady_timer next_timer_;
-  std::optional<Arrival> next_;
+  boost::asio::steady_timer arrival_timer_;
+  std::optional<Arrival> next_arrival_;
   Millis start_ = 0;
-  bool drawn_out_ = false;
-  std::size_t flows_ = 0, tries_ = 0;
-  std::uint64_t next_id_ = 0, unplaced_ = 0, excused_ = 0, unheard_ = 0;
-  std::vector<std::vector<std::shared_ptr<ClientConnection>>> idle_;  // a target's, the last used last
+  bool schedule_ended_ = false;
+  std::size_t open_requests_ = 0;
+  std::size_t open_attempts_ = 0;
+  std::uint64_t attempts_ = 0;
+  std::uint64_t unroutable_ = 0;
+  std::uint64_t excused_ = 0;
+  std::uint64_t closed_unprocessed_ = 0;
+  std::vector<std::vector<std::shared_ptr<ClientConnection>>> idle_;  // by target; the last used is last
 };
 
 }  // namespace gateway::lab
--- /dev/null
+++ b/src/lab/estimate.hpp
@@ -0,0 +1,27 @@
+// The mean of a figure over several runs, with its confidence interval.
+#ifndef GATEWAY_LAB_ESTIMATE_HPP_
+#define GATEWAY_LAB_ESTIMATE_HPP_
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+namespace gateway::lab {
+
+struct Estimate {
+  double mean = 0;
+  double half_width = 0;  // of the 95% confidence interval (Student's t); 0 for fewer than two values
+  std::size_t count = 0;  // of values
+};
+
+Estimate EstimateMean(const std::vector<double>& values);
+
+// A figure with as many digits as a reader needs.
+std::string FormatFigure(double value);
+
+// "-" where there is no value.
+std::string FormatFigure(const Estimate& estimate);
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_ESTIMATE_HPP_
--- /dev/null
+++ b/src/lab/evaluation.cpp
@@ -0,0 +1,90 @@
+#include "lab/evaluation.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+#include "lab/estimate.hpp"
+#include "lab/figures.hpp"
+
+namespace gateway::lab {
+namespace {
+
+constexpr const char* kUnderTest = "gateway";  // the variant whose rules are judged
+
+// A bound of the file on the figure of a rule takes the place of the rule.
+bool HasOwnBound(const Experiment& experiment, const std::string& rule) {
+  return std::any_of(experiment.bounds.begin(), experiment.bounds.end(),
+                     [&](const Bound& bound) { return bound.figure == rule && bound.baseline.empty(); });
+}
+
+void EvaluateRules(const Experiment& experiment, const RunResult& run, const std::string& run_name,
+                   std::vector<Verdict>& verdicts) {
+  for (const std::string& rule : RuleFigureNames()) {
+    const auto found = run.figures.find(rule);
+    if (found == run.figures.end() || found->second == 0 || HasOwnBound(experiment, rule)) continue;
+    verdicts.push_back({Verdict::Kind::kViolated,
+                        fmt::format("{}: rule {} broken {} times", run_name, rule, found->second)});
+  }
+}
+
+void EvaluateRun(const Experiment& experiment, const RunResult& run, std::vector<Verdict>& verdicts) {
+  const bool under_test = run.variant == kUnderTest;
+  const std::string run_name = fmt::format("{}, seed {}", run.variant, run.seed);
+  if (!run.failure.empty()) {
+    verdicts.push_back({under_test ? Verdict::Kind::kViolated : Verdict::Kind::kInconclusive,
+                        run_name + ": " + run.failure});
+  } else if (under_test) {
+    EvaluateRules(experiment, run, run_name, verdicts);
+  }
+}
+
+std::string BoundText(const Bound& bound, const std::string& name, double value) {
+  std::string text = fmt::format("{} = {}", name, FormatFigure(value));
+  if (bound.minimum) text += fmt::format(", at least {:g}", *bound.minimum);
+  if (bound.maximum) text += fmt::format(", at most {:g}", *bound.maximum);
+  return text;
+}
+
+bool IsWithin(const Bound& bound, double value) {
+  return (!bound.minimum || value >= *bound.minimum) && (!bound.maximum || value <= *bound.maximum);
+}
+
+Verdict EvaluateBound(const Experiment& experiment, const Results& results, const Bound& bound) {
+  const Estimate estimate = EstimateMean(FigureValues(results, bound.variant, bound.figure));
+  std::string name = (bound.variant == kUnderTest ? "" : bound.variant + "'s ") + bound.figure;
+  double value = estimate.mean;
+  if (!bound.baseline.empty()) {
+    const Estimate baseline = EstimateMean(FigureValues(results, bound.baseline, bound.figure));
+    name += " over " + bound.baseline + "'s";
+    if (baseline.count == 0 || baseline.mean == 0) {
+      return {Verdict::Kind::kInconclusive, name + ": nothing to compare with"};
+    }
+    value = estimate.mean / baseline.mean;
+  }
+  if (estimate.count == 0) return {Verdict::Kind::kViolated, name + ": not measured"};
+  const std::string text = BoundText(bound, name, value);
+  if (IsWithin(bound, value)) return {Verdict::Kind::kPassed, text};
+  const double lateness = EstimateMean(FigureValues(results, bound.variant, "lateness_p99_ms")).mean;
+  if (bound.is_speed && lateness > experiment.max_lateness) {
+    return {Verdict::Kind::kInconclusive,
+            text + fmt::format("; the lab itself ran {:.1f} ms late at p99", lateness)};
+  }
+  return {Verdict::Kind::kViolated, text};
+}
+
+}  // namespace
+
+std::vector<Verdict> Evaluate(const Experiment& experiment, const Results& results) {
+  std::vector<Verdict> verdicts;
+  for (const RunResult& run : results.runs) EvaluateRun(experiment, run, verdicts);
+  if (verdicts.empty()) {
+    verdicts.push_back({Verdict::Kind::kPassed, "all rules kept in every play of the gateway"});
+  }
+  for (const Bound& bound : experiment.bounds) {
+    verdicts.push_back(EvaluateBound(experiment, results, bound));
+  }
+  return verdicts;
+}
+
+}  // namespace gateway::lab
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -5,170 +5,175 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "base/millis.hpp"
-#include "base/toml_reader.hpp"
 
 namespace gateway::lab {
 
 using base::Millis;
 
-// One kind of emulated host, and how many of it there are. Work is in ms of a core of speed 1.
-struct HostKind {
+// Emulated hosts of one machine type. Work is in ms of a core of speed 1.
+struct HostGroup {
   std::string name = "standard";
   int count = 1;
   std::string zone;  // empty: spread over all zones in turn
   double cores = 1;
   double speed = 1;
-  int slots = 8;            // requests in work at once
-  int waiting = 24;         // places beyond that; then it turns requests away
-  double thrash = 0;        // capacity lost for each request held beyond twice the cores
-  double handshake_ms = 0;  // work for each new connection
-  int connections = 200;    // beyond these it closes new ones at once
-  double idle_ms = 15000;   // a connection that stood idle for so long is closed
-  double errors = 0;        // share of requests that end as 500 after their work
-  double silent = 0;        // share that is never answered
+  int slots = 8;                // requests that are executed concurrently
+  int queue_capacity = 24;      // requests that wait beyond those; further ones are rejected
+  double thrash_factor = 0;     // capacity lost for each request beyond twice the cores
+  Millis handshake_work = 0;    // work for each new connection
+  int max_connections = 200;    // requests on further ones are rejected
+  Millis idle_timeout = 15000;  // a connection that was idle for so long is closed
+  double error_rate = 0;        // share of requests that end as 500 after their work
+  double no_response_rate = 0;  // share of requests that are never answered
 };
 
-// How a host that has just started behaves; rule 8.2 of the site's pages.
-struct ColdStart {
-  double from = 0.2;  // share of the capacity at the start
-  Millis warm_after = 10000;
-  double fall_multiple = 2.5;
-  Millis fall_window = 3000;
+// How a host that has just started warms up.
+struct HostWarmUp {
+  double initial_fraction = 0.2;  // of the capacity at the start
+  Millis duration = 10000;        // until it has its full capacity
+  double overload_factor = 2.5;   // multiple of its capacity that fells it
+  Millis overload_window = 3000;  // over which that is counted
 };
 
-struct ClassSpec {
+// Requests that share their cost, their weight and their idempotency.
+struct TrafficClass {
   std::string name;
-  double share = 1;
-  Millis work = 40;  // mean; exponentially distributed unless `work_spread` says otherwise
-  Millis aim = 500;
-  Millis deadline = 1000;  // the client states it, and quits after `patience` of it
-  double worth = 1;
-  double late_worth = 0.3;
-  bool repeatable = true;
+  double share = 1;  // of the traffic, relative to the other classes
+  Millis work = 40;  // mean of an exponential distribution
+  Millis latency_objective = 500;
+  Millis deadline = 1000;  // over all attempts of the client
+  double priority_weight = 1;
+  double late_weight = 0.3;  // of the weight, for a response between objective and deadline
+  bool idempotent = true;
 };
 
 struct Traffic {
-  double rate = 0;            // first tries a second over the fleet
-  Millis seconds = 10000;     // of arrivals, in ms
-  Millis warm_up = 2000;      // at the start: played, not counted in goodput or latency
-  bool bursty = false;        // Poisson at a rate that changes between high and low at random times
-  double burst_factor = 2;    // high over mean
-  Millis burst_length = 500;  // mean stay in high; in low as long as keeps the mean
+  double rate = 0;            // requests per second over the fleet, clients' retries not counted
+  Millis duration = 10000;    // of arrivals
+  Millis warm_up = 2000;      // at the start: not counted in goodput and latency
+  bool bursty = false;        // Poisson at a rate that switches between high and low at random times
+  double burst_factor = 2;    // high rate over mean rate
+  Millis burst_length = 500;  // mean time at the high rate; that at the low rate keeps the mean
   std::map<std::string, double> tenants;  // shares; empty: one tenant
-  double skew = 0;  // of traffic between gateways of a zone: the first gets (1 + skew) times its part
-  int retries = 2;
-  Millis backoff = 100;  // doubles with each retry; Retry-After is honoured where it is longer
-  double patience = 1;   // share of the deadline after which a client quits
+  double skew = 0;       // the first gateway of each zone gets 1 + skew times the traffic of the others
+  int max_retries = 2;   // by the client
+  Millis backoff = 100;  // before the first retry; doubles; a longer Retry-After is obeyed
+  double client_timeout_share = 1;  // of the deadline, after which a client disconnects
 };
 
 struct Fleet {
   int gateways = 3;
   std::vector<std::string> zones{"a"};
-  Millis list_delay = 500;      // from a change to its news
-  Millis front_notices = 1500;  // how long the front goes on dealing to a gateway that died
+  Millis list_delay = 500;              // from a change to its watch event
+  Millis front_detection_delay = 1500;  // until the front balancer notices that a gateway has died
   Millis drain_grace = 500;
   int max_attempts = 3;
   int sockets = 1024;
   int memory_mb = 192;
   bool retry_after = true;
-  int file_kb = 0;        // limit on a file that a gateway writes, as a full disk is; 0: none
-  bool state = false;     // each gateway has a folder for its state, the same after a restart
-  Millis slow_sync = 0;   // each sync of a gateway's state takes so much longer
-  bool registry = false;  // the list is the project's own service, as a process
-  Millis lease_term = 3000, lease_grace = 1500;
-  bool peers = false;           // gateways may send each other datagrams
-  Millis ready_within = 30000;  // DEPLOY: clients come once all gateways are ready, or after 30 s
+  int file_kb = 0;            // limit on a file that a gateway writes, as of a full disk; 0: none
+  bool saves_state = false;   // each gateway has a folder for its state, which survives restarts
+  Millis sync_delay = 0;      // added to each sync of a gateway's state
+  bool own_registry = false;  // the list service is the project's own, as a process
+  Millis lease_term = 3000;
+  Millis lease_grace = 1500;
+  bool peer_network = false;    // gateways may send each other datagrams
+  Millis ready_within = 30000;  // the run fails where a gateway is not ready by then
 };
 
 // What happens to datagrams between gateways.
-struct PeerWeather {
-  double loss = 0, repeat = 0, reorder = 0;  // shares
+struct NetworkConditions {
+  double loss_rate = 0;
+  double duplication_rate = 0;
+  double reordering_rate = 0;
   Millis delay = 0;
 };
 
+// `own`: of the project's own list service, as a process.
 enum class FaultKind {
-  kKill,          // a gateway: SIGKILL; started again after for_s
-  kStop,          // a gateway: SIGSTOP, SIGCONT after for_s
-  kTerm,          // a gateway: SIGTERM; started again when it has ended, for_s later
-  kReplace,       // a gateway: a new process beside it, SIGTERM to the old one at the new one's yes
-  kListDown,      // the list service
-  kListKill,      // the list service as a process: SIGKILL; started again after for_s
-  kListStop,      // the same: SIGSTOP
-  kListFull,      // its disk takes nothing
-  kListCut,       // gateways from it
-  kListTruncate,  // share `size` of its answers is cut off half-way
-  kMemberCut,     // hosts from it: they serve, and can't renew
-  kZoneCut,       // a zone from all others: nothing passes, either way
-  kCut,           // a gateway from a host: both ways, `there` (to the host) or `back`
-  kReset,         // all connections between a gateway and a host break, once
-  kSlow,          // a host: at `size` times its speed
-  kFail,          // a host: share `size` of requests ends as 500
-  kMute,          // a host: answers nothing
-  kHostKill,      // a host: gone with its connections; back, cold, after for_s
-  kHostVanish,    // a host: its machine is gone, nothing answers and nothing is refused; back, cold, after
-                  // for_s
-  kHostDrain,     // a host: drains for for_s, then is removed
-  kDelay,         // all links of a gateway: `size` ms more each way, and up to `jitter` ms by chance
-  kPeers,         // datagrams from and to a gateway: lost, repeated, reordered, delayed
-  kPeerCut,       // a gateway from others: datagrams between them are lost, both ways
-  kBurst,         // traffic times `size`
+  kKillGateway,       // SIGKILL; started again after the duration
+  kStopGateway,       // SIGSTOP, then SIGCONT after the duration
+  kTerminateGateway,  // SIGTERM; started again when it has ended, after the duration
+  kReplaceGateway,    // a new process beside it; SIGTERM to the old one when the new one is ready
+  kListDown,          // the emulated list service
+  kListKill,          // own: SIGKILL; started again after the duration
+  kListStop,          // own: SIGSTOP, then SIGCONT
+  kListDiskFull,      // own: no file may grow
+  kListCut,           // own: between gateways and it
+  kListTruncate,      // own: the share `magnitude` of its answers is cut off half-way
+  kMemberCut,         // own: between hosts and it; the hosts serve, and can't renew their leases
+  kZoneCut,           // a zone from all others, in both directions
+  kCut,               // gateways from hosts
+  kReset,             // all connections between gateways and hosts break, once
+  kSlowHost,          // executes at `magnitude` times its speed
+  kFailingHost,       // the share `magnitude` of requests ends as 500
+  kMuteHost,          // answers nothing
+  kKillHost,          // its connections break and new ones are refused; starts anew after the duration
+  kVanishHost,        // its machine is gone: nothing answers and nothing is refused; starts anew as above
+  kDrainHost,         // drains for the duration, then is removed
+  kDelay,             // all links of a gateway: `magnitude` ms more each way, and up to `jitter`
+  kPeerConditions,    // datagrams from and to a gateway
+  kPeerCut,           // datagrams between a gateway and `peers` are lost
+  kBurst,             // traffic times `magnitude`
 };
 
 struct Fault {
   FaultKind kind;
   Millis at = 0;
-  Millis lasts = 0;           // 0: to the end
-  std::vector<int> gateways;  // numbers from 0
+  Millis duration = 0;  // 0: to the end of the run
+  std::vector<int> gateways;
   std::vector<int> hosts;
   std::string zone;
-  double size = 1;
+  double magnitude = 1;
   std::vector<int> peers;
-  bool there = true, back = true;  // of a cut
+  bool cuts_from_gateway = true;
+  bool cuts_to_gateway = true;
   Millis jitter = 0;
-  PeerWeather weather;
-  std::string text;  // as in the file, for reports
+  NetworkConditions conditions;
+  std::string description;  // for reports
 };
 
-// A figure of one variant that has to lie within bounds, as it is or as a ratio to another variant's.
+// A figure of one variant that has to lie within bounds, as it is or as a ratio to that of another variant.
 struct Bound {
   std::string figure;
-  std::string of = "gateway";
-  std::string over;  // empty: the figure itself
-  std::optional<double> least, most;
-  bool speed = false;  // depends on the machine: not judged where the lab itself ran late
+  std::string variant = "gateway";
+  std::string baseline;  // the variant that it is divided by; empty: none
+  std::optional<double> minimum;
+  std::optional<double> maximum;
+  bool is_speed = false;  // depends on the machine: inconclusive where the lab itself ran late
 };
 
 struct Experiment {
-  std::string name, about;
-  Millis ends_within = 120000;  // real time for one play of one variant, all included
-  Millis most_late = 5;         // the lab's own lateness at p99, beyond which speeds are not judged
+  std::string name;
+  std::string about;
+  Millis ends_within = 120000;  // real time for one run of one variant
+  Millis max_lateness = 5;      // of the lab itself at p99, beyond which speeds are inconclusive
   Fleet fleet;
-  std::vector<HostKind> hosts;
-  ColdStart cold;
-  std::vector<ClassSpec> classes;
+  std::vector<HostGroup> host_groups;
+  HostWarmUp host_warm_up;
+  std::vector<TrafficClass> classes;
   Traffic traffic;
   std::vector<Fault> faults;           // in the order of their times
   std::vector<std::string> baselines;  // random, round_robin, least_inflight, direct, no_fault, no_state
   std::vector<Bound> bounds;
 
-  // The same with no faults but those of the traffic: what the schedule alone makes of the program.
+  // The same experiment with no faults but bursts of the traffic.
   Experiment WithoutFaults() const;
+
   int HostCount() const;
-  // Requests a second that all hosts together can serve, warm and at full speed.
+
+  // Requests per second that all hosts together can serve, warmed up and at full speed.
   double Capacity() const;
 };
 
-// Throws base::ConfigError with file, line and column.
+// Throw base::ConfigError with file, line and column.
 Experiment ReadExperiment(const std::string& path);
 Experiment ParseExperiment(std::string_view text, const std::string& name);
 
-// Whether a report has a figure of that name (with or without a class or fault behind a '/').
-bool IsFigure(const std::string& name);
-std::vector<std::string> FigureNames();
-
 }  // namespace gateway::lab
 
 #endif  // GATEWAY_LAB_EXPERIMENT_HPP_
--- /dev/null
+++ b/src/lab/experiment_run.cpp
@@ -0,0 +1,345 @@
+#include "lab/experiment_run.hpp"
+
+#include <fmt/format.h>
+#include <sys/resource.h>
+
+#include <algorithm>
+#include <atomic>
+#include <cmath>
+#include <cstdio>
+#include <utility>
+
+#include "base/clock.hpp"
+#include "lab/gateway_config.hpp"
+
+namespace gateway::lab {
+namespace {
+
+using boost::system::error_code;
+
+constexpr Millis kTrafficDelay = 300;  // from the gateways' readiness to the first arrival
+constexpr Millis kTickPeriod = 50;
+constexpr Millis kProgressPeriod = 1000;
+constexpr Millis kBeforeTraffic = 1e6;  // events before the traffic are shown so much earlier
+constexpr double kMillisPerSecond = 1000;
+constexpr double kMicrosPerMilli = 1000;
+// The protocol lets a gateway close this share of requests on new connections unprocessed; more count as
+// lost.
+constexpr double kMaxClosedUnprocessed = 1.0 / 200;
+
+std::atomic<bool> interrupted{false};
+
+Millis ToMillis(const timeval& time) {
+  return static_cast<double>(time.tv_sec) * kMillisPerSecond +
+         static_cast<double>(time.tv_usec) / kMicrosPerMilli;
+}
+
+// CPU time of the lab itself.
+Millis OwnCpuTime() {
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
+  return ToMillis(usage.ru_utime) + ToMillis(usage.ru_stime);
+}
+
+std::string HostId(int host) { return fmt::format("s-{:04x}", host); }
+
+// Clients call the gateways, as the front balancer spreads them.
+class GatewayTargets : public ClientTargets {
+ public:
+  GatewayTargets(const Experiment& experiment, const Addresses& addresses, const GatewayProcesses& gateways,
+                 FirstAnswers& first_answers)
+      : experiment_(experiment), addresses_(addresses), gateways_(gateways), first_answers_(first_answers) {}
+
+  int count() const override { return gateways_.count(); }
+  tcp::endpoint Address(int target) const override { return addresses_.Gateway(target); }
+  int Zone(int target) const override { return ZoneOfGateway(experiment_, target); }
+  bool TakesConnections(int target, Millis now) const override {
+    return gateways_.TakesConnections(target, now);
+  }
+  bool IsExcused(int target, Millis since) const override { return gateways_.IsExcused(target, since); }
+  void OnServed(int target, Millis sent_at) override {
+    first_answers_.OnServed(MonotonicNow(), target, sent_at);
+  }
+
+ private:
+  const Experiment& experiment_;
+  const Addresses& addresses_;
+  const GatewayProcesses& gateways_;
+  FirstAnswers& first_answers_;
+};
+
+// Clients call the hosts.
+class HostTargets : public ClientTargets {
+ public:
+  HostTargets(const Experiment& experiment, const Addresses& addresses, FirstAnswers& first_answers)
+      : experiment_(experiment), addresses_(addresses), first_answers_(first_answers) {}
+
+  int count() const override { return experiment_.HostCount(); }
+  tcp::endpoint Address(int target) const override { return addresses_.Host(0, target); }
+  int Zone(int target) const override { return target % static_cast<int>(experiment_.fleet.zones.size()); }
+  bool TakesConnections(int, Millis) const override { return true; }
+  bool IsExcused(int, Millis) const override { return false; }
+  void OnServed(int target, Millis sent_at) override {
+    first_answers_.OnServed(MonotonicNow(), target, sent_at);
+  }
+
+ private:
+  const Experiment& experiment_;
+  const Addresses& addresses_;
+  FirstAnswers& first_answers_;
+};
+
+}  // namespace
+
+ExperimentRun::ExperimentRun(const Experiment& experiment, Options options)
+    : experiment_(experiment),
+      options_(std::move(options)),
+      direct_(options_.variant == "direct"),
+      addresses_(io_),
+      links_(io_, direct_ ? 1 : experiment.fleet.gateways, experiment.HostCount(), options_.seed),
+      rules_(experiment.fleet.max_attempts, experiment.fleet.drain_grace),
+      recorder_(experiment),
+      first_answers_(experiment),
+      tick_timer_(io_) {
+  result_.variant = options_.variant;
+  result_.seed = options_.seed;
+  rules_.SetSeed(options_.seed);
+  hosts_ = std::make_unique<HostEmulator>(HostEmulator::Environment{
+      io_, experiment_, addresses_, links_, rules_,
+      [this](int gateway, int host) { return direct_ ? -1 : list_->NotifiedAt(gateway, host); },
+      options_.seed, direct_ ? 1 : experiment_.fleet.gateways});
+  MakeListService();
+  if (!direct_) MakeGateways();
+  MakeClients();
+}
+
+void ExperimentRun::MakeListService() {
+  std::vector<ListedHost> hosts;
+  std::vector<registry::Member> members;
+  for (int host = 0; host < hosts_->count(); ++host) {
+    ListedHost& listed = hosts.emplace_back();
+    listed.id = HostId(host);
+    listed.zone = hosts_->zone(host);
+    listed.machine_type = hosts_->group(host).name;
+    registry::Member& member = members.emplace_back();
+    member.id = listed.id;
+    member.address = Addresses::Text(addresses_.Host(0, host));
+    member.zone = listed.zone;
+    member.kind = listed.machine_type;
+    member.cell = "0";
+  }
+  if (!direct_ && experiment_.fleet.own_registry) {
+    const std::string log = options_.log_folder.empty() ? "/dev/null" : options_.log_folder + "/registry.log";
+    registry_ = std::make_unique<RegistryProcess>(
+        RegistryProcess::Environment{io_, addresses_.Registry(), options_.gatewayctl, folder_.path(), log,
+                                     experiment_.fleet.lease_term, experiment_.fleet.lease_grace,
+                                     [this](const std::string& text) { AddEvent(text); }},
+        std::move(members));
+  }
+  list_ = std::make_unique<ListService>(
+      ListService::Environment{io_, addresses_, links_, direct_ ? 0 : experiment_.fleet.gateways,
+                               experiment_.fleet.list_delay, registry_.get()},
+      std::move(hosts));
+}
+
+void ExperimentRun::MakeGateways() {
+  const int gateways = experiment_.fleet.gateways;
+  if (experiment_.fleet.peer_network) {
+    peers_ = std::make_unique<PeerNetwork>(io_, addresses_, gateways, options_.seed);
+  }
+  std::vector<std::string> known_lists;
+  known_lists.reserve(static_cast<std::size_t>(gateways));
+  for (int gateway = 0; gateway < gateways; ++gateway) known_lists.push_back(list_->CompleteList(gateway));
+  gateways_ = std::make_unique<GatewayProcesses>(
+      GatewayProcesses::Environment{io_, experiment_, addresses_, rules_, options_.command, options_.seed,
+                                    folder_.path(), options_.log_folder, std::move(known_lists),
+                                    [this](int gateway) { list_->ForgetNotifications(gateway); },
+                                    [this](const std::string& text) { AddEvent(text); }});
+  faults_.emplace(experiment_,
+                  FaultInjector::Parties{*gateways_, *hosts_, *list_, links_, peers_.get(), registry_.get()});
+}
+
+void ExperimentRun::MakeClients() {
+  if (direct_) {
+    targets_ = std::make_unique<HostTargets>(experiment_, addresses_, first_answers_);
+  } else {
+    targets_ = std::make_unique<GatewayTargets>(experiment_, addresses_, *gateways_, first_answers_);
+  }
+  clients_ = std::make_unique<Clients>(
+      Clients::Environment{io_, experiment_, *targets_, rules_, recorder_, options_.seed});
+}
+
+void ExperimentRun::Interrupt() { interrupted = true; }
+
+bool ExperimentRun::IsInterrupted() { return interrupted; }
+
+RunResult ExperimentRun::Run() {
+  run_began_ = MonotonicNow();
+  own_cpu_before_ = OwnCpuTime();
+  if (registry_) {
+    registry_->Start();
+  } else if (gateways_) {
+    StartGateways();
+  }
+  Tick();
+  io_.run();
+  if (gateways_) gateways_->EndAll();
+  if (registry_) registry_->EndAll();
+  WriteFigures();
+  return std::move(result_);
+}
+
+void ExperimentRun::AddEvent(const std::string& text) {
+  const Millis now = MonotonicNow();
+  result_.events.emplace_back(has_begun() ? now - start_ : now - run_began_ - kBeforeTraffic, text);
+}
+
+void ExperimentRun::StartGateways() {
+  gateways_started_ = true;
+  gateways_->StartAll();
+}
+
+void ExperimentRun::Fail(const std::string& reason) {
+  result_.failure = reason;
+  io_.stop();
+}
+
+// Called periodically: lets the traffic begin, and notices the end.
+void ExperimentRun::Tick() {
+  const Millis now = MonotonicNow();
+  if (interrupted) return Fail("interrupted");
+  if (now > run_began_ + experiment_.ends_within) {
+    return Fail(fmt::format("not over within {:g} s: {} requests were still out",
+                            experiment_.ends_within / kMillisPerSecond, clients_->open_requests()));
+  }
+  MeasureListLag(now);
+  if (!has_begun()) {
+    WaitForParties(now);
+    if (!result_.failure.empty()) return;
+  } else if (clients_->done()) {
+    return io_.stop();
+  }
+  if (options_.progress) PrintProgress(now);
+  tick_timer_.expires_after(TimerDuration(kTickPeriod));
+  tick_timer_.async_wait([this](error_code ec) {
+    if (!ec) Tick();
+  });
+}
+
+// Hosts have to be listed before the gateways start, and the gateways to be ready before the traffic begins.
+void ExperimentRun::WaitForParties(Millis now) {
+  const bool too_late = now > run_began_ + experiment_.fleet.ready_within;
+  if (registry_ && !gateways_started_) {
+    if (registry_->ready()) StartGateways();
+    if (too_late) Fail("the list service did not take all hosts in time");
+  } else if (!gateways_ || gateways_->AllReady()) {
+    BeginTraffic(now + kTrafficDelay);
+  } else if (too_late) {
+    Fail(gateways_->DescribeNotReady() +
+         fmt::format(" after {:g} s", experiment_.fleet.ready_within / kMillisPerSecond));
+  }
+}
+
+void ExperimentRun::BeginTraffic(Millis start) {
+  start_ = start;
+  clients_->Begin(start);
+  first_answers_.Begin(start);
+  if (faults_) ScheduleFaults();
+}
+
+void ExperimentRun::ScheduleFaults() {
+  for (const Fault& fault : experiment_.faults) {
+    CallAt(start_ + fault.at, [this, &fault] {
+      AddEvent(fault.description);
+      faults_->Begin(fault);
+    });
+    if (fault.duration <= 0) continue;
+    CallAt(start_ + fault.at + fault.duration, [this, &fault] {
+      AddEvent("end of " + fault.description);
+      faults_->End(fault);
+    });
+  }
+}
+
+void ExperimentRun::CallAt(Millis time, std::function<void()> callback) {
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(time - MonotonicNow()));
+  timer->async_wait([timer, callback = std::move(callback)](error_code ec) {
+    if (!ec) callback();
+  });
+}
+
+// How long any gateway has been without the newest list, since its change or since the end of the last fault
+// that kept it from the gateway.
+void ExperimentRun::MeasureListLag(Millis now) {
+  if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
+  if (!has_begun() || now < start_ + experiment_.traffic.warm_up) return;
+  for (int gateway = 0; gateway < gateways_->count(); ++gateway) {
+    const bool is_current = list_->DeliveredRevision(gateway) >= registry_->newest_revision();
+    if (is_current || gateways_->IsExcused(gateway, now)) continue;
+    list_lag_ =
+        std::max(list_lag_, now - std::max(registry_->newest_revision_at(), faults_->list_disturbed_at()));
+  }
+}
+
+void ExperimentRun::PrintProgress(Millis now) {
+  if (now <= next_progress_at_) return;
+  next_progress_at_ = now + kProgressPeriod;
+  std::fprintf(stderr, "\r%-14s seed %llu: %5.1f of %.0f s, %llu requests, %zu out   ",
+               result_.variant.c_str(), static_cast<unsigned long long>(result_.seed),
+               std::max(0.0, has_begun() ? now - start_ : 0) / kMillisPerSecond,
+               experiment_.traffic.duration / kMillisPerSecond,
+               static_cast<unsigned long long>(recorder_.arrived()), clients_->open_requests());
+}
+
+double ExperimentRun::RequestCount() const { return std::max(1.0, static_cast<double>(recorder_.arrived())); }
+
+void ExperimentRun::WriteFigures() {
+  recorder_.WriteTo(result_);
+  WriteRuleFigures();
+  WriteClientFigures();
+  WriteServerFigures();
+  WriteCostFigures();
+  first_answers_.WriteTo(result_);
+  result_.violations = rules_.examples();
+}
+
+void ExperimentRun::WriteRuleFigures() {
+  auto& figures = result_.figures;
+  for (const auto& [name, count] : rules_.violations().ByName()) figures[name] = static_cast<double>(count);
+  const auto closed = static_cast<double>(clients_->closed_unprocessed());
+  figures["lost"] += std::max(0.0, std::floor(closed - kMaxClosedUnprocessed * RequestCount()));
+}
+
+void ExperimentRun::WriteClientFigures() {
+  auto& figures = result_.figures;
+  figures["unheard"] = static_cast<double>(clients_->closed_unprocessed());
+  figures["excused"] = static_cast<double>(clients_->excused());
+  figures["unplaced"] = static_cast<double>(clients_->unroutable());
+  figures["client_tries"] = static_cast<double>(clients_->attempts());
+}
+
+void ExperimentRun::WriteServerFigures() {
+  auto& figures = result_.figures;
+  const HostEmulator::Counts& hosts = hosts_->counts();
+  figures["attempts_per_request"] = static_cast<double>(hosts.attempts) / RequestCount();
+  figures["turned_away"] = static_cast<double>(hosts.rejected);
+  figures["host_connections"] = static_cast<double>(hosts.connections);
+  figures["list_calls"] = static_cast<double>(list_->calls());
+  if (registry_) figures["list_lag_ms"] = list_lag_;
+  if (!peers_) return;
+  figures["peer_datagrams"] = static_cast<double>(peers_->counts().sent);
+  figures["peer_too_long"] = static_cast<double>(peers_->counts().too_long);
+}
+
+void ExperimentRun::WriteCostFigures() {
+  auto& figures = result_.figures;
+  const double requests = RequestCount();
+  figures["lab_cpu_us_per_request"] = (OwnCpuTime() - own_cpu_before_) * kMicrosPerMilli / requests;
+  if (!gateways_) return;
+  const Millis cpu_time = gateways_->cpu_time();
+  figures["cpu_us_per_request"] = cpu_time * kMicrosPerMilli / requests;
+  if (cpu_time > 0) figures["core_requests_per_s"] = requests * kMillisPerSecond / cpu_time;
+  figures["rss_mb"] = gateways_->max_memory_mb();
+}
+
+}  // namespace gateway::lab
--- /dev/null
+++ b/src/lab/experiment_run.hpp
@@ -0,0 +1,105 @@
+// One run of one variant of an experiment: sets the parties up, waits for the gateways, lets clients and
+// faults begin, and collects the figures.
+#ifndef GATEWAY_LAB_EXPERIMENT_RUN_HPP_
+#define GATEWAY_LAB_EXPERIMENT_RUN_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "lab/client_targets.hpp"
+#include "lab/clients.hpp"
+#include "lab/fault_injector.hpp"
+#include "lab/first_answers.hpp"
+#include "lab/gateway_processes.hpp"
+#include "lab/host_emulator.hpp"
+#include "lab/link_table.hpp"
+#include "lab/list_service.hpp"
+#include "lab/peer_network.hpp"
+#include "lab/recorder.hpp"
+#include "lab/registry_process.hpp"
+#include "lab/rule_checker.hpp"
+#include "lab/temporary_folder.hpp"
+
+namespace gateway::lab {
+
+class ExperimentRun {
+ public:
+  struct Options {
+    std::string variant;     // "direct": clients call the hosts, without gateways
+    std::string command;     // of the gateways
+    std::string gatewayctl;  // command of this program, for the list service
+    std::uint64_t seed = 1;
+    std::string log_folder;  // empty: logs are dropped
+    bool progress = false;
+  };
+
+  // `experiment` outlives the run. Throws std::runtime_error where an address can't be had.
+  ExperimentRun(const Experiment& experiment, Options options);
+
+  // To be called once. Returns when all requests have ended or the run has failed; no process is left then.
+  RunResult Run();
+
+  // Ends the current run and all later ones. May be called from a signal handler.
+  static void Interrupt();
+  static bool IsInterrupted();
+
+ private:
+  void MakeListService();
+  void MakeGateways();
+  void MakeClients();
+  void AddEvent(const std::string& text);
+  void Tick();
+  void WaitForParties(Millis now);
+  void StartGateways();
+  void BeginTraffic(Millis start);
+  void ScheduleFaults();
+  void CallAt(Millis time, std::function<void()> callback);
+  void MeasureListLag(Millis now);
+  void PrintProgress(Millis now);
+  void Fail(const std::string& reason);
+  bool has_begun() const { return start_ >= 0; }
+
+  void WriteFigures();
+  void WriteRuleFigures();
+  void WriteClientFigures();
+  void WriteServerFigures();
+  void WriteCostFigures();
+  double RequestCount() const;
+
+  const Experiment& experiment_;
+  const Options options_;
+  const bool direct_;
+  boost::asio::io_context io_{1};
+  RunResult result_;
+  TemporaryFolder folder_;
+  Addresses addresses_;
+  LinkTable links_;
+  RuleChecker rules_;
+  Recorder recorder_;
+  FirstAnswers first_answers_;
+  std::unique_ptr<PeerNetwork> peers_;         // null: gateways send each other nothing
+  std::unique_ptr<RegistryProcess> registry_;  // null: the list service is emulated
+  std::unique_ptr<ListService> list_;
+  std::unique_ptr<HostEmulator> hosts_;
+  std::unique_ptr<GatewayProcesses> gateways_;  // null: direct
+  std::unique_ptr<ClientTargets> targets_;
+  std::unique_ptr<Clients> clients_;
+  std::optional<FaultInjector> faults_;  // nothing: direct
+  boost::asio::steady_timer tick_timer_;
+  Millis run_began_ = 0;
+  Millis start_ = -1;  // of arrivals; negative: not yet
+  bool gateways_started_ = false;
+  Millis own_cpu_before_ = 0;
+  Millis next_progress_at_ = 0;
+  Millis list_lag_ = 0;
+};
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_EXPERIMENT_RUN_HPP_
--- /dev/null
+++ b/src/lab/first_answers.hpp
@@ -0,0 +1,51 @@
+// Measures how long clients wait for the first answer of a gateway after a fault.
+#ifndef GATEWAY_LAB_FIRST_ANSWERS_HPP_
+#define GATEWAY_LAB_FIRST_ANSWERS_HPP_
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <vector>
+
+#include "lab/experiment.hpp"
+#include "lab/results.hpp"
+
+namespace gateway::lab {
+
+// No I/O, no clock. `experiment` outlives it.
+class FirstAnswers {
+ public:
+  explicit FirstAnswers(const Experiment& experiment) : experiment_(experiment) {}
+
+  // Arrivals, and the times of faults, begin at `start`.
+  void Begin(Millis start) {
+    start_ = start;
+    waits_.assign(experiment_.faults.size(), -1);
+  }
+
+  // A gateway has served a request that was sent at `sent_at`.
+  void OnServed(Millis now, int gateway, Millis sent_at) {
+    for (std::size_t i = 0; i < waits_.size(); ++i) {
+      const Fault& fault = experiment_.faults[i];
+      const bool of_gateway = std::ranges::find(fault.gateways, gateway) != fault.gateways.end();
+      if (waits_[i] >= 0 || !of_gateway || sent_at < start_ + fault.at) continue;
+      waits_[i] = now - start_ - fault.at;
+    }
+  }
+
+  void WriteTo(RunResult& run) const {
+    for (std::size_t i = 0; i < waits_.size(); ++i) {
+      if (waits_[i] >= 0) run.figures[fmt::format("first_answer_ms/{}", i + 1)] = waits_[i];
+    }
+  }
+
+ private:
+  const Experiment& experiment_;
+  Millis start_ = 0;
+  std::vector<Millis> waits_;  // by fault; negative: no answer yet
+};
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_FIRST_ANSWERS_HPP_
--- /dev/null
+++ b/src/lab/front_balancer.hpp
@@ -0,0 +1,34 @@
+// The balancer in front of the gateways, which spreads clients' connections over them by their readiness.
+#ifndef GATEWAY_LAB_FRONT_BALANCER_HPP_
+#define GATEWAY_LAB_FRONT_BALANCER_HPP_
+
+#include "base/millis.hpp"
+
+namespace gateway::lab {
+
+using base::Millis;
+
+// What the balancer knows of one gateway (PROTOCOL, "Clients to gateways"). No I/O, no clock.
+class FrontBalancerView {
+ public:
+  enum class Probe { kReady, kNotReady, kNoAnswer };
+
+  // `detection_delay`: how long a gateway that does not answer keeps its new connections.
+  explicit FrontBalancerView(Millis detection_delay) : detection_delay_(detection_delay) {}
+
+  void OnProbe(Millis now, Probe probe);
+
+  // Whether new connections go to the gateway: from its first ready answer until it has answered "not ready"
+  // or nothing for some time.
+  bool SendsConnections(Millis now) const;
+
+ private:
+  const Millis detection_delay_;
+  bool was_ready_ = false;
+  Millis not_ready_since_ = -1;  // negative: the last answer was "ready"
+  Millis no_answer_since_ = -1;  // negative: the last probe was answered
+};
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_FRONT_BALANCER_HPP_
--- /dev/null
+++ b/src/lab/gateway_processes.cpp
@@ -0,0 +1,256 @@
+#include "lab/gateway_processes.hpp"
+
+#include <fmt/format.h>
+#include <signal.h>
+
+#include <algorithm>
+#include <fstream>
+#include <limits>
+#include <utility>
+
+#include "base/clock.hpp"
+#include "lab/gateway_config.hpp"
+#include "lab/management_check.hpp"
+
+namespace gateway::lab {
+namespace {
+
+using base::ClientConnection;
+using base::MonotonicNow;
+using base::TimerDuration;
+using boost::system::error_code;
+
+constexpr Millis kProbePeriod = 100;  // of the front balancer
+constexpr Millis kProbeTimeout = 1000;
+constexpr Millis kKillDelay = 3700;  // after SIGTERM: the longest deadline, 3 s, and a margin
+constexpr Millis kSuccessorReadyWithin = 6000;
+constexpr Millis kSuccessorCheckPeriod = 50;
+constexpr Millis kExcuseAfterFault = 1000;  // after SIGCONT, and after a restarted process is ready
+constexpr Millis kForever = std::numeric_limits<double>::infinity();
+constexpr std::uint64_t kBytesPerKb = 1024;
+
+Millis ToMillis(const timeval& time) {
+  return 1000 * static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1000;
+}
+
+}  // namespace
+
+GatewayProcesses::GatewayProcesses(Environment environment)
+    : env_(std::move(environment)),
+      processes_(env_.io, [this](const ProcessEnd& end) { OnProcessEnd(end); }) {
+  for (int gateway = 0; gateway < count(); ++gateway) {
+    gateways_.push_back(std::make_unique<Gateway>(env_.io, env_.experiment.fleet.front_detection_delay));
+  }
+}
+
+void GatewayProcesses::EndAll() {
+  ending_ = true;
+  processes_.EndAll();
+}
+
+pid_t GatewayProcesses::Start(int gateway) {
+  const Fleet& fleet = env_.experiment.fleet;
+  const int number = At(gateway).starts++;
+  const std::filesystem::path folder = env_.folder / fmt::format("g{}", gateway);
+  const std::filesystem::path temporary = folder / "tmp";
+  std::filesystem::create_directories(temporary);
+  GatewayStart start;
+  start.gateway = gateway;
+  start.number = number;
+  start.seed = env_.seed;
+  start.known_list = env_.known_lists[static_cast<std::size_t>(gateway)];
+  if (fleet.saves_state) start.state_folder = (folder / "state").string();
+  const std::filesystem::path config = folder / fmt::format("config-{}.json", number);
+  std::ofstream(config) << GatewayConfigText(env_.experiment, env_.addresses, start);
+  env_.on_start(gateway);
+  return processes_.Start(SpecOf(gateway, number, config, temporary));
+}
+
+ProcessSpec GatewayProcesses::SpecOf(int gateway, int start, const std::filesystem::path& config,
+                                     const std::filesystem::path& temporary) const {
+  const Fleet& fleet = env_.experiment.fleet;
+  ProcessSpec spec;
+  spec.command = env_.command;
+  spec.log =
+      env_.log_folder.empty() ? "/dev/null" : fmt::format("{}/gateway-{}.log", env_.log_folder, gateway);
+  spec.max_file_bytes = static_cast<std::uint64_t>(fleet.file_kb) * kBytesPerKb;
+  spec.max_descriptors = static_cast<std::uint64_t>(fleet.sockets);
+  spec.variables = {{"NODE_NAME", fmt::format("n{}", gateway)},
+                    {"NODE_LISTEN", Addresses::Text(env_.addresses.Gateway(gateway))},
+                    {"NODE_DISCOVERY", Addresses::Text(env_.addresses.List(gateway))},
+                    {"NODE_MGMT", Addresses::Text(env_.addresses.Management(gateway, start))},
+                    {"NODE_CONFIG", config.string()},
+                    {"TMPDIR", temporary.string()}};
+  if (fleet.sync_delay > 0) {
+    spec.variables.emplace_back("ELDERHEAD_SLOW_SYNC_MS", fmt::format("{:g}", fleet.sync_delay));
+  }
+  return spec;
+}
+
+void GatewayProcesses::StartAll() {
+  for (int gateway = 0; gateway < count(); ++gateway) {
+    At(gateway).pid = Start(gateway);
+    Probe(gateway);
+  }
+}
+
+bool GatewayProcesses::AllReady() const {
+  return std::ranges::all_of(gateways_, [](const auto& gateway) { return gateway->ready; });
+}
+
+std::string GatewayProcesses::DescribeNotReady() const {
+  std::string text;
+  for (int gateway = 0; gateway < count(); ++gateway) {
+    if (At(gateway).ready) continue;
+    text += fmt::format("{}gateway {} is not ready", text.empty() ? "" : ", ", gateway);
+  }
+  return text;
+}
+
+bool GatewayProcesses::TakesConnections(int gateway, Millis now) const {
+  return At(gateway).balancer_view.SendsConnections(now);
+}
+
+bool GatewayProcesses::IsExcused(int gateway, Millis since) const {
+  return At(gateway).excused_from >= 0 && At(gateway).excused_until >= since;
+}
+
+void GatewayProcesses::Probe(int gateway) {
+  auto& connection = At(gateway).probe_connection;
+  if (!connection || !connection->usable()) {
+    connection = std::make_shared<ClientConnection>(env_.io, env_.addresses.Gateway(gateway));
+  }
+  connection->Exchange(base::GetRequest("/up", "backend.local"), kProbeTimeout,
+                       [this, gateway, sent_at = MonotonicNow()](const ClientConnection::Result& result) {
+                         OnProbeResult(gateway, result);
+                         auto& timer = At(gateway).probe_timer;
+                         timer.expires_after(TimerDuration(kProbePeriod - (MonotonicNow() - sent_at)));
+                         timer.async_wait([this, gateway](error_code ec) {
+                           if (!ec) Probe(gateway);
+                         });
+                       });
+}
+
+void GatewayProcesses::OnProbeResult(int number, const ClientConnection::Result& result) {
+  Gateway& gateway = At(number);
+  const bool answered = result.failure == ClientConnection::Failure::kNone;
+  gateway.balancer_view.OnProbe(MonotonicNow(), !answered     ? FrontBalancerView::Probe::kNoAnswer
+                                                : result.ok() ? FrontBalancerView::Probe::kReady
+                                                              : FrontBalancerView::Probe::kNotReady);
+  if (!result.ok() || gateway.pid == 0 || std::exchange(gateway.ready, true)) return;
+  env_.add_event(fmt::format("gateway {} is ready", number));
+  if (gateway.excused_until == kForever) gateway.excused_until = MonotonicNow() + kExcuseAfterFault;
+}
+
+void GatewayProcesses::BeginExcuse(Gateway& gateway) {
+  if (gateway.excused_until != kForever) gateway.excused_from = MonotonicNow();
+  gateway.excused_until = kForever;
+}
+
+void GatewayProcesses::Kill(int number, Millis restart_delay) {
+  Gateway& gateway = At(number);
+  BeginExcuse(gateway);
+  gateway.ends_by_fault = true;
+  gateway.restart_delay = restart_delay;
+  gateway.ready = false;
+  processes_.Signal(gateway.pid, SIGKILL);
+}
+
+void GatewayProcesses::Stop(int gateway) {
+  BeginExcuse(At(gateway));
+  processes_.Signal(At(gateway).pid, SIGSTOP);
+}
+
+void GatewayProcesses::Continue(int gateway) {
+  processes_.Signal(At(gateway).pid, SIGCONT);
+  At(gateway).excused_until = MonotonicNow() + kExcuseAfterFault;
+}
+
+void GatewayProcesses::KillAfterGrace(Gateway& gateway, std::function<void()> kill) {
+  gateway.process_timer.expires_after(TimerDuration(kKillDelay));
+  gateway.process_timer.async_wait([kill = std::move(kill)](error_code ec) {
+    if (!ec) kill();
+  });
+}
+
+void GatewayProcesses::Terminate(int number, Millis restart_delay) {
+  Gateway& gateway = At(number);
+  gateway.ends_by_fault = true;
+  gateway.restart_delay = restart_delay;
+  gateway.ready = false;
+  processes_.Signal(gateway.pid, SIGTERM);
+  KillAfterGrace(gateway, [this, number, pid = gateway.pid] {
+    if (At(number).pid != pid) return;
+    env_.add_event(fmt::format("gateway {} had to be killed after SIGTERM", number));
+    processes_.Signal(pid, SIGKILL);
+  });
+}
+
+void GatewayProcesses::Replace(int gateway) {
+  At(gateway).successor = Start(gateway);
+  CheckSuccessor(gateway, MonotonicNow() + kSuccessorReadyWithin);
+}
+
+// Asks the new process at its management address whether it is ready.
+void GatewayProcesses::CheckSuccessor(int gateway, Millis until) {
+  lab::CheckGateway(env_.io, env_.addresses.Management(gateway, At(gateway).starts - 1),
+                    [this, gateway, until](bool success) { OnSuccessorCheck(gateway, until, success); });
+}
+
+// The old process gets SIGTERM when the new one is ready.
+void GatewayProcesses::OnSuccessorCheck(int number, Millis until, bool success) {
+  Gateway& gateway = At(number);
+  if (success && gateway.successor != 0) {
+    env_.add_event(fmt::format("the replacement of gateway {} says yes", number));
+    const pid_t old = std::exchange(gateway.pid, std::exchange(gateway.successor, 0));
+    processes_.Signal(old, SIGTERM);
+    return KillAfterGrace(gateway, [this, old] { processes_.Signal(old, SIGKILL); });
+  }
+  if (MonotonicNow() > until) {
+    env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} did not say yes in time", number));
+    return;
+  }
+  gateway.process_timer.expires_after(TimerDuration(kSuccessorCheckPeriod));
+  gateway.process_timer.async_wait([this, number, until](error_code ec) {
+    if (!ec) CheckSuccessor(number, until);
+  });
+}
+
+void GatewayProcesses::OnProcessEnd(const ProcessEnd& end) {
+  cpu_time_ += ToMillis(end.usage.ru_utime) + ToMillis(end.usage.ru_stime);
+  max_memory_mb_ = std::max(max_memory_mb_, static_cast<double>(end.usage.ru_maxrss) / kBytesPerKb);
+  if (ending_) return;
+  for (int number = 0; number < count(); ++number) {
+    Gateway& gateway = At(number);
+    if (gateway.successor == end.pid) {
+      gateway.successor = 0;
+      env_.rules.OnGatewayCrashed(
+          fmt::format("the replacement of gateway {} ended with {}", number, end.StatusText()));
+    }
+    if (gateway.pid == end.pid) return OnGatewayEnd(number, end);
+  }
+}
+
+void GatewayProcesses::OnGatewayEnd(int number, const ProcessEnd& end) {
+  Gateway& gateway = At(number);
+  gateway.pid = 0;
+  gateway.ready = false;
+  if (!std::exchange(gateway.ends_by_fault, false)) {
+    env_.rules.OnGatewayCrashed(fmt::format("gateway {} ended with {}", number, end.StatusText()));
+    return;
+  }
+  env_.add_event(fmt::format("gateway {} has ended with {}", number, end.StatusText()));
+  RestartLater(number);
+}
+
+void GatewayProcesses::RestartLater(int number) {
+  Gateway& gateway = At(number);
+  gateway.process_timer.expires_after(TimerDuration(gateway.restart_delay));
+  gateway.process_timer.async_wait([this, number](error_code ec) {
+    if (ec) return;
+    At(number).pid = Start(number);
+    env_.add_event(fmt::format("gateway {} is started", number));
+  });
+}
+
+}  // namespace gateway::lab
--- a/src/lab/gnuplot.cpp
+++ b/src/lab/gnuplot.cpp
@@ -8,7 +8,8 @@
 namespace gateway::lab {
 namespace {
 
-// Within single quotes of the shell: a quote ends the quoted text, stands escaped, and begins it again.
+// The text as one word of the shell, in single quotes. A quote in it ends the quoted text, is escaped, and
+// begins the text again.
 std::string ShellQuoted(const std::string& text) {
   std::string quoted = "'";
   for (const char c : text) quoted += c == '\'' ? "'\\''" : std::string(1, c);
--- a/src/lab/gnuplot.hpp
+++ b/src/lab/gnuplot.hpp
@@ -1,4 +1,4 @@
-// Running gnuplot, and writing what it reads. Used by every plot of the lab.
+// Runs gnuplot and writes the files that it reads.
 #ifndef GATEWAY_LAB_GNUPLOT_HPP_
 #define GATEWAY_LAB_GNUPLOT_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace gateway::lab {
 
-// The text as gnuplot reads it within single quotes, with these.
+// The text as a string of gnuplot, in single quotes.
 std::string GnuplotQuoted(const std::string& text);
 
 // Makes the folder and those above it. Throws std::runtime_error.
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -6,145 +6,158 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kFallSlack = 1.1;  // "a little slack for chance", by the bench's page
+constexpr double kOverloadSlack = 1.1;  // for chance
+constexpr double kThrashFreeJobsPerCore = 2;
 
 }  // namespace
 
-HostModel::HostModel(const HostKind& kind, const ColdStart& cold, std::optional<Millis> started)
-    : kind_(kind), cold_(cold), started_(started), now_(started.value_or(0)) {}
+HostModel::HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at)
+    : group_(group), warm_up_(warm_up), started_at_(started_at), now_(started_at.value_or(0)) {}
 
-double HostModel::Warmth(Millis time) const {
-  if (!started_ || time >= *started_ + cold_.warm_after) return 1;
-  return cold_.from + (1 - cold_.from) * std::max(0.0, time - *started_) / cold_.warm_after;
+// The share of its full capacity that the host has.
+double HostModel::WarmUpFraction(Millis time) const {
+  if (!started_at_ || time >= *started_at_ + warm_up_.duration) return 1;
+  const double passed = std::max(0.0, time - *started_at_) / warm_up_.duration;
+  return warm_up_.initial_fraction + (1 - warm_up_.initial_fraction) * passed;
 }
 
-double HostModel::WarmTime(Millis from, Millis to) const {
-  if (!started_) return to - from;
-  const Millis warm_at = *started_ + cold_.warm_after;
+// The integral of the fraction: how long a host of full capacity takes for the same.
+Millis HostModel::FullCapacityTime(Millis from, Millis to) const {
+  if (!started_at_) return to - from;
+  const Millis warm_at = *started_at_ + warm_up_.duration;
   const Millis ramp_end = std::clamp(warm_at, from, to);
-  return (ramp_end - from) * (Warmth(from) + Warmth(ramp_end)) / 2 + (to - ramp_end);
+  return (ramp_end - from) * (WarmUpFraction(from) + WarmUpFraction(ramp_end)) / 2 + (to - ramp_end);
 }
 
-Millis HostModel::AfterWarmTime(Millis from, double warm_time) const {
-  if (!started_ || from >= *started_ + cold_.warm_after) return from + warm_time;
-  const Millis warm_at = *started_ + cold_.warm_after;
-  const double in_ramp = WarmTime(from, warm_at);
-  if (warm_time >= in_ramp) return warm_at + (warm_time - in_ramp);
-  // warm_time = w t + s t^2 / 2, for the t from now on
-  const double w = Warmth(from), s = (1 - cold_.from) / cold_.warm_after;
-  return from + (std::sqrt(w * w + 2 * s * warm_time) - w) / s;
+// The inverse: the time at which that much time of full capacity has passed.
+Millis HostModel::TimeAfter(Millis from, Millis full_capacity_time) const {
+  if (!started_at_ || from >= *started_at_ + warm_up_.duration) return from + full_capacity_time;
+  const Millis warm_at = *started_at_ + warm_up_.duration;
+  const Millis within_ramp = FullCapacityTime(from, warm_at);
+  if (full_capacity_time >= within_ramp) return warm_at + (full_capacity_time - within_ramp);
+  // Solves full_capacity_time = fraction * t + slope * t^2 / 2 for t.
+  const double fraction = WarmUpFraction(from);
+  const double slope = (1 - warm_up_.initial_fraction) / warm_up_.duration;
+  return from + (std::sqrt(fraction * fraction + 2 * slope * full_capacity_time) - fraction) / slope;
 }
 
-double HostModel::Share() const {
-  if (in_work_.empty()) return 0;
-  const double over = std::max(0.0, static_cast<double>(jobs_.size()) - 2 * kind_.cores);
-  const double cores = std::min(1.0, kind_.cores / static_cast<double>(in_work_.size()));
-  return cores * kind_.speed * factor_ / (1 + kind_.thrash * over);
+// Work per ms for each executed job, at full capacity.
+double HostModel::RatePerJob() const {
+  if (executing_.empty()) return 0;
+  const double excess_jobs =
+      std::max(0.0, static_cast<double>(jobs_.size()) - kThrashFreeJobsPerCore * group_.cores);
+  const double cores_per_job = std::min(1.0, group_.cores / static_cast<double>(executing_.size()));
+  return cores_per_job * group_.speed * speed_factor_ / (1 + group_.thrash_factor * excess_jobs);
 }
 
-void HostModel::Serve(Millis now) {
+// When the first of the executed jobs finishes; there is one.
+Millis HostModel::NextFinishAt() const {
+  return TimeAfter(now_, std::max(0.0, executing_.begin()->first - service_) / RatePerJob());
+}
+
+void HostModel::AdvanceService(Millis now) {
   now = std::max(now, now_);
-  if (!in_work_.empty()) service_ += WarmTime(now_, now) * Share();
+  if (!executing_.empty()) service_ += FullCapacityTime(now_, now) * RatePerJob();
   now_ = now;
 }
 
-void HostModel::Begin(Job job, State& state) {
-  state.in_work = true;
-  state.ends_at = service_ + state.work;
-  in_work_.emplace(state.ends_at, job);
-  events_.push_back({EventKind::kBegun, job, true});
+void HostModel::Start(Job job, JobState& state) {
+  state.executing = true;
+  state.finish_service = service_ + state.work;
+  executing_.emplace(state.finish_service, job);
+  pending_events_.push_back({EventKind::kStarted, job, true});
 }
 
 void HostModel::Remove(Job job) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return;
-  expiries_.erase({found->second.gives_up, job});
-  if (found->second.in_work) in_work_.erase({found->second.ends_at, job});
+  const JobState& state = found->second;
+  expiries_.erase({state.expires_at, job});
+  if (state.executing) executing_.erase({state.finish_service, job});
   jobs_.erase(found);
 }
 
 void HostModel::FillSlots() {
-  while (!waiting_.empty() && static_cast<int>(in_work_.size()) < kind_.slots) {
-    const Job job = waiting_.front();
-    waiting_.pop_front();
+  while (!queue_.empty() && static_cast<int>(executing_.size()) < group_.slots) {
+    const Job job = queue_.front();
+    queue_.pop_front();
     const auto found = jobs_.find(job);
-    if (found != jobs_.end() && !found->second.in_work) Begin(job, found->second);
+    if (found != jobs_.end() && !found->second.executing) Start(job, found->second);
   }
 }
 
-void HostModel::CountCold(Millis now, Millis work) {
-  if (!cold(now)) return;
-  sent_cold_.emplace_back(now, work);
-  sent_cold_sum_ += work;
-  while (sent_cold_.front().first < now - cold_.fall_window) {
-    sent_cold_sum_ -= sent_cold_.front().second;
-    sent_cold_.pop_front();
+void HostModel::RecordWarmUpWork(Millis now, Millis work) {
+  if (!IsWarmingUp(now)) return;
+  warm_up_work_.emplace_back(now, work);
+  warm_up_work_sum_ += work;
+  while (warm_up_work_.front().first < now - warm_up_.overload_window) {
+    warm_up_work_sum_ -= warm_up_work_.front().second;
+    warm_up_work_.pop_front();
   }
-  const double capacity = kind_.cores * kind_.speed * Warmth(now);
-  if (sent_cold_sum_ > cold_.fall_multiple * capacity * cold_.fall_window * kFallSlack) fallen_ = true;
+  const double capacity = group_.cores * group_.speed * WarmUpFraction(now);
+  const double withstood = warm_up_.overload_factor * capacity * warm_up_.overload_window * kOverloadSlack;
+  if (warm_up_work_sum_ > withstood) overloaded_ = true;
 }
 
-HostModel::Fate HostModel::Offer(Millis now, Job job, Millis work, Millis gives_up) {
-  Advance(now, events_);
-  CountCold(now, work);
-  const bool room = static_cast<int>(in_work_.size()) < kind_.slots;
-  if (!room && static_cast<int>(jobs_.size() - in_work_.size()) >= kind_.waiting) return Fate::kTurnedAway;
-  State& state = jobs_[job];
+HostModel::Admission HostModel::Submit(Millis now, Job job, Millis work, Millis expires_at) {
+  Advance(now, pending_events_);
+  RecordWarmUpWork(now, work);
+  const bool has_slot = static_cast<int>(executing_.size()) < group_.slots;
+  const int queued = static_cast<int>(jobs_.size() - executing_.size());
+  if (!has_slot && queued >= group_.queue_capacity) return Admission::kRejected;
+  JobState& state = jobs_[job];
   state.work = work;
-  state.gives_up = gives_up;
-  expiries_.emplace(gives_up, job);
-  if (!room) {
-    waiting_.push_back(job);
-    return Fate::kWaiting;
+  state.expires_at = expires_at;
+  expiries_.emplace(expires_at, job);
+  if (!has_slot) {
+    queue_.push_back(job);
+    return Admission::kQueued;
   }
-  Begin(job, state);
-  return Fate::kInWork;
+  Start(job, state);
+  return Admission::kStarted;
 }
 
 void HostModel::Cancel(Millis now, Job job) {
-  Advance(now, events_);
+  Advance(now, pending_events_);
   Remove(job);
   FillSlots();
 }
 
 void HostModel::SetSpeed(Millis now, double factor) {
-  Advance(now, events_);
-  factor_ = factor;
+  Advance(now, pending_events_);
+  speed_factor_ = factor;
 }
 
-std::optional<Millis> HostModel::NextAt() const {
-  if (!events_.empty()) return now_;
+std::optional<Millis> HostModel::NextEventAt() const {
+  if (!pending_events_.empty()) return now_;
   std::optional<Millis> next;
-  if (!in_work_.empty())
-    next = AfterWarmTime(now_, std::max(0.0, in_work_.begin()->first - service_) / Share());
+  if (!executing_.empty()) next = NextFinishAt();
   if (!expiries_.empty() && (!next || expiries_.begin()->first < *next)) next = expiries_.begin()->first;
   return next;
 }
 
+void HostModel::MovePendingEvents(std::vector<Event>& events) {
+  if (&events == &pending_events_) return;
+  events.insert(events.end(), pending_events_.begin(), pending_events_.end());
+  pending_events_.clear();
+}
+
 void HostModel::Advance(Millis now, std::vector<Event>& events) {
-  if (&events != &events_) {
-    events.insert(events.end(), events_.begin(), events_.end());
-    events_.clear();
-  }
+  MovePendingEvents(events);
   for (;;) {
-    const Millis done =
-        in_work_.empty() ? now + 1
-                         : AfterWarmTime(now_, std::max(0.0, in_work_.begin()->first - service_) / Share());
-    const Millis expired = expiries_.empty() ? now + 1 : expiries_.begin()->first;
-    if (std::min(done, expired) > now) break;
-    Serve(std::min(done, expired));
-    const bool ends = done <= expired;
-    const Job job = ends ? in_work_.begin()->second : expiries_.begin()->second;
-    if (ends) service_ = std::max(service_, in_work_.begin()->first);
-    events.push_back({ends ? EventKind::kDone : EventKind::kExpired, job, jobs_[job].in_work});
+    const Millis finish = executing_.empty() ? now + 1 : NextFinishAt();
+    const Millis expiry = expiries_.empty() ? now + 1 : expiries_.begin()->first;
+    if (std::min(finish, expiry) > now) break;
+    AdvanceService(std::min(finish, expiry));
+    const bool finishes = finish <= expiry;
+    const Job job = finishes ? executing_.begin()->second : expiries_.begin()->second;
+    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // against rounding
+    events.push_back({finishes ? EventKind::kFinished : EventKind::kExpired, job, jobs_[job].executing});
     Remove(job);
     FillSlots();
-    if (&events != &events_) {
-      events.insert(events.end(), events_.begin(), events_.end());
-      events_.clear();
-    }
+    MovePendingEvents(events);
   }
-  Serve(now);
+  AdvanceService(now);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -1,11 +1,11 @@
-// An emulated host without sockets: what it does with the requests that reach it, in the time that it is
-// handed.
+// The model of an emulated host: what it does with the requests that it gets. A state machine without I/O and
+// clock.
 #ifndef GATEWAY_LAB_HOST_MODEL_HPP_
 #define GATEWAY_LAB_HOST_MODEL_HPP_
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
-#include <map>
 #include <optional>
 #include <set>
 #include <unordered_map>
@@ -16,69 +16,81 @@
 
 namespace gateway::lab {
 
-// Requests take a slot or wait in order of arrival; those in slots share the cores evenly, none faster than
-// one core (so with as many slots as cores this is the queue M/M/c). A host that has just started is slower,
-// evenly less so until it is warm, and falls over when it is sent too much before (the operators' rule 8.2).
-// Times never run back.
+// Requests take a slot or wait in order of arrival. Those in slots share the cores evenly, none faster than
+// one core; with as many slots as cores this is the queue M/M/c. A host that has just started has a fraction
+// of its capacity, which rises evenly, and is overloaded when it gets too much work meanwhile. Times are in
+// ms of the caller's clock and never run backwards.
 class HostModel {
  public:
-  using Job = std::uint64_t;
-  enum class Fate { kInWork, kWaiting, kTurnedAway };
-  enum class EventKind { kBegun, kDone, kExpired };  // expired: its time was over before its work was done
+  using Job = std::uint64_t;  // a request at this host
+  enum class Admission { kStarted, kQueued, kRejected };
+  enum class EventKind { kStarted, kFinished, kExpired };
   struct Event {
     EventKind kind;
     Job job;
-    bool ran;  // had begun; of kExpired
+    bool was_started;  // kExpired: whether its execution had begun
   };
 
-  // `started`: when it started, for its warmth; nothing: long ago.
-  HostModel(const HostKind& kind, const ColdStart& cold, std::optional<Millis> started);
+  // `started_at`: when the host started; nothing: so long ago that it has warmed up.
+  HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at);
+
+  // Takes a complete request in, which expires at `expires_at` if it has not finished by then. What happens
+  // to other jobs until `now` is reported by the next Advance.
+  Admission Submit(Millis now, Job job, Millis work, Millis expires_at);
+
+  // Ends a job without an event. Does nothing for one that has ended.
+  void Cancel(Millis now, Job job);
 
-  // A request has come whole. It is given up at `gives_up`. What happened to others until now comes with
-  // Advance().
-  Fate Offer(Millis now, Job job, Millis work, Millis gives_up);
-  void Cancel(Millis now, Job job);  // nobody wants it any more: its work stops
   void SetSpeed(Millis now, double factor);
 
-  std::optional<Millis> NextAt() const;  // when Advance() has something to tell, as things stand
+  // When the next event happens if nothing else does; nothing where none is due.
+  std::optional<Millis> NextEventAt() const;
+
+  // Appends all events up to `now`, in their order.
   void Advance(Millis now, std::vector<Event>& events);
 
-  std::size_t held() const { return jobs_.size(); }
-  bool cold(Millis now) const { return Warmth(now) < 1; }
-  bool fallen() const { return fallen_; }  // more was sent to it while cold than the rule allows
+  // Jobs that are executed or queued.
+  std::size_t active_jobs() const { return jobs_.size(); }
+
+  // Whether it got more work while it warmed up than a warming host withstands.
+  bool overloaded() const { return overloaded_; }
 
  private:
-  struct State {
-    Millis work = 0;  // all of it
-    Millis gives_up = 0;
-    double ends_at = 0;  // of the service given to each job in work
-    bool in_work = false;
+  struct JobState {
+    Millis work = 0;
+    Millis expires_at = 0;
+    double finish_service = 0;  // value of service_ at which it is finished
+    bool executing = false;
   };
 
-  double Warmth(Millis time) const;
-  double WarmTime(Millis from, Millis to) const;  // the integral of the warmth
-  Millis AfterWarmTime(Millis from, double warm_time) const;
-  double Share() const;    // of a core of speed 1, for each job in work, when warm
-  void Serve(Millis now);  // brings service_ up to now
-  void Begin(Job job, State& state);
+  bool IsWarmingUp(Millis time) const { return WarmUpFraction(time) < 1; }
+  double WarmUpFraction(Millis time) const;
+  Millis FullCapacityTime(Millis from, Millis to) const;
+  Millis TimeAfter(Millis from, Millis full_capacity_time) const;
+  double RatePerJob() const;
+  Millis NextFinishAt() const;
+  void AdvanceService(Millis now);
+  void Start(Job job, JobState& state);
   void Remove(Job job);
   void FillSlots();
-  void CountCold(Millis now, Millis work);
+  void RecordWarmUpWork(Millis now, Millis work);
+  void MovePendingEvents(std::vector<Event>& events);
 
-  const HostKind kind_;
-  const ColdStart cold_;
-  const std::optional<Millis> started_;
-  double factor_ = 1;
+  const HostGroup group_;
+  const HostWarmUp warm_up_;
+  const std::optional<Millis> started_at_;
+  double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_ = 0;  // work done so far for a job that was in work all the time
-  std::unordered_map<Job, State> jobs_;
-  std::set<std::pair<double, Job>> in_work_;  // by where the service has to get to
-  std::deque<Job> waiting_;                   // cancelled ones stay until their turn
+  double service_ = 0;  // work done for a job that was executed all the time
+  std::unordered_map<Job, JobState> jobs_;
+  std::set<std::pair<double, Job>> executing_;  // by finish_service
+  std::deque<Job> queue_;                       // cancelled ones stay until their turn
   std::set<std::pair<Millis, Job>> expiries_;
-  std::vector<Event> events_;
-  std::deque<std::pair<Millis, Millis>> sent_cold_;  // time and work
-  Millis sent_cold_sum_ = 0;
-  bool fallen_ = false;
+  std::vector<Event> pending_events_;  // for the next Advance
+  std::deque<std::pair<Millis, Millis>>
+      warm_up_work_;  // time and work of requests within the overload window
+  Millis warm_up_work_sum_ = 0;
+  bool overloaded_ = false;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -1,16 +1,12 @@
-// What lies between a gateway and another party: can be cut either way, and delays. One thread.
+// The network between a gateway and another party, as the lab emulates it: it delays messages and can be cut
+// in either direction.
 #ifndef GATEWAY_LAB_LINK_HPP_
 #define GATEWAY_LAB_LINK_HPP_
 
-#include <algorithm>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/post.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <boost/random/linear_congruential.hpp>
-#include <boost/random/uniform_01.hpp>
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <utility>
 #include <vector>
 
@@ -20,68 +16,64 @@
 namespace gateway::lab {
 
 using base::Millis;
-
 using base::MonotonicNow;
 using base::TimerDuration;
 
-// Works on whole messages: one that meets a cut waits until the link is healed, as TCP's repetitions would
-// bring it, and is late by the delay. Messages of one connection keep their order, since each waits for the
-// answer to the last.
+// Works on complete messages. A message that meets a cut waits until the cut is healed, as TCP's
+// retransmissions would bring it; another one is late by the delay. Messages of one connection keep their
+// order, since each waits for the answer to the last. To be used in the thread of the io_context.
 class Link {
  public:
-  enum class Way { kThere, kBack };  // from the gateway, and to it
+  enum class Direction { kFromGateway, kToGateway };
 
+  // `seed`: of the jitter.
   explicit Link(boost::asio::io_context& io, std::uint64_t seed = 1) : io_(io), random_(seed) {}
   Link(const Link&) = delete;
 
-  void Pass(Way way, std::function<void()> message) {
-    if (cut(way)) return waiting_.emplace_back(way, std::move(message)), void();
-    if (delay_ <= 0 && jitter_ <= 0) return message();
-    const Millis chance = jitter_ * boost::random::uniform_01<double>()(random_);
-    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(delay_ + chance));
-    timer->async_wait([this, timer, way, message = std::move(message)](boost::system::error_code ec) mutable {
-      if (ec) return;
-      if (cut(way)) return waiting_.emplace_back(way, std::move(message)), void();
-      message();
-    });
-  }
+  // Calls `deliver` when the message has arrived: at once on a link without delay.
+  void Transmit(Direction direction, std::function<void()> deliver);
 
-  // Counted, so that two faults may cut the same link.
-  void Cut(bool there, bool back) {
-    cuts_there_ += there ? 1 : 0;
-    cuts_back_ += back ? 1 : 0;
-    if (watcher_) watcher_();
-  }
-  void Heal(bool there, bool back) {
-    cuts_there_ -= there ? 1 : 0;
-    cuts_back_ -= back ? 1 : 0;
-    healed_at_ = MonotonicNow();
-    if (watcher_) watcher_();
-    std::vector<std::pair<Way, std::function<void()>>> passing;
-    for (auto& entry : std::exchange(waiting_, {})) {
-      (cut(entry.first) ? waiting_ : passing).push_back(std::move(entry));
-    }
-    for (auto& [way, message] : passing) message();
-  }
-  void AddDelay(Millis more, Millis jitter) {
-    delay_ = std::max(0.0, delay_ + more);
-    jitter_ = std::max(0.0, jitter_ + jitter);
+  // Cuts the given directions. Cuts are counted, so that several faults may cut the same link.
+  void Cut(bool from_gateway, bool to_gateway);
+
+  // Takes one cut back in each of the given directions.
+  void Heal(bool from_gateway, bool to_gateway);
+
+  // Adds to the delay, in both directions, and to the largest random delay on top of it; negative values take
+  // back.
+  void AddDelay(Millis delay, Millis jitter);
+
+  bool IsCut(Direction direction) const {
+    return (direction == Direction::kFromGateway ? cuts_from_gateway_ : cuts_to_gateway_) > 0;
   }
 
-  bool cut(Way way) const { return (way == Way::kThere ? cuts_there_ : cuts_back_) > 0; }
-  bool cut() const { return cuts_there_ > 0 || cuts_back_ > 0; }
-  // Since when nothing has cut it; 0: ever. Only where it is not cut now.
+  // Whether either direction is cut.
+  bool IsCut() const { return cuts_from_gateway_ > 0 || cuts_to_gateway_ > 0; }
+
+  // When the last cut was healed; 0 where there was none.
   Millis healed_at() const { return healed_at_; }
-  // Called on every change: a listener behind a cut link takes no new connections.
-  void Watch(std::function<void()> watcher) { watcher_ = std::move(watcher); }
+
+  // Sets what is called after every cut and healing; empty: nothing. A listener behind a cut link takes no
+  // new connections.
+  void SetObserver(std::function<void()> observer) { observer_ = std::move(observer); }
 
  private:
+  struct Message {
+    Direction direction;
+    std::function<void()> deliver;
+  };
+
+  void Arrive(Message message);
+
   boost::asio::io_context& io_;
-  int cuts_there_ = 0, cuts_back_ = 0;
   boost::random::minstd_rand random_;
-  Millis delay_ = 0, jitter_ = 0, healed_at_ = 0;
-  std::vector<std::pair<Way, std::function<void()>>> waiting_;
-  std::function<void()> watcher_;
+  int cuts_from_gateway_ = 0;
+  int cuts_to_gateway_ = 0;
+  Millis delay_ = 0;
+  Millis jitter_ = 0;
+  Millis healed_at_ = 0;
+  std::vector<Message> waiting_;  // for the end of a cut
+  std::function<void()> observer_;
 };
 
 }  // namespace gateway::lab
--- /dev/null
+++ b/src/lab/link_table.hpp
@@ -0,0 +1,44 @@
+// The links of one run: from every gateway to every host, and to the list service.
+#ifndef GATEWAY_LAB_LINK_TABLE_HPP_
+#define GATEWAY_LAB_LINK_TABLE_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <vector>
+
+#include "lab/link.hpp"
+
+namespace gateway::lab {
+
+// Gateways and hosts are numbered from 0. The links live as long as the table.
+class LinkTable {
+ public:
+  LinkTable(boost::asio::io_context& io, int gateways, int hosts, std::uint64_t seed)
+      : hosts_(static_cast<std::size_t>(hosts)) {
+    for (int gateway = 0; gateway < gateways; ++gateway) {
+      to_list_.push_back(std::make_unique<Link>(io));
+      for (int host = 0; host < hosts; ++host) {
+        const auto number = static_cast<std::uint64_t>(gateway * kSeedsPerGateway + host);
+        to_hosts_.push_back(std::make_unique<Link>(io, seed + number));
+      }
+    }
+  }
+
+  Link& ToHost(int gateway, int host) {
+    return *to_hosts_[static_cast<std::size_t>(gateway) * hosts_ + static_cast<std::size_t>(host)];
+  }
+  Link& ToList(int gateway) { return *to_list_[static_cast<std::size_t>(gateway)]; }
+
+ private:
+  static constexpr int kSeedsPerGateway = 1000;
+
+  const std::size_t hosts_;
+  std::vector<std::unique_ptr<Link>> to_hosts_;  // by gateway, then host
+  std::vector<std::unique_ptr<Link>> to_list_;   // by gateway
+};
+
+}  // namespace gateway::lab
+
+#endif  // GATEWAY_LAB_LINK_TABLE_HPP_
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -6,22 +6,35 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <cstring>
 #include <stdexcept>
+#include <string_view>
 
 namespace gateway::lab {
 namespace {
 
-// Between fork and exec: only calls that are safe there.
-[[noreturn]] void Become(const ProcessSpec& spec, char* const* arguments, char* const* environment,
-                         pid_t lab) {
-  setpgid(0, 0);  // a Ctrl-C is the lab's alone
+constexpr int kNoLogExitCode = 96;
+constexpr int kLabEndedExitCode = 97;
+constexpr int kNoShellExitCode = 98;
+
+void SetLimit(__rlimit_resource_t resource, std::uint64_t maximum) {
+  rlimit limit{};
+  if (maximum == 0 || getrlimit(resource, &limit) != 0) return;
+  limit.rlim_cur = std::min<rlim_t>(maximum, limit.rlim_max);
+  setrlimit(resource, &limit);
+}
+
+// Runs in the child between fork and exec, where only async-signal-safe calls are allowed.
+[[noreturn]] void ExecChild(const ProcessSpec& spec, char* const* arguments, char* const* environment,
+                            pid_t lab) {
+  setpgid(0, 0);  // a Ctrl-C goes to the lab alone
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (getppid() != lab) _exit(97);
+  if (getppid() != lab) _exit(kLabEndedExitCode);
   const int log = open(spec.log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   const int null = open("/dev/null", O_RDONLY);
-  if (log < 0 || null < 0) _exit(96);
+  if (log < 0 || null < 0) _exit(kNoLogExitCode);
   dup2(null, 0);
   dup2(log, 1);
   dup2(log, 2);
@@ -29,59 +42,59 @@
   sigset_t none;
   sigemptyset(&none);
   sigprocmask(SIG_SETMASK, &none, nullptr);
-  const auto limit = [](auto what, std::uint64_t most) {
-    rlimit both{};
-    if (most == 0 || getrlimit(what, &both) != 0) return;
-    both.rlim_cur = std::min<rlim_t>(most, both.rlim_max);
-    setrlimit(what, &both);
-  };
-  limit(RLIMIT_NOFILE, spec.descriptors);
-  limit(RLIMIT_FSIZE, spec.file_bytes);
+  SetLimit(RLIMIT_NOFILE, spec.max_descriptors);
+  SetLimit(RLIMIT_FSIZE, spec.max_file_bytes);
   execve("/bin/sh", arguments, environment);
-  _exit(98);
+  _exit(kNoShellExitCode);
+}
+
+// The lab's environment, but for what a platform would set for a gateway, and the variables of the process.
+std::vector<std::string> EnvironmentOf(const ProcessSpec& spec) {
+  std::vector<std::string> variables;
+  for (const auto& [name, value] : spec.variables) variables.push_back(name + "=" + value);
+  for (char** inherited = environ; *inherited != nullptr; ++inherited) {
+    const std::string_view variable = *inherited;
+    if (variable.starts_with("NODE_") || variable.starts_with("TMPDIR=")) continue;
+    variables.emplace_back(variable);
+  }
+  return variables;
 }
 
 }  // namespace
 
-std::string ProcessEnd::Words() const {
+std::string ProcessEnd::StatusText() const {
   if (WIFSIGNALED(status)) return "signal " + std::to_string(WTERMSIG(status));
   return "exit code " + std::to_string(WEXITSTATUS(status));
 }
 
-Processes::Processes(boost::asio::io_context& io, Ended ended)
-    : children_(io, SIGCHLD), ended_(std::move(ended)) {
-  Await();
+Processes::Processes(boost::asio::io_context& io, OnEnd on_end)
+    : child_signals_(io, SIGCHLD), on_end_(std::move(on_end)) {
+  WaitForChildren();
 }
 
-Processes::~Processes() { EndAll(); }
-
-void Processes::Await() {
-  children_.async_wait([this](boost::system::error_code ec, int) {
+void Processes::WaitForChildren() {
+  child_signals_.async_wait([this](boost::system::error_code ec, int) {
     if (ec) return;
     Reap();
-    Await();
+    WaitForChildren();
   });
 }
 
 pid_t Processes::Start(const ProcessSpec& spec) {
   std::string command = "exec " + spec.command;
-  std::string shell = "sh", flag = "-c";
+  std::string shell = "sh";
+  std::string flag = "-c";
   char* arguments[] = {shell.data(), flag.data(), command.data(), nullptr};
-  std::vector<std::string> texts;
-  for (const auto& [name, value] : spec.variables) texts.push_back(name + "=" + value);
-  for (char** at = environ; *at != nullptr; ++at) {
-    const std::string text = *at;
-    if (text.rfind("NODE_", 0) != 0 && text.rfind("TMPDIR=", 0) != 0) texts.push_back(text);
-  }
+  std::vector<std::string> variables = EnvironmentOf(spec);
   std::vector<char*> environment;
-  environment.reserve(texts.size() + 1);
-  for (std::string& text : texts) environment.push_back(text.data());
+  environment.reserve(variables.size() + 1);
+  for (std::string& variable : variables) environment.push_back(variable.data());
   environment.push_back(nullptr);
   const pid_t lab = getpid();
   const pid_t pid = fork();
   if (pid < 0) throw std::runtime_error(std::string("can't start a process: ") + std::strerror(errno));
-  if (pid == 0) Become(spec, arguments, environment.data(), lab);
-  running_[pid] = true;
+  if (pid == 0) ExecChild(spec, arguments, environment.data(), lab);
+  running_.insert(pid);
   return pid;
 }
 
@@ -91,27 +104,23 @@
 
 void Processes::Reap() {
   std::vector<ProcessEnd> ends;
-  for (auto at = running_.begin(); at != running_.end();) {
+  for (const pid_t pid : running_) {
     ProcessEnd end;
-    end.pid = at->first;
-    if (wait4(end.pid, &end.status, WNOHANG, &end.usage) == end.pid) {
-      at = running_.erase(at);
-      ends.push_back(end);
-    } else {
-      ++at;
-    }
+    end.pid = pid;
+    if (wait4(pid, &end.status, WNOHANG, &end.usage) == pid) ends.push_back(end);
   }
-  for (const ProcessEnd& end : ends) ended_(end);
+  for (const ProcessEnd& end : ends) running_.erase(end.pid);
+  for (const ProcessEnd& end : ends) on_end_(end);  // may start a process
 }
 
 void Processes::EndAll() {
-  for (const auto& [pid, on] : running_) kill(pid, SIGKILL);
+  for (const pid_t pid : running_) kill(pid, SIGKILL);
   while (!running_.empty()) {
     ProcessEnd end;
-    end.pid = running_.begin()->first;
+    end.pid = *running_.begin();
     if (wait4(end.pid, &end.status, 0, &end.usage) < 0 && errno == EINTR) continue;
     running_.erase(end.pid);
-    ended_(end);
+    on_end_(end);
   }
 }
 
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -1,5 +1,5 @@
-// Processes of the program under test: started, signalled, limited, and all ended with the lab, however it
-// ends.
+// The processes that the lab starts. They have limits of their own, and the kernel kills them when the lab
+// dies.
 #ifndef GATEWAY_LAB_PROCESSES_HPP_
 #define GATEWAY_LAB_PROCESSES_HPP_
 
@@ -8,8 +8,9 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
+#include <cstdint>
 #include <functional>
-#include <map>
+#include <set>
 #include <string>
 #include <utility>
 #include <vector>
@@ -21,39 +22,46 @@
 using base::Millis;
 
 struct ProcessSpec {
-  std::string command;  // for /bin/sh, as in the deploy file
-  std::vector<std::pair<std::string, std::string>> variables;
-  std::string log;                // file for its standard output and error, appended to
-  std::uint64_t descriptors = 0;  // 0: no limit but the system's
-  std::uint64_t file_bytes = 0;
+  std::string command;                                         // for /bin/sh
+  std::vector<std::pair<std::string, std::string>> variables;  // added to the environment of the lab
+  std::string log;                    // file that standard output and error are appended to
+  std::uint64_t max_descriptors = 0;  // 0: the limit of the lab
+  std::uint64_t max_file_bytes = 0;   // 0: the limit of the lab
 };
 
 struct ProcessEnd {
   pid_t pid = 0;
   int status = 0;  // as of wait()
   rusage usage{};
-  std::string Words() const;  // "exit code 1", "signal 9"
+
+  std::string StatusText() const;  // "exit code 1" or "signal 9"
 };
 
+// To be used in the thread of the io_context.
 class Processes {
  public:
-  using Ended = std::function<void(const ProcessEnd&)>;
-  Processes(boost::asio::io_context& io, Ended ended);
-  ~Processes();  // kills and reaps all that are left
+  using OnEnd = std::function<void(const ProcessEnd&)>;
+
+  // `on_end` is called once for each process.
+  Processes(boost::asio::io_context& io, OnEnd on_end);
+  ~Processes() { EndAll(); }
 
-  // Throws std::runtime_error if it can't be started. The process is killed by the kernel if the lab dies.
+  // Throws std::runtime_error where no process can be started.
   pid_t Start(const ProcessSpec& spec);
+
+  // Does nothing for a process that has ended or is not of these.
   void Signal(pid_t pid, int signal);
-  // Kills all; what they used is still told. Returns when none is left.
+
+  // Kills all processes and returns when none is left.
   void EndAll();
 
  private:
   void Reap();
-  void Await();
+  void WaitForChildren();
 
-  boost::asio::signal_set children_;
-  const Ended ended_;
-  std::map<pid_t, bool> running_;
+  boost::asio::signal_set child_signals_;
+  const OnEnd on_end_;
+  std::set<pid_t> running_;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -1,157 +1,216 @@
 #include "lab/recorder.hpp"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <cmath>
+#include <string>
+#include <utility>
 
 namespace gateway::lab {
 namespace {
 
-constexpr Millis kFine = 100;
-constexpr Millis kCoarse = 500;
-constexpr double kMostCoarse = 400;  // windows with a histogram each: 4 MB
-constexpr Millis kBefore = 5000;     // the stretch before a fault that recovery is measured against
-constexpr Millis kSettled = 1000;    // recovered: so long within kWithin of before
-constexpr double kWithin = 0.95;
-constexpr std::uint64_t kFewest = 20;  // arrivals that a share is taken of
+constexpr Millis kFineWindow = 100;
+constexpr Millis kMinCoarseWindow = 500;
+constexpr double kMaxCoarseWindows = 400;  // each has a histogram: 4 MB in all
+constexpr Millis kBaselineLength = 5000;   // before a fault: what recovery is measured against
+constexpr Millis kRecoveryWindow = 1000;   // recovered: so long at the share below of the baseline
+constexpr double kRecoveredShare = 0.95;
+constexpr std::uint64_t kMinArrivals = 20;  // that a share is taken of
+constexpr double kMicrosPerMilli = 1000;
+
+std::uint64_t ToMicros(Millis time) {
+  return time > 0 ? static_cast<std::uint64_t>(time * kMicrosPerMilli) : 0;
+}
 
-std::uint64_t Micros(Millis ms) { return ms > 0 ? static_cast<std::uint64_t>(ms * 1000) : 0; }
+double ToMillis(std::uint64_t micros) { return static_cast<double>(micros) / kMicrosPerMilli; }
+
+double Ratio(std::uint64_t part, std::uint64_t all) {
+  return static_cast<double>(part) / static_cast<double>(all);
+}
 
-// Leaves out what too few values support: a p99.9 of 200 requests is one request's.
-void WriteLatency(const base::Histogram& latency, const std::string& suffix, Play& play) {
+// Leaves out the percentiles for which there are too few values.
+void WriteLatency(const base::Histogram& latency, const std::string& suffix, RunResult& run) {
   if (latency.count() == 0) return;
-  play.figures["mean_ms" + suffix] = latency.mean() / 1000;
+  run.figures["mean_ms" + suffix] = latency.mean() / kMicrosPerMilli;
   for (const auto& [name, share] :
        {std::pair{"p50_ms", 0.5}, {"p90_ms", 0.9}, {"p99_ms", 0.99}, {"p999_ms", 0.999}}) {
-    if (latency.Supports(share)) {
-      play.figures[name + suffix] = static_cast<double>(latency.Quantile(share)) / 1000;
-    }
+    if (latency.Supports(share)) run.figures[name + suffix] = ToMillis(latency.Quantile(share));
   }
 }
 
+bool IsServed(RequestResult result) {
+  return result == RequestResult::kInObjective || result == RequestResult::kLate;
+}
+
 }  // namespace
 
+void Recorder::Counts::Add(RequestResult result) {
+  switch (result) {
+    case RequestResult::kInObjective: ++in_objective; break;
+    case RequestResult::kLate: ++late; break;
+    case RequestResult::kRejected: ++rejected; break;
+    case RequestResult::kFailed: ++failed; break;
+  }
+}
+
+void Recorder::Counts::Add(const Counts& other) {
+  arrived += other.arrived;
+  in_objective += other.in_objective;
+  late += other.late;
+  rejected += other.rejected;
+  failed += other.failed;
+}
+
 Recorder::Recorder(const Experiment& experiment)
     : experiment_(experiment),
       classes_(experiment.classes.size()),
-      fine_(static_cast<std::size_t>(experiment.traffic.seconds / kFine) + 1),
-      coarse_width_(std::max(kCoarse, std::ceil(experiment.traffic.seconds / kMostCoarse / kFine) * kFine)),
-      coarse_(static_cast<std::size_t>(experiment.traffic.seconds / coarse_width_) + 1) {
-  for (auto& window : coarse_) window = std::make_unique<Coarse>();
+      fine_windows_(static_cast<std::size_t>(experiment.traffic.duration / kFineWindow) + 1),
+      coarse_window_(
+          std::max(kMinCoarseWindow,
+                   std::ceil(experiment.traffic.duration / kMaxCoarseWindows / kFineWindow) * kFineWindow)),
+      coarse_windows_(static_cast<std::size_t>(experiment.traffic.duration / coarse_window_) + 1) {
+  for (auto& window : coarse_windows_) window = std::make_unique<CountsWithLatency>();
+}
+
+Recorder::Counts& Recorder::FineWindowOf(const Arrival& arrival) {
+  return fine_windows_[static_cast<std::size_t>(arrival.at / kFineWindow)];
 }
 
-void Recorder::Add(Count& count, End end) {
-  ++(end == End::kInAim     ? count.in_aim
-     : end == End::kLate    ? count.late
-     : end == End::kRefused ? count.refused
-                            : count.failed);
+Recorder::CountsWithLatency& Recorder::CoarseWindowOf(const Arrival& arrival) {
+  return *coarse_windows_[static_cast<std::size_t>(arrival.at / coarse_window_)];
 }
 
-void Recorder::Arrived(const Arrival& arrival, Millis late_by) {
+void Recorder::OnArrival(const Arrival& arrival, Millis late_by) {
   ++arrived_;
-  lateness_.Add(Micros(late_by));
-  ++fine_[static_cast<std::size_t>(arrival.at / kFine)].arrived;
-  ++coarse_[static_cast<std::size_t>(arrival.at / coarse_width_)]->count.arrived;
-  if (arrival.at >= experiment_.traffic.warm_up) {
-    ++classes_[static_cast<std::size_t>(arrival.class_index)].count.arrived;
-  }
+  lateness_.Add(ToMicros(late_by));
+  ++FineWindowOf(arrival).arrived;
+  ++CoarseWindowOf(arrival).counts.arrived;
+  if (arrival.at < experiment_.traffic.warm_up) return;
+  ++classes_[static_cast<std::size_t>(arrival.class_index)].counts.arrived;
 }
 
-void Recorder::Ended(const Arrival& arrival, End end, Millis took) {
-  const bool served = end == End::kInAim || end == End::kLate;
-  Add(fine_[static_cast<std::size_t>(arrival.at / kFine)], end);
-  Coarse& coarse = *coarse_[static_cast<std::size_t>(arrival.at / coarse_width_)];
-  Add(coarse.count, end);
-  if (served) coarse.latency.Add(Micros(took));
+void Recorder::OnRequestEnd(const Arrival& arrival, RequestResult result, Millis latency) {
+  FineWindowOf(arrival).Add(result);
+  CountsWithLatency& window = CoarseWindowOf(arrival);
+  window.counts.Add(result);
+  if (IsServed(result)) window.latency.Add(ToMicros(latency));
   if (arrival.at < experiment_.traffic.warm_up) return;
-  ClassFigures& figures = classes_[static_cast<std::size_t>(arrival.class_index)];
-  Add(figures.count, end);
-  if (served) figures.latency.Add(Micros(took));
+  CountsWithLatency& traffic_class = classes_[static_cast<std::size_t>(arrival.class_index)];
+  traffic_class.counts.Add(result);
+  if (IsServed(result)) traffic_class.latency.Add(ToMicros(latency));
 }
 
-double Recorder::Share(Millis from, Millis to) const {
-  Count sum;
-  const auto last = std::min(fine_.size(), static_cast<std::size_t>(std::max(0.0, to / kFine)));
-  for (auto i = static_cast<std::size_t>(std::max(0.0, from / kFine)); i < last; ++i) {
-    sum.arrived += fine_[i].arrived;
-    sum.in_aim += fine_[i].in_aim;
-  }
-  return sum.arrived < kFewest ? -1 : static_cast<double>(sum.in_aim) / static_cast<double>(sum.arrived);
+// The share of the requests of that time that were served within their objective; negative where too few
+// arrived.
+double Recorder::ShareInObjective(Millis from, Millis to) const {
+  Counts sum;
+  const auto first = static_cast<std::size_t>(std::max(0.0, from / kFineWindow));
+  const auto last = std::min(fine_windows_.size(), static_cast<std::size_t>(std::max(0.0, to / kFineWindow)));
+  for (std::size_t window = first; window < last; ++window) sum.Add(fine_windows_[window]);
+  return sum.arrived < kMinArrivals ? -1 : Ratio(sum.in_objective, sum.arrived);
 }
 
-// How long until the share in aim is what it was, and what was lost until then.
-void Recorder::WriteRecovery(const Fault& fault, std::size_t number, Play& play) const {
-  const std::string suffix = "/" + std::to_string(number);
-  const double before = Share(std::max(experiment_.traffic.warm_up, fault.at - kBefore), fault.at);
-  if (before < 0) return;
-  const Millis end = experiment_.traffic.seconds;
-  Millis at = std::floor(fault.at / kFine) * kFine;
-  const Millis first = at;
-  // The dip may begin later than the fault does: recovered only after the last window that was too low.
-  Millis recovered = first;
-  for (; at + kSettled <= end; at += kFine) {
-    const double share = Share(at, at + kSettled);
-    if (share >= 0 && share < kWithin * before) recovered = at + kFine;
-    const bool next = std::any_of(experiment_.faults.begin(), experiment_.faults.end(), [&](const Fault& f) {
-      return f.at > fault.at + kSettled && f.at <= at + kSettled;
-    });
-    if (next) break;  // the next fault's dip is its own
+bool Recorder::NextFaultBegins(const Fault& fault, Millis by) const {
+  return std::any_of(experiment_.faults.begin(), experiment_.faults.end(), [&](const Fault& next) {
+    return next.at > fault.at + kRecoveryWindow && next.at <= by;
+  });
+}
+
+// The end of the last window after the fault in which the share was too low: the dip may begin later than the
+// fault. What follows the next fault is left to that fault.
+Millis Recorder::RecoveredAt(const Fault& fault, Millis start, double share_before) const {
+  Millis recovered = start;
+  for (Millis at = start; at + kRecoveryWindow <= experiment_.traffic.duration; at += kFineWindow) {
+    const double share = ShareInObjective(at, at + kRecoveryWindow);
+    if (share >= 0 && share < kRecoveredShare * share_before) recovered = at + kFineWindow;
+    if (NextFaultBegins(fault, at + kRecoveryWindow)) break;
   }
+  return recovered;
+}
+
+// How many more requests would have been served within their objective at the share before the fault.
+double Recorder::MissedInObjective(Millis start, Millis end, double share_before) const {
   double missed = 0;
-  for (auto i = static_cast<std::size_t>(first / kFine); i < fine_.size(); ++i) {
-    if (static_cast<double>(i) * kFine >= std::max(recovered, first + kSettled)) break;
-    missed += before * static_cast<double>(fine_[i].arrived) - static_cast<double>(fine_[i].in_aim);
+  for (auto i = static_cast<std::size_t>(start / kFineWindow); i < fine_windows_.size(); ++i) {
+    if (static_cast<double>(i) * kFineWindow >= end) break;
+    const Counts& window = fine_windows_[i];
+    missed += share_before * static_cast<double>(window.arrived) - static_cast<double>(window.in_objective);
   }
-  play.figures["recovery_s" + suffix] = (recovered - first) / 1000;
-  play.figures["missed_in_aim" + suffix] = missed;
+  return missed;
 }
 
-void Recorder::Write(Play& play) const {
-  base::Histogram all;
-  Count sum;
-  double worth = 0, got = 0;
+void Recorder::WriteRecovery(const Fault& fault, std::size_t number, RunResult& run) const {
+  constexpr double kMillisPerSecond = 1000;
+  const std::string suffix = "/" + std::to_string(number);
+  const double share_before =
+      ShareInObjective(std::max(experiment_.traffic.warm_up, fault.at - kBaselineLength), fault.at);
+  if (share_before < 0) return;
+  const Millis start = std::floor(fault.at / kFineWindow) * kFineWindow;
+  const Millis recovered = RecoveredAt(fault, start, share_before);
+  run.figures["recovery_s" + suffix] = (recovered - start) / kMillisPerSecond;
+  run.figures["missed_in_aim" + suffix] =
+      MissedInObjective(start, std::max(recovered, start + kRecoveryWindow), share_before);
+}
+
+void Recorder::WriteClasses(RunResult& run) const {
   for (std::size_t i = 0; i < classes_.size(); ++i) {
-    const ClassSpec& spec = experiment_.classes[i];
-    const Count& c = classes_[i].count;
-    all.Merge(classes_[i].latency);
-    sum.arrived += c.arrived;
-    sum.in_aim += c.in_aim;
-    sum.late += c.late;
-    sum.refused += c.refused;
-    sum.failed += c.failed;
-    worth += spec.worth * static_cast<double>(c.arrived);
-    got += spec.worth * (static_cast<double>(c.in_aim) + spec.late_worth * static_cast<double>(c.late));
-    if (c.arrived > 0) {
-      play.figures["in_aim/" + spec.name] = static_cast<double>(c.in_aim) / static_cast<double>(c.arrived);
-    }
-    WriteLatency(classes_[i].latency, "/" + spec.name, play);
+    const std::string& name = experiment_.classes[i].name;
+    const Counts& counts = classes_[i].counts;
+    if (counts.arrived > 0) run.figures["in_aim/" + name] = Ratio(counts.in_objective, counts.arrived);
+    WriteLatency(classes_[i].latency, "/" + name, run);
   }
-  WriteLatency(all, "", play);
-  play.figures["requests"] = static_cast<double>(arrived_);
-  if (sum.arrived > 0) {
-    const auto share = [&](std::uint64_t count) {
-      return static_cast<double>(count) / static_cast<double>(sum.arrived);
-    };
-    play.figures["goodput"] = got / worth;
-    play.figures["in_aim"] = share(sum.in_aim);
-    play.figures["late"] = share(sum.late);
-    play.figures["refused"] = share(sum.refused);
-    play.figures["failed"] = share(sum.failed);
-    play.figures["served"] = share(sum.in_aim + sum.late);
+}
+
+// Over all classes. Goodput is the weight that was earned, as a share of the weight of all requests.
+void Recorder::WriteTotals(RunResult& run) const {
+  base::Histogram latency;
+  Counts sum;
+  double weight = 0;
+  double earned = 0;
+  for (std::size_t i = 0; i < classes_.size(); ++i) {
+    const TrafficClass& traffic_class = experiment_.classes[i];
+    const Counts& counts = classes_[i].counts;
+    latency.Merge(classes_[i].latency);
+    sum.Add(counts);
+    weight += traffic_class.priority_weight * static_cast<double>(counts.arrived);
+    earned += traffic_class.priority_weight * (static_cast<double>(counts.in_objective) +
+                                               traffic_class.late_weight * static_cast<double>(counts.late));
+  }
+  WriteLatency(latency, "", run);
+  run.figures["requests"] = static_cast<double>(arrived_);
+  if (sum.arrived == 0) return;
+  run.figures["goodput"] = earned / weight;
+  run.figures["in_aim"] = Ratio(sum.in_objective, sum.arrived);
+  run.figures["late"] = Ratio(sum.late, sum.arrived);
+  run.figures["refused"] = Ratio(sum.rejected, sum.arrived);
+  run.figures["failed"] = Ratio(sum.failed, sum.arrived);
+  run.figures["served"] = Ratio(sum.in_objective + sum.late, sum.arrived);
+}
+
+void Recorder::WriteLateness(RunResult& run) const {
+  run.figures["lateness_p50_ms"] = ToMillis(lateness_.Quantile(0.5));
+  run.figures["lateness_p99_ms"] = ToMillis(lateness_.Quantile(0.99));
+  run.figures["lateness_max_ms"] = ToMillis(lateness_.max());
+}
+
+void Recorder::WriteWindows(RunResult& run) const {
+  for (std::size_t i = 0; i < coarse_windows_.size(); ++i) {
+    const Counts& counts = coarse_windows_[i]->counts;
+    if (counts.arrived == 0) continue;
+    const base::Histogram& latency = coarse_windows_[i]->latency;
+    run.windows.push_back({static_cast<double>(i) * coarse_window_, counts.arrived, counts.in_objective,
+                           counts.late, counts.rejected, counts.failed, ToMillis(latency.Quantile(0.5)),
+                           ToMillis(latency.Quantile(0.99))});
   }
-  play.figures["lateness_p50_ms"] = static_cast<double>(lateness_.Quantile(0.5)) / 1000;
-  play.figures["lateness_p99_ms"] = static_cast<double>(lateness_.Quantile(0.99)) / 1000;
-  play.figures["lateness_max_ms"] = static_cast<double>(lateness_.max()) / 1000;
-  for (std::size_t i = 0; i < experiment_.faults.size(); ++i)
-    WriteRecovery(experiment_.faults[i], i + 1, play);
-  for (std::size_t i = 0; i < coarse_.size(); ++i) {
-    const Count& c = coarse_[i]->count;
-    if (c.arrived == 0) continue;
-    play.windows.push_back({static_cast<double>(i) * coarse_width_, c.arrived, c.in_aim, c.late, c.refused,
-                            c.failed, static_cast<double>(coarse_[i]->latency.Quantile(0.5)) / 1000,
-                            static_cast<double>(coarse_[i]->latency.Quantile(0.99)) / 1000});
+}
+
+void Recorder::WriteTo(RunResult& run) const {
+  WriteClasses(run);
+  WriteTotals(run);
+  WriteLateness(run);
+  for (std::size_t i = 0; i < experiment_.faults.size(); ++i) {
+    WriteRecovery(experiment_.faults[i], i + 1, run);
   }
+  WriteWindows(run);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/recorder.hpp
+++ b/src/lab/recorder.hpp
@@ -1,7 +1,9 @@
-// Counts what became of the requests, in bounded memory whatever their number. No I/O, no clock.
+// Counts what became of the requests of one run, in bounded memory whatever their number. No I/O, no clock.
 #ifndef GATEWAY_LAB_RECORDER_HPP_
 #define GATEWAY_LAB_RECORDER_HPP_
 
+#include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <vector>
 
@@ -11,44 +13,59 @@
 
 namespace gateway::lab {
 
-enum class End { kInAim, kLate, kRefused, kFailed };
+// What became of a client's request, with its retries.
+enum class RequestResult { kInObjective, kLate, kRejected, kFailed };
 
 class Recorder {
  public:
+  // `experiment` outlives the recorder.
   explicit Recorder(const Experiment& experiment);
 
-  void Arrived(const Arrival& arrival, Millis late_by);  // late_by: the lab's own delay behind the schedule
-  // A request has ended, with its retries; `took`: from its scheduled time to the last byte, where it was
-  // served.
-  void Ended(const Arrival& arrival, End end, Millis took);
+  // `late_by`: how far the lab itself is behind the schedule, in ms.
+  void OnArrival(const Arrival& arrival, Millis late_by);
+
+  // `latency`: from the scheduled time of the request to the last byte of its response, where it was served.
+  void OnRequestEnd(const Arrival& arrival, RequestResult result, Millis latency);
+
   std::uint64_t arrived() const { return arrived_; }
 
-  // Adds the figures of the whole play but its warm-up, of each fault, and the series.
-  void Write(Play& play) const;
+  // Adds the figures of the run without its warm-up, those of each fault, and the time series.
+  void WriteTo(RunResult& run) const;
 
  private:
-  struct Count {
-    std::uint64_t arrived = 0, in_aim = 0, late = 0, refused = 0, failed = 0;
+  struct Counts {
+    std::uint64_t arrived = 0;
+    std::uint64_t in_objective = 0;
+    std::uint64_t late = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t failed = 0;
+
+    void Add(RequestResult result);
+    void Add(const Counts& other);
   };
-  struct ClassFigures {
-    Count count;
-    base::Histogram latency;  // microseconds
+  struct CountsWithLatency {
+    Counts counts;
+    base::Histogram latency;  // of those served, in microseconds
   };
-  static void Add(Count& count, End end);
-  double Share(Millis from,
-               Millis to) const;  // in aim, of those that arrived then; negative: too few arrived
-  void WriteRecovery(const Fault& fault, std::size_t number, Play& play) const;
+
+  Counts& FineWindowOf(const Arrival& arrival);
+  CountsWithLatency& CoarseWindowOf(const Arrival& arrival);
+  double ShareInObjective(Millis from, Millis to) const;
+  bool NextFaultBegins(const Fault& fault, Millis by) const;
+  Millis RecoveredAt(const Fault& fault, Millis start, double share_before) const;
+  double MissedInObjective(Millis start, Millis end, double share_before) const;
+  void WriteRecovery(const Fault& fault, std::size_t number, RunResult& run) const;
+  void WriteClasses(RunResult& run) const;
+  void WriteTotals(RunResult& run) const;
+  void WriteLateness(RunResult& run) const;
+  void WriteWindows(RunResult& run) const;
 
   const Experiment& experiment_;
-  std::vector<ClassFigures> classes_;
-  std::vector<Count> fine_;  // windows of kFine ms
-  struct Coarse {
-    Count count;
-    base::Histogram latency;
-  };
-  Millis coarse_width_;
-  std::vector<std::unique_ptr<Coarse>> coarse_;
-  base::Histogram lateness_;
+  std::vector<CountsWithLatency> classes_;  // without the warm-up
+  std::vector<Counts> fine_windows_;
+  Millis coarse_window_;  // length
+  std::vector<std::unique_ptr<CountsWithLatency>> coarse_windows_;
+  base::Histogram lateness_;  // of the lab itself, in microseconds
   std::uint64_t arrived_ = 0;
 };
 
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -11,10 +11,11 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <string_view>
 
 #include "base/histogram.hpp"
 #include "lab/addresses.hpp"
-#include "lab/http.hpp"
+#include "lab/http_server.hpp"
 #include "lab/processes.hpp"
 #include "lab/temporary_folder.hpp"
 #include "registry/form.hpp"
@@ -26,58 +27,93 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kPatience = 20000;
-constexpr Millis kChangeEvery = 100;
-constexpr Millis kSetUp = 120000;  // longest for any step
+constexpr Millis kCallTimeout = 20000;
+constexpr Millis kChangePeriod = 100;
+constexpr Millis kStepTimeout = 120000;  // of any step of the measurement
+constexpr Millis kWatchTimeout = 60000;
+constexpr Millis kWatchGrace = 10000;
+constexpr Millis kRenewalTick = 2;
+constexpr Millis kSyncMeasurement = 1000;
+constexpr std::size_t kRecordBytes = 160;  // as large as the records of the service
+constexpr std::size_t kRenewers = 64;      // connections that renew leases
+constexpr int kRenewalsPerTerm = 3;
+constexpr double kMillisPerSecond = 1000;
+constexpr double kMicrosPerMilli = 1000;
+constexpr double kKilobytesPerMegabyte = 1024;
 
-std::string ReadOf(const std::string& target) { return "GET " + target + " HTTP/1.1\r\nHost: r\r\n\r\n"; }
+std::string GetText(const std::string& target) { return base::GetRequest(target, "r"); }
+
+std::uint64_t ToMicros(Millis time) {
+  return static_cast<std::uint64_t>(std::max(0.0, kMicrosPerMilli * time));
+}
 
 class Measurement {
  public:
   explicit Measurement(const RegistryLoad& load)
-      : load_(load), addresses_(io_), renew_(io_), processes_(io_, [](const ProcessEnd&) {}) {}
+      : load_(load), addresses_(io_), renewal_timer_(io_), processes_(io_, [](const ProcessEnd&) {}) {}
 
   std::map<std::string, double> Run() {
-    const double sync_rate = SyncRate();
-    f_["disk_syncs_per_s"] = sync_rate;
+    figures_["disk_syncs_per_s"] = MeasureSyncRate();
     Start();
-    // All register at once.
-    Millis begun = MonotonicNow();
-    WriteMany(load_.members, [this](int i) { return Register(i); });
-    f_["register_all_s"] = (MonotonicNow() - begun) / 1000;
+    MeasureRegistration();
     Renew();
-    const double rss_before = Rss();
-    Watch();
-    f_["memory_kb_per_watcher"] = (Rss() - rss_before) / std::max(1, load_.watchers);
+    MeasureWatchers();
     TimeChanges();
-    // Writes a second beside renewals, with nobody watching.
+    StopWatching();
+    MeasureWrites();
+    MeasureRestart();
+    processes_.EndAll();
+    return figures_;
+  }
+
+ private:
+  // All members register at once.
+  void MeasureRegistration() {
+    const Millis begun = MonotonicNow();
+    WriteAll(load_.members, [this](int i) { return Register(i); });
+    figures_["register_all_s"] = (MonotonicNow() - begun) / kMillisPerSecond;
+  }
+
+  void MeasureWatchers() {
+    const double memory_before = ResidentKilobytes();
+    Watch();
+    figures_["memory_kb_per_watcher"] = (ResidentKilobytes() - memory_before) / std::max(1, load_.watchers);
+  }
+
+  void StopWatching() {
     watching_ = false;
     watchers_.clear();
-    const auto syncs_before = Metric("syncs_total"), writes_before = Metric("writes_total");
-    begun = MonotonicNow();
-    WriteMany(load_.history, [this](int i) { return Change(registry::Action::kSetSize, i); });
-    const double seconds = (MonotonicNow() - begun) / 1000, syncs = Metric("syncs_total") - syncs_before;
-    f_["writes_per_s"] = load_.history / seconds;
-    f_["writes_per_disk_sync"] = load_.history / seconds / sync_rate;
-    f_["writes_per_commit"] = (Metric("writes_total") - writes_before) / std::max(1.0, syncs);
-    f_["rss_mb"] = Rss() / 1024;
-    f_["renewals_failed"] = renewals_failed_;
+  }
+
+  // Writes beside the renewals, without watchers.
+  void MeasureWrites() {
+    const double syncs_before = Metric("syncs_total");
+    const double writes_before = Metric("writes_total");
+    const Millis begun = MonotonicNow();
+    WriteAll(load_.history, [this](int i) { return Change(registry::Action::kSetSize, i); });
+    const double seconds = (MonotonicNow() - begun) / kMillisPerSecond;
+    const double syncs = Metric("syncs_total") - syncs_before;
+    figures_["writes_per_s"] = load_.history / seconds;
+    figures_["writes_per_disk_sync"] = load_.history / seconds / figures_["disk_syncs_per_s"];
+    figures_["writes_per_commit"] = (Metric("writes_total") - writes_before) / std::max(1.0, syncs);
+    figures_["rss_mb"] = ResidentKilobytes() / kKilobytesPerMegabyte;
+  }
+
+  void MeasureRestart() {
+    figures_["renewals_failed"] = renewals_failed_;
     renewing_ = false;
     processes_.Signal(pid_, SIGKILL);
-    begun = MonotonicNow();
+    const Millis begun = MonotonicNow();
     Start();
-    f_["back_after_kill_ms"] = MonotonicNow() - begun;
-    const json list = json::parse(Get("/registry/members"), nullptr, false);
-    f_["members_after_kill"] = static_cast<double>(list["members"].size());
-    processes_.EndAll();
-    return f_;
+    figures_["back_after_kill_ms"] = MonotonicNow() - begun;
+    const json list = json::parse(Get("/registry/members"), nullptr, /*allow_exceptions=*/false);
+    figures_["members_after_kill"] = static_cast<double>(list["members"].size());
   }
 
- private:
-  std::string Id(int i) const { return fmt::format("m-{:05d}", i); }
+  static std::string MemberId(int i) { return fmt::format("m-{:05d}", i); }
   registry::Command Register(int i) const {
     registry::Command command;
-    command.member.id = Id(i);
+    command.member.id = MemberId(i);
     command.member.address = fmt::format("10.{}.{}.{}:3000", 1 + i / 62500, i / 250 % 250, 1 + i % 250);
     command.member.zone = std::string(1, static_cast<char>('a' + i % 3));
     command.member.kind = "standard";
@@ -88,26 +124,26 @@
   registry::Command Change(registry::Action action, int i) const {
     registry::Command command;
     command.action = action;
-    command.member.id = Id(i % load_.members);
+    command.member.id = MemberId(i % load_.members);
     command.member.size = 1 + i % 7;
     command.by_operator = true;
     return command;
   }
 
-  // Records as large as the service's, one sync each, for a second.
-  double SyncRate() {
+  // Syncs per second of records as large as those of the service.
+  double MeasureSyncRate() {
     const auto files = storage::MakePosixFileSystem();
     std::unique_ptr<storage::File> file;
     if (const auto status = files->Create(folder_.path() / "syncs", file); !status.ok()) {
       throw std::runtime_error(status.Text());
     }
-    const std::string record(160, 'x');
+    const std::string record(kRecordBytes, 'x');
     int syncs = 0;
     const Millis begun = MonotonicNow();
-    for (; MonotonicNow() < begun + 1000; ++syncs) {
+    for (; MonotonicNow() < begun + kSyncMeasurement; ++syncs) {
       if (!file->Append(record).ok() || !file->Sync().ok()) throw std::runtime_error("the disk fails a sync");
     }
-    return syncs / ((MonotonicNow() - begun) / 1000);
+    return syncs / ((MonotonicNow() - begun) / kMillisPerSecond);
   }
 
   void Start() {
@@ -122,13 +158,13 @@
     spec.log = (folder_.path() / "log").string();
     pid_ = processes_.Start(spec);
     bool up = false;
-    const Millis until = MonotonicNow() + kSetUp;
+    const Millis until = MonotonicNow() + kStepTimeout;
     while (!up && MonotonicNow() < until) {
       const auto connection = std::make_shared<ClientConnection>(io_, addresses_.Registry());
       bool done = false;
-      connection->Exchange(ReadOf("/registry/status"), kPatience, [&](ClientConnection::Result result) {
+      connection->Exchange(GetText("/registry/status"), kCallTimeout, [&](ClientConnection::Result result) {
         done = true;
-        up = result.failure == ClientConnection::Failure::kNone && result.response.result_int() == 200;
+        up = result.ok();
       });
       RunUntil([&] { return done; });
     }
@@ -137,7 +173,7 @@
 
   template <typename Done>
   void RunUntil(Done done) {
-    const Millis until = MonotonicNow() + kSetUp;
+    const Millis until = MonotonicNow() + kStepTimeout;
     while (!done()) {
       if (MonotonicNow() > until) throw std::runtime_error("the list service is too slow for this load");
       io_.run_one_for(std::chrono::milliseconds(10));
@@ -147,7 +183,7 @@
   std::string Get(const std::string& target) {
     std::optional<std::string> body;
     std::make_shared<ClientConnection>(io_, addresses_.Registry())
-        ->Exchange(ReadOf(target), kPatience,
+        ->Exchange(GetText(target), kCallTimeout,
                    [&](ClientConnection::Result result) { body = result.response.body(); });
     RunUntil([&] { return body.has_value(); });
     return *body;
@@ -159,7 +195,7 @@
     return at == std::string::npos ? 0 : std::atof(text.c_str() + at + line.size());
   }
 
-  double Rss() const {
+  double ResidentKilobytes() const {
     std::ifstream status(fmt::format("/proc/{}/status", pid_));
     for (std::string word; status >> word;) {
       if (word == "VmRSS:") {
@@ -171,18 +207,23 @@
     return 0;
   }
 
-  // `count` writes over the writers' connections, each sending its next one at its answer.
+  // Sends `count` commands over the writers' connections, each of which sends its next one when the last is
+  // answered. `make` returns the i-th command.
   template <typename Make>
-  void WriteMany(int count, Make make) {
-    int next = 0, done = 0, failed = 0;
-    std::function<void(std::shared_ptr<ClientConnection>)> write = [&](std::shared_ptr<ClientConnection> on) {
-      if (next >= count) return;
-      on->Exchange(ToRequest(make(next++)), kPatience, [&, on](ClientConnection::Result result) {
-        ++done;
-        failed += result.failure != ClientConnection::Failure::kNone || result.response.result_int() != 200;
-        if (on->usable()) write(on);
-      });
-    };
+  void WriteAll(int count, Make make) {
+    int next = 0;
+    int done = 0;
+    int failed = 0;
+    std::function<void(std::shared_ptr<ClientConnection>)> write =
+        [&](std::shared_ptr<ClientConnection> connection) {
+          if (next >= count) return;
+          connection->Exchange(ToRequest(make(next++)), kCallTimeout,
+                               [&, connection](ClientConnection::Result result) {
+                                 ++done;
+                                 failed += result.ok() ? 0 : 1;
+                                 if (connection->usable()) write(connection);
+                               });
+        };
     for (int i = 0; i < std::min(load_.writers, count); ++i) {
       write(std::make_shared<ClientConnection>(io_, addresses_.Registry()));
     }
@@ -190,34 +231,39 @@
     if (failed > 0) throw std::runtime_error("a write failed");
   }
 
-  // Members renew in turn, spread evenly over a third of the term.
+  // Members renew their leases in turn, evenly spread.
   void Renew() {
     if (!renewing_) return;
     const Millis now = MonotonicNow();
     if (renewed_at_ == 0) renewed_at_ = now;
     while (renewed_at_ < now) {
-      renewed_at_ += load_.term / 3 / load_.members;
-      const auto place = static_cast<std::size_t>(next_renewal_ % 64);
-      auto& on = renewers_[place];
-      auto& busy = busy_[place];
-      if (std::exchange(busy, true)) {  // its last renewal is under way
-        ++next_renewal_;
-        continue;
-      }
-      if (!on || !on->usable()) on = std::make_shared<ClientConnection>(io_, addresses_.Registry());
-      on->Exchange(ToRequest(registry::Renewal{Id(next_renewal_++ % load_.members), 1}), kPatience,
-                   [&](ClientConnection::Result result) {
-                     busy = false;
-                     renewals_failed_ += renewing_ && (result.failure != ClientConnection::Failure::kNone ||
-                                                       result.response.result_int() != 200);
-                   });
+      renewed_at_ += load_.term / kRenewalsPerTerm / load_.members;
+      RenewNext();
     }
-    renew_.expires_after(TimerDuration(2));
-    renew_.async_wait([this](error_code ec) {
+    renewal_timer_.expires_after(TimerDuration(kRenewalTick));
+    renewal_timer_.async_wait([this](error_code ec) {
       if (!ec) Renew();
     });
   }
 
+  // Leaves a renewal out where the last one on its connection has not been answered.
+  void RenewNext() {
+    Renewer& renewer = renewers_[static_cast<std::size_t>(next_renewal_) % kRenewers];
+    if (std::exchange(renewer.busy, true)) {
+      ++next_renewal_;
+      return;
+    }
+    auto& connection = renewer.connection;
+    if (!connection || !connection->usable()) {
+      connection = std::make_shared<ClientConnection>(io_, addresses_.Registry());
+    }
+    connection->Exchange(ToRequest(registry::Renewal{MemberId(next_renewal_++ % load_.members), 1}),
+                         kCallTimeout, [this, &renewer](const ClientConnection::Result& result) {
+                           renewer.busy = false;
+                           renewals_failed_ += renewing_ && !result.ok() ? 1 : 0;
+                         });
+  }
+
   void Watch() {
     const json list = json::parse(Get("/discovery/hosts"), nullptr, false);
     for (int i = 0; i < load_.watchers; ++i) {
@@ -227,17 +273,22 @@
     RunUntil([this] { return Metric("watches") >= load_.watchers; });
   }
 
+  // Lists begin with {"revision":N, which is enough to read here.
+  static std::int64_t RevisionOf(const std::string& list) {
+    constexpr std::string_view kPrefix = "{\"revision\":";
+    return std::atoll(list.c_str() + kPrefix.size());
+  }
+
   void Wait(int watcher, std::int64_t after) {
     watchers_[static_cast<std::size_t>(watcher)]->Exchange(
-        ReadOf(fmt::format("/discovery/hosts?after={}&wait_ms=60000", after)), 70000,
-        [this, watcher, after](ClientConnection::Result result) {
+        GetText(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", after, kWatchTimeout)),
+        kWatchTimeout + kWatchGrace, [this, watcher, after](ClientConnection::Result result) {
           if (!watching_) return;
           if (result.failure != ClientConnection::Failure::kNone) return void(++watch_failures_);
-          // The head of the answer is enough: {"revision":N,
-          const std::int64_t revision = std::atoll(result.response.body().c_str() + 12);
+          const std::int64_t revision = RevisionOf(result.response.body());
           if (revision > after && answered_at_ > 0) {
-            ways_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (MonotonicNow() - answered_at_))));
-            ++told_;
+            delays_.Add(ToMicros(MonotonicNow() - answered_at_));
+            ++notified_;
           } else if (revision > after) {
             early_.push_back(MonotonicNow());
           }
@@ -248,40 +299,53 @@
   void TimeChanges() {
     const auto writer = std::make_shared<ClientConnection>(io_, addresses_.Registry());
     for (int i = 0; i < load_.changes; ++i) {
-      told_ = 0;
+      notified_ = 0;
       answered_at_ = 0;
       early_.clear();
-      writer->Exchange(ToRequest(Change(registry::Action::kDrain, i)), kPatience,
+      writer->Exchange(ToRequest(Change(registry::Action::kDrain, i)), kCallTimeout,
                        [this](ClientConnection::Result) {
-                         answered_at_ = MonotonicNow();  // at the writer, which is told as the sync is done
-                         for (const Millis at : early_)
-                           ways_.Add(static_cast<std::uint64_t>(std::max(0.0, 1000 * (at - answered_at_))));
-                         told_ += static_cast<int>(early_.size());
+                         answered_at_ = MonotonicNow();  // the service answers when it has synced
+                         for (const Millis at : early_) delays_.Add(ToMicros(at - answered_at_));
+                         notified_ += static_cast<int>(early_.size());
                        });
-      RunUntil([this] { return answered_at_ > 0 && told_ + watch_failures_ >= load_.watchers; });
-      const Millis next = answered_at_ + kChangeEvery;
+      RunUntil([this] { return answered_at_ > 0 && notified_ + watch_failures_ >= load_.watchers; });
+      const Millis next = answered_at_ + kChangePeriod;
       RunUntil([next] { return MonotonicNow() >= next; });
     }
+    WriteDelays();
+  }
+
+  void WriteDelays() {
     for (const auto& [name, share] : {std::pair("p50", 0.5), {"p99", 0.99}, {"max", 1.0}}) {
-      f_[fmt::format("change_to_watcher_{}_ms", name)] = static_cast<double>(ways_.Quantile(share)) / 1000;
+      figures_[fmt::format("change_to_watcher_{}_ms", name)] =
+          static_cast<double>(delays_.Quantile(share)) / kMicrosPerMilli;
     }
-    f_["watches_failed"] = watch_failures_;
+    figures_["watches_failed"] = watch_failures_;
   }
 
+  struct Renewer {
+    std::shared_ptr<ClientConnection> connection;
+    bool busy = false;
+  };
+
   const RegistryLoad load_;
   boost::asio::io_context io_{1};
   TemporaryFolder folder_;
   Addresses addresses_;
-  boost::asio::steady_timer renew_;
-  std::array<std::shared_ptr<ClientConnection>, 64> renewers_;
-  std::array<bool, 64> busy_{};
+  boost::asio::steady_timer renewal_timer_;
+  std::array<Renewer, kRenewers> renewers_;
   std::vector<std::shared_ptr<ClientConnection>> watchers_;
-  std::map<std::string, double> f_;
-  base::Histogram ways_;
-  std::vector<Millis> early_;
-  Millis renewed_at_ = 0, answered_at_ = 0;
-  int next_renewal_ = 0, renewals_failed_ = 0, told_ = 0, watch_failures_ = 0;
-  bool renewing_ = true, watching_ = true;
+  std::map<std::string, double> figures_;
+  base::Histogram delays_;     // from the answer to a change to its watch event, in microseconds
+  std::vector<Millis> early_;  // watch events that came before the answer to the change
+  Millis renewed_at_ = 0;      // when the last renewal was due
+  Millis answered_at_ = 0;     // when the current change was answered; 0: not yet
+  int next_renewal_ = 0;
+  int renewals_failed_ = 0;
+  int notified_ = 0;  // watchers of the current change
+  int watch_failures_ = 0;
+  bool renewing_ = true;
+  bool watching_ = true;
   pid_t pid_ = 0;
   Processes processes_;
 };
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -1,6 +1,6 @@
-// What the list service bears: many members that renew, many watchers, changes, and a loss of its process,
-// against a real process on this machine's loopback and disk. The disk's own sync rate is measured in the
-// same run.
+// Measures how much load the project's own list service takes: many members that renew, many watchers,
+// changes, and a crash of its process, against a real process on this machine's loopback and disk. The rate
+// at which the disk syncs is measured in the same run.
 #ifndef GATEWAY_LAB_REGISTRY_LOAD_HPP_
 #define GATEWAY_LAB_REGISTRY_LOAD_HPP_
 
@@ -12,16 +12,17 @@
 namespace gateway::lab {
 
 struct RegistryLoad {
-  std::string program;  // `gatewayctl`
-  int members = 2000;   // each renews three times a term
+  std::string program;  // command of gatewayctl
+  int members = 2000;   // each renews its lease three times in a term
   base::Millis term = 10000;
   int watchers = 1000;
-  int changes = 50;      // whose way to all watchers is timed, ten a second
-  int history = 100000;  // changes before the kill
-  int writers = 256;     // connections that write at the same time
+  int changes = 50;      // whose way to all watchers is timed, ten per second
+  int history = 100000;  // changes before the crash
+  int writers = 256;     // connections that write concurrently
 };
 
-// Throws std::runtime_error where it can't be set up. Every figure's name ends with its unit.
+// Returns the figures by name; names end with the unit. Blocks; uses SIGCHLD. Throws std::runtime_error where
+// the service can't be started or is too slow for the load.
 std::map<std::string, double> MeasureRegistry(const RegistryLoad& load);
 
 }  // namespace gateway::lab
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -4,7 +4,9 @@
 #include <signal.h>
 #include <sys/resource.h>
 
+#include <algorithm>
 #include <fstream>
+#include <utility>
 
 #include "lab/addresses.hpp"
 #include "registry/form.hpp"
@@ -14,151 +16,175 @@
 
 using boost::system::error_code;
 
-constexpr Millis kPatience = 1000;
-constexpr Millis kAgain = 100;  // after a call that failed
+constexpr Millis kCallTimeout = 1000;
+constexpr Millis kRetryDelay = 100;
+constexpr int kRenewalsPerTerm = 3;
+constexpr double kMillisPerSecond = 1000;
 
-// "none" where there was no answer.
+// The code "none" where there was no answer.
 registry::Outcome OutcomeOf(const ClientConnection::Result& result) {
   if (result.failure != ClientConnection::Failure::kNone) return {"none", "", ""};
   return registry::ParseOutcome(result.response.result_int(), result.response.body());
 }
 
-// Nothing is known of it, or the service can't now.
-bool ToBeRepeated(const registry::Outcome& outcome) {
+// Whether the service may not have carried out the call, and may do so later.
+bool ShouldRetry(const registry::Outcome& outcome) {
   return outcome.code == "none" || outcome.code == "unreadable" || registry::StatusOf(outcome) == 503;
 }
 
 }  // namespace
 
-RegistryProcess::RegistryProcess(Setting setting, std::vector<registry::Member> hosts)
-    : s_(std::move(setting)), processes_(s_.io, [this](const ProcessEnd& end) { Ended(end); }) {
+RegistryProcess::RegistryProcess(Environment environment, std::vector<registry::Member> hosts)
+    : env_(std::move(environment)),
+      processes_(env_.io, [this](const ProcessEnd& end) { OnProcessEnd(end); }) {
   for (registry::Member& member : hosts) {
-    hosts_.push_back(std::make_unique<Host>(s_.io));
-    member.term = s_.term;
-    hosts_.back()->member = std::move(member);
-    hosts_.back()->state.Checked(true, 1);
+    member.term = env_.lease_term;
+    Agent& agent = *agents_.emplace_back(std::make_unique<Agent>(env_.io));
+    agent.member = std::move(member);
+    agent.state.Checked(true, 1);
   }
 }
 
+void RegistryProcess::EndAll() {
+  ending_ = true;
+  processes_.EndAll();
+}
+
+void RegistryProcess::WriteConfig(const std::filesystem::path& path) const {
+  std::filesystem::create_directories(env_.folder);
+  std::ofstream(path) << "listen = \"" << Addresses::Text(env_.address) << "\"\nstate_dir = \""
+                      << (env_.folder / "registry-state").string()
+                      << "\"\n[leases]\nterm_s = " << env_.lease_term / kMillisPerSecond
+                      << "\ngrace_s = " << env_.lease_grace / kMillisPerSecond << "\n";
+}
+
 void RegistryProcess::Start() {
-  const std::filesystem::path file = s_.folder / "registry.toml";
+  const std::filesystem::path config = env_.folder / "registry.toml";
   if (starts_++ == 0) {
-    std::filesystem::create_directories(s_.folder);
-    std::ofstream(file) << "listen = \"" << Addresses::Text(s_.address) << "\"\nstate_dir = \""
-                        << (s_.folder / "registry-state").string()
-                        << "\"\n[leases]\nterm_s = " << s_.term / 1000 << "\ngrace_s = " << s_.grace / 1000
-                        << "\n";
-    for (int h = 0; h < static_cast<int>(hosts_.size()); ++h) ActLater(h, kAgain + h);
+    WriteConfig(config);
+    // One after the other, 1 ms apart.
+    for (int host = 0; host < static_cast<int>(agents_.size()); ++host) CallLater(host, kRetryDelay + host);
   }
   ProcessSpec spec;
-  spec.command = fmt::format("{} registry serve {}", s_.program, file.string());
-  spec.log = s_.log;
+  spec.command = fmt::format("{} registry serve {}", env_.program, config.string());
+  spec.log = env_.log;
   pid_ = processes_.Start(spec);
   stopped_ = false;
 }
 
 bool RegistryProcess::ready() const {
-  for (const auto& host : hosts_) {
-    if (!host->state.listed()) return false;
-  }
-  return true;
+  return std::ranges::all_of(agents_, [](const auto& agent) { return agent->state.listed(); });
 }
 
-void RegistryProcess::Heard(std::int64_t revision) {
-  if (revision <= newest_) return;
-  newest_ = revision;
-  newest_at_ = MonotonicNow();
+void RegistryProcess::OnRevision(std::int64_t revision) {
+  if (revision <= newest_revision_) return;
+  newest_revision_ = revision;
+  newest_revision_at_ = MonotonicNow();
 }
 
-void RegistryProcess::ActLater(int host, Millis time) {
-  At(host).timer.expires_after(TimerDuration(time));
+void RegistryProcess::CallLater(int host, Millis delay) {
+  At(host).timer.expires_after(TimerDuration(delay));
   At(host).timer.async_wait([this, host](error_code ec) {
-    if (!ec) Act(host);
+    if (!ec) Call(host);
   });
 }
 
-void RegistryProcess::Act(int host) {
+// Registers the host or renews its lease, whichever is due.
+void RegistryProcess::Call(int host) {
   using Say = registry::AgentState::Say;
-  Host& h = At(host);
-  if (!h.alive || h.cut || h.calling) return;
-  const Say say = h.state.next();
-  if (say != Say::kRegister && say != Say::kRenew) return;
-  registry::Command enter;
-  enter.member = h.member;
-  if (!h.connection || !h.connection->usable()) {
-    h.connection = std::make_shared<ClientConnection>(s_.io, s_.address);
+  Agent& agent = At(host);
+  if (!agent.host_up || agent.cut || agent.calling) return;
+  const Say call = agent.state.next();
+  if (call != Say::kRegister && call != Say::kRenew) return;
+  registry::Command registration;
+  registration.member = agent.member;
+  const std::int64_t incarnation = agent.member.incarnation;
+  if (!agent.connection || !agent.connection->usable()) {
+    agent.connection = std::make_shared<ClientConnection>(env_.io, env_.address);
   }
-  h.calling = true;
-  h.connection->Exchange(
-      say == Say::kRegister ? ToRequest(enter)
-                            : ToRequest(registry::Renewal{h.member.id, h.member.incarnation}),
-      kPatience, [this, host, say, of = h.member.incarnation](ClientConnection::Result result) {
-        Host& it = At(host);
-        it.calling = false;
-        const registry::Outcome outcome = OutcomeOf(result);
-        Heard(outcome.revision);
-        if (!it.alive || it.member.incarnation != of || ToBeRepeated(outcome)) return ActLater(host, kAgain);
-        it.state.Answered(say, outcome.code);
-        ActLater(host, it.state.next() == Say::kRegister ? 0 : it.member.term / 3);
+  agent.calling = true;
+  agent.connection->Exchange(
+      call == Say::kRegister ? ToRequest(registration)
+                             : ToRequest(registry::Renewal{agent.member.id, incarnation}),
+      kCallTimeout, [this, host, call, incarnation](const ClientConnection::Result& result) {
+        OnResult(host, call, incarnation, result);
       });
 }
 
-void RegistryProcess::Insist(registry::Command command) {
-  command.by_operator = true;
-  const auto connection = std::make_shared<ClientConnection>(s_.io, s_.address);
-  connection->Exchange(
-      ToRequest(command), kPatience, [this, command, connection](ClientConnection::Result result) {
-        const registry::Outcome outcome = OutcomeOf(result);
-        Heard(outcome.revision);
-        if (!ToBeRepeated(outcome)) {
-          s_.note(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
-                              outcome.ok() ? "" : ": " + outcome.code));
-          return;
-        }
-        const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(kAgain));
-        timer->async_wait([this, timer, command](error_code ec) {
-          if (!ec) Insist(command);
-        });
-      });
+void RegistryProcess::OnResult(int host, registry::AgentState::Say call, std::int64_t incarnation,
+                               const ClientConnection::Result& result) {
+  Agent& agent = At(host);
+  agent.calling = false;
+  const registry::Outcome outcome = OutcomeOf(result);
+  OnRevision(outcome.revision);
+  const bool outdated = !agent.host_up || agent.member.incarnation != incarnation;
+  if (outdated || ShouldRetry(outcome)) return CallLater(host, kRetryDelay);
+  agent.state.Answered(call, outcome.code);
+  const bool registers_next = agent.state.next() == registry::AgentState::Say::kRegister;
+  CallLater(host, registers_next ? 0 : agent.member.term / kRenewalsPerTerm);
 }
 
-void RegistryProcess::Insist(registry::Action action, int host) {
+void RegistryProcess::SendOperatorCall(registry::Action action, int host) {
   registry::Command command;
   command.action = action;
   command.member.id = At(host).member.id;
-  command.key = fmt::format("lab-{}", ++keys_);
-  Insist(std::move(command));
+  command.key = fmt::format("lab-{}", ++operator_calls_);
+  command.by_operator = true;
+  SendUntilAnswered(command);
+}
+
+void RegistryProcess::SendUntilAnswered(const registry::Command& command) {
+  const auto connection = std::make_shared<ClientConnection>(env_.io, env_.address);
+  connection->Exchange(ToRequest(command), kCallTimeout,
+                       [this, command, connection](const ClientConnection::Result& result) {
+                         OnOperatorResult(command, result);
+                       });
+}
+
+void RegistryProcess::OnOperatorResult(const registry::Command& command,
+                                       const ClientConnection::Result& result) {
+  const registry::Outcome outcome = OutcomeOf(result);
+  OnRevision(outcome.revision);
+  if (!ShouldRetry(outcome)) {
+    env_.add_event(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
+                               outcome.ok() ? "" : ": " + outcome.code));
+    return;
+  }
+  const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(kRetryDelay));
+  timer->async_wait([this, timer, command](error_code ec) {
+    if (!ec) SendUntilAnswered(command);
+  });
 }
 
-void RegistryProcess::Die(int host) {
-  At(host).alive = false;
+void RegistryProcess::StopRenewing(int host) {
+  At(host).host_up = false;
   At(host).connection.reset();
 }
 
-void RegistryProcess::Begin(int host, std::int64_t incarnation) {
-  Host& h = At(host);
-  h.alive = true;
-  h.member.incarnation = incarnation;
-  h.state = {};
-  h.state.Checked(true, 1);
-  ActLater(host, 0);
+void RegistryProcess::Restart(int host, std::int64_t incarnation) {
+  Agent& agent = At(host);
+  agent.host_up = true;
+  agent.member.incarnation = incarnation;
+  agent.state = {};
+  agent.state.Checked(true, 1);
+  CallLater(host, 0);
 }
 
-void RegistryProcess::Drain(int host) { Insist(registry::Action::kDrain, host); }
+void RegistryProcess::Drain(int host) { SendOperatorCall(registry::Action::kDrain, host); }
 
 void RegistryProcess::Remove(int host) {
-  Die(host);
-  Insist(registry::Action::kRemove, host);
+  StopRenewing(host);
+  SendOperatorCall(registry::Action::kRemove, host);
 }
 
-void RegistryProcess::CutMember(int host, bool cut) {
+void RegistryProcess::SetMemberCut(int host, bool cut) {
   At(host).cut = cut;
-  if (!cut) ActLater(host, 0);
+  if (!cut) CallLater(host, 0);
 }
 
-void RegistryProcess::Kill(Millis restart_after) {
-  expected_ = true;
-  restart_after_ = restart_after;
+void RegistryProcess::Kill(Millis restart_delay) {
+  ends_by_fault_ = true;
+  restart_delay_ = restart_delay;
   processes_.Signal(pid_, SIGKILL);
 }
 
@@ -172,23 +198,23 @@
   processes_.Signal(pid_, SIGCONT);
 }
 
-void RegistryProcess::SetFull(bool full) {
+void RegistryProcess::SetDiskFull(bool full) {
   rlimit limit{};
   if (prlimit(pid_, RLIMIT_FSIZE, nullptr, &limit) != 0) return;
   limit.rlim_cur = full ? 0 : limit.rlim_max;
   prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-void RegistryProcess::Ended(const ProcessEnd& end) {
+void RegistryProcess::OnProcessEnd(const ProcessEnd& end) {
   if (end.pid != pid_ || ending_) return;
   pid_ = 0;
-  s_.note("the list service has ended with " + end.Words());
-  if (!std::exchange(expected_, false)) return;  // it is seen by what follows
-  const auto timer = std::make_shared<boost::asio::steady_timer>(s_.io, TimerDuration(restart_after_));
+  env_.add_event("the list service has ended with " + end.StatusText());
+  if (!std::exchange(ends_by_fault_, false)) return;  // the gateways' lists show it
+  const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(restart_delay_));
   timer->async_wait([this, timer](error_code ec) {
     if (ec || ending_) return;
     Start();
-    s_.note("the list service is started");
+    env_.add_event("the list service is started");
   });
 }
 
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -1,5 +1,5 @@
-// The project's own list service in a play: the process, and the emulated hosts' side of it, which registers
-// and renews them. The hosts' lives are the lab's; what the service makes of them is its own.
+// The project's own list service in a run: its process, and the agents of the emulated hosts, which register
+// with it and renew their leases.
 #ifndef GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 #define GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 
@@ -12,77 +12,95 @@
 #include <string>
 #include <vector>
 
-#include "lab/http.hpp"
+#include "lab/http_server.hpp"
 #include "lab/processes.hpp"
 #include "registry/agent.hpp"
 
 namespace gateway::lab {
 
+// Hosts are numbered from 0. To be used in the thread of the io_context.
 class RegistryProcess {
  public:
-  struct Setting {
+  struct Environment {
     boost::asio::io_context& io;
     tcp::endpoint address;
     std::string program;           // `gatewayctl`
     std::filesystem::path folder;  // for its configuration and state
     std::string log;
-    Millis term, grace;
-    std::function<void(const std::string&)> note;
+    Millis lease_term;
+    Millis lease_grace;
+    std::function<void(const std::string&)> add_event;  // to the events of the run
   };
-  RegistryProcess(Setting setting, std::vector<registry::Member> hosts);
+  RegistryProcess(Environment environment, std::vector<registry::Member> hosts);
   ~RegistryProcess() { EndAll(); }
 
+  // Throws std::runtime_error where no process can be started.
   void Start();
-  // Every host is listed.
+
+  // Whether every host has been registered.
   bool ready() const;
-  tcp::endpoint address() const { return s_.address; }
+
+  tcp::endpoint address() const { return env_.address; }
 
   // Faults.
-  void Kill(Millis restart_after);
+  void Kill(Millis restart_delay);
   void Stop();
   void Continue();
-  void SetFull(bool full);             // its disk: no file may grow
-  void CutMember(int host, bool cut);  // between the host and the service: the host serves on
-  // The host's own life.
-  void Die(int host);  // its lease lapses
-  void Begin(int host, std::int64_t incarnation);
-  void Drain(int host);  // by operators' call, repeated until it is kept
-  void Remove(int host);
-
-  // Newest revision that any answer told, and when it was first heard of.
-  std::int64_t newest() const { return newest_; }
-  Millis newest_at() const { return newest_at_; }
-  void Heard(std::int64_t revision);
+  void SetDiskFull(bool full);            // no file of the service may grow
+  void SetMemberCut(int host, bool cut);  // the host serves, and can't reach the service
+
+  // Changes of a host.
+  void StopRenewing(int host);  // its process has ended; its lease expires
+  void Restart(int host, std::int64_t incarnation);
+  void Drain(int host);   // by an operator's call, repeated until the service has answered it
+  void Remove(int host);  // the same
+
+  // Takes note of a revision of the list that any party has got from the service.
+  void OnRevision(std::int64_t revision);
+
+  // The newest of these, and when it was seen first.
+  std::int64_t newest_revision() const { return newest_revision_; }
+  Millis newest_revision_at() const { return newest_revision_at_; }
+
   bool up() const { return pid_ != 0 && !stopped_; }
-  void EndAll() {
-    ending_ = true;
-    processes_.EndAll();
-  }
+
+  // Kills the process and waits for its end.
+  void EndAll();
 
  private:
-  struct Host {
-    explicit Host(boost::asio::io_context& io) : timer(io) {}
+  // The agent of an emulated host.
+  struct Agent {
+    explicit Agent(boost::asio::io_context& io) : timer(io) {}
     registry::Member member;
     registry::AgentState state;
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer timer;
-    bool alive = true, cut = false, calling = false;
+    bool host_up = true;
+    bool cut = false;
+    bool calling = false;
   };
-  Host& At(int host) { return *hosts_[static_cast<std::size_t>(host)]; }
-  void Act(int host);
-  void ActLater(int host, Millis time);
-  // An operator's call, again until the service has answered it.
-  void Insist(registry::Command command);
-  void Insist(registry::Action action, int host);
-  void Ended(const ProcessEnd& end);
-
-  Setting s_;
-  std::vector<std::unique_ptr<Host>> hosts_;
-  pid_t pid_ = 0;
-  int starts_ = 0, keys_ = 0;
-  bool stopped_ = false, expected_ = false, ending_ = false;
-  Millis restart_after_ = 0, newest_at_ = 0;
-  std::int64_t newest_ = 0;
+  Agent& At(int host) { return *agents_[static_cast<std::size_t>(host)]; }
+  void WriteConfig(const std::filesystem::path& path) const;
+  void Call(int host);
+  void CallLater(int host, Millis delay);
+  void OnResult(int host, registry::AgentState::Say call, std::int64_t incarnation,
+                const ClientConnection::Result& result);
+  void SendOperatorCall(registry::Action action, int host);
+  void SendUntilAnswered(const registry::Command& command);
+  void OnOperatorResult(const registry::Command& command, const ClientConnection::Result& result);
+  void OnProcessEnd(const ProcessEnd& end);
+
+  Environment env_;
+  std::vector<std::unique_ptr<Agent>> agents_;
+  pid_t pid_ = 0;  // 0: no process
+  int starts_ = 0;
+  int operator_calls_ = 0;
+  bool stopped_ = false;
+  bool ends_by_fault_ = false;
+  bool ending_ = false;
+  Millis restart_delay_ = 0;
+  std::int64_t newest_revision_ = 0;
+  Millis newest_revision_at_ = 0;
   Processes processes_;
 };
 
--- /dev/null
+++ b/src/lab/report_tables.cpp
@@ -0,0 +1,102 @@
+// Results as tables of text.
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cmath>
+#include <set>
+#include <vector>
+
+#include "lab/estimate.hpp"
+#include "lab/figures.hpp"
+#include "lab/report.hpp"
+
+namespace gateway::lab {
+namespace {
+
+using Row = std::vector<std::string>;
+
+// All figures of any run, in the known order; those of a class or a fault follow the figure itself.
+std::vector<std::string> PresentFigures(const Results& results) {
+  std::set<std::string> present;
+  for (const RunResult& run : results.runs) {
+    for (const auto& [name, value] : run.figures) present.insert(name);
+  }
+  std::vector<std::string> ordered;
+  for (const std::string& known : FigureNames()) {
+    for (const std::string& name : present) {
+      if (FigureBaseName(name) == known) ordered.push_back(name);
+    }
+  }
+  return ordered;
+}
+
+// The number of characters: continuation bytes of UTF-8 do not count.
+std::size_t Width(const std::string& text) {
+  return static_cast<std::size_t>(std::count_if(
+      text.begin(), text.end(), [](char c) { return (static_cast<unsigned char>(c) & 0xc0) != 0x80; }));
+}
+
+// The first column is aligned to the left, the others to the right.
+std::string FormatTable(const std::vector<Row>& rows) {
+  std::vector<std::size_t> widths;
+  for (const Row& row : rows) {
+    widths.resize(std::max(widths.size(), row.size()));
+    for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], Width(row[i]));
+  }
+  std::string text;
+  for (const Row& row : rows) {
+    for (std::size_t i = 0; i < row.size(); ++i) {
+      const std::string padding(widths[i] - Width(row[i]), ' ');
+      text += i == 0 ? "  " + row[i] + padding : "  " + padding + row[i];
+    }
+    text += "\n";
+  }
+  return text;
+}
+
+bool IntervalsOverlap(const Estimate& a, const Estimate& b) {
+  return std::abs(a.mean - b.mean) <= a.half_width + b.half_width;
+}
+
+// "*" marks a difference beyond chance.
+std::string FormatRatio(const Estimate& a, const Estimate& b) {
+  if (a.mean == 0) return "-";
+  const bool differ = a.count > 1 && b.count > 1 && !IntervalsOverlap(a, b);
+  return fmt::format("{:.3f}{}", b.mean / a.mean, differ ? "*" : "");
+}
+
+}  // namespace
+
+std::string Summary(const Results& results) {
+  const std::vector<std::string> variants = Variants(results);
+  std::vector<Row> rows{{"figure"}};
+  rows.front().insert(rows.front().end(), variants.begin(), variants.end());
+  for (const std::string& figure : PresentFigures(results)) {
+    Row row{figure};
+    for (const std::string& variant : variants) {
+      row.push_back(FormatFigure(EstimateMean(FigureValues(results, variant, figure))));
+    }
+    rows.push_back(std::move(row));
+  }
+  return FormatTable(rows);
+}
+
+std::string Compare(const Results& a, const Results& b) {
+  std::string text = fmt::format(
+      "A: {}, B: {}; mean ± half of the 95% interval over the plays; B/A with '*' where the intervals do not "
+      "meet\n",
+      a.experiment, b.experiment);
+  for (const std::string& variant : Variants(a)) {
+    std::vector<Row> rows{{variant, "A", "B", "B/A"}};
+    for (const std::string& figure : PresentFigures(a)) {
+      const Estimate of_a = EstimateMean(FigureValues(a, variant, figure));
+      const Estimate of_b = EstimateMean(FigureValues(b, variant, figure));
+      if (of_a.count == 0 || of_b.count == 0) continue;
+      rows.push_back({figure, FormatFigure(of_a), FormatFigure(of_b), FormatRatio(of_a, of_b)});
+    }
+    if (rows.size() > 1) text += "\n" + FormatTable(rows);
+  }
+  return text;
+}
+
+}  // namespace gateway::lab
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -1,5 +1,4 @@
-// What plays brought: figures by name, a series over time, breaches in words; as JSON, side by side, and
-// judged.
+// The results of the runs of an experiment, and their form as JSON (docs/design/lab.md).
 #ifndef GATEWAY_LAB_RESULTS_HPP_
 #define GATEWAY_LAB_RESULTS_HPP_
 
@@ -9,57 +8,52 @@
 #include <utility>
 #include <vector>
 
-#include "lab/experiment.hpp"
+#include "base/millis.hpp"
 
 namespace gateway::lab {
 
+using base::Millis;
+
+// A stretch of a run, by the arrivals in it.
 struct Window {
   Millis at = 0;  // its start, from the start of arrivals
-  std::uint64_t arrived = 0, in_aim = 0, late = 0, refused = 0, failed = 0;
-  double p50 = 0, p99 = 0;  // ms, of those served
+  std::uint64_t arrived = 0;
+  std::uint64_t in_objective = 0;
+  std::uint64_t late = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t failed = 0;
+  double p50 = 0;  // latency of those served, in ms
+  double p99 = 0;
 };
 
-struct Play {
+// One run of one variant.
+struct RunResult {
   std::string variant;
   std::uint64_t seed = 0;
   std::map<std::string, double> figures;
   std::vector<Window> windows;
-  std::vector<std::pair<Millis, std::string>> events;  // as they happened, in ms from the start of arrivals
-  std::vector<std::string> breaches;                   // the first few, in words
-  std::string failure;                                 // why it was not played to its end; empty: it was
+  std::vector<std::pair<Millis, std::string>> events;  // in ms from the start of arrivals
+  std::vector<std::string> violations;                 // descriptions of the first ones
+  std::string failure;                                 // why the run did not complete; empty: it did
 };
 
 struct Results {
-  std::string experiment, about;
-  std::vector<Play> plays;
-};
-
-struct Verdict {
-  enum class Kind { kHeld, kBroken, kNotJudged };
-  Kind kind = Kind::kHeld;
-  std::string text;  // the bound with its figure
+  std::string experiment;
+  std::string about;
+  std::vector<RunResult> runs;
 };
 
-// The names of the variants played, in their order.
+// The names of the variants that were run, in their order.
 std::vector<std::string> Variants(const Results& results);
 
-// The rules of every play of the program under test, and the file's bounds, each over the mean of all seeds.
-std::vector<Verdict> Judge(const Experiment& experiment, const Results& results);
+// The values of a figure over the runs of a variant, without the runs that do not have it.
+std::vector<double> FigureValues(const Results& results, const std::string& variant,
+                                 const std::string& figure);
 
 std::string ToJson(const Results& results);
-// Throws std::runtime_error that says what is wrong.
-Results ResultsFromJson(const std::string& text, const std::string& name);
-
-// Draws goodput, latency and refusals over time (means over the seeds) with the faults' times as SVG files
-// into the folder, by gnuplot, and writes report.html there, which holds them all and opens without a
-// network. Throws std::runtime_error where the folder can't be written or gnuplot can't be run.
-void Plot(const Results& results, const std::string& folder);
 
-// A table of the main figures, a column a variant.
-std::string Summary(const Results& results);
-// Both results' figures with 95% confidence intervals over their plays (Student's t), and the ratio of the
-// means.
-std::string Compare(const Results& a, const Results& b);
+// `name`: of the file, for errors. Throws std::runtime_error, which says what is wrong.
+Results ResultsFromJson(const std::string& text, const std::string& name);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/event_loop.hpp
+++ b/src/lab/scale/event_loop.hpp
@@ -28,10 +28,10 @@
 
   boost::asio::io_context& io() { return io_; }
 
-  // Runs the loop until `done()`. Throws ScaleTimeout, naming `what`, after `patience`.
+  // Runs the loop until `done()`. Throws ScaleTimeout, naming `what`, after `timeout`.
   template <typename Done>
-  void RunUntil(const std::string& what, Millis patience, Done done) {
-    const Millis until = std::min(deadline_, base::MonotonicNow() + patience);
+  void RunUntil(const std::string& what, Millis timeout, Done done) {
+    const Millis until = std::min(deadline_, base::MonotonicNow() + timeout);
     while (!done()) {
       if (base::MonotonicNow() > until) throw ScaleTimeout(what + " did not happen in time");
       io_.run_one_for(std::chrono::milliseconds(5));
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -15,12 +15,12 @@
 
 using nlohmann::json;
 
-constexpr int kWholeLists = 8;          // asked for in a row, for the cost of one
-constexpr Millis kWatchCall = 2500;     // a call of a watch that is at rest lasts at most so long
-constexpr Millis kAfterReady = 50;      // what a start costs is read so long after it
-constexpr Millis kLoneStart = 400;      // the same of a gateway that never becomes ready
-constexpr Millis kHollowReady = 60000;  // for all of them to have heard
-constexpr Millis kNewsWithin = 20000;   // for the last change to come to all
+constexpr int kCompleteLists = 8;         // asked for in a row, for the cost of one
+constexpr Millis kWatchCall = 2500;       // a call of a watch that is at rest lasts at most so long
+constexpr Millis kAfterReady = 50;        // what a start costs is read so long after it
+constexpr Millis kLoneStart = 400;        // the same of a gateway that never becomes ready
+constexpr Millis kHollowReady = 60000;    // for all of them to have heard
+constexpr Millis kChangeTimeout = 20000;  // for the last change to come to all
 
 constexpr double kUs = 1000;  // in a ms
 
@@ -49,9 +49,9 @@
     return percent;
   }
   double BusiestHollowPercent() const {
-    double most = 0;
-    for (std::size_t i = 0; i < to.hollow.size(); ++i) most = std::max(most, HollowPercent(i));
-    return most;
+    double busiest = 0;
+    for (std::size_t i = 0; i < to.hollow.size(); ++i) busiest = std::max(busiest, HollowPercent(i));
+    return busiest;
   }
   double HollowPercent(std::size_t process) const {
     return 100 * (to.hollow[process] - from.hollow[process]) / (to.at - from.at);
@@ -63,22 +63,23 @@
   return per_second > 0 ? std::max(0.0, percent / 100 * 1e6 / per_second) : 0;
 }
 
-class Play {
+// One run of a fleet of one size.
+class FleetRun {
  public:
-  Play(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows, std::uint64_t seed,
-       Millis deadline)
+  FleetRun(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
+           std::uint64_t seed, Millis deadline)
       : size_(size), windows_(windows), fleet_(programs, size, seed, deadline) {}
 
   RoleMeasures Run() {
     StartListService();
-    MeasureWholeLists();
+    MeasureCompleteLists();
     MeasureListServiceAlone();
     StartLoneGateways();
     StartGateways();
     MeasureRest();
     MeasureChanges();
     MeasureRequests();
-    MeasureNews();
+    MeasureChangeDelays();
     MeasureMemory();
     return std::move(roles_);
   }
@@ -92,7 +93,7 @@
   bool has_hollow() const { return size_.gateways_hollow > 0; }
   double gateways() const { return size_.gateways_real + size_.gateways_hollow; }
 
-  Snapshot MonotonicNow() {
+  Snapshot TakeSnapshot() {
     Snapshot s;
     s.counts = fleet_.Counts();
     s.at = base::MonotonicNow();
@@ -106,9 +107,9 @@
   }
 
   std::pair<Snapshot, Snapshot> Watch(Millis time) {
-    Snapshot from = MonotonicNow();
+    Snapshot from = TakeSnapshot();
     fleet_.loop().RunFor(time);
-    Snapshot to = MonotonicNow();
+    Snapshot to = TakeSnapshot();
     NoteLoad({from, to});
     return {std::move(from), std::move(to)};
   }
@@ -129,14 +130,14 @@
   }
 
   // Before any renewal, so that nothing else costs CPU.
-  void MeasureWholeLists() {
-    list_ = fleet_.WholeList();  // the first one is also encoded
+  void MeasureCompleteLists() {
+    list_ = fleet_.CompleteList();  // the first one is also encoded
     const Millis before = CpuTimeOf(fleet_.list_service());
     const double bytes = fleet_.Counts().bytes_out;
-    for (int i = 0; i < kWholeLists; ++i) fleet_.WholeList();
-    Service()["cpu_per_whole_list_us"] = kUs * (CpuTimeOf(fleet_.list_service()) - before) / kWholeLists;
+    for (int i = 0; i < kCompleteLists; ++i) fleet_.CompleteList();
+    Service()["cpu_per_whole_list_us"] = kUs * (CpuTimeOf(fleet_.list_service()) - before) / kCompleteLists;
     // The first answer to /metrics is among them.
-    Service()["bytes_per_whole_list"] = (fleet_.Counts().bytes_out - bytes) / kWholeLists;
+    Service()["bytes_per_whole_list"] = (fleet_.Counts().bytes_out - bytes) / kCompleteLists;
   }
 
   void MeasureListServiceAlone() {
@@ -171,7 +172,7 @@
     }
     if (!has_hollow()) return;
     fleet_.StartHollowGateways(0, size_.gateways_hollow, HollowStartList(size_.gateways_hollow, list_));
-    Hollow()["ready_ms"] = fleet_.AwaitHollowReady(kHollowReady);
+    Hollow()["ready_ms"] = fleet_.WaitForHollowReady(kHollowReady);
   }
 
   void MeasureRest() {
@@ -212,12 +213,12 @@
   void MeasureChanges() {
     if (gateways() == 0 || size_.changes_per_s <= 0) return;
     FleetMembers& members = fleet_.members();
-    if (has_hollow()) fleet_.TakeHollowNews();
+    if (has_hollow()) fleet_.TakeRevisionArrivals();
     members.StartChanging(size_.changes_per_s);
-    const double before = members.changes_kept();
+    const double before = members.changes_committed();
     const auto [from, to] = Watch(windows_.window);
     const Window window{from, to};
-    const double kept = members.changes_kept() - before;
+    const double kept = members.changes_committed() - before;
     if (kept <= 0) throw std::runtime_error("no change was kept in the window");
     NoteChanges(window, kept / window.seconds());
   }
@@ -267,28 +268,28 @@
   }
 
   // From each change's call to the first list of each hollow gateway that holds it.
-  void MeasureNews() {
+  void MeasureChangeDelays() {
     FleetMembers& members = fleet_.members();
     members.StopChanging();
-    fleet_.loop().RunUntil("the answer to the last change", kNewsWithin,
+    fleet_.loop().RunUntil("the answer to the last change", kChangeTimeout,
                            [&] { return members.all_changes_answered(); });
-    const std::vector<KeptChange> kept = members.TakeKept();
+    const std::vector<CommittedChange> kept = members.TakeCommitted();
     if (!has_hollow() || kept.empty()) return;
     std::int64_t newest = 0;
-    for (const KeptChange& change : kept) newest = std::max(newest, change.revision);
-    fleet_.AwaitHollowRevision(newest, kNewsWithin);
-    base::Histogram ways;  // us
-    for (const auto& heard : fleet_.TakeHollowNews()) {
-      for (const KeptChange& change : kept) {
+    for (const CommittedChange& change : kept) newest = std::max(newest, change.revision);
+    fleet_.WaitForHollowRevision(newest, kChangeTimeout);
+    base::Histogram delays;  // in microseconds
+    for (const auto& arrivals : fleet_.TakeRevisionArrivals()) {
+      for (const CommittedChange& change : kept) {
         const auto found = std::ranges::find_if(
-            heard, [&](const RevisionHeard& news) { return news.revision >= change.revision; });
-        if (found == heard.end()) throw std::runtime_error("a hollow gateway missed a change");
-        ways.Add(static_cast<std::uint64_t>(std::max(0.0, kUs * (found->at - change.sent_at))));
+            arrivals, [&](const RevisionArrival& arrival) { return arrival.revision >= change.revision; });
+        if (found == arrivals.end()) throw std::runtime_error("a hollow gateway missed a change");
+        delays.Add(static_cast<std::uint64_t>(std::max(0.0, kUs * (found->at - change.sent_at))));
       }
     }
-    Hollow()["change_to_gateway_ms_p50"] = static_cast<double>(ways.Quantile(0.5)) / kUs;
-    Hollow()["change_to_gateway_ms_p99"] = static_cast<double>(ways.Quantile(0.99)) / kUs;
-    Hollow()["change_to_gateway_ms_max"] = static_cast<double>(ways.max()) / kUs;
+    Hollow()["change_to_gateway_ms_p50"] = static_cast<double>(delays.Quantile(0.5)) / kUs;
+    Hollow()["change_to_gateway_ms_p99"] = static_cast<double>(delays.Quantile(0.99)) / kUs;
+    Hollow()["change_to_gateway_ms_max"] = static_cast<double>(delays.max()) / kUs;
   }
 
   void MeasureMemory() {
@@ -324,7 +325,7 @@
 
 RoleMeasures MeasureFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
                           std::uint64_t seed, Millis deadline) {
-  return Play(programs, size, windows, seed, deadline).Run();
+  return FleetRun(programs, size, windows, seed, deadline).Run();
 }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/fleet_measurer.hpp
+++ b/src/lab/scale/fleet_measurer.hpp
@@ -11,7 +11,7 @@
 
 namespace gateway::lab {
 
-// One play of a fleet of that size. Throws as ScaleMeasurer does.
+// One run of a fleet of that size. Throws as ScaleMeasurer does.
 RoleMeasures MeasureFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
                           std::uint64_t seed, Millis deadline);
 
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -13,9 +13,8 @@
 
 using base::ClientConnection;
 using boost::system::error_code;
-using Failure = ClientConnection::Failure;
 
-constexpr Millis kPatience = 20000;
+constexpr Millis kCallTimeout = 20000;
 constexpr Millis kRegisterWithin = 60000;
 constexpr int kRegistering = 256;  // connections that register at the same time
 constexpr std::size_t kRenewing = 128;
@@ -23,10 +22,6 @@
 
 std::string IdOf(int host) { return fmt::format("m-{:05d}", host); }
 
-bool Good(const ClientConnection::Result& result) {
-  return result.failure == Failure::kNone && result.response.result_int() == 200;
-}
-
 }  // namespace
 
 std::string HostAddress(int host) {
@@ -60,9 +55,9 @@
   using Connection = std::shared_ptr<ClientConnection>;
   const std::function<void(const Connection&)> register_next = [&](const Connection& connection) {
     if (next >= size_.hosts) return;
-    connection->Exchange(ToRequest(RegistrationOf(next++)), kPatience,
+    connection->Exchange(ToRequest(RegistrationOf(next++)), kCallTimeout,
                          [&, connection](ClientConnection::Result result) {
-                           ++(Good(result) ? listed : failed);
+                           ++(result.ok() ? listed : failed);
                            if (connection->usable()) register_next(connection);
                          });
   };
@@ -104,10 +99,10 @@
   if (!line.connection || !line.connection->usable()) {
     line.connection = std::make_shared<ClientConnection>(loop_.io(), list_service_);
   }
-  line.connection->Exchange(ToRequest(registry::Renewal{IdOf(host), 1}), kPatience,
+  line.connection->Exchange(ToRequest(registry::Renewal{IdOf(host), 1}), kCallTimeout,
                             [this, &line](ClientConnection::Result result) {
                               line.busy = false;
-                              renewals_failed_ += !Good(result);
+                              renewals_failed_ += result.ok() ? 0 : 1;
                             });
 }
 
@@ -132,18 +127,18 @@
   }
   const auto connection = std::exchange(operators_, nullptr);
   ++changes_out_;
-  connection->Exchange(ToRequest(command), kPatience,
+  connection->Exchange(ToRequest(command), kCallTimeout,
                        [this, weak = std::weak_ptr(connection),
                         sent_at = base::MonotonicNow()](ClientConnection::Result result) {
                          --changes_out_;
                          operators_ = weak.lock();  // else the connection would hold itself
-                         if (!Good(result)) return void(++changes_failed_);
-                         ++changes_kept_;
+                         if (!result.ok()) return void(++changes_failed_);
+                         ++changes_committed_;
                          const auto outcome = registry::ParseOutcome(200, result.response.body());
-                         if (outcome.changed) kept_.push_back({outcome.revision, sent_at});
+                         if (outcome.changed) committed_.push_back({outcome.revision, sent_at});
                        });
 }
 
-std::vector<KeptChange> FleetMembers::TakeKept() { return std::exchange(kept_, {}); }
+std::vector<CommittedChange> FleetMembers::TakeCommitted() { return std::exchange(committed_, {}); }
 
 }  // namespace gateway::lab
