--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -20,8 +20,8 @@
 
 using boost::asio::ip::tcp;
 
-// A change that the list service has kept.
-struct KeptChange {
+// A change that the list service has committed.
+struct CommittedChange {
   std::int64_t revision = 0;
   Millis sent_at = 0;  // when the operator's call left; base::MonotonicNow
 };
@@ -42,11 +42,11 @@
   // One more, at once.
   void MakeChange();
 
-  // Those that were kept since the last call of this.
-  std::vector<KeptChange> TakeKept();
+  // The changes that were committed since the last call.
+  std::vector<CommittedChange> TakeCommitted();
   bool all_changes_answered() const { return changes_out_ == 0; }
   int changes_failed() const { return changes_failed_; }
-  int changes_kept() const { return changes_kept_; }
+  int changes_committed() const { return changes_committed_; }
   int renewals_failed() const { return renewals_failed_; }
   // Left out, since an earlier one on the same connection was not answered yet.
   int renewals_late() const { return renewals_late_; }
@@ -76,9 +76,9 @@
   Pace renewing_, changing_;
   std::vector<Line> lines_;
   std::shared_ptr<base::ClientConnection> operators_;
-  std::vector<KeptChange> kept_;
+  std::vector<CommittedChange> committed_;
   int next_renewal_ = 0, renewals_failed_ = 0, renewals_late_ = 0;
-  int changes_out_ = 0, changes_failed_ = 0, changes_kept_ = 0, changes_made_ = 0;
+  int changes_out_ = 0, changes_failed_ = 0, changes_committed_ = 0, changes_made_ = 0;
 };
 
 // The address of host i, on the loopback: hosts have addresses of their own.
--- a/src/lab/scale/gateway_configuration.cpp
+++ b/src/lab/scale/gateway_configuration.cpp
@@ -41,21 +41,21 @@
 
 }  // namespace
 
-json GatewayConfiguration(const FleetSize& size, const GatewayPlace& place) {
+json GatewayConfiguration(const FleetSize& size, const GatewayConfigInput& input) {
   const int gateways =
       size.gateways_stated > 0 ? size.gateways_stated : size.gateways_real + size.gateways_hollow;
-  const std::string zone(1, static_cast<char>('a' + place.index % size.zones));
-  const std::string list_service = Addresses::Text(place.list_service);
-  json config{{"name", fmt::format("n{}", place.index)},
-              {"listen", Addresses::Text(place.listen)},
+  const std::string zone(1, static_cast<char>('a' + input.index % size.zones));
+  const std::string list_service = Addresses::Text(input.list_service);
+  json config{{"name", fmt::format("n{}", input.index)},
+              {"listen", Addresses::Text(input.listen)},
               {"discovery", list_service},
               {"discovery_endpoints", {list_service}},
-              {"seed", fmt::format("{:x}", place.seed)},
+              {"seed", fmt::format("{:x}", input.seed)},
               {"limits", {{"cores", 1.0}, {"memory_mb", kMemoryMb}, {"sockets", kSockets}}},
               {"settings",
                {{"zone", zone},
                 {"peersTotal", std::max(1, gateways)},
-                {"selfIndex", place.index},
+                {"selfIndex", input.index},
                 {"membershipMode", "ask"},
                 {"categories", Classes(size.classes)},
                 {"projects", Tenants(size.tenants)},
@@ -67,8 +67,8 @@
                   {"dialTimeoutMs", 250},
                   {"connIdleMs", kIdleMs}}},
                 {"rules", {{"askWithinMs", 10000}, {"coldFrom", 1}, {"coldMs", 0}, {"fallMultiple", 3}}}}}};
-  if (place.management) config["mgmt"] = Addresses::Text(*place.management);
-  if (!place.known.is_null()) config["known"] = place.known;
+  if (input.management) config["mgmt"] = Addresses::Text(*input.management);
+  if (!input.known.is_null()) config["known"] = input.known;
   return config;
 }
 
--- a/src/lab/scale/gateway_configuration.hpp
+++ b/src/lab/scale/gateway_configuration.hpp
@@ -12,7 +12,7 @@
 
 namespace gateway::lab {
 
-struct GatewayPlace {
+struct GatewayConfigInput {
   int index = 0;  // in the fleet
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint list_service;
@@ -22,7 +22,7 @@
 };
 
 // Class i is named "class-i" and tenant i "tenant-i".
-nlohmann::json GatewayConfiguration(const FleetSize& size, const GatewayPlace& place);
+nlohmann::json GatewayConfiguration(const FleetSize& size, const GatewayConfigInput& input);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/hollow_comparison.cpp
+++ b/src/lab/scale/hollow_comparison.cpp
@@ -18,19 +18,19 @@
 
 Reading Read(ScaleFleet& fleet) { return {fleet.Counts(), CpuTimeOf(fleet.list_service())}; }
 
-// One play with gateways of one kind; adds to `use`.
-void Play(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
-          std::uint64_t seed, Millis deadline, ListServiceUse& use) {
+// One run with gateways of one kind; adds to `use`.
+void RunFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
+              std::uint64_t seed, Millis deadline, ListServiceUse& use) {
   ScaleFleet fleet(programs, size, seed, deadline);
   fleet.StartListService();
   fleet.members().RegisterAll();
   fleet.members().StartRenewing();
-  fleet.WholeList();  // encoded once, before it is counted
+  fleet.CompleteList();  // encoded once, before it is counted
   const Reading begin = Read(fleet);
   const Millis rest_until = base::MonotonicNow() + windows.rest;
   fleet.StartRealGateways();
   fleet.StartHollowGateways(0, size.gateways_hollow, nullptr);
-  fleet.AwaitHollowReady(kReadyWithin);
+  fleet.WaitForHollowReady(kReadyWithin);
   if (rest_until > base::MonotonicNow()) fleet.loop().RunFor(rest_until - base::MonotonicNow());
   const Reading rested = Read(fleet);
   fleet.members().StartChanging(size.changes_per_s);
@@ -57,19 +57,19 @@
 }
 
 HollowComparison CompareHollowGateways(const ScalePrograms& programs, const FleetSize& size,
-                                       const ScaleWindows& windows, int plays, std::uint64_t seed,
+                                       const ScaleWindows& windows, int runs, std::uint64_t seed,
                                        Millis deadline) {
   FleetSize real = size, hollow = size;
   real.gateways_real = size.gateways_hollow;
   real.gateways_hollow = 0;
   hollow.gateways_real = 0;
   ListServiceUse of_real, of_hollow;
-  for (int play = 0; play < plays; ++play) {
-    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(play);
-    const bool real_first = play % 2 == 0;
-    if (real_first) Play(programs, real, windows, its_seed, deadline, of_real);
-    Play(programs, hollow, windows, its_seed, deadline, of_hollow);
-    if (!real_first) Play(programs, real, windows, its_seed, deadline, of_real);
+  for (int run = 0; run < runs; ++run) {
+    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(run);
+    const bool real_first = run % 2 == 0;
+    if (real_first) RunFleet(programs, real, windows, its_seed, deadline, of_real);
+    RunFleet(programs, hollow, windows, its_seed, deadline, of_hollow);
+    if (!real_first) RunFleet(programs, real, windows, its_seed, deadline, of_real);
   }
   HollowComparison comparison;
   comparison.gateways = size.gateways_hollow;
--- a/src/lab/scale/hollow_comparison.hpp
+++ b/src/lab/scale/hollow_comparison.hpp
@@ -1,6 +1,5 @@
-// Whether hollow gateways are to the list service what real ones are: the same fleet is played with the one
-// and with the other, and what the list service counted and used is set side by side. Without this no figure
-// that hollow gateways gave counts.
+// Compares hollow gateways with real ones: the same fleet is run with either, and the load on the list
+// service is compared. Figures of hollow gateways are valid only where both agree.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 
@@ -13,11 +12,11 @@
 
 namespace gateway::lab {
 
-// What gateways of one kind made the list service do, over all plays.
+// What gateways of one kind made the list service do, over all runs.
 struct ListServiceUse {
   double rest_calls = 0, rest_bytes_in = 0, rest_bytes_out = 0;        // from their start, no changes
   double change_calls = 0, change_bytes_in = 0, change_bytes_out = 0;  // while changes came
-  // Of the play that took least: what else runs on the machine only adds.
+  // Of the run that took least: what else runs on the machine only adds.
   double least_cpu_ms = 0;  // all the time
 };
 
@@ -36,9 +35,9 @@
   bool Holds(bool speeds) const;
 };
 
-// Plays `gateways_hollow` of both, in turns. Throws as ScaleMeasurer does.
+// Runs `gateways_hollow` of both, in turns. Throws as ScaleMeasurer does.
 HollowComparison CompareHollowGateways(const ScalePrograms& programs, const FleetSize& size,
-                                       const ScaleWindows& windows, int plays, std::uint64_t seed,
+                                       const ScaleWindows& windows, int runs, std::uint64_t seed,
                                        Millis deadline);
 
 nlohmann::json ToJson(const HollowComparison& comparison);
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -5,7 +5,6 @@
 #include <variant>
 
 #include "base/clock.hpp"
-#include "proxy/clock.hpp"
 
 namespace gateway::lab {
 namespace {
@@ -17,7 +16,7 @@
 constexpr Millis kCheckWhileWatching = 250;
 constexpr Millis kCheckAfterFailure = 10;  // the policy's own period
 
-proxy::EndpointListWatcher::Options FollowerOptions(const proxy::Config& config) {
+proxy::EndpointListWatcher::Options WatcherOptions(const proxy::Config& config) {
   proxy::EndpointListWatcher::Options options;
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
@@ -30,16 +29,16 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(boost::asio::io_context& io, const proxy::Config& config, Told told)
+HollowGateway::HollowGateway(boost::asio::io_context& io, const proxy::Config& config, OnList on_list)
     : policy_(config.settings, config.seed),
-      asks_(config.settings.poll_endpoint_list),
-      told_(std::move(told)),
+      polls_(config.settings.poll_endpoint_list),
+      on_list_(std::move(on_list)),
       check_(io),
-      list_(io, FollowerOptions(config),
-            {[this] { heard_ = true; },
+      list_(io, WatcherOptions(config),
+            {[this] { answered_ = true; },
              [this](const proxy::EndpointList& list) {
                Report(proxy::ToNews(list));
-               if (heard_) told_(list_.revision());
+               if (answered_) on_list_(list_.revision());
              },
              [this](Millis took) {
                watching_ = false;
@@ -48,13 +47,13 @@
                CheckWithin(kCheckAfterFailure);
              }}) {
   list_.Apply(config.known);
-  if (!asks_) list_.Watch();
+  if (!polls_) list_.Watch();
 }
 
 void HollowGateway::Report(const gateway::policy::Event& event) {
   // Nothing that an action does here reports at once, so there is no event within another.
   actions_.clear();
-  policy_.Handle(proxy::Now(), event, actions_);
+  policy_.Handle(base::UnixAlignedNow(), event, actions_);
   for (const gateway::policy::Action& action : std::exchange(actions_, {})) {
     std::visit([this](const auto& a) { Do(a); }, action);
   }
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,10 +1,10 @@
-// A hollow gateway: all that a gateway does towards the list service, and no request path. It is made of the
-// gateway's own parts: the watch (Discovery), the list in force (EndpointListWatcher) and the decisions on
-// when to ask again (Policy). Thousands fit in one process. One thread.
+// A hollow gateway (after the hollow nodes of Kubernetes' kubemark): does towards the list service what a
+// gateway does, and has no request path. It consists of the gateway's own parts: EndpointListWatcher and
+// Policy. Thousands fit in one process. To be used in the thread of the io_context.
 //
-// The one difference: while a call is out, the policy's periodic check, due every 10 ms for the sake of
-// queued requests, runs four times a second, for there are none. Until the first call and after a failed one
-// it runs at its own period, so calls go out when a real gateway's would. HollowComparison proves it.
+// While a call is under way, the periodic check of the policy, which serves queued requests, runs four times
+// a second in place of its own period of 10 ms. Before the first call and after a failed one it runs at its
+// own period, so that calls go out when those of a real gateway would. HollowComparison verifies this.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 
@@ -23,16 +23,16 @@
 
 class HollowGateway {
  public:
-  // `told` hears of each list that a call brought, with the revision then in force.
-  using Told = std::function<void(std::int64_t revision)>;
+  // Called after each list that a call has brought, with the revision that is then in force.
+  using OnList = std::function<void(std::int64_t revision)>;
 
   // Begins as a gateway of that configuration does. Throws std::exception where its settings can't work.
-  HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, Told told);
+  HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, OnList on_list);
 
   std::int64_t revision() const { return list_.revision(); }
   std::size_t hosts() const { return list_.hosts().size(); }
   // Whether a call has ever been answered.
-  bool heard() const { return heard_; }
+  bool answered() const { return answered_; }
 
  private:
   void Report(const gateway::policy::Event& event);
@@ -42,9 +42,10 @@
   void CheckWithin(base::Millis delay);
 
   gateway::policy::Policy policy_;
-  const bool asks_;  // else the list is watched from the start
-  const Told told_;
-  bool heard_ = false, watching_ = false;
+  const bool polls_;  // otherwise the list is watched from the start
+  const OnList on_list_;
+  bool answered_ = false;
+  bool watching_ = false;
   boost::asio::steady_timer check_;
   std::vector<gateway::policy::Action> actions_;
   gateway::proxy::EndpointListWatcher list_;
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -12,7 +12,7 @@
 #include "base/clock.hpp"
 #include "base/descriptor_limit.hpp"
 #include "base/millis.hpp"
-#include "lab/http.hpp"
+#include "lab/http_server.hpp"
 #include "lab/scale/hollow_gateway.hpp"
 #include "proxy/config.hpp"
 
@@ -25,8 +25,8 @@
 class HollowFleet {
  public:
   HollowFleet(boost::asio::io_context& io, const HollowOptions& options)
-      : news_(static_cast<std::size_t>(options.count)),
-        ready_(news_.size(), false),
+      : arrivals_(static_cast<std::size_t>(options.count)),
+        ready_(arrivals_.size(), false),
         handlers_(std::make_shared<const ServerConnection::Handlers>(ServerConnection::Handlers{
             [this](const auto& connection, const HttpRequest& request) { Answer(connection, request); },
             [](const auto&) {}})),
@@ -36,18 +36,20 @@
     proxy::Config config = proxy::LoadConfig([&](const char* name) {
       return std::string_view(name) == "NODE_CONFIG" ? options.config.c_str() : nullptr;
     });
-    for (std::size_t i = 0; i < news_.size(); ++i) {
+    for (std::size_t i = 0; i < arrivals_.size(); ++i) {
       config.settings.gateway_index = options.first + static_cast<int>(i);
       gateways_.push_back(std::make_unique<HollowGateway>(
-          io, config, [this, i](std::int64_t revision) { Told(i, revision); }));
+          io, config, [this, i](std::int64_t revision) { OnList(i, revision); }));
       ++config.seed;
     }
   }
 
  private:
-  void Told(std::size_t gateway, std::int64_t revision) {
-    auto& heard = news_[gateway];
-    if (heard.empty() || heard.back().revision < revision) heard.push_back({revision, base::MonotonicNow()});
+  void OnList(std::size_t gateway, std::int64_t revision) {
+    auto& arrivals = arrivals_[gateway];
+    if (arrivals.empty() || arrivals.back().revision < revision) {
+      arrivals.push_back({revision, base::MonotonicNow()});
+    }
     if (ready_[gateway] || gateways_[gateway]->hosts() == 0) return;
     ready_[gateway] = true;
     if (++ready_count_ == static_cast<int>(gateways_.size())) all_ready_at_ = base::MonotonicNow();
@@ -55,7 +57,7 @@
 
   HollowState State() const {
     HollowState state;
-    state.gateways = static_cast<int>(news_.size());
+    state.gateways = static_cast<int>(arrivals_.size());
     state.ready = ready_count_;
     state.all_ready_at = all_ready_at_;
     for (const auto& gateway : gateways_) {
@@ -69,12 +71,12 @@
   void Answer(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request) {
     if (request.target() == "/state") return connection->Answer(MakeResponse(200, ToJson(State()).dump()));
     if (request.target() != "/news") return connection->Answer(MakeResponse(404));
-    HollowNews news(news_.size());
-    std::swap(news, news_);
-    connection->Answer(MakeResponse(200, ToJson(news).dump()));
+    RevisionArrivals arrivals(arrivals_.size());
+    std::swap(arrivals, arrivals_);
+    connection->Answer(MakeResponse(200, ToJson(arrivals).dump()));
   }
 
-  HollowNews news_;
+  RevisionArrivals arrivals_;
   std::vector<bool> ready_;  // by gateway
   int ready_count_ = 0;
   base::Millis all_ready_at_ = 0;
@@ -96,22 +98,22 @@
   return {form.at("gateways"), form.at("ready"), form.at("oldest_revision"), form.at("all_ready_at")};
 }
 
-json ToJson(const HollowNews& news) {
-  json all = json::array();
-  for (const auto& heard : news) {
-    json& one = all.emplace_back(json::array());
-    for (const RevisionHeard& item : heard) one.push_back({item.revision, item.at});
+json ToJson(const RevisionArrivals& arrivals) {
+  json form = json::array();
+  for (const auto& of_gateway : arrivals) {
+    json& list = form.emplace_back(json::array());
+    for (const RevisionArrival& arrival : of_gateway) list.push_back({arrival.revision, arrival.at});
   }
-  return all;
+  return form;
 }
 
-HollowNews HollowNewsFromJson(const json& form) {
-  HollowNews news;
-  for (const json& one : form) {
-    auto& heard = news.emplace_back();
-    for (const json& item : one) heard.push_back({item.at(0), item.at(1)});
+RevisionArrivals RevisionArrivalsFromJson(const json& form) {
+  RevisionArrivals arrivals;
+  for (const json& list : form) {
+    auto& of_gateway = arrivals.emplace_back();
+    for (const json& arrival : list) of_gateway.push_back({arrival.at(0), arrival.at(1)});
   }
-  return news;
+  return arrivals;
 }
 
 int ServeHollowGateways(const HollowOptions& options) {
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -1,4 +1,4 @@
-// A process of many hollow gateways, and how the tool asks it what they have heard.
+// A process of many hollow gateways, and the JSON forms in which it reports to the tool.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 
@@ -20,10 +20,10 @@
   boost::asio::ip::tcp::endpoint control;  // where the tool asks
 };
 
-// Serves until SIGTERM. Returns the exit code. Throws gateway::proxy::ConfigError.
+// Serves until SIGTERM. Returns the exit code. Throws base::ConfigError.
 int ServeHollowGateways(const HollowOptions& options);
 
-// What a hollow process tells at GET /state.
+// The answer to GET /state.
 struct HollowState {
   int gateways = 0, ready = 0;       // ready: a call has been answered and hosts are known
   std::int64_t oldest_revision = 0;  // of any gateway
@@ -32,15 +32,15 @@
 nlohmann::json ToJson(const HollowState& state);
 HollowState HollowStateFromJson(const nlohmann::json& form);
 
-// When a gateway had which revision; base::MonotonicNow.
-struct RevisionHeard {
+// When a gateway got a revision of the list; base::MonotonicNow.
+struct RevisionArrival {
   std::int64_t revision = 0;
   base::Millis at = 0;
 };
-// By gateway, in the order in which they were heard since the last such question: GET /news.
-using HollowNews = std::vector<std::vector<RevisionHeard>>;
-nlohmann::json ToJson(const HollowNews& news);
-HollowNews HollowNewsFromJson(const nlohmann::json& form);
+// By gateway, in the order of time, since the last such question: the answer to GET /news.
+using RevisionArrivals = std::vector<std::vector<RevisionArrival>>;
+nlohmann::json ToJson(const RevisionArrivals& arrivals);
+RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& form);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/request_load.cpp
+++ b/src/lab/scale/request_load.cpp
@@ -16,7 +16,7 @@
 
 constexpr Millis kAtHost = 20;  // an answer takes a host so long
 constexpr Millis kDeadline = 1000;
-constexpr Millis kPatience = 3000;
+constexpr Millis kCallTimeout = 3000;
 constexpr int kBacklog = 4096;
 constexpr std::size_t kAnswerBytes = 200;
 
@@ -31,17 +31,17 @@
 
 }  // namespace
 
-Millis HeldTimes::Take(const std::string& id) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return 0;
+Millis HostTimes::Take(const std::string& id) {
+  const auto found = host_times_.find(id);
+  if (found == host_times_.end()) return 0;
   const Millis held = found->second;
-  held_.erase(found);
+  host_times_.erase(found);
   return held;
 }
 
-EmulatedHosts::EmulatedHosts(EventLoop& loop, HeldTimes& held)
+EmulatedHosts::EmulatedHosts(EventLoop& loop, HostTimes& held)
     : loop_(loop),
-      held_(held),
+      host_times_(held),
       acceptor_(loop.io(), tcp::v4()),
       handlers_(std::make_shared<const ServerConnection::Handlers>(ServerConnection::Handlers{
           [this](const auto& connection, const HttpRequest& request) { Answer(connection, request); },
@@ -71,14 +71,14 @@
   timer->async_wait([this, timer, connection, id = std::string(request["Req-Id"]),
                      begun = base::MonotonicNow()](error_code ec) {
     if (ec) return;
-    held_.Add(id, base::MonotonicNow() - begun);
+    host_times_.Add(id, base::MonotonicNow() - begun);
     connection->Answer(MakeResponse(200, std::string(kAnswerBytes, 'x')));
   });
 }
 
-RequestLoad::RequestLoad(EventLoop& loop, HeldTimes& held, std::vector<tcp::endpoint> gateways,
+RequestLoad::RequestLoad(EventLoop& loop, HostTimes& held, std::vector<tcp::endpoint> gateways,
                          const FleetSize& size, std::uint64_t seed)
-    : loop_(loop), held_(held), size_(size), random_(seed), timer_(loop.io()) {
+    : loop_(loop), host_times_(held), size_(size), random_(seed), timer_(loop.io()) {
   for (tcp::endpoint& gateway : gateways) targets_.push_back({std::move(gateway), {}});
 }
 
@@ -128,14 +128,14 @@
   const std::string id = fmt::format("{:016x}", ++next_id_);
   ++counts_.sent;
   connection->Exchange(
-      Text(id), kPatience,
+      Text(id), kCallTimeout,
       // Weak: the connection holds this handler, and would hold itself where the load ends before the answer.
       [this, &target, weak = std::weak_ptr(connection), id,
        sent = base::MonotonicNow()](ClientConnection::Result result) {
-        const Millis held = held_.Take(id);
+        const Millis held = host_times_.Take(id);
         const auto answered = weak.lock();
         if (answered && answered->usable()) target.free.push_back(answered);
-        if (result.failure != ClientConnection::Failure::kNone || result.response.result_int() != 200) {
+        if (!result.ok()) {
           return void(++counts_.not_served);
         }
         ++counts_.served;
--- a/src/lab/scale/request_load.hpp
+++ b/src/lab/scale/request_load.hpp
@@ -14,27 +14,27 @@
 
 #include "base/histogram.hpp"
 #include "base/http_client.hpp"
-#include "lab/http.hpp"
+#include "lab/http_server.hpp"
 #include "lab/scale/event_loop.hpp"
 #include "lab/scale/scale_experiment.hpp"
 
 namespace gateway::lab {
 
 // How long each request was at its host, by request id.
-class HeldTimes {
+class HostTimes {
  public:
-  void Add(const std::string& id, Millis held) { held_[id] = held; }
+  void Add(const std::string& id, Millis held) { host_times_[id] = held; }
   // 0 for a request that no host has answered.
   Millis Take(const std::string& id);
 
  private:
-  std::unordered_map<std::string, Millis> held_;
+  std::unordered_map<std::string, Millis> host_times_;
 };
 
 // All hosts, at every loopback address and one port of the kernel's choice. Each answers after a fixed time.
 class EmulatedHosts {
  public:
-  EmulatedHosts(EventLoop& loop, HeldTimes& held);
+  EmulatedHosts(EventLoop& loop, HostTimes& held);
   ~EmulatedHosts();
   std::uint16_t port() const { return port_; }
 
@@ -43,7 +43,7 @@
   void Answer(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request);
 
   EventLoop& loop_;
-  HeldTimes& held_;
+  HostTimes& host_times_;
   tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::shared_ptr<const ServerConnection::Handlers> handlers_;
@@ -55,7 +55,7 @@
 
 class RequestLoad {
  public:
-  RequestLoad(EventLoop& loop, HeldTimes& held, std::vector<tcp::endpoint> gateways, const FleetSize& size,
+  RequestLoad(EventLoop& loop, HostTimes& held, std::vector<tcp::endpoint> gateways, const FleetSize& size,
               std::uint64_t seed);
 
   void Start();
@@ -76,7 +76,7 @@
   std::string Text(const std::string& id);
 
   EventLoop& loop_;
-  HeldTimes& held_;
+  HostTimes& host_times_;
   const FleetSize size_;
   std::mt19937_64 random_;
   std::vector<Target> targets_;
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -144,7 +144,7 @@
   }
   e.about = t.Text("about", "");
   e.kind = ValueOf(kKinds, t.OneOf("kind", "sweep", Words(kKinds)));
-  e.plays = t.Integer("plays", e.plays, 1, 100);
+  e.runs = t.Integer("plays", e.runs, 1, 100);
   e.seed = static_cast<std::uint64_t>(t.Integer("seed", 1, 0, kMostOfAnything));
   e.ends_within = t.Number("ends_within_s", e.ends_within / kMs, {1, 7200}) * kMs;
   if (auto fixed = t.Table("fixed")) e.fixed = ReadSize(*fixed, e.fixed);
@@ -260,7 +260,7 @@
   e.name = "hollow-against-real";
   e.about = "Ten hollow gateways ask and cost the list service what ten real ones do.";
   e.kind = ScaleKind::kComparison;
-  e.plays = 3;
+  e.runs = 3;
   e.ends_within = 100000;
   e.fixed.hosts = 12;
   e.fixed.gateways_real = e.fixed.gateways_hollow = 10;
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -56,7 +56,7 @@
   std::vector<double> quick_points;  // the same for a quick run
   double full = 0;                   // the size in two years
   std::string limited_by;            // why the largest point is below it
-  int plays = 3;
+  int runs = 3;
   std::uint64_t seed = 1;
   Millis ends_within = 120000;   // the whole experiment
   FleetSize fixed, quick_fixed;  // the latter of kStorms and kComparison
@@ -95,7 +95,7 @@
 // Hollow gateways run in so many processes.
 int HollowProcesses(int gateways_hollow);
 
-// What --compare plays.
+// What --compare runs.
 ScaleExperiment StandardComparison();
 
 // Throws base::ConfigError, which names the field, where the file is wrong or needs more than the limits.
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -15,11 +15,11 @@
 constexpr double kExact = 1e-9;             // a residual below this is rounding
 constexpr double kConfidence = 0.95;
 
-// One size: the transformed x of a form, and the mean of the plays.
+// One size: the transformed x of a form, and the mean of the runs.
 struct Observation {
   double basis = 0;
   double mean = 0;
-  double weight = 0;  // plays
+  double weight = 0;  // runs
 };
 
 // Which of offset and slope the least squares with both from 0 on left free.
@@ -81,12 +81,12 @@
 }
 
 std::vector<Observation> Observe(FitForm form, const std::vector<double>& sizes,
-                                 const std::vector<PlayValues>& plays) {
+                                 const std::vector<RunValues>& runs) {
   std::vector<Observation> observations;
   for (std::size_t i = 0; i < sizes.size(); ++i) {
     double sum = 0;
-    for (const double value : plays[i]) sum += value;
-    const auto count = static_cast<double>(plays[i].size());
+    for (const double value : runs[i]) sum += value;
+    const auto count = static_cast<double>(runs[i].size());
     observations.push_back({Basis(form, sizes[i]), sum / count, count});
   }
   return observations;
@@ -149,25 +149,25 @@
   return Grows(constant, grown, points) ? grown : constant;
 }
 
-// The variance of one play, and with how many degrees of freedom it is known.
+// The variance of one run, and with how many degrees of freedom it is known.
 struct Variance {
   double value = 0;
   double degrees = 1;
 };
 
 // Noise may be relative to the figure: then it is larger at the full size than at the points measured. So
-// each play's distance counts as it is or in the proportion of `value` to its point's mean, whichever gives
+// each run's distance counts as it is or in the proportion of `value` to its point's mean, whichever gives
 // more.
-Variance VarianceAboutPoints(const std::vector<PlayValues>& plays, const std::vector<Observation>& means,
+Variance VarianceAboutPoints(const std::vector<RunValues>& runs, const std::vector<Observation>& means,
                              double value) {
   double absolute = 0, relative = 0, degrees = 0;
-  for (std::size_t i = 0; i < plays.size(); ++i) {
+  for (std::size_t i = 0; i < runs.size(); ++i) {
     const double mean = means[i].mean;
-    for (const double play : plays[i]) {
-      absolute += (play - mean) * (play - mean);
-      if (mean > 0) relative += (play / mean - 1) * (play / mean - 1);
+    for (const double value : runs[i]) {
+      absolute += (value - mean) * (value - mean);
+      if (mean > 0) relative += (value / mean - 1) * (value / mean - 1);
     }
-    degrees += static_cast<double>(plays[i].size()) - 1;
+    degrees += static_cast<double>(runs[i].size()) - 1;
   }
   if (degrees <= 0) return {};
   return {std::max(absolute, relative * value * value) / degrees, degrees};
@@ -178,7 +178,7 @@
   return {curve.squares / degrees, degrees};
 }
 
-// How far the curve itself moves with the observations, in variances of one play.
+// How far the curve itself moves with the observations, in variances of one run.
 double Leverage(const Curve& curve, const Sums& sums, double basis) {
   switch (curve.free) {
     case Free::kOffset: return 1 / sums.weight;
@@ -189,35 +189,35 @@
   return 1 / sums.weight + distance * distance / sums.basis_squares;
 }
 
-double HalfWidth(const Variance& variance, double leverage, double plays_a_point) {
+double HalfWidth(const Variance& variance, double leverage, double runs_per_point) {
   if (variance.value <= 0) return 0;
   const boost::math::students_t_distribution<double> t(variance.degrees);
   const double quantile = boost::math::quantile(t, (1 + kConfidence) / 2);
-  return quantile * std::sqrt(variance.value * (1 / plays_a_point + leverage));
+  return quantile * std::sqrt(variance.value * (1 / runs_per_point + leverage));
 }
 
 FitEstimate Estimate(const Curve& curve, const std::vector<Observation>& means,
-                     const std::vector<PlayValues>& plays, double largest, double full) {
+                     const std::vector<RunValues>& runs, double largest, double full) {
   const Sums sums = SumOf(means);
   const double basis = Basis(curve.form, full);
   FitEstimate estimate;
   estimate.x = full;
   estimate.extrapolated = full > largest;
   estimate.value = curve.offset + curve.slope * basis;
-  const double plays_a_point = sums.weight / static_cast<double>(means.size());
+  const double runs_per_point = sums.weight / static_cast<double>(means.size());
   const double leverage = Leverage(curve, sums, basis);
   const Variance of_curve = VarianceAboutCurve(curve, means.size());
-  const Variance of_plays = VarianceAboutPoints(plays, means, estimate.value);
+  const Variance of_runs = VarianceAboutPoints(runs, means, estimate.value);
   const double width =
-      std::max(HalfWidth(of_curve, leverage, plays_a_point), HalfWidth(of_plays, leverage, plays_a_point));
+      std::max(HalfWidth(of_curve, leverage, runs_per_point), HalfWidth(of_runs, leverage, runs_per_point));
   estimate.low = std::max(0.0, estimate.value - width);
   estimate.high = estimate.value + width;
   return estimate;
 }
 
-void Check(const std::vector<double>& sizes, const std::vector<PlayValues>& plays, double full) {
-  if (sizes.size() != plays.size()) {
-    throw FitError(FitProblem::kLengthsDiffer, "there should be one list of plays for each size");
+void Check(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full) {
+  if (sizes.size() != runs.size()) {
+    throw FitError(FitProblem::kLengthsDiffer, "there should be one list of runs for each size");
   }
   if (sizes.size() < kLeastPoints) {
     throw FitError(FitProblem::kTooFewPoints, "a fit needs three points at the least");
@@ -226,8 +226,8 @@
   if (bad(full) || std::any_of(sizes.begin(), sizes.end(), bad)) {
     throw FitError(FitProblem::kNotFinite, "sizes should be finite and from 0 on");
   }
-  for (const PlayValues& values : plays) {
-    if (values.empty()) throw FitError(FitProblem::kNoPlays, "a point has no value of any play");
+  for (const RunValues& values : runs) {
+    if (values.empty()) throw FitError(FitProblem::kNoRuns, "a point has no value of any play");
     if (!std::all_of(values.begin(), values.end(), [](double y) { return std::isfinite(y); })) {
       throw FitError(FitProblem::kNotFinite, "a value is not finite");
     }
@@ -242,10 +242,10 @@
   return std::max(0.0, 1 - curve.squares / sums.value_squares);
 }
 
-// The sizes at which a role's figure was measured, with its plays.
+// The sizes at which a role's figure was measured, with its runs.
 struct Series {
   std::vector<double> sizes;
-  std::vector<PlayValues> plays;
+  std::vector<RunValues> runs;
 };
 
 std::map<std::pair<std::string, std::string>, Series> AllSeries(const ScaleResult& result) {
@@ -256,7 +256,7 @@
         if (values.empty()) continue;
         Series& series = all[{role, figure}];
         series.sizes.push_back(point.value);
-        series.plays.push_back(values);
+        series.runs.push_back(values);
       }
     }
   }
@@ -265,24 +265,24 @@
 
 }  // namespace
 
-ScaleFit FitFigure(const std::vector<double>& sizes, const std::vector<PlayValues>& plays, double full) {
-  Check(sizes, plays, full);
+ScaleFit FitFigure(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full) {
+  Check(sizes, runs, full);
   std::vector<Curve> curves;
   ScaleFit fit;
   for (const FitForm form : kAllFitForms) {
-    const auto observations = Observe(form, sizes, plays);
+    const auto observations = Observe(form, sizes, runs);
     curves.push_back(FitCurve(form, observations));
     fit.residuals[form] = RelativeResidual(curves.back(), SumOf(observations));
   }
   const Curve& chosen = Choose(curves, fit.residuals, sizes.size());
-  const auto means = Observe(chosen.form, sizes, plays);
+  const auto means = Observe(chosen.form, sizes, runs);
   fit.form = chosen.form;
   fit.offset = chosen.offset;
   fit.slope = chosen.slope;
   fit.residual = fit.residuals.at(chosen.form);
   fit.r2 = ShareExplained(chosen, SumOf(means));
   const double largest = *std::max_element(sizes.begin(), sizes.end());
-  fit.at_full = Estimate(chosen, means, plays, largest, full);
+  fit.at_full = Estimate(chosen, means, runs, largest, full);
   return fit;
 }
 
@@ -290,7 +290,7 @@
   std::vector<ScaleFit> fits;
   for (const auto& [key, series] : AllSeries(result)) {
     try {
-      ScaleFit fit = FitFigure(series.sizes, series.plays, result.full);
+      ScaleFit fit = FitFigure(series.sizes, series.runs, result.full);
       fit.role = key.first;
       fit.figure = key.second;
       fits.push_back(std::move(fit));
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -19,20 +19,16 @@
 using nlohmann::json;
 
 constexpr std::string_view kScrape = "metrics\n";
-constexpr Millis kStartWithin = 15000;
-constexpr Millis kAnswerWithin = 20000;
-constexpr Millis kAskAgain = 20;   // the list service, and hollow processes
-constexpr Millis kAskReady = 5;    // a real gateway whether it takes clients
-constexpr int kKnowNothing = 400;  // hollow gateways
-constexpr int kHollowBlock = 200;  // last numbers of addresses, in the run's block
+constexpr Millis kStartTimeout = 15000;
+constexpr Millis kAnswerTimeout = 20000;
+constexpr Millis kPollPeriod = 20;      // the list service, and hollow processes
+constexpr Millis kReadyPollPeriod = 5;  // a real gateway whether it takes clients
+constexpr int kMaxEmptyStarts = 400;    // hollow gateways that may start without a list
+constexpr int kHollowBlock = 200;       // last numbers of addresses, in the run's block
 constexpr std::uint16_t kControlPort = 3900;
-constexpr std::uint16_t kNobodyPort = 9;
+constexpr std::uint16_t kUnusedPort = 9;
 constexpr std::uint64_t kSeedsPerRun = 100000;
 
-std::string GetRequest(const std::string& target) {
-  return fmt::format("GET {} HTTP/1.1\r\nHost: scale\r\n\r\n", target);
-}
-
 // A counter of Prometheus' text form; 0 where it is missing.
 double CounterOf(const std::string& text, const std::string& name) {
   const std::string line = "\nelderhead_registry_" + name + " ";
@@ -60,7 +56,7 @@
 }
 
 json HollowStartList(int gateways, const std::string& list) {
-  return gateways > kKnowNothing ? json::parse(list) : json();
+  return gateways > kMaxEmptyStarts ? json::parse(list) : json();
 }
 
 ScaleFleet::ScaleFleet(ScalePrograms programs, FleetSize size, std::uint64_t seed, Millis deadline)
@@ -69,10 +65,10 @@
       seed_(seed),
       loop_(deadline),
       addresses_(loop_.io()),
-      hosts_(loop_, held_),
+      hosts_(loop_, host_times_),
       members_(std::make_unique<FleetMembers>(loop_, addresses_.Registry(), size, hosts_.port(), seed)),
       processes_(loop_.io(), [this](const ProcessEnd& end) {
-        if (logs_.contains(end.pid)) ended_[end.pid] = end.Words();
+        if (logs_.contains(end.pid)) ended_[end.pid] = end.StatusText();
       }) {}
 
 ScaleFleet::~ScaleFleet() {
@@ -106,11 +102,11 @@
   auto& connection = connections_[from];
   if (!connection || !connection->usable()) connection = std::make_shared<ClientConnection>(loop_.io(), from);
   std::optional<ClientConnection::Result> result;
-  connection->Exchange(GetRequest(target), kAnswerWithin,
+  connection->Exchange(base::GetRequest(target, "scale"), kAnswerTimeout,
                        [&](ClientConnection::Result got) { result = std::move(got); });
-  loop_.RunUntil("an answer to " + target, 2 * kAnswerWithin, [&] { return result.has_value(); });
+  loop_.RunUntil("an answer to " + target, 2 * kAnswerTimeout, [&] { return result.has_value(); });
   CheckAlive();
-  if (result->failure != ClientConnection::Failure::kNone || result->response.result_int() != 200) return {};
+  if (!result->ok()) return {};
   return std::move(result->response.body());
 }
 
@@ -128,8 +124,8 @@
   list_service_pid_ = processes_.Start(spec);
   logs_[list_service_pid_] = spec.log;
   while (!Get(addresses_.Registry(), "/registry/status")) {
-    if (base::MonotonicNow() > begun + kStartWithin) throw ScaleTimeout("the list service does not answer");
-    loop_.RunFor(kAskAgain);
+    if (base::MonotonicNow() > begun + kStartTimeout) throw ScaleTimeout("the list service does not answer");
+    loop_.RunFor(kPollPeriod);
   }
   return base::MonotonicNow() - begun;
 }
@@ -144,7 +140,7 @@
   return ParseListServiceCounts(Get(addresses_.Registry(), "/metrics").value_or(""));
 }
 
-std::string ScaleFleet::WholeList() {
+std::string ScaleFleet::CompleteList() {
   auto list = Get(addresses_.Registry(), "/discovery/hosts");
   if (!list) throw std::runtime_error("the list service does not tell its list");
   return std::move(*list);
@@ -154,16 +150,16 @@
   return {addresses_.Gateway(last - 1).address(), port};
 }
 
-pid_t ScaleFleet::StartGateway(const std::string& name, const GatewayPlace& place) {
+pid_t ScaleFleet::StartGateway(const std::string& name, const GatewayConfigInput& input) {
   const std::filesystem::path folder = At(name), config = folder / "config.json";
   std::filesystem::create_directories(folder);
-  Write(config, GatewayConfiguration(size_, place).dump());
+  Write(config, GatewayConfiguration(size_, input).dump());
   ProcessSpec spec;
   spec.command = programs_.gateway;
   spec.log = (folder / "log").string();
   spec.variables = {{"NODE_NAME", name},
-                    {"NODE_LISTEN", Addresses::Text(place.listen)},
-                    {"NODE_DISCOVERY", Addresses::Text(place.list_service)},
+                    {"NODE_LISTEN", Addresses::Text(input.listen)},
+                    {"NODE_DISCOVERY", Addresses::Text(input.list_service)},
                     {"NODE_CONFIG", config.string()},
                     {"TMPDIR", folder.string()}};
   const pid_t pid = processes_.Start(spec);
@@ -172,12 +168,12 @@
 }
 
 pid_t ScaleFleet::StartLoneGateway(const json& known) {
-  GatewayPlace place;
-  place.listen = Place(kHollowBlock - ++lone_, 3000);
-  place.list_service = Place(kHollowBlock - lone_, kNobodyPort);
-  place.seed = seed_ * kSeedsPerRun;
-  place.known = known;
-  return StartGateway(fmt::format("lone-{}", lone_), place);
+  GatewayConfigInput input;
+  input.listen = Place(kHollowBlock - ++lone_, 3000);
+  input.list_service = Place(kHollowBlock - lone_, kUnusedPort);
+  input.seed = seed_ * kSeedsPerRun;
+  input.known = known;
+  return StartGateway(fmt::format("lone-{}", lone_), input);
 }
 
 void ScaleFleet::End(pid_t pid) {
@@ -188,20 +184,20 @@
 void ScaleFleet::StartRealGateways() {
   std::vector<tcp::endpoint> addresses;
   for (int g = 0; g < size_.gateways_real; ++g) {
-    GatewayPlace place;
-    place.index = g;
-    place.listen = addresses_.Gateway(g);
-    place.list_service = addresses_.Registry();
-    place.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(g);
+    GatewayConfigInput input;
+    input.index = g;
+    input.listen = addresses_.Gateway(g);
+    input.list_service = addresses_.Registry();
+    input.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(g);
     RealGateway& gateway = real_.emplace_back();
-    gateway.address = place.listen;
+    gateway.address = input.listen;
     gateway.management = addresses_.Management(g, 0);
-    place.management = gateway.management;
+    input.management = gateway.management;
     gateway.started_at = base::MonotonicNow();
-    gateway.pid = StartGateway(fmt::format("gateway-{}", g), place);
-    addresses.push_back(place.listen);
+    gateway.pid = StartGateway(fmt::format("gateway-{}", g), input);
+    addresses.push_back(input.listen);
   }
-  const Millis until = base::MonotonicNow() + kStartWithin;
+  const Millis until = base::MonotonicNow() + kStartTimeout;
   for (bool all = false; !all;) {
     all = true;
     for (RealGateway& gateway : real_) {
@@ -211,9 +207,9 @@
     }
     if (all) break;
     if (base::MonotonicNow() > until) throw ScaleTimeout("a real gateway does not become ready");
-    loop_.RunFor(kAskReady);
+    loop_.RunFor(kReadyPollPeriod);
   }
-  requests_ = std::make_unique<RequestLoad>(loop_, held_, std::move(addresses), size_, seed_);
+  requests_ = std::make_unique<RequestLoad>(loop_, host_times_, std::move(addresses), size_, seed_);
 }
 
 double ScaleFleet::ScrapeBytes(const RealGateway& gateway) {
@@ -228,7 +224,7 @@
                               [&](error_code, std::size_t) { done = true; });
     });
   });
-  loop_.RunUntil("the gateway's answer to its operators", kAnswerWithin, [&] { return done; });
+  loop_.RunUntil("the gateway's answer to its operators", kAnswerTimeout, [&] { return done; });
   return static_cast<double>(text.size());
 }
 
@@ -239,19 +235,19 @@
     HollowGroup& group = hollow_.emplace_back();
     group.gateways = (count - begun) / (processes - p);
     group.control = Place(kHollowBlock + number, kControlPort);
-    GatewayPlace place;
-    place.index = size_.gateways_real + first + begun;
-    place.listen = group.control;
-    place.list_service = addresses_.Registry();
-    place.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(place.index);
-    place.known = known;
+    GatewayConfigInput input;
+    input.index = size_.gateways_real + first + begun;
+    input.listen = group.control;
+    input.list_service = addresses_.Registry();
+    input.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(input.index);
+    input.known = known;
     const std::string name = fmt::format("hollow-{}", number);
     const std::filesystem::path config = At(name + ".json");
-    Write(config, GatewayConfiguration(size_, place).dump());
+    Write(config, GatewayConfiguration(size_, input).dump());
     ProcessSpec spec;
     spec.command =
         fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
-                    config.string(), group.gateways, place.index, Addresses::Text(group.control));
+                    config.string(), group.gateways, input.index, Addresses::Text(group.control));
     spec.log = At(name + ".log").string();
     group.started_at = base::MonotonicNow();
     group.pid = processes_.Start(spec);
@@ -266,8 +262,8 @@
   return form.is_object() ? HollowStateFromJson(form) : HollowState{};
 }
 
-Millis ScaleFleet::AwaitHollowReady(Millis patience, std::size_t from) {
-  const Millis until = base::MonotonicNow() + patience;
+Millis ScaleFleet::WaitForHollowReady(Millis timeout, std::size_t from) {
+  const Millis until = base::MonotonicNow() + timeout;
   Millis last = 0;
   for (std::size_t i = from; i < hollow_.size(); ++i) {
     HollowState state;
@@ -277,31 +273,31 @@
             fmt::format("the start of all hollow gateways did not happen in time: {} of {} are ready",
                         state.ready, state.gateways));
       }
-      loop_.RunFor(kAskAgain);
+      loop_.RunFor(kPollPeriod);
     }
     last = std::max(last, state.all_ready_at);
   }
   return from < hollow_.size() ? last - hollow_[from].started_at : 0;
 }
 
-void ScaleFleet::AwaitHollowRevision(std::int64_t revision, Millis patience) {
-  const Millis until = base::MonotonicNow() + patience;
+void ScaleFleet::WaitForHollowRevision(std::int64_t revision, Millis timeout) {
+  const Millis until = base::MonotonicNow() + timeout;
   for (const HollowGroup& group : hollow_) {
     while (StateOf(group).oldest_revision < revision) {
       if (base::MonotonicNow() > until)
         throw ScaleTimeout("the news of all hollow gateways did not come in time");
-      loop_.RunFor(kAskAgain);
+      loop_.RunFor(kPollPeriod);
     }
   }
 }
 
-HollowNews ScaleFleet::TakeHollowNews() {
-  HollowNews all;
+RevisionArrivals ScaleFleet::TakeRevisionArrivals() {
+  RevisionArrivals all;
   for (const HollowGroup& group : hollow_) {
     const json form =
         json::parse(Get(group.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
     if (!form.is_array()) throw std::runtime_error("a process of hollow gateways does not answer");
-    std::ranges::move(HollowNewsFromJson(form), std::back_inserter(all));
+    std::ranges::move(RevisionArrivalsFromJson(form), std::back_inserter(all));
   }
   return all;
 }
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -82,7 +82,7 @@
   pid_t list_service() const { return list_service_pid_; }
   ListServiceCounts Counts();
   // The published list as it is now.
-  std::string WholeList();
+  std::string CompleteList();
   FleetMembers& members() { return *members_; }
 
   // A gateway outside the fleet whose list service never answers; it has `known` (null: none) as its list.
@@ -100,19 +100,19 @@
   // Gateways `first` to first + count - 1 of the hollow ones, in processes of their own. `known`: their list
   // at the start; null: none. Their indices in the fleet follow those of the real ones.
   void StartHollowGateways(int first, int count, const nlohmann::json& known);
-  // Until all of the processes from number `from` on have heard from the list service. Returns the time from
+  // Until all of the processes from number `from` on have got a list. Returns the time from
   // the first one's start, in ms.
-  Millis AwaitHollowReady(Millis patience, std::size_t from = 0);
+  Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
   // Until none has an older revision.
-  void AwaitHollowRevision(std::int64_t revision, Millis patience);
+  void WaitForHollowRevision(std::int64_t revision, Millis timeout);
   const std::vector<HollowGroup>& hollow() const { return hollow_; }
-  // What they have heard since the last call of this, by gateway.
-  HollowNews TakeHollowNews();
+  // When they got which revisions, since the last call.
+  RevisionArrivals TakeRevisionArrivals();
 
  private:
   void Write(const std::filesystem::path& path, const std::string& text) const;
   std::filesystem::path At(const std::string& name) const { return folder_.path() / name; }
-  pid_t StartGateway(const std::string& name, const GatewayPlace& place);
+  pid_t StartGateway(const std::string& name, const GatewayConfigInput& input);
   std::string LastLine(const std::string& log) const;
   // The body of an answer 200; nothing for any other, or for none.
   std::optional<std::string> Get(const tcp::endpoint& from, const std::string& target);
@@ -125,7 +125,7 @@
   EventLoop loop_;
   TemporaryFolder folder_;
   Addresses addresses_;
-  HeldTimes held_;
+  HostTimes host_times_;
   EmulatedHosts hosts_;
   std::unique_ptr<FleetMembers> members_;
   std::unique_ptr<RequestLoad> requests_;
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -34,7 +34,7 @@
 // One figure of one role: a colour of the chart.
 struct Line {
   std::string role, figure;
-  std::string points;  // rows of size and value, one a play
+  std::string points;  // rows of size and value, one a run
   const ScaleFit* fit = nullptr;
 };
 
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -15,7 +15,7 @@
                                                                {FitForm::kNLogN, "n log n"},
                                                                {FitForm::kSquare, "square"}};
 
-// A JSON value together with its place in the file, for errors that name the field.
+// A JSON value together with its input in the file, for errors that name the field.
 class Field {
  public:
   Field(const json& value, std::string path) : value_(value), path_(std::move(path)) {}
@@ -96,9 +96,9 @@
 
 double ReadNumber(const Field& field) { return field.Number(); }
 
-PlayValues ReadPlays(const Field& field) { return field.List(ReadNumber); }
+RunValues ReadRunValues(const Field& field) { return field.List(ReadNumber); }
 
-RoleFigures ReadRole(const Field& field) { return field.Map(ReadPlays); }
+RoleFigures ReadRole(const Field& field) { return field.Map(ReadRunValues); }
 
 ScalePoint ReadPoint(const Field& field) {
   ScalePoint point;
@@ -160,7 +160,7 @@
   storm.storm = field.At("storm").Text();
   storm.experiment = field.At("experiment").Text();
   storm.seed = field.At("seed").Count();
-  storm.plays = field.At("plays").SmallCount();
+  storm.runs = field.At("plays").SmallCount();
   storm.fixed = field.At("fixed").Map(ReadNumber);
   storm.peak_bytes_per_s = field.At("peak_bytes_per_s").Number();
   storm.peak_cpu_percent = field.At("peak_cpu_percent").Number();
@@ -193,7 +193,7 @@
   return {{"storm", storm.storm},
           {"experiment", storm.experiment},
           {"seed", storm.seed},
-          {"plays", storm.plays},
+          {"plays", storm.runs},
           {"fixed", storm.fixed},
           {"peak_bytes_per_s", storm.peak_bytes_per_s},
           {"peak_cpu_percent", storm.peak_cpu_percent},
@@ -234,7 +234,7 @@
           {"largest", result.largest},
           {"limited_by", result.limited_by},
           {"seed", result.seed},
-          {"plays", result.plays},
+          {"plays", result.runs},
           {"revision", result.revision},
           {"machine", {{"cores", result.machine.cores}, {"memory_mb", result.machine.memory_mb}}},
           {"fixed", result.fixed},
@@ -255,7 +255,7 @@
   result.largest = file.At("largest").Number();
   result.limited_by = file.At("limited_by").Text();
   result.seed = file.At("seed").Count();
-  result.plays = file.At("plays").SmallCount();
+  result.runs = file.At("plays").SmallCount();
   result.revision = file.At("revision").Text();
   result.machine = ReadMachine(file.At("machine"));
   result.fixed = file.At("fixed").Map(ReadNumber);
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -49,10 +49,10 @@
   FitEstimate at_full;
 };
 
-// The values of one figure, one a play.
-using PlayValues = std::vector<double>;
+// The values of one figure, one a run.
+using RunValues = std::vector<double>;
 // The figures of one role by their names, which end with their unit.
-using RoleFigures = std::map<std::string, PlayValues>;
+using RoleFigures = std::map<std::string, RunValues>;
 
 struct ScalePoint {
   double value = 0;  // on the axis
@@ -77,7 +77,7 @@
   double largest = 0;      // the largest point measured
   std::string limited_by;  // why largest is below full; empty if it is not
   std::uint64_t seed = 0;
-  unsigned plays = 0;
+  unsigned runs = 0;
   std::string revision;
   ScaleMachine machine;
   std::map<std::string, double> fixed;  // what stayed the same over the points
@@ -90,8 +90,8 @@
 struct StormResult {
   std::string storm, experiment;
   std::uint64_t seed = 0;
-  unsigned plays = 0;
-  std::map<std::string, double> fixed;  // sizes at which it was played
+  unsigned runs = 0;
+  std::map<std::string, double> fixed;  // sizes at which it was run
   double peak_bytes_per_s = 0;
   double peak_cpu_percent = 0;  // of one core
   double peak_queue = 0;
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -37,9 +37,9 @@
       : e_(experiment),
         measurer_(measurer),
         options_(options),
-        plays_(options.plays > 0 ? options.plays
-               : options.quick   ? 1
-                                 : experiment.plays),
+        runs_(options.runs > 0 ? options.runs
+              : options.quick  ? 1
+                               : experiment.runs),
         seed_(options.seed > 0 ? options.seed : experiment.seed) {}
 
   ScaleResult Run() {
@@ -72,7 +72,7 @@
     result_.unit = UnitOf(e_.axis);
     result_.full = e_.full;
     result_.seed = seed_;
-    result_.plays = static_cast<unsigned>(plays_);
+    result_.runs = static_cast<unsigned>(runs_);
     result_.fixed = FixedFigures(e_);
     result_.machine = ThisMachine();
   }
@@ -80,17 +80,17 @@
   void MeasurePoint(double value) {
     ScalePoint point;
     point.value = value;
-    for (int play = 0; play < plays_; ++play) {
+    for (int run = 0; run < runs_; ++run) {
       const std::string where =
-          fmt::format("{} = {:g}, play {} of {}", NameOf(e_.axis), value, play + 1, plays_);
+          fmt::format("{} = {:g}, play {} of {}", NameOf(e_.axis), value, run + 1, runs_);
       try {
-        Add(point, measurer_.Measure(value, seed_ + static_cast<std::uint64_t>(play)));
+        Add(point, measurer_.Measure(value, seed_ + static_cast<std::uint64_t>(run)));
         Note(where + Mark(point));
       } catch (const PointRefused& refused) {
         Note(where + ": " + refused.what());
         return Refuse(value, refused.what());
       } catch (const std::runtime_error& failed) {
-        // Plays before it are whole and stay.
+        // Runs before it are whole and stay.
         Note(where + ": " + failed.what());
         if (point.roles.empty()) return Refuse(value, failed.what());
         break;
@@ -115,7 +115,7 @@
   const ScaleExperiment& e_;
   ScaleMeasurer& measurer_;
   const SweepOptions& options_;
-  const int plays_;
+  const int runs_;
   const std::uint64_t seed_;
   ScaleResult result_;
 };
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -1,4 +1,4 @@
-// The sweep of one size over its points: each is measured anew for every play, then every figure is fitted.
+// The sweep of one size over its points: each is measured anew for every run, then every figure is fitted.
 // What measures is an interface, so that the sweep can be tested with planted costs.
 #ifndef GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
@@ -13,26 +13,26 @@
 
 namespace gateway::lab {
 
-// The figures of one play, by role and name. A name ends with its unit.
+// The figures of one run, by role and name. A name ends with its unit.
 using RoleMeasures = std::map<std::string, std::map<std::string, double>>;
 
 class ScaleMeasurer {
  public:
   virtual ~ScaleMeasurer() = default;
-  // One play with the swept size at `value`. Throws PointRefused where the program under test does not run at
+  // One run with the swept size at `value`. Throws PointRefused where the program under test does not run at
   // that size, and ScaleTimeout where something took too long.
   virtual RoleMeasures Measure(double value, std::uint64_t seed) = 0;
 };
 
 struct SweepOptions {
   bool quick = false;
-  int plays = 0;                                 // 0: as the file says; one where it is quick
-  std::uint64_t seed = 0;                        // of the first play; 0: as the file says
+  int runs = 0;                                  // 0: as the file says; one where it is quick
+  std::uint64_t seed = 0;                        // of the first run; 0: as the file says
   Millis deadline = 0;                           // base::MonotonicNow
-  std::function<void(const std::string&)> note;  // a line on each play; may be empty
+  std::function<void(const std::string&)> note;  // a line on each run; may be empty
 };
 
-// Measures all points, all plays of one after the other, and fits. A point that is refused or takes too long
+// Measures all points, all runs of one after the other, and fits. A point that is refused or takes too long
 // stands under `refused` and does not end the sweep; the deadline does.
 ScaleResult RunSweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options);
 
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -77,7 +77,7 @@
     if (!connection_ || !connection_->usable()) {
       connection_ = std::make_shared<ClientConnection>(fleet_.loop().io(), fleet_.list_service_address());
     }
-    connection_->Exchange("GET /metrics HTTP/1.1\r\nHost: scale\r\n\r\n", kMetricsPatience,
+    connection_->Exchange(base::GetRequest("/metrics", "scale"), kMetricsPatience,
                           [this](ClientConnection::Result result) {
                             asking_ = false;
                             if (on_ && result.failure == ClientConnection::Failure::kNone) {
@@ -122,28 +122,28 @@
   return fleet;
 }
 
-void StartAndAwait(ScaleFleet& fleet, int gateways) {
-  fleet.StartHollowGateways(0, gateways, HollowStartList(gateways, fleet.WholeList()));
-  fleet.AwaitHollowReady(kCurrentWithin);
+void StartAndWait(ScaleFleet& fleet, int gateways) {
+  fleet.StartHollowGateways(0, gateways, HollowStartList(gateways, fleet.CompleteList()));
+  fleet.WaitForHollowReady(kCurrentWithin);
 }
 
 // The other zones' gateways are up; then those of one zone start together and know nothing.
 Outcome ZoneStarts(ScaleFleet& fleet) {
   const int all = fleet.size().gateways_hollow, zone = std::max(1, all / fleet.size().zones);
-  if (all > zone) StartAndAwait(fleet, all - zone);
+  if (all > zone) StartAndWait(fleet, all - zone);
   const std::size_t before = fleet.hollow().size();
   StormSampler sampler(fleet);
   sampler.Start();
   fleet.StartHollowGateways(all - zone, zone, nullptr);
   Outcome outcome;
-  outcome.all_current = fleet.AwaitHollowReady(kCurrentWithin, before);
+  outcome.all_current = fleet.WaitForHollowReady(kCurrentWithin, before);
   outcome.peaks = sampler.Stop();
   return outcome;
 }
 
 // From the start of its process to the moment when every gateway has a change that was made at once.
 Outcome ListServiceReturns(ScaleFleet& fleet, Millis outage) {
-  StartAndAwait(fleet, fleet.size().gateways_hollow);
+  StartAndWait(fleet, fleet.size().gateways_hollow);
   fleet.loop().RunFor(kBeforeOutage);
   fleet.KillListService();
   fleet.loop().RunFor(outage);
@@ -152,13 +152,13 @@
   StormSampler sampler(fleet);
   sampler.Start();
   FleetMembers& members = fleet.members();
-  members.TakeKept();
+  members.TakeCommitted();
   members.MakeChange();
   fleet.loop().RunUntil("the answer to a change", kCurrentWithin,
                         [&] { return members.all_changes_answered(); });
-  const std::vector<KeptChange> kept = members.TakeKept();
+  const std::vector<CommittedChange> kept = members.TakeCommitted();
   if (kept.empty()) throw std::runtime_error("the list service refused a change after its return");
-  fleet.AwaitHollowRevision(kept.back().revision, kCurrentWithin);
+  fleet.WaitForHollowRevision(kept.back().revision, kCurrentWithin);
   Outcome outcome;
   outcome.all_current = base::MonotonicNow() - back_at;
   outcome.peaks = sampler.Stop();
@@ -174,32 +174,32 @@
 
 }  // namespace
 
-std::vector<StormResult> PlayStorms(const ScaleExperiment& e, const ScalePrograms& programs,
-                                    const StormOptions& options) {
+std::vector<StormResult> RunStorms(const ScaleExperiment& e, const ScalePrograms& programs,
+                                   const StormOptions& options) {
   const FleetSize& size = options.quick ? e.quick_fixed : e.fixed;
   const Millis outage = options.quick ? e.quick_outage : e.outage;
-  const int plays = options.plays > 0 ? options.plays : options.quick ? 1 : e.plays;
+  const int runs = options.runs > 0 ? options.runs : options.quick ? 1 : e.runs;
   const std::uint64_t seed = options.seed > 0 ? options.seed : e.seed;
   StormResult blank;
   blank.experiment = e.file;
   blank.seed = seed;
-  blank.plays = static_cast<unsigned>(plays);
+  blank.runs = static_cast<unsigned>(runs);
   blank.fixed = FixedFigures(size);
   blank.fixed["outage_s"] = outage / 1000;
   StormResult starts = blank, returns = blank;
   starts.storm = "zone_starts";
   returns.storm = "list_service_returns";
-  const auto note = [&](const StormResult& result, int play) {
+  const auto note = [&](const StormResult& result, int run) {
     if (!options.note) return;
     options.note(fmt::format("{}: {}, play {} of {}: all current after {:.0f} ms at worst", e.name,
-                             result.storm, play + 1, plays, result.all_current_ms));
+                             result.storm, run + 1, runs, result.all_current_ms));
   };
-  for (int play = 0; play < plays; ++play) {
-    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(play);
+  for (int run = 0; run < runs; ++run) {
+    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(run);
     Worsen(starts, ZoneStarts(*ListedFleet(programs, size, its_seed, options.deadline)));
-    note(starts, play);
+    note(starts, run);
     Worsen(returns, ListServiceReturns(*ListedFleet(programs, size, its_seed, options.deadline), outage));
-    note(returns, play);
+    note(returns, run);
   }
   return {std::move(starts), std::move(returns)};
 }
--- a/src/lab/scale/storms.hpp
+++ b/src/lab/scale/storms.hpp
@@ -16,15 +16,15 @@
 
 struct StormOptions {
   bool quick = false;
-  int plays = 0;           // 0: as the file says; one where it is quick
+  int runs = 0;            // 0: as the file says; one where it is quick
   std::uint64_t seed = 0;  // 0: as the file says
   Millis deadline = 0;     // base::MonotonicNow
   std::function<void(const std::string&)> note;
 };
 
-// Both storms, one after the other; of several plays the worst figures. Throws as ScaleMeasurer does.
-std::vector<StormResult> PlayStorms(const ScaleExperiment& experiment, const ScalePrograms& programs,
-                                    const StormOptions& options);
+// Both storms, one after the other; of several runs the worst figures. Throws as ScaleMeasurer does.
+std::vector<StormResult> RunStorms(const ScaleExperiment& experiment, const ScalePrograms& programs,
+                                   const StormOptions& options);
 
 }  // namespace gateway::lab
 
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -9,20 +9,22 @@
 namespace gateway::lab {
 namespace {
 
-int Pick(const std::vector<double>& shares, double draw) {
+// The index that a uniform draw from 0 to 1 picks, each with its share.
+int PickByShare(const std::vector<double>& shares, double draw) {
   double sum = 0;
   for (const double share : shares) sum += share;
-  double at = draw * sum;
+  double rest = draw * sum;
   for (std::size_t i = 0; i + 1 < shares.size(); ++i) {
-    if (at < shares[i]) return static_cast<int>(i);
-    at -= shares[i];
+    if (rest < shares[i]) return static_cast<int>(i);
+    rest -= shares[i];
   }
   return static_cast<int>(shares.size()) - 1;
 }
 
-// The low rate of bursty traffic, and how much longer it lasts than the high one: the mean stays the stated
-// rate.
-constexpr double kLowShare = 0.5;
+constexpr double kLowRateShare = 0.5;  // the low rate of bursty traffic over its mean rate
+constexpr double kMinLowStretch = 0.01;
+constexpr double kMillisPerSecond = 1000;
+constexpr std::uint64_t kDetailStream = 0x9e3779b97f4a7c15ULL;  // apart from the draws of the times
 
 }  // namespace
 
@@ -32,8 +34,8 @@
 }
 
 Schedule::Schedule(const Experiment& experiment, std::uint64_t seed)
-    : experiment_(experiment), arrivals_(seed), details_(seed ^ 0x9e3779b97f4a7c15ULL) {
-  for (const ClassSpec& c : experiment.classes) class_shares_.push_back(c.share);
+    : experiment_(experiment), arrival_random_(seed), detail_random_(seed ^ kDetailStream) {
+  for (const TrafficClass& item : experiment.classes) class_shares_.push_back(item.share);
   for (const auto& [name, share] : experiment.traffic.tenants) {
     tenants_.push_back(name);
     tenant_shares_.push_back(share);
@@ -42,77 +44,98 @@
     tenants_.push_back("all");
     tenant_shares_.push_back(1);
   }
-  if (experiment.traffic.bursty) Dwell();
+  if (experiment.traffic.bursty) DrawBurstChange();
 }
 
-double Schedule::Uniform() { return boost::random::uniform_01<double>()(details_); }
+double Schedule::Uniform() { return boost::random::uniform_01<double>()(detail_random_); }
 
-void Schedule::Dwell() {
+// The low rate lasts so much longer than the high one that the mean is the stated rate.
+void Schedule::DrawBurstChange() {
   const Traffic& traffic = experiment_.traffic;
-  const double stretch = (traffic.burst_factor - 1) / (1 - kLowShare);  // low lasts this many times as long
-  const Millis mean = high_ ? traffic.burst_length : traffic.burst_length * std::max(0.01, stretch);
-  changes_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrivals_);
+  const double low_stretch = (traffic.burst_factor - 1) / (1 - kLowRateShare);
+  const Millis mean =
+      burst_on_ ? traffic.burst_length : traffic.burst_length * std::max(kMinLowStretch, low_stretch);
+  burst_changes_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
 }
 
 double Schedule::RateAt(Millis time) const {
   const Traffic& traffic = experiment_.traffic;
-  double rate = traffic.rate / 1000;
-  if (traffic.bursty) rate *= high_ ? traffic.burst_factor : kLowShare;
+  double rate = traffic.rate / kMillisPerSecond;
+  if (traffic.bursty) rate *= burst_on_ ? traffic.burst_factor : kLowRateShare;
   for (const Fault& fault : experiment_.faults) {
     if (fault.kind != FaultKind::kBurst || time < fault.at) continue;
-    if (fault.lasts == 0 || time < fault.at + fault.lasts) rate *= fault.size;
+    if (fault.duration == 0 || time < fault.at + fault.duration) rate *= fault.magnitude;
   }
   return rate;
 }
 
-std::optional<Arrival> Schedule::Next() {
-  // A unit of exponential time is spent at the rates in force, piece by piece.
-  double left = boost::random::exponential_distribution<double>(1)(arrivals_);
+// When the rate changes next.
+Millis Schedule::NextRateChange() const {
+  Millis next = experiment_.traffic.duration;
+  if (experiment_.traffic.bursty) next = std::min(next, burst_changes_at_);
+  for (const Fault& fault : experiment_.faults) {
+    if (fault.kind != FaultKind::kBurst) continue;
+    if (fault.at > now_) next = std::min(next, fault.at);
+    const Millis end = fault.at + fault.duration;
+    if (fault.duration > 0 && end > now_) next = std::min(next, end);
+  }
+  return next;
+}
+
+// Moves the time to the next arrival; false where the schedule ends before. An exponential amount of expected
+// arrivals is spent at the rates in force, piece by piece.
+bool Schedule::AdvanceToNextArrival() {
+  double expected = boost::random::exponential_distribution<double>(1)(arrival_random_);
   for (;;) {
-    Millis until = experiment_.traffic.seconds;
-    if (experiment_.traffic.bursty) until = std::min(until, changes_at_);
-    for (const Fault& fault : experiment_.faults) {
-      if (fault.kind != FaultKind::kBurst) continue;
-      if (fault.at > now_) until = std::min(until, fault.at);
-      if (fault.lasts > 0 && fault.at + fault.lasts > now_) until = std::min(until, fault.at + fault.lasts);
-    }
+    const Millis change = NextRateChange();
     const double rate = RateAt(now_);
-    if (now_ + left / rate < until) {
-      now_ += left / rate;
-      break;
+    if (now_ + expected / rate < change) {
+      now_ += expected / rate;
+      return true;
     }
-    left -= (until - now_) * rate;
-    now_ = until;
-    if (now_ >= experiment_.traffic.seconds) return std::nullopt;
-    if (experiment_.traffic.bursty && now_ >= changes_at_) {
-      high_ = !high_;
-      Dwell();
+    expected -= (change - now_) * rate;
+    now_ = change;
+    if (now_ >= experiment_.traffic.duration) return false;
+    if (experiment_.traffic.bursty && now_ >= burst_changes_at_) {
+      burst_on_ = !burst_on_;
+      DrawBurstChange();
     }
   }
+}
+
+Arrival Schedule::DrawArrival() {
+  const int zones = static_cast<int>(experiment_.fleet.zones.size());
   Arrival arrival;
   arrival.number = number_++;
   arrival.at = now_;
-  arrival.class_index = Pick(class_shares_, Uniform());
-  arrival.tenant = Pick(tenant_shares_, Uniform());
-  arrival.zone = std::min(static_cast<int>(Uniform() * static_cast<double>(experiment_.fleet.zones.size())),
-                          static_cast<int>(experiment_.fleet.zones.size()) - 1);
+  arrival.class_index = PickByShare(class_shares_, Uniform());
+  arrival.tenant = PickByShare(tenant_shares_, Uniform());
+  arrival.zone = std::min(static_cast<int>(Uniform() * zones), zones - 1);
   arrival.gateway_draw = Uniform();
-  const Millis work = experiment_.classes[static_cast<std::size_t>(arrival.class_index)].work;
-  arrival.work = boost::random::exponential_distribution<double>(1 / work)(details_);
+  const Millis mean_work = experiment_.classes[static_cast<std::size_t>(arrival.class_index)].work;
+  arrival.work = boost::random::exponential_distribution<double>(1 / mean_work)(detail_random_);
   return arrival;
 }
 
+std::optional<Arrival> Schedule::Next() {
+  if (!AdvanceToNextArrival()) return std::nullopt;
+  return DrawArrival();
+}
+
 std::vector<std::string> FaultTimeline(const Experiment& experiment) {
   std::vector<std::pair<Millis, std::string>> lines;
   for (const Fault& fault : experiment.faults) {
-    lines.emplace_back(fault.at, fault.text);
-    if (fault.lasts > 0) lines.emplace_back(fault.at + fault.lasts, "end of " + fault.text);
+    lines.emplace_back(fault.at, fault.description);
+    if (fault.duration > 0) {
+      lines.emplace_back(fault.at + fault.duration, "end of " + fault.description);
+    }
   }
   std::stable_sort(lines.begin(), lines.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
   std::vector<std::string> text;
   text.reserve(lines.size());
-  for (const auto& [at, what] : lines) text.push_back(fmt::format("{:.3f} s {}", at / 1000, what));
+  for (const auto& [at, what] : lines)
+    text.push_back(fmt::format("{:.3f} s {}", at / kMillisPerSecond, what));
   return text;
 }
 
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -1,4 +1,4 @@
-// When which request arrives: fixed by the experiment and the seed, whatever the answers do.
+// The schedule of arrivals: fixed by the experiment and the seed, whatever the answers are.
 #ifndef GATEWAY_LAB_SCHEDULE_HPP_
 #define GATEWAY_LAB_SCHEDULE_HPP_
 
@@ -12,43 +12,52 @@
 
 namespace gateway::lab {
 
+// One request.
 struct Arrival {
-  std::uint64_t number = 0;
-  Millis at = 0;  // from the start of the play
+  std::uint64_t number = 0;  // from 0
+  Millis at = 0;             // from the start of arrivals
   int class_index = 0;
   int tenant = 0;
   int zone = 0;
-  double gateway_draw = 0;  // 0 to 1: which gateway of the zone the front picks
-  Millis work = 0;
+  double gateway_draw = 0;  // uniform from 0 to 1: which gateway of the zone gets it
+  Millis work = 0;          // of a core of speed 1
+
   std::string ToText() const;
 };
 
-// Open loop: draws one arrival after the other, in constant memory. Boost.Random's engine and distributions
-// give the same numbers with every compiler and library, which the standard ones don't promise.
+// An open-loop schedule in constant memory. The engine and the distributions are those of Boost, which give
+// the same numbers with every compiler; the standard library's distributions do not.
 class Schedule {
  public:
+  // `experiment` outlives the schedule.
   Schedule(const Experiment& experiment, std::uint64_t seed);
 
-  std::optional<Arrival> Next();  // in order of time; nothing after the last
+  // The next arrival in the order of time; nothing after the last.
+  std::optional<Arrival> Next();
 
   const std::vector<std::string>& tenants() const { return tenants_; }
 
  private:
   double RateAt(Millis time) const;
-  void Dwell();
+  Millis NextRateChange() const;
+  bool AdvanceToNextArrival();
+  Arrival DrawArrival();
+  void DrawBurstChange();
   double Uniform();
 
   const Experiment& experiment_;
-  boost::random::mt19937_64 arrivals_, details_;
+  boost::random::mt19937_64 arrival_random_;
+  boost::random::mt19937_64 detail_random_;
   std::vector<std::string> tenants_;
-  std::vector<double> tenant_shares_, class_shares_;
+  std::vector<double> tenant_shares_;
+  std::vector<double> class_shares_;
   std::uint64_t number_ = 0;
   Millis now_ = 0;
-  bool high_ = false;
-  Millis changes_at_ = 0;
+  bool burst_on_ = false;
+  Millis burst_changes_at_ = 0;
 };
 
-// One line a fault, start and end: what happens when, fixed by the experiment.
+// A line for the start and one for the end of each fault, in the order of time.
 std::vector<std::string> FaultTimeline(const Experiment& experiment);
 
 }  // namespace gateway::lab
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -15,7 +15,8 @@
 #include <stdexcept>
 #include <unordered_set>
 
-#include "lab/http.hpp"
+#include "base/socket_address.hpp"
+#include "lab/http_server.hpp"
 
 namespace gateway::lab {
 namespace {
@@ -24,186 +25,201 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kMargin = 20;  // before the client leaves
-constexpr int kAttempts = 3;
-constexpr Millis kWatch = 5000;
-constexpr Millis kAskAgain = 300;
-constexpr std::uint64_t kFaultEvery = 50;
-constexpr std::uint64_t kDiesAfter = 200;
-constexpr Millis kLeave = 3500;
-
-tcp::endpoint ToEndpoint(const std::string& text) {
-  const std::size_t colon = text.rfind(':');
-  std::uint16_t port = 0;
-  if (colon == std::string::npos ||
-      std::from_chars(text.data() + colon + 1, text.data() + text.size(), port).ec != std::errc()) {
-    throw std::runtime_error("'" + text + "' is not an address and port");
-  }
-  return {asio::ip::make_address(text.substr(0, colon)), port};
+constexpr Millis kDeadlineMargin = 20;  // an answer has to be ready so long before the client's timeout
+constexpr int kMaxAttempts = 3;
+constexpr Millis kWatchTimeout = 5000;
+constexpr Millis kWatchGrace = 2000;
+constexpr Millis kPollBackoff = 300;
+constexpr std::uint64_t kRequestsPerFault = 50;
+constexpr std::uint64_t kRequestsUntilDeath = 200;
+constexpr int kDeathExitCode = 3;
+constexpr Millis kDrainTime = 3500;
+
+tcp::endpoint ParseAddress(const std::string& text) {
+  const auto address = base::ParseSocketAddress(text);
+  if (!address) throw std::runtime_error("'" + text + "' is not an address and port");
+  return *address;
 }
 
-class Proxy {
+class StandInGateway {
  public:
-  Proxy(asio::io_context& io, const StandIn& stand_in, const json& file)
+  StandInGateway(asio::io_context& io, const StandInOptions& options, const json& config)
       : io_(io),
-        stand_in_(stand_in),
-        random_(std::strtoull(file.value("seed", std::string("1")).c_str(), nullptr, 16)),
-        discovery_at_(ToEndpoint(file.at("discovery").get<std::string>())),
-        again_(io) {
-    Take(file.at("known"));
+        options_(options),
+        random_(std::strtoull(config.value("seed", std::string("1")).c_str(), nullptr, 16)),
+        list_address_(ParseAddress(config.at("discovery").get<std::string>())),
+        poll_timer_(io) {
+    ApplyList(config.at("known"));
     handlers_ = std::make_shared<const ServerConnection::Handlers>(ServerConnection::Handlers{
-        [this](const auto& connection, HttpRequest request) { Requested(connection, std::move(request)); },
+        [this](const auto& connection, HttpRequest request) { OnRequest(connection, std::move(request)); },
         [this](const auto& connection) { clients_.erase(connection); }});
     listener_ = std::make_unique<Listener>(
-        io, ToEndpoint(file.at("listen").get<std::string>()), nullptr, [this](tcp::socket socket) {
+        io, ParseAddress(config.at("listen").get<std::string>()), nullptr, [this](tcp::socket socket) {
           const auto connection = std::make_shared<ServerConnection>(std::move(socket), nullptr, handlers_);
           clients_.insert(connection);
           connection->Begin();
         });
-    Ask();
+    Poll();
   }
 
-  void Leave() {
-    leaving_ = true;
+  // Answers that it is not ready, and takes no new connections.
+  void Drain() {
+    draining_ = true;
     listener_.reset();
   }
 
  private:
-  struct Host {
+  struct Endpoint {
     tcp::endpoint address;
     bool up = true;
     int in_flight = 0;
     std::vector<std::shared_ptr<ClientConnection>> idle;
   };
-  struct Flow {
+  struct ActiveRequest {
     std::shared_ptr<ServerConnection> client;
-    HttpRequest request;
-    Millis until = 0;
+    HttpRequest message;
+    Millis deadline = 0;
     int attempts = 0;
-    bool repeatable = true, answered = false;
+    bool idempotent = true;
+    bool answered = false;
   };
 
-  void Take(const json& list) {
+  void ApplyList(const json& list) {
     if (list.at("complete").get<bool>()) {
-      for (auto& [id, host] : hosts_) host.up = false;
+      for (auto& [id, endpoint] : endpoints_) endpoint.up = false;
     }
     for (const json& member : list.at("members")) {
-      Host& host = hosts_[member.at("id").get<std::string>()];
-      host.address = ToEndpoint(member.at("host_port").get<std::string>());
-      host.up = member.at("phase").get<std::string>() == "up";
-      if (!host.up) host.idle.clear();
+      Endpoint& endpoint = endpoints_[member.at("id").get<std::string>()];
+      endpoint.address = ParseAddress(member.at("host_port").get<std::string>());
+      endpoint.up = member.at("phase").get<std::string>() == "up";
+      if (!endpoint.up) endpoint.idle.clear();
     }
     revision_ = list.at("revision").get<std::int64_t>();
   }
 
-  void Ask() {
-    if (!discovery_ || !discovery_->usable())
-      discovery_ = std::make_shared<ClientConnection>(io_, discovery_at_);
-    discovery_->Exchange(
-        fmt::format("GET /discovery/hosts?after={}&wait_ms={:.0f} HTTP/1.1\r\nHost: list\r\n\r\n", revision_,
-                    kWatch),
-        kWatch + 2000, [this](ClientConnection::Result result) {
+  void Poll() {
+    if (!list_connection_ || !list_connection_->usable())
+      list_connection_ = std::make_shared<ClientConnection>(io_, list_address_);
+    list_connection_->Exchange(
+        base::GetRequest(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", revision_, kWatchTimeout),
+                         "list"),
+        kWatchTimeout + kWatchGrace, [this](ClientConnection::Result result) {
           const bool told =
               result.failure == ClientConnection::Failure::kNone && result.response.result_int() == 200;
           const json list = told ? json::parse(result.response.body(), nullptr, false) : json();
-          if (list.is_object() && stand_in_.fault != "ignores_drain") Take(list);
-          again_.expires_after(
-              TimerDuration(list.is_object() && list.at("revision") == revision_ ? 0 : kAskAgain));
-          again_.async_wait([this](error_code ec) {
-            if (!ec && !leaving_) Ask();
+          if (list.is_object() && options_.fault != "ignores_drain") ApplyList(list);
+          poll_timer_.expires_after(
+              TimerDuration(list.is_object() && list.at("revision") == revision_ ? 0 : kPollBackoff));
+          poll_timer_.async_wait([this](error_code ec) {
+            if (!ec && !draining_) Poll();
           });
         });
   }
 
-  Host* Pick() {
-    std::vector<Host*> up;
-    for (auto& [id, host] : hosts_) {
-      if (host.up) up.push_back(&host);
+  // Null where no endpoint is up.
+  Endpoint* Pick() {
+    std::vector<Endpoint*> up;
+    for (auto& [id, endpoint] : endpoints_) {
+      if (endpoint.up) up.push_back(&endpoint);
     }
     if (up.empty()) return nullptr;
-    if (stand_in_.policy == "round_robin") return up[turn_++ % up.size()];
+    if (options_.policy == "round_robin") return up[next_turn_++ % up.size()];
     const std::size_t draw = boost::random::uniform_int_distribution<std::size_t>(0, up.size() - 1)(random_);
-    if (stand_in_.policy == "random") return up[draw];
+    if (options_.policy == "random") return up[draw];
     std::rotate(up.begin(), up.begin() + static_cast<std::ptrdiff_t>(draw), up.end());
-    return *std::min_element(up.begin(), up.end(),
-                             [](const Host* a, const Host* b) { return a->in_flight < b->in_flight; });
+    return *std::min_element(up.begin(), up.end(), [](const Endpoint* a, const Endpoint* b) {
+      return a->in_flight < b->in_flight;
+    });
   }
 
-  void Requested(const std::shared_ptr<ServerConnection>& client, HttpRequest request) {
-    if (request.target() == "/up") return client->Answer(MakeResponse(leaving_ ? 503 : 200));
-    const bool struck = ++requests_ % kFaultEvery == 0;
-    if (stand_in_.fault == "dies" && requests_ > kDiesAfter) std::_Exit(3);
-    if (stand_in_.fault == "loses" && struck) return;
-    if (stand_in_.fault == "forges" && struck) return client->Answer(MakeResponse(200, "done"));
-    const auto flow = std::make_shared<Flow>();
-    const auto deadline = request["Req-Deadline"];
-    flow->client = client;
-    flow->repeatable = request.method() == boost::beast::http::verb::get;
-    flow->until = MonotonicNow() + std::atof(std::string(deadline).c_str()) - kMargin;
-    flow->request = std::move(request);
-    if (stand_in_.fault == "twice") Send(flow);
-    Send(flow);
+  void OnRequest(const std::shared_ptr<ServerConnection>& client, HttpRequest message) {
+    if (message.target() == "/up") return client->Answer(MakeResponse(draining_ ? 503 : 200));
+    const bool is_faulty = ++requests_ % kRequestsPerFault == 0;
+    if (options_.fault == "dies" && requests_ > kRequestsUntilDeath) std::_Exit(kDeathExitCode);
+    if (options_.fault == "loses" && is_faulty) return;
+    if (options_.fault == "forges" && is_faulty) return client->Answer(MakeResponse(200, "done"));
+    const auto request = std::make_shared<ActiveRequest>();
+    request->client = client;
+    request->idempotent = message.method() == boost::beast::http::verb::get;
+    request->deadline =
+        MonotonicNow() + std::atof(std::string(message["Req-Deadline"]).c_str()) - kDeadlineMargin;
+    request->message = std::move(message);
+    if (options_.fault == "twice") Send(request);
+    Send(request);
   }
 
-  void Answer(const std::shared_ptr<Flow>& flow, HttpResponse response) {
-    if (!std::exchange(flow->answered, true)) flow->client->Answer(std::move(response));
+  void Answer(const std::shared_ptr<ActiveRequest>& request, HttpResponse response) {
+    if (!std::exchange(request->answered, true)) request->client->Answer(std::move(response));
   }
 
-  void Send(const std::shared_ptr<Flow>& flow) {
-    if (flow->answered) return;
-    Host* const host = Pick();
-    const Millis left = flow->until - MonotonicNow();
-    if (host == nullptr || flow->attempts == kAttempts || left <= 0) return Answer(flow, MakeResponse(502));
-    ++flow->attempts;
-    std::shared_ptr<ClientConnection> connection;
-    while (!host->idle.empty() && !connection) {
-      if (host->idle.back()->usable()) connection = host->idle.back();
-      host->idle.pop_back();
+  // An idle connection to the endpoint, or a new one.
+  std::shared_ptr<ClientConnection> TakeConnection(Endpoint& endpoint) {
+    while (!endpoint.idle.empty()) {
+      const auto connection = endpoint.idle.back();
+      endpoint.idle.pop_back();
+      if (connection->usable()) return connection;
     }
-    if (!connection) connection = std::make_shared<ClientConnection>(io_, host->address);
-    ++host->in_flight;
-    const HttpRequest& request = flow->request;
+    return std::make_shared<ClientConnection>(io_, endpoint.address);
+  }
+
+  void ReuseLater(Endpoint& endpoint, const std::shared_ptr<ClientConnection>& connection) {
+    if (!connection->usable()) return;
+    connection->WatchIdle([&endpoint, closed = connection.get()] {
+      std::erase_if(endpoint.idle, [closed](const auto& other) { return other.get() == closed; });
+    });
+    endpoint.idle.push_back(connection);
+  }
+
+  static std::string RequestText(const HttpRequest& message, Millis time_left) {
     const auto text = [](auto view) { return std::string_view(view.data(), view.size()); };
-    connection->Exchange(
-        fmt::format(
-            "{} {} HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {}\r\nReq-Deadline: {:.0f}m\r\n{}\r\n{}",
-            text(request.method_string()), text(request.target()), text(request["Req-Id"]), left,
-            request.body().empty() ? "" : fmt::format("Content-Length: {}\r\n", request.body().size()),
-            request.body()),
-        left, [this, flow, host, connection](ClientConnection::Result result) {
-          --host->in_flight;
-          if (connection->usable()) {
-            connection->WatchIdle([host, raw = connection.get()] {
-              std::erase_if(host->idle, [raw](const auto& kept) { return kept.get() == raw; });
-            });
-            host->idle.push_back(connection);
-          }
-          Ended(flow, std::move(result));
-        });
+    const std::string length =
+        message.body().empty() ? "" : fmt::format("Content-Length: {}\r\n", message.body().size());
+    return fmt::format(
+        "{} {} HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {}\r\nReq-Deadline: {:.0f}m\r\n{}\r\n{}",
+        text(message.method_string()), text(message.target()), text(message["Req-Id"]), time_left, length,
+        message.body());
   }
 
-  void Ended(const std::shared_ptr<Flow>& flow, ClientConnection::Result result) {
+  void Send(const std::shared_ptr<ActiveRequest>& request) {
+    if (request->answered) return;
+    Endpoint* const endpoint = Pick();
+    const Millis time_left = request->deadline - MonotonicNow();
+    if (endpoint == nullptr || request->attempts == kMaxAttempts || time_left <= 0) {
+      return Answer(request, MakeResponse(502));
+    }
+    ++request->attempts;
+    ++endpoint->in_flight;
+    const auto connection = TakeConnection(*endpoint);
+    connection->Exchange(RequestText(request->message, time_left), time_left,
+                         [this, request, endpoint, connection](ClientConnection::Result result) {
+                           --endpoint->in_flight;
+                           ReuseLater(*endpoint, connection);
+                           OnResult(request, std::move(result));
+                         });
+  }
+
+  void OnResult(const std::shared_ptr<ActiveRequest>& request, ClientConnection::Result result) {
     using Failure = ClientConnection::Failure;
     if (result.failure == Failure::kNone && result.response.result_int() == 200) {
-      return Answer(flow, MakeResponse(200, std::move(result.response.body())));
+      return Answer(request, MakeResponse(200, std::move(result.response.body())));
     }
     const bool never_ran = result.failure == Failure::kConnectFailed ||
                            (result.failure == Failure::kNone && !result.response["Srv-Declined"].empty());
-    if (never_ran || flow->repeatable) return Send(flow);
-    Answer(flow, MakeResponse(502));
+    if (never_ran || request->idempotent) return Send(request);
+    Answer(request, MakeResponse(502));
   }
 
   asio::io_context& io_;
-  const StandIn stand_in_;
+  const StandInOptions options_;
   boost::random::mt19937_64 random_;
-  const tcp::endpoint discovery_at_;
-  asio::steady_timer again_;
-  std::shared_ptr<ClientConnection> discovery_;
+  const tcp::endpoint list_address_;
+  asio::steady_timer poll_timer_;
+  std::shared_ptr<ClientConnection> list_connection_;
   std::int64_t revision_ = 0;
-  std::map<std::string, Host> hosts_;
-  std::size_t turn_ = 0;
+  std::map<std::string, Endpoint> endpoints_;
+  std::size_t next_turn_ = 0;
   std::uint64_t requests_ = 0;
-  bool leaving_ = false;
+  bool draining_ = false;
   std::shared_ptr<const ServerConnection::Handlers> handlers_;
   std::unique_ptr<Listener> listener_;
   std::unordered_set<std::shared_ptr<ServerConnection>> clients_;
@@ -216,22 +232,23 @@
   return {"none", "twice", "ignores_drain", "loses", "forges", "dies"};
 }
 
-int ServeStandIn(const StandIn& stand_in) {
+int ServeStandIn(const StandInOptions& options) {
   const char* const path = std::getenv("NODE_CONFIG");
   if (path == nullptr) throw std::runtime_error("NODE_CONFIG: not set");
   std::ifstream stream(path);
-  const json file = json::parse(stream, nullptr, false);
-  if (!file.is_object())
+  const json config = json::parse(stream, nullptr, /*allow_exceptions=*/false);
+  if (!config.is_object()) {
     throw std::runtime_error(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
+  }
   asio::io_context io(1);
-  Proxy proxy(io, stand_in, file);
+  StandInGateway gateway(io, options, config);
   asio::signal_set signals(io, SIGTERM, SIGINT);
-  asio::steady_timer leave(io);
+  asio::steady_timer end_timer(io);
   signals.async_wait([&](error_code ec, int) {
     if (ec) return;
-    proxy.Leave();
-    leave.expires_after(TimerDuration(kLeave));
-    leave.async_wait([&](error_code) { io.stop(); });
+    gateway.Drain();
+    end_timer.expires_after(TimerDuration(kDrainTime));
+    end_timer.async_wait([&](error_code) { io.stop(); });
   });
   io.run();
   return 0;
--- a/src/lab/temporary_folder.hpp
+++ b/src/lab/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A folder that goes with its owner.
+// A temporary folder.
 #ifndef GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
 #define GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
 
@@ -10,6 +10,8 @@
 
 namespace gateway::lab {
 
+// Makes an empty folder in the system's folder for temporary files, and removes it with all that is in it at
+// the end. Throws std::runtime_error where it can't be made.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -14,14 +14,17 @@
 #include <fstream>
 #include <sstream>
 
+#include "base/config_error.hpp"
 #include "base/histogram.hpp"
 #include "base/supervisor.hpp"
+#include "lab/evaluation.hpp"
+#include "lab/front_balancer.hpp"
 #include "lab/host_model.hpp"
 #include "lab/link.hpp"
-#include "lab/peer_net.hpp"
+#include "lab/peer_network.hpp"
 #include "lab/recorder.hpp"
 #include "lab/results.hpp"
-#include "lab/rules.hpp"
+#include "lab/rule_checker.hpp"
 #include "lab/schedule.hpp"
 
 namespace gateway::lab {
@@ -115,10 +118,10 @@
 TEST(HostModel, WaitsAsMMcDoes) {
   for (const int cores : {1, 2, 4}) {
     for (const double load : {0.5, 0.8, 0.9}) {
-      HostKind kind;
-      kind.cores = kind.slots = cores;
-      kind.waiting = 1 << 20;
-      HostModel host(kind, {}, std::nullopt);
+      HostGroup group;
+      group.cores = group.slots = cores;
+      group.queue_capacity = 1 << 20;
+      HostModel host(group, {}, std::nullopt);
       boost::random::mt19937_64 random(17);
       boost::random::exponential_distribution<double> gap(load * cores), work(1);
       // The nearer to full, the longer the runs of waiting, and the more of them a mean takes.
@@ -127,12 +130,12 @@
       std::vector<HostModel::Event> events;
       double now = 0, waited = 0, begun = 0;
       const auto settle = [&](Millis until) {  // as a timer would: at each time that it names
-        while (host.NextAt() && *host.NextAt() <= until) {
-          const Millis at = *host.NextAt();
+        while (host.NextEventAt() && *host.NextEventAt() <= until) {
+          const Millis at = *host.NextEventAt();
           events.clear();
           host.Advance(at, events);
           for (const auto& event : events) {
-            if (event.kind != HostModel::EventKind::kBegun) continue;
+            if (event.kind != HostModel::EventKind::kStarted) continue;
             waited += at - came[event.job];
             ++begun;
             came.erase(event.job);
@@ -143,7 +146,7 @@
         now += gap(random);
         settle(now);
         came[job] = now;
-        host.Offer(now, job, work(random), 1e12);
+        host.Submit(now, job, work(random), 1e12);
         settle(now);
       }
       EXPECT_NEAR(waited / begun / ErlangWait(cores, load), 1, 0.05) << cores << " cores at " << load;
@@ -152,45 +155,45 @@
 }
 
 TEST(HostModel, SharesItsCoresAndTurnsAwayWhatFindsNoPlace) {
-  HostKind kind;
-  kind.slots = 2;
-  kind.waiting = 1;
-  HostModel host(kind, {}, std::nullopt);
-  EXPECT_EQ(host.Offer(0, 1, 10, 1000), HostModel::Fate::kInWork);
-  EXPECT_EQ(host.Offer(0, 2, 20, 1000), HostModel::Fate::kInWork);
-  EXPECT_EQ(host.Offer(0, 3, 10, 25), HostModel::Fate::kWaiting);
-  EXPECT_EQ(host.Offer(0, 4, 10, 1000), HostModel::Fate::kTurnedAway);
+  HostGroup group;
+  group.slots = 2;
+  group.queue_capacity = 1;
+  HostModel host(group, {}, std::nullopt);
+  EXPECT_EQ(host.Submit(0, 1, 10, 1000), HostModel::Admission::kStarted);
+  EXPECT_EQ(host.Submit(0, 2, 20, 1000), HostModel::Admission::kStarted);
+  EXPECT_EQ(host.Submit(0, 3, 10, 25), HostModel::Admission::kQueued);
+  EXPECT_EQ(host.Submit(0, 4, 10, 1000), HostModel::Admission::kRejected);
   std::vector<HostModel::Event> events;
   host.Advance(100, events);
   std::vector<std::pair<HostModel::Job, HostModel::EventKind>> ends;
   for (const auto& event : events) {
-    if (event.kind != HostModel::EventKind::kBegun) ends.emplace_back(event.job, event.kind);
+    if (event.kind != HostModel::EventKind::kStarted) ends.emplace_back(event.job, event.kind);
   }
   using Kind = HostModel::EventKind;
   // 1 is done at 20, sharing; then 3 begins and its time is over at 25; 2 is done at 32.5.
   EXPECT_EQ(ends, (std::vector<std::pair<HostModel::Job, Kind>>{
-                      {1, Kind::kDone}, {3, Kind::kExpired}, {2, Kind::kDone}}));
+                      {1, Kind::kFinished}, {3, Kind::kExpired}, {2, Kind::kFinished}}));
 }
 
 TEST(HostModel, WarmsEvenlyAndFallsOverWhenSentTooMuch) {
-  HostKind kind;
-  kind.slots = 1000;
-  const ColdStart cold{0.2, 10000, 2.5, 3000};
-  HostModel host(kind, {0.2, 10000, 1e9, 3000}, 0.0);
+  HostGroup group;
+  group.slots = 1000;
+  const HostWarmUp cold{0.2, 10000, 2.5, 3000};
+  HostModel host(group, {0.2, 10000, 1e9, 3000}, 0.0);
   std::vector<HostModel::Event> events;
-  host.Offer(0, 1, 6000, 1e9);  // the integral of the warmth over the first 10 s
+  host.Submit(0, 1, 6000, 1e9);  // the integral of the warmth over the first 10 s
   host.Advance(0, events);
-  EXPECT_NEAR(*host.NextAt(), 10000, 0.01);
+  EXPECT_NEAR(*host.NextEventAt(), 10000, 0.01);
   struct Case {
     double part;  // of what a cold host is allowed
     bool falls;
   };
   for (const Case& c : {Case{0.9, false}, Case{1.3, true}}) {
-    HostModel cold_host(kind, cold, 0.0);
+    HostModel cold_host(group, cold, 0.0);
     const double allowed = 2.5 * 0.2 * 3000;
     for (int i = 0; i < 10; ++i)
-      cold_host.Offer(i, static_cast<HostModel::Job>(i), c.part * allowed / 10, 1e9);
-    EXPECT_EQ(cold_host.fallen(), c.falls) << c.part;
+      cold_host.Submit(i, static_cast<HostModel::Job>(i), c.part * allowed / 10, 1e9);
+    EXPECT_EQ(cold_host.overloaded(), c.falls) << c.part;
   }
 }
 
@@ -199,12 +202,12 @@
   for (unsigned seed = 1; seed <= 50; ++seed) {
     boost::random::mt19937_64 random(seed);
     const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
-    HostKind kind;
-    kind.cores = 1 + draw(3);
-    kind.slots = 1 + draw(8);
-    kind.waiting = draw(10);
-    kind.thrash = draw(1) * 0.05;
-    HostModel host(kind, {}, draw(1) ? std::optional<Millis>(0) : std::nullopt);
+    HostGroup group;
+    group.cores = 1 + draw(3);
+    group.slots = 1 + draw(8);
+    group.queue_capacity = draw(10);
+    group.thrash_factor = draw(1) * 0.05;
+    HostModel host(group, {}, draw(1) ? std::optional<Millis>(0) : std::nullopt);
     std::map<HostModel::Job, int> open;
     std::vector<HostModel::Event> events;
     Millis now = 0;
@@ -213,7 +216,7 @@
       events.clear();
       host.Advance(now, events);
       for (const auto& event : events) {
-        if (event.kind == HostModel::EventKind::kBegun) continue;
+        if (event.kind == HostModel::EventKind::kStarted) continue;
         EXPECT_EQ(open.erase(event.job), 1U) << "seed " << seed;
       }
       if (!open.empty() && draw(9) == 0) {
@@ -221,67 +224,69 @@
         open.erase(open.begin());
       }
       if (draw(99) == 0) host.SetSpeed(now, 0.1 + draw(10));
-      if (host.Offer(now, job, 1 + draw(60), now + draw(500)) != HostModel::Fate::kTurnedAway) open[job] = 1;
+      if (host.Submit(now, job, 1 + draw(60), now + draw(500)) != HostModel::Admission::kRejected)
+        open[job] = 1;
     }
     events.clear();
     host.Advance(now + 1e6, events);
     for (const auto& event : events) {
-      if (event.kind != HostModel::EventKind::kBegun) open.erase(event.job);
+      if (event.kind != HostModel::EventKind::kStarted) open.erase(event.job);
     }
     EXPECT_TRUE(open.empty()) << "seed " << seed;
-    EXPECT_EQ(host.held(), 0U) << "seed " << seed;
+    EXPECT_EQ(host.active_jobs(), 0U) << "seed " << seed;
   }
 }
 
-TEST(Rules, NamesEachBreach) {
+TEST(RuleChecker, NamesEachViolation) {
   struct Case {
     const char* rule;
-    std::function<void(Rules&)> breach;
+    std::function<void(RuleChecker&)> violation;
   };
   const std::vector<Case> cases{
-      {"ran_twice", [](Rules& r) { r.Asked(0, "p", false, 1), r.Began(1, "p"), r.Began(2, "p"); }},
+      {"ran_twice",
+       [](RuleChecker& r) { r.OnRequestSent(0, "p", false, 1), r.OnExecution("p"), r.OnExecution("p"); }},
       {"attempts_over",
-       [](Rules& r) {
-         for (int i = 0; i < 3; ++i) r.Reached(i, "s", -1);
+       [](RuleChecker& r) {
+         for (int i = 0; i < 3; ++i) r.OnAttempt(i, "s", -1);
        }},
-      {"unknown", [](Rules& r) { r.Reached(0, "nobody", -1); }},
-      {"late_sends", [](Rules& r) { r.Reached(1000, "s", 400); }},
-      {"cold_falls", [](Rules& r) { r.Fell("host 1"); }},
-      {"forged", [](Rules& r) { r.Served("s", "made up"); }},
-      {"lost", [](Rules& r) { r.Lost("s", "never answered"); }},
-      {"crashed", [](Rules& r) { r.Crashed("gateway 0"); }},
+      {"unknown", [](RuleChecker& r) { r.OnAttempt(0, "nobody", -1); }},
+      {"late_sends", [](RuleChecker& r) { r.OnAttempt(1000, "s", 400); }},
+      {"cold_falls", [](RuleChecker& r) { r.OnHostOverloaded("host 1"); }},
+      {"forged", [](RuleChecker& r) { r.OnResponse("s", "made up"); }},
+      {"lost", [](RuleChecker& r) { r.OnRequestLost("s", "never answered"); }},
+      {"crashed", [](RuleChecker& r) { r.OnGatewayCrashed("gateway 0"); }},
   };
   for (const Case& c : cases) {
-    Rules rules(3, 500);
+    RuleChecker rules(3, 500);
     rules.SetSeed(5);
-    rules.Asked(0, "s", true, 1);
-    rules.Began(1, "s");
-    rules.Began(2, "s");  // may run again
-    rules.Reached(900, "s", 400);
-    rules.Served("s", Rules::Mark("s", 5));
-    for (const auto& [name, count] : rules.broken().Named()) EXPECT_EQ(count, 0U) << name;
-    c.breach(rules);
-    for (const auto& [name, count] : rules.broken().Named())
+    rules.OnRequestSent(0, "s", true, 1);
+    rules.OnExecution("s");
+    rules.OnExecution("s");  // may run again
+    rules.OnAttempt(900, "s", 400);
+    rules.OnResponse("s", RuleChecker::ResponseMark("s", 5));
+    for (const auto& [name, count] : rules.violations().ByName()) EXPECT_EQ(count, 0U) << name;
+    c.violation(rules);
+    for (const auto& [name, count] : rules.violations().ByName())
       EXPECT_EQ(count, name == c.rule ? 1U : 0U) << name;
     ASSERT_EQ(rules.examples().size(), 1U);
     EXPECT_EQ(rules.examples()[0].rfind(c.rule, 0), 0U) << rules.examples()[0];
   }
 }
 
-TEST(FrontView, TakesInAtAYesAndLetsGoLate) {
-  using Heard = FrontView::Heard;
-  FrontView view(1500);
-  EXPECT_FALSE(view.Deals(0));
-  view.Tell(0, Heard::kYes);
-  EXPECT_TRUE(view.Deals(10));
-  view.Tell(100, Heard::kNo);
-  EXPECT_TRUE(view.Deals(250));
-  EXPECT_FALSE(view.Deals(301));
-  view.Tell(400, Heard::kYes);
-  view.Tell(500, Heard::kNothing);
-  view.Tell(1500, Heard::kNothing);
-  EXPECT_TRUE(view.Deals(1999));
-  EXPECT_FALSE(view.Deals(2001));
+TEST(FrontBalancerView, SendsConnectionsFromReadinessToItsLateEnd) {
+  using Probe = FrontBalancerView::Probe;
+  FrontBalancerView view(1500);
+  EXPECT_FALSE(view.SendsConnections(0));
+  view.OnProbe(0, Probe::kReady);
+  EXPECT_TRUE(view.SendsConnections(10));
+  view.OnProbe(100, Probe::kNotReady);
+  EXPECT_TRUE(view.SendsConnections(250));
+  EXPECT_FALSE(view.SendsConnections(301));
+  view.OnProbe(400, Probe::kReady);
+  view.OnProbe(500, Probe::kNoAnswer);
+  view.OnProbe(1500, Probe::kNoAnswer);
+  EXPECT_TRUE(view.SendsConnections(1999));
+  EXPECT_FALSE(view.SendsConnections(2001));
 }
 
 TEST(Recorder, MeasuresTheTimeToRecovery) {
@@ -291,16 +296,16 @@
   Recorder recorder(e);
   Arrival arrival;
   for (; arrival.at < 20000; arrival.at += 10) {
-    recorder.Arrived(arrival, 0);
+    recorder.OnArrival(arrival, 0);
     const bool failed = arrival.at >= 8000 && arrival.at < 9500;
-    recorder.Ended(arrival, failed ? End::kFailed : End::kInAim, 50);
+    recorder.OnRequestEnd(arrival, failed ? RequestResult::kFailed : RequestResult::kInObjective, 50);
   }
-  Play play;
-  recorder.Write(play);
-  EXPECT_NEAR(play.figures["recovery_s/1"], 1.5, 0.11);
-  EXPECT_NEAR(play.figures["missed_in_aim/1"], 150, 1);
-  EXPECT_NEAR(play.figures["p99_ms"], 50, 2);
-  EXPECT_FALSE(play.figures.contains("p999_ms/pay"));  // no request of it: no percentile
+  RunResult run;
+  recorder.WriteTo(run);
+  EXPECT_NEAR(run.figures["recovery_s/1"], 1.5, 0.11);
+  EXPECT_NEAR(run.figures["missed_in_aim/1"], 150, 1);
+  EXPECT_NEAR(run.figures["p99_ms"], 50, 2);
+  EXPECT_FALSE(run.figures.contains("p999_ms/pay"));  // no request of it: no percentile
 }
 
 TEST(Histogram, KeepsQuantilesWithinAThirtySecond) {
@@ -358,35 +363,35 @@
   EXPECT_EQ(ParseExperiment(kSmall + traffic, "test.toml").HostCount(), 4);
 }
 
-TEST(Results, SurviveTheirFileAndAreJudged) {
+TEST(Results, SurviveTheirFileAndAreEvaluated) {
   Experiment e = Parse(
       "[traffic]\nrate = 10\nseconds = 5\n[[bounds]]\nfigure = \"goodput\"\nover = \"random\"\nleast = 1.1\n"
       "[[bounds]]\nfigure = \"p99_ms\"\nmost = 5\nspeed = true\n");
   Results results{"small", "about", {}};
   for (const auto& [variant, goodput] : {std::pair{"gateway", 0.9}, {"random", 0.8}}) {
-    Play play;
-    play.variant = variant;
-    play.seed = 4;
-    play.figures = {{"goodput", goodput}, {"p99_ms", 9}, {"lateness_p99_ms", 20}, {"lost", 0}};
-    play.windows.push_back({0, 10, 9, 0, 1, 0, 1.5, 2.5});
-    play.events.emplace_back(12.5, "kill");
-    results.plays.push_back(play);
+    RunResult run;
+    run.variant = variant;
+    run.seed = 4;
+    run.figures = {{"goodput", goodput}, {"p99_ms", 9}, {"lateness_p99_ms", 20}, {"lost", 0}};
+    run.windows.push_back({0, 10, 9, 0, 1, 0, 1.5, 2.5});
+    run.events.emplace_back(12.5, "kill");
+    results.runs.push_back(run);
   }
   const Results again = ResultsFromJson(ToJson(results), "x");
   EXPECT_EQ(ToJson(again), ToJson(results));
   using Kind = Verdict::Kind;
   const auto kinds = [&] {
     std::vector<Kind> all;
-    for (const Verdict& verdict : Judge(e, results)) all.push_back(verdict.kind);
+    for (const Verdict& verdict : Evaluate(e, results)) all.push_back(verdict.kind);
     return all;
   };
   // Rules kept, 0.9 / 0.8 is enough, and a lab that ran late blames nobody for the time.
-  EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kHeld, Kind::kHeld, Kind::kNotJudged}));
-  results.plays[0].figures["lost"] = 1;
-  results.plays[0].figures["lateness_p99_ms"] = 1;
-  EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kBroken, Kind::kHeld, Kind::kBroken}));
-  results.plays[0].failure = "gateway 0 is not ready";
-  EXPECT_EQ(kinds()[0], Kind::kBroken);
+  EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kPassed, Kind::kPassed, Kind::kInconclusive}));
+  results.runs[0].figures["lost"] = 1;
+  results.runs[0].figures["lateness_p99_ms"] = 1;
+  EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kViolated, Kind::kPassed, Kind::kViolated}));
+  results.runs[0].failure = "gateway 0 is not ready";
+  EXPECT_EQ(kinds()[0], Kind::kViolated);
   EXPECT_THROW(ResultsFromJson("{}", "x"), std::runtime_error);
 }
 
@@ -396,19 +401,20 @@
   boost::asio::io_context io;
   Link link(io, 3);
   std::vector<std::string> passed;
-  const auto send = [&](Link::Way way, const char* what) {
-    link.Pass(way, [&passed, what] { passed.push_back(what); });
+  const auto send = [&](Link::Direction direction, const char* what) {
+    link.Transmit(direction, [&passed, what] { passed.push_back(what); });
   };
   const auto settle = [&](int ms) {
     io.run_for(std::chrono::milliseconds(ms));
     io.restart();
   };
-  send(Link::Way::kThere, "at once");
+  send(Link::Direction::kFromGateway, "at once");
   EXPECT_EQ(passed.size(), 1U);
   link.AddDelay(20, 30);
   std::vector<Millis> took;
   for (int i = 0; i < 50; ++i) {
-    link.Pass(Link::Way::kThere, [&took, sent = MonotonicNow()] { took.push_back(MonotonicNow() - sent); });
+    link.Transmit(Link::Direction::kFromGateway,
+                  [&took, sent = MonotonicNow()] { took.push_back(MonotonicNow() - sent); });
   }
   settle(150);
   ASSERT_EQ(took.size(), 50U);
@@ -416,8 +422,8 @@
   EXPECT_GT(*std::max_element(took.begin(), took.end()) - *std::min_element(took.begin(), took.end()), 10);
   link.AddDelay(-20, -30);
   link.Cut(true, false);
-  send(Link::Way::kThere, "held");
-  send(Link::Way::kBack, "back");
+  send(Link::Direction::kFromGateway, "held");
+  send(Link::Direction::kToGateway, "back");
   EXPECT_EQ(passed.back(), "back");
   link.Cut(true, true);
   link.Heal(true, true);
@@ -426,18 +432,18 @@
   EXPECT_EQ(passed.back(), "held");
 }
 
-// What two gateways hear of each other: all of it in order, then what the weather leaves, then nothing.
-TEST(PeerNet, LosesRepeatsReordersAndCuts) {
+// What two gateways receive of each other: all of it in order, then what the conditions leave, then nothing.
+TEST(PeerNetwork, LosesRepeatsReordersAndCuts) {
   namespace asio = boost::asio;
   asio::io_context io;
   const Addresses addresses(io), others(io);  // two runs at the same time
   EXPECT_NE(addresses.Gateway(0), others.Gateway(0));
-  PeerNet net(io, addresses, 2, 5);
+  PeerNetwork network(io, addresses, 2, 5);
   const auto at = [](const Addresses::Endpoint& e) { return asio::ip::udp::endpoint(e.address(), e.port()); };
   asio::ip::udp::socket a(io, at(addresses.PeerListen(0))), b(io, at(addresses.PeerListen(1)));
   b.non_blocking(true);
-  const auto play = [&](const std::string& padding) {
-    std::vector<int> heard;
+  const auto exchange = [&](const std::string& padding) {
+    std::vector<int> received;
     for (int i = 0; i < 400; ++i) {
       a.send_to(asio::buffer(std::to_string(i) + padding), at(addresses.Peer(0, 1)));
       io.run_for(std::chrono::milliseconds(i == 399 ? 60 : 1));
@@ -446,33 +452,33 @@
       asio::ip::udp::endpoint from;
       boost::system::error_code ec;
       while (b.receive_from(asio::buffer(text), from, 0, ec) > 0 && !ec) {
-        heard.push_back(std::atoi(text));
+        received.push_back(std::atoi(text));
         EXPECT_EQ(from, at(addresses.Peer(1, 0)));  // as b reaches a
       }
     }
-    return heard;
+    return received;
   };
-  const std::vector<int> calm = play(" ");
+  const std::vector<int> calm = exchange(" ");
   EXPECT_EQ(calm.size(), 400U);
   EXPECT_TRUE(std::is_sorted(calm.begin(), calm.end()));
-  net.SetWeather(1, {0.3, 0, 0, 0});
-  EXPECT_NEAR(static_cast<double>(play(" ").size()), 280, 40);
-  net.SetWeather(1, {0, 0.5, 0, 0});
-  EXPECT_NEAR(static_cast<double>(play(" ").size()), 600, 45);
-  net.SetWeather(1, {0, 0, 0.5, 0});
-  const std::vector<int> shuffled = play(" ");
+  network.SetConditions(1, {0.3, 0, 0, 0});
+  EXPECT_NEAR(static_cast<double>(exchange(" ").size()), 280, 40);
+  network.SetConditions(1, {0, 0.5, 0, 0});
+  EXPECT_NEAR(static_cast<double>(exchange(" ").size()), 600, 45);
+  network.SetConditions(1, {0, 0, 0.5, 0});
+  const std::vector<int> shuffled = exchange(" ");
   EXPECT_EQ(shuffled.size(), 400U);
   EXPECT_FALSE(std::is_sorted(shuffled.begin(), shuffled.end()));
-  net.SetWeather(1, {});
-  net.Cut(0, 1, true);
-  EXPECT_TRUE(play(" ").empty());
-  net.Cut(0, 1, false);
-  EXPECT_TRUE(play(std::string(256, ' ')).empty());
-  EXPECT_EQ(net.counts().too_long, 400U);
+  network.SetConditions(1, {});
+  network.SetCut(0, 1, true);
+  EXPECT_TRUE(exchange(" ").empty());
+  network.SetCut(0, 1, false);
+  EXPECT_TRUE(exchange(std::string(256, ' ')).empty());
+  EXPECT_EQ(network.counts().too_long, 400U);
 }
 
 // The program, with its output.
-std::pair<int, std::string> Elderhead(const std::string& arguments) {
+std::pair<int, std::string> Gatewayctl(const std::string& arguments) {
   std::FILE* const pipe = popen((std::string(GATEWAYCTL_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   std::string text;
   char part[4096];
@@ -492,7 +498,7 @@
         Case{"lab run /nowhere.toml", 2, "/nowhere.toml"}, Case{"lab run --help", 0, "Example:"},
         Case{"state verify /nowhere", 2, "/nowhere"}, Case{"call 127.0.0.1:9 check", 1, "127.0.0.1:9"},
         Case{"call nobody check", 2, "not an address"}, Case{"call 127.0.0.1:9 chek", 2, "chek"}}) {
-    const auto [code, text] = Elderhead(c.arguments);
+    const auto [code, text] = Gatewayctl(c.arguments);
     EXPECT_EQ(code, c.code) << c.arguments << "\n" << text;
     EXPECT_NE(text.find(c.says), std::string::npos) << c.arguments << "\n" << text;
   }
@@ -503,15 +509,15 @@
                     result = ::testing::TempDir() + "result.json";
   Results results{"small", "a <day>", {}};
   for (const char* variant : {"gateway", "random"}) {
-    Play play;
-    play.variant = variant;
-    play.figures = {{"goodput", 0.5}};
-    for (int i = 0; i < 4; ++i) play.windows.push_back({i * 500.0, 10, 9, 0, 1, 0, 1.5 + i, 2.5 + i});
-    play.events.emplace_back(700, "the gateway's end");
-    results.plays.push_back(play);
+    RunResult run;
+    run.variant = variant;
+    run.figures = {{"goodput", 0.5}};
+    for (int i = 0; i < 4; ++i) run.windows.push_back({i * 500.0, 10, 9, 0, 1, 0, 1.5 + i, 2.5 + i});
+    run.events.emplace_back(700, "the gateway's end");
+    results.runs.push_back(run);
   }
   std::ofstream(result) << ToJson(results);
-  const auto [code, text] = Elderhead("lab plot " + result + " \"" + folder + "\"");
+  const auto [code, text] = Gatewayctl("lab plot " + result + " \"" + folder + "\"");
   EXPECT_EQ(code, 0) << text;
   std::stringstream page;
   page << std::ifstream(folder + "/report.html").rdbuf();
@@ -530,7 +536,7 @@
 TEST(Program, ReadsEveryExperimentOfTheRepository) {
   for (const auto& entry : std::filesystem::directory_iterator(EXPERIMENTS)) {
     if (entry.path().extension() != ".toml") continue;
-    const auto [code, text] = Elderhead("config check " + entry.path().string());
+    const auto [code, text] = Gatewayctl("config check " + entry.path().string());
     EXPECT_EQ(code, 0) << text;
   }
 }
@@ -558,8 +564,8 @@
   for (const Case& c :
        {Case{"none", nullptr}, Case{"twice", "ran_twice"}, Case{"ignores_drain", "late_sends"},
         Case{"loses", "lost"}, Case{"forges", "forged"}, Case{"dies", "crashed"}}) {
-    const auto [code, out] = Elderhead("lab run " + file + " --gateway '" + GATEWAYCTL_PROGRAM +
-                                       " lab stand-in --fault " + c.fault + "'");
+    const auto [code, out] = Gatewayctl("lab run " + file + " --gateway '" + GATEWAYCTL_PROGRAM +
+                                        " lab stand-in --fault " + c.fault + "'");
     if (c.rule == nullptr) {
       EXPECT_EQ(code, 0) << out;
     } else {
@@ -627,7 +633,7 @@
       << "echo \"start$ELDERHEAD_WITHOUT_STATE\" >> " << folder << "/starts\n"
       << "n=$(wc -l < " << folder << "/starts)\n"
       << "[ $n -eq 1 ] && exit 7\n[ $n -eq 2 ] && kill -9 $$\n[ $n -eq 3 ] && exit 0\n";
-  const auto [code, out] = Elderhead("run --command 'sh " + folder + "/command'");
+  const auto [code, out] = Gatewayctl("run --command 'sh " + folder + "/command'");
   EXPECT_EQ(code, 0) << out;
   EXPECT_NE(out.find("exit code 7"), std::string::npos) << out;
   EXPECT_NE(out.find("signal 9"), std::string::npos) << out;
@@ -635,7 +641,7 @@
   starts << std::ifstream(folder + "/starts").rdbuf();
   EXPECT_EQ(starts.str(), "start\nstart\nstart1\n");
   const auto [term, words] =
-      Elderhead("run --command 'sleep 20' & sleep 0.5; kill -TERM $!; wait $!; exit $?");
+      Gatewayctl("run --command 'sleep 20' & sleep 0.5; kill -TERM $!; wait $!; exit $?");
   EXPECT_EQ(term, 128 + SIGTERM) << words;
   std::filesystem::remove_all(folder);
 }
@@ -648,7 +654,7 @@
   text += "[traffic]\nrate = 10\nseconds = 30\n";
   std::ofstream(file) << text;
   const std::string sleep = "sleep " + std::to_string(86400 + getpid());  // one of that length is ours
-  const auto [code, out] = Elderhead("lab run " + file + " --gateway '" + sleep + "'");
+  const auto [code, out] = Gatewayctl("lab run " + file + " --gateway '" + sleep + "'");
   EXPECT_EQ(code, 1) << out;
   EXPECT_NE(out.find("gateway 0 is not ready, gateway 1 is not ready after 1 s"), std::string::npos) << out;
   const auto left = [&] { return std::system(("pgrep -f '^" + sleep + "' >/dev/null").c_str()) == 0; };
--- a/tests/lab/scale_fit_test.cpp
+++ b/tests/lab/scale_fit_test.cpp
@@ -38,24 +38,24 @@
   }
 };
 
-std::vector<PlayValues> Plays(const Planted& planted, double noise, std::size_t plays,
-                              std::mt19937_64& random) {
+std::vector<RunValues> Plays(const Planted& planted, double noise, std::size_t plays,
+                             std::mt19937_64& random) {
   std::normal_distribution<double> normal(0, 1);
-  std::vector<PlayValues> all;
+  std::vector<RunValues> all;
   for (const double x : kSizes) {
-    PlayValues values;
+    RunValues values;
     for (std::size_t i = 0; i < plays; ++i) values.push_back(planted.At(x) * (1 + noise * normal(random)));
     all.push_back(std::move(values));
   }
   return all;
 }
 
-std::vector<PlayValues> Exact(const Planted& planted) {
+std::vector<RunValues> Exact(const Planted& planted) {
   std::mt19937_64 random(kSeed);
   return Plays(planted, 0, 2, random);
 }
 
-FitProblem ProblemOf(const std::vector<double>& sizes, const std::vector<PlayValues>& plays) {
+FitProblem ProblemOf(const std::vector<double>& sizes, const std::vector<RunValues>& plays) {
   try {
     FitFigure(sizes, plays, kFull);
   } catch (const FitError& error) {
@@ -150,7 +150,7 @@
   EXPECT_EQ(ProblemOf({1, 2}, {{1}, {2}}), FitProblem::kTooFewPoints);
   EXPECT_EQ(ProblemOf({7, 7, 7}, {{1}, {2}, {3}}), FitProblem::kSameSize);
   EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {2}}), FitProblem::kLengthsDiffer);
-  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {}, {2}}), FitProblem::kNoPlays);
+  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {}, {2}}), FitProblem::kNoRuns);
   EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {std::nan("")}, {2}}), FitProblem::kNotFinite);
   EXPECT_EQ(ProblemOf({-1, 2, 3}, {{1}, {1}, {2}}), FitProblem::kNotFinite);
 }
@@ -184,7 +184,7 @@
   const double factor = std::pow(2.0, *rc::gen::inRange(-20, 20));
   const auto plays = Plays(planted, 0.03, 3, random);
   auto scaled = plays;
-  for (PlayValues& values : scaled) {
+  for (RunValues& values : scaled) {
     for (double& value : values) value *= factor;
   }
   const ScaleFit one = FitFigure(kSizes, plays, kFull);
@@ -198,7 +198,7 @@
 }
 
 RC_GTEST_PROP(ScaleFitProperty, GivesNoNegativeCostWhateverWasMeasured, ()) {
-  std::vector<PlayValues> plays;
+  std::vector<RunValues> plays;
   for (std::size_t i = 0; i < kSizes.size(); ++i) plays.push_back({*rc::gen::inRange(-10, 1000) * 0.1});
   const ScaleFit fit = FitFigure(kSizes, plays, kFull);
   RC_ASSERT(fit.offset >= 0);
@@ -218,7 +218,7 @@
   result.largest = kSizes.back();
   result.limited_by = "memory";
   result.seed = 7;
-  result.plays = 2;
+  result.runs = 2;
   result.machine = {8, 24000};
   result.fixed = {{"gateways_real", 1}};
   const auto plays = Exact({FitForm::kLinear, 0.8, 0.0007});
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/http.hpp"
+#include "lab/http_server.hpp"
 #include "lab/scale/fleet_measurer.hpp"
 #include "lab/scale/gateway_configuration.hpp"
 #include "lab/scale/hollow_comparison.hpp"
@@ -167,7 +167,7 @@
 
 TEST(ScaleSweep, FindsAPlantedQuadraticCost) {
   ScaleExperiment e = SmallSweep();
-  e.plays = 3;
+  e.runs = 3;
   e.full = 1000;
   PlantedCosts costs;
   const ScaleResult result = RunSweep(e, costs, {});
@@ -178,9 +178,9 @@
   EXPECT_NEAR(FitOf(result, "even").at_full.value, 2 + 0.05 * 1000, 3);
 }
 
-TEST(ScaleSweep, MeasuresAllPlaysOfEachPointInOrder) {
+TEST(ScaleSweep, MeasuresAllRunsOfEachPointInOrder) {
   ScaleExperiment e = SmallSweep();
-  e.plays = 2;
+  e.runs = 2;
   e.seed = 7;
   PlantedCosts costs;
   std::vector<std::string> notes;
@@ -258,9 +258,9 @@
         }
       }
     }
-    EXPECT_EQ(read.points[i].roles.at("gateway").at("served_percent"), PlayValues{100});
-    EXPECT_EQ(read.points[i].roles.at("load").at("changes_failed"), PlayValues{0});
-    EXPECT_EQ(read.points[i].roles.at("load").at("renewals_failed"), PlayValues{0});
+    EXPECT_EQ(read.points[i].roles.at("gateway").at("served_percent"), RunValues{100});
+    EXPECT_EQ(read.points[i].roles.at("load").at("changes_failed"), RunValues{0});
+    EXPECT_EQ(read.points[i].roles.at("load").at("renewals_failed"), RunValues{0});
     // Whatever its speed, a gateway at rest asks once every 2 to 2.5 s.
     const double calls = read.points[i].roles.at("gateway").at("messages_out_per_s")[0];
     EXPECT_TRUE(calls > 0.3 && calls < 0.6) << calls;
@@ -288,7 +288,7 @@
   EXPECT_NE(result.refused[0].why.find("list index too large"), std::string::npos) << result.refused[0].why;
 }
 
-TEST(HollowGateways, AskAndAreToldWhatRealOnesAre) {
+TEST(HollowGateways, LoadTheListServiceAsRealOnesDo) {
   FleetSize size;
   size.hosts = 10;
   size.gateways_hollow = 5;
@@ -336,11 +336,11 @@
 gateway::proxy::Config ConfigAt(const FailingListService& service) {
   const TemporaryFolder folder;
   const std::string file = (folder.path() / "config.json").string();
-  GatewayPlace place;
-  place.listen = service.gateway();
-  place.list_service = service.address();
-  place.seed = 5;
-  std::ofstream(file) << GatewayConfiguration({}, place).dump();
+  GatewayConfigInput input;
+  input.listen = service.gateway();
+  input.list_service = service.address();
+  input.seed = 5;
+  std::ofstream(file) << GatewayConfiguration({}, input).dump();
   return gateway::proxy::LoadConfig(
       [&](const char* name) { return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
 }
@@ -367,7 +367,7 @@
   e.file = "storms.toml";
   e.name = "storms";
   e.kind = ScaleKind::kStorms;
-  e.plays = 1;
+  e.runs = 1;
   e.outage = 500;
   e.fixed.hosts = 20;
   e.fixed.gateways_real = 0;
@@ -375,7 +375,7 @@
   e.quick_fixed = e.fixed;
   StormOptions options;
   options.deadline = base::MonotonicNow() + kTestWithin;
-  const std::vector<StormResult> storms = PlayStorms(e, kPrograms, options);
+  const std::vector<StormResult> storms = RunStorms(e, kPrograms, options);
   ASSERT_EQ(storms.size(), 2U);
   EXPECT_EQ(storms[0].storm, "zone_starts");
   EXPECT_EQ(storms[1].storm, "list_service_returns");
