--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -19,7 +19,7 @@
 constexpr Millis kWatchCall = 2500;       // a call of a watch that is at rest lasts at most so long
 constexpr Millis kAfterReady = 50;        // what a start costs is read so long after it
 constexpr Millis kLoneStart = 400;        // the same of a gateway that never becomes ready
-constexpr Millis kHollowReady = 60000;    // for all of them to have heard
+constexpr Millis kHollowReady = 60000;    // for all of them to have a list
 constexpr Millis kChangeTimeout = 20000;  // for the last change to come to all
 
 constexpr double kUs = 1000;  // in a ms
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -104,9 +104,9 @@
         base::GetRequest(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", revision_, kWatchTimeout),
                          "list"),
         kWatchTimeout + kWatchGrace, [this](ClientConnection::Result result) {
-          const bool told =
+          const bool answered =
               result.failure == ClientConnection::Failure::kNone && result.response.result_int() == 200;
-          const json list = told ? json::parse(result.response.body(), nullptr, false) : json();
+          const json list = answered ? json::parse(result.response.body(), nullptr, false) : json();
           if (list.is_object() && options_.fault != "ignores_drain") ApplyList(list);
           poll_timer_.expires_after(
               TimerDuration(list.is_object() && list.at("revision") == revision_ ? 0 : kPollBackoff));
