--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -23,18 +23,19 @@
   return examination;
 }
 
-const char* FoundText(storage::Found found) {
-  switch (found) {
-    case storage::Found::kNothing: return "no state";
-    case storage::Found::kWhole: return "whole";
-    case storage::Found::kDamaged: return "damaged";
-    case storage::Found::kForeign: return "of a newer program";
+const char* ConditionText(storage::StoreCondition condition) {
+  switch (condition) {
+    case storage::StoreCondition::kEmpty: return "no state";
+    case storage::StoreCondition::kComplete: return "whole";
+    case storage::StoreCondition::kCorrupt: return "damaged";
+    case storage::StoreCondition::kOtherOwner:
+    case storage::StoreCondition::kUnsupportedVersion: return "of a newer program";
   }
   return "";
 }
 
 std::string SummaryLine(const std::string& folder, const storage::Examination& examination) {
-  std::string line = fmt::format("{}: {}", folder, FoundText(examination.found));
+  std::string line = fmt::format("{}: {}", folder, ConditionText(examination.condition));
   if (examination.manifest && !examination.manifest->owner.empty())
     line += fmt::format(", of {}", examination.manifest->owner);
   if (examination.snapshot) line += fmt::format(", snapshot up to {}", examination.snapshot->sequence);
@@ -42,7 +43,7 @@
     line += fmt::format(", records {} to {}", examination.records.front().sequence,
                         examination.records.back().sequence);
   }
-  return examination.why.empty() ? line : line + ": " + examination.why;
+  return examination.error.empty() ? line : line + ": " + examination.error;
 }
 
 // The payload as JSON, or as a text where it is none.
@@ -56,7 +57,8 @@
 }
 
 bool IsUndamaged(const storage::Examination& examination) {
-  return examination.found == storage::Found::kWhole || examination.found == storage::Found::kNothing;
+  return examination.condition == storage::StoreCondition::kComplete ||
+         examination.condition == storage::StoreCondition::kEmpty;
 }
 
 // Prints what is there, file by file.
@@ -67,10 +69,10 @@
     fmt::print("  begun by elderhead {}, format {}\n", examination.manifest->program,
                examination.manifest->format);
   for (const auto& file : examination.files) {
-    fmt::print("  {:32} {:>9} bytes  {}{}\n", file.name, file.bytes, file.what,
-               file.why.empty() ? "" : "; wrong: " + file.why);
+    fmt::print("  {:32} {:>9} bytes  {}{}\n", file.name, file.bytes, file.description,
+               file.error.empty() ? "" : "; wrong: " + file.error);
   }
-  for (const std::string& name : examination.spent) fmt::print("  {:32} needed no more\n", name);
+  for (const std::string& name : examination.obsolete_files) fmt::print("  {:32} needed no more\n", name);
   return kSuccess;
 }
 
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -125,7 +125,7 @@
     member.id = listed.id;
     member.address = Addresses::Text(addresses_.Host(0, host));
     member.zone = listed.zone;
-    member.kind = listed.machine_type;
+    member.machine_type = listed.machine_type;
     member.cell = "0";
   }
   if (!direct_ && experiment_.fleet.own_registry) {
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -18,7 +18,7 @@
 #include "lab/http_server.hpp"
 #include "lab/processes.hpp"
 #include "lab/temporary_folder.hpp"
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
 #include "storage/file_system.hpp"
 
 namespace gateway::lab {
@@ -116,9 +116,9 @@
     command.member.id = MemberId(i);
     command.member.address = fmt::format("10.{}.{}.{}:3000", 1 + i / 62500, i / 250 % 250, 1 + i % 250);
     command.member.zone = std::string(1, static_cast<char>('a' + i % 3));
-    command.member.kind = "standard";
+    command.member.machine_type = "standard";
     command.member.incarnation = 1;
-    command.member.term = load_.term;
+    command.member.lease_duration = load_.term;
     return command;
   }
   registry::Command Change(registry::Action action, int i) const {
@@ -217,7 +217,7 @@
     std::function<void(std::shared_ptr<ClientConnection>)> write =
         [&](std::shared_ptr<ClientConnection> connection) {
           if (next >= count) return;
-          connection->Exchange(ToRequest(make(next++)), kCallTimeout,
+          connection->Exchange(EncodeRequest(make(next++)), kCallTimeout,
                                [&, connection](ClientConnection::Result result) {
                                  ++done;
                                  failed += result.ok() ? 0 : 1;
@@ -257,11 +257,12 @@
     if (!connection || !connection->usable()) {
       connection = std::make_shared<ClientConnection>(io_, addresses_.Registry());
     }
-    connection->Exchange(ToRequest(registry::Renewal{MemberId(next_renewal_++ % load_.members), 1}),
-                         kCallTimeout, [this, &renewer](const ClientConnection::Result& result) {
-                           renewer.busy = false;
-                           renewals_failed_ += renewing_ && !result.ok() ? 1 : 0;
-                         });
+    connection->Exchange(
+        EncodeRequest(registry::RenewalRequest{MemberId(next_renewal_++ % load_.members), 1}), kCallTimeout,
+        [this, &renewer](const ClientConnection::Result& result) {
+          renewer.busy = false;
+          renewals_failed_ += renewing_ && !result.ok() ? 1 : 0;
+        });
   }
 
   void Watch() {
@@ -302,7 +303,7 @@
       notified_ = 0;
       answered_at_ = 0;
       early_.clear();
-      writer->Exchange(ToRequest(Change(registry::Action::kDrain, i)), kCallTimeout,
+      writer->Exchange(EncodeRequest(Change(registry::Action::kDrain, i)), kCallTimeout,
                        [this](ClientConnection::Result) {
                          answered_at_ = MonotonicNow();  // the service answers when it has synced
                          for (const Millis at : early_) delays_.Add(ToMicros(at - answered_at_));
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -9,7 +9,9 @@
 #include <utility>
 
 #include "lab/addresses.hpp"
-#include "registry/form.hpp"
+#include "registry/http_request.hpp"
+#include "registry/http_response.hpp"
+#include "registry/registry_json.hpp"
 
 namespace gateway::lab {
 namespace {
@@ -21,15 +23,19 @@
 constexpr int kRenewalsPerTerm = 3;
 constexpr double kMillisPerSecond = 1000;
 
-// The code "none" where there was no answer.
-registry::Outcome OutcomeOf(const ClientConnection::Result& result) {
-  if (result.failure != ClientConnection::Failure::kNone) return {"none", "", ""};
-  return registry::ParseOutcome(result.response.result_int(), result.response.body());
+// kUnreadable where there was no response.
+registry::CommandResult ResultOf(const ClientConnection::Result& result) {
+  if (result.failure != ClientConnection::Failure::kNone) {
+    return registry::CommandResult::Failed({registry::ErrorCode::kUnreadable, "", "no response"});
+  }
+  return registry::ParseResult(result.response.result_int(), result.response.body());
 }
 
-// Whether the service may not have carried out the call, and may do so later.
-bool ShouldRetry(const registry::Outcome& outcome) {
-  return outcome.code == "none" || outcome.code == "unreadable" || registry::StatusOf(outcome) == 503;
+// Whether the result is unknown, or the service is not available now.
+bool ShouldRetry(const registry::CommandResult& result) {
+  constexpr unsigned kServiceUnavailable = 503;
+  return result.code() == registry::ErrorCode::kUnreadable ||
+         registry::HttpStatus(result.code()) == kServiceUnavailable;
 }
 
 }  // namespace
@@ -38,10 +44,10 @@
     : env_(std::move(environment)),
       processes_(env_.io, [this](const ProcessEnd& end) { OnProcessEnd(end); }) {
   for (registry::Member& member : hosts) {
-    member.term = env_.lease_term;
+    member.lease_duration = env_.lease_term;
     Agent& agent = *agents_.emplace_back(std::make_unique<Agent>(env_.io));
     agent.member = std::move(member);
-    agent.state.Checked(true, 1);
+    agent.state.OnHealthCheck(true, 1);
   }
 }
 
@@ -91,11 +97,11 @@
 
 // Registers the host or renews its lease, whichever is due.
 void RegistryProcess::Call(int host) {
-  using Say = registry::AgentState::Say;
+  using registry::AgentAction;
   Agent& agent = At(host);
   if (!agent.host_up || agent.cut || agent.calling) return;
-  const Say call = agent.state.next();
-  if (call != Say::kRegister && call != Say::kRenew) return;
+  const AgentAction call = agent.state.next();
+  if (call != AgentAction::kRegister && call != AgentAction::kRenew) return;
   registry::Command registration;
   registration.member = agent.member;
   const std::int64_t incarnation = agent.member.incarnation;
@@ -104,38 +110,38 @@
   }
   agent.calling = true;
   agent.connection->Exchange(
-      call == Say::kRegister ? ToRequest(registration)
-                             : ToRequest(registry::Renewal{agent.member.id, incarnation}),
+      call == AgentAction::kRegister ? EncodeRequest(registration)
+                                     : EncodeRequest(registry::RenewalRequest{agent.member.id, incarnation}),
       kCallTimeout, [this, host, call, incarnation](const ClientConnection::Result& result) {
         OnResult(host, call, incarnation, result);
       });
 }
 
-void RegistryProcess::OnResult(int host, registry::AgentState::Say call, std::int64_t incarnation,
+void RegistryProcess::OnResult(int host, registry::AgentAction call, std::int64_t incarnation,
                                const ClientConnection::Result& result) {
   Agent& agent = At(host);
   agent.calling = false;
-  const registry::Outcome outcome = OutcomeOf(result);
+  const registry::CommandResult outcome = ResultOf(result);
   OnRevision(outcome.revision);
   const bool outdated = !agent.host_up || agent.member.incarnation != incarnation;
   if (outdated || ShouldRetry(outcome)) return CallLater(host, kRetryDelay);
-  agent.state.Answered(call, outcome.code);
-  const bool registers_next = agent.state.next() == registry::AgentState::Say::kRegister;
-  CallLater(host, registers_next ? 0 : agent.member.term / kRenewalsPerTerm);
+  agent.state.OnResult(call, outcome.code());
+  const bool registers_next = agent.state.next() == registry::AgentAction::kRegister;
+  CallLater(host, registers_next ? 0 : agent.member.lease_duration / kRenewalsPerTerm);
 }
 
 void RegistryProcess::SendOperatorCall(registry::Action action, int host) {
   registry::Command command;
   command.action = action;
   command.member.id = At(host).member.id;
-  command.key = fmt::format("lab-{}", ++operator_calls_);
+  command.idempotency_key = fmt::format("lab-{}", ++operator_calls_);
   command.by_operator = true;
   SendUntilAnswered(command);
 }
 
 void RegistryProcess::SendUntilAnswered(const registry::Command& command) {
   const auto connection = std::make_shared<ClientConnection>(env_.io, env_.address);
-  connection->Exchange(ToRequest(command), kCallTimeout,
+  connection->Exchange(EncodeRequest(command), kCallTimeout,
                        [this, command, connection](const ClientConnection::Result& result) {
                          OnOperatorResult(command, result);
                        });
@@ -143,11 +149,11 @@
 
 void RegistryProcess::OnOperatorResult(const registry::Command& command,
                                        const ClientConnection::Result& result) {
-  const registry::Outcome outcome = OutcomeOf(result);
+  const registry::CommandResult outcome = ResultOf(result);
   OnRevision(outcome.revision);
   if (!ShouldRetry(outcome)) {
-    env_.add_event(fmt::format("{} of {} kept{}", NameOf(command.action), command.member.id,
-                               outcome.ok() ? "" : ": " + outcome.code));
+    env_.add_event(fmt::format("{} of {} kept{}", CallName(command.action), command.member.id,
+                               outcome.error ? ": " + ErrorCodeName(*outcome.error) : ""));
     return;
   }
   const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(kRetryDelay));
@@ -166,7 +172,7 @@
   agent.host_up = true;
   agent.member.incarnation = incarnation;
   agent.state = {};
-  agent.state.Checked(true, 1);
+  agent.state.OnHealthCheck(true, 1);
   CallLater(host, 0);
 }
 
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -83,7 +83,7 @@
   void WriteConfig(const std::filesystem::path& path) const;
   void Call(int host);
   void CallLater(int host, Millis delay);
-  void OnResult(int host, registry::AgentState::Say call, std::int64_t incarnation,
+  void OnResult(int host, registry::AgentAction call, std::int64_t incarnation,
                 const ClientConnection::Result& result);
   void SendOperatorCall(registry::Action action, int host);
   void SendUntilAnswered(const registry::Command& command);
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kLeastPoints = 3;
 constexpr double kClearlyBetter = 0.75;     // of another form's residual
 constexpr double kGoodEnough = 0.005;       // a line of a smaller residual is not replaced by a curve
-constexpr double kSlopeStandardErrors = 2;  // a slope above this many is told apart from none
+constexpr double kSlopeStandardErrors = 2;  // a slope above this many counts as growth
 constexpr double kExact = 1e-9;             // a residual below this is rounding
 constexpr double kConfidence = 0.95;
 
@@ -123,7 +123,7 @@
   return std::sqrt(curve.squares / sums.weight) / scale;
 }
 
-// Whether growth is told apart from none: by an F test against the constant, or by a clearly smaller
+// Whether the growth is significant: by an F test against the constant, or by a clearly smaller
 // residual. Few points seldom pass the former; a slope that is left out costs more here than one too many.
 bool Grows(const Curve& constant, const Curve& grown, std::size_t points) {
   if (grown.slope <= 0) return false;
