--- a/include/gateway/actions.hpp
+++ b/include/gateway/actions.hpp
@@ -45,6 +45,7 @@
 // A line for the gateway's log.
 struct LogLine {
   std::string text;
+  bool is_status = false;  // the periodic status line, else a line on an event
 };
 
 using Action = std::variant<Send, Reject, Fail, Cancel, SetTimer, WatchEndpointList, LogLine>;
--- a/src/policy/policy_log.cpp
+++ b/src/policy/policy_log.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis kStatusInterval = 5000;
 constexpr Millis kMinimumEventInterval = 200;
-constexpr std::size_t kMaximumLine = 400;  // bytes
+constexpr std::size_t kMaximumLine = 512;  // bytes
 
 std::string Format(const PolicyStatus& status, const PolicyCounters& counters) {
   const auto outcomes = [&counters](AttemptResult result) {
@@ -18,9 +18,10 @@
   char text[kMaximumLine];
   std::snprintf(
       text, sizeof text,
-      "state: rate %.0f spent %.0f tokens %.1f failing %.2f queued %zu servers %d suspect %d out %d "
-      "places %.0f latency %.1f | arrived %d direct %d released %d held %.1f full %d waited %d late %d "
-      "spoiled %d | served %d slow %d error %d rejected %d timeout %d connect %d reset %d",
+      "policy: rate %.0f sent_rate %.0f tokens %.1f failure_rate %.2f queued %zu endpoints %d ejected %d "
+      "in_flight %d slots %.0f latency %.1f | arrived %d sent_directly %d released %d queue_time %.1f "
+      "queue_full %d queue_timeout %d too_late %d attempts_failed %d | served %d served_late %d error %d "
+      "rejected %d timeout %d connect %d reset %d",
       status.rate, status.sent_rate, status.tokens, status.failure_rate, status.queued, status.endpoints_up,
       status.endpoints_ejected, status.attempts_in_flight, status.slots, status.latency, counters.arrived,
       counters.sent_directly, counters.released, counters.time_in_queue / std::max(1, counters.released),
@@ -36,7 +37,7 @@
 void PolicyLog::WriteEvent(EventContext& context, std::string text) {
   if (context.now < next_event_at_) return;
   next_event_at_ = context.now + kMinimumEventInterval;
-  context.Emit(LogLine{std::move(text)});
+  context.Emit(LogLine{std::move(text), /*is_status=*/false});
 }
 
 bool PolicyLog::IsStatusDue(Millis now) {
@@ -45,7 +46,7 @@
 }
 
 void PolicyLog::WriteStatus(EventContext& context, const PolicyStatus& status) {
-  context.Emit(LogLine{Format(status, std::exchange(counters_, {}))});
+  context.Emit(LogLine{Format(status, std::exchange(counters_, {})), /*is_status=*/true});
 }
 
 }  // namespace gateway::policy
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -202,7 +202,8 @@
   const AdmissionRate::Fleet fleet = GetFleet();
   if (!rate_.RecordOutcome(within_objective, attempt.sent_at, context.now, fleet)) return;
   rate_.Decrease(context.now, upstream_.MedianLatency(), fleet);
-  log_.WriteEvent(context, "rate cut to " + std::to_string(static_cast<int>(rate_.rate())) + "/s");
+  log_.WriteEvent(context,
+                  "admission rate decreased to " + std::to_string(static_cast<int>(rate_.rate())) + "/s");
 }
 
 void RequestController::RetryOrAnswer(EventContext& context, ActiveRequest& request,
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -131,7 +131,7 @@
   if (change == Change::kNone) return;
   if (change == Change::kRestarted) Restart(endpoint, context.now, context.now);
   const bool ejected = change == Change::kEjected;
-  log_.WriteEvent(context, "server " + endpoint.info.id + (ejected ? " not ready: failing" : " ready again"));
+  log_.WriteEvent(context, "endpoint " + endpoint.info.id + (ejected ? " ejected: failing" : " readmitted"));
   ChooseSubset();
 }
 
--- a/src/proxy/admin/start_log.cpp
+++ b/src/proxy/admin/start_log.cpp
@@ -9,8 +9,9 @@
 void LogClass(const policy::TrafficClassSettings& settings) {
   base::Log(
       base::Level::kInfo, "start", "class",
-      Format("class %s: aim %.0f ms, deadline %.0f ms, worth %.1f, late worth %.2f", settings.name.c_str(),
-             settings.latency_objective, settings.deadline, settings.priority_weight, settings.late_weight),
+      Format("class %s: latency objective %.0f ms, deadline %.0f ms, priority weight %.1f, late weight %.2f",
+             settings.name.c_str(), settings.latency_objective, settings.deadline, settings.priority_weight,
+             settings.late_weight),
       {{"class", settings.name},
        {"aim_ms", settings.latency_objective},
        {"deadline_ms", settings.deadline},
@@ -23,8 +24,8 @@
   for (const policy::TrafficClassSettings& traffic_class : settings.classes) LogClass(traffic_class);
   base::Log(
       base::Level::kInfo, "start", "fleet",
-      Format("fleet: gateway %d of %d in zone %s; hosts start at %.2f, warm after %.0f ms, fall at "
-             "%.1f times that; ask within %.0f ms",
+      Format("fleet: gateway %d of %d in zone %s; warm-up from %.2f over %.0f ms, overload factor "
+             "%.1f; poll interval at most %.0f ms",
              settings.gateway_index, settings.gateway_count, settings.zone.c_str(),
              settings.warm_up_initial_fraction, settings.warm_up_duration, settings.overload_factor,
              settings.maximum_poll_interval),
@@ -32,17 +33,18 @@
 }
 
 void LogRestoredList(std::int64_t revision, std::size_t endpoints, Millis age) {
-  base::Log(base::Level::kInfo, "state", "list_restored",
-            Format("state kept: list of revision %lld with %zu hosts in force until discovery answers, kept "
-                   "%.0f s ago",
-                   static_cast<long long>(revision), endpoints, age / 1000),
-            {{"revision", revision}, {"hosts", endpoints}, {"age_ms", age}});
+  base::Log(
+      base::Level::kInfo, "state", "list_restored",
+      Format("saved state: list of revision %lld with %zu endpoints in force until discovery answers, saved "
+             "%.0f s ago",
+             static_cast<long long>(revision), endpoints, age / 1000),
+      {{"revision", revision}, {"hosts", endpoints}, {"age_ms", age}});
 }
 
 void LogRestoredLearnedState(std::size_t endpoints, Millis age) {
   base::Log(base::Level::kInfo, "state", "learned_restored",
-            Format("state kept: what was learned of %zu hosts, %.1f s ago, counts by its age", endpoints,
-                   age / 1000),
+            Format("saved state: learned state of %zu endpoints, %.1f s old, is weighted by its age",
+                   endpoints, age / 1000),
             {{"hosts", endpoints}, {"age_ms", age}});
 }
 
--- a/src/proxy/admin/status_log.cpp
+++ b/src/proxy/admin/status_log.cpp
@@ -36,7 +36,7 @@
   if (std::exchange(list_stale_, status.list_stale) == status.list_stale) return;
   if (list_stale_) {
     base::Log(base::Level::kWarning, "discovery", "list_old",
-              Format("discovery: no list for %.0f s; the old one holds", list_stale_after_ / 1000));
+              Format("discovery: no list for %.0f s; the last one stays in force", list_stale_after_ / 1000));
   } else {
     base::Log(base::Level::kInfo, "discovery", "list_fresh", "discovery: the list is fresh again");
   }
@@ -46,14 +46,15 @@
   const UpstreamCounts& now = status.upstream_counts;
   const UpstreamCounts before = std::exchange(counts_, now);
   const std::uint64_t disconnected_before = std::exchange(disconnected_clients_, status.disconnected_clients);
-  base::Log(base::Level::kInfo, "sockets", "counts",
-            Format("sockets: hosts %zu clients %zu left %llu | dialled %llu reused %llu stale %llu "
-                   "unusable %llu reset new %llu reused %llu",
-                   status.upstream_connections, status.client_connections,
-                   Since(status.disconnected_clients, disconnected_before),
-                   Since(now.connects, before.connects), Since(now.reuses, before.reuses),
-                   Since(now.stale, before.stale), Since(now.not_started, before.not_started),
-                   Since(now.resets_new, before.resets_new), Since(now.resets_reused, before.resets_reused)));
+  base::Log(
+      base::Level::kInfo, "sockets", "counts",
+      Format("connections: upstream %zu clients %zu disconnected %llu | connects %llu reuses %llu stale %llu "
+             "not_started %llu resets new %llu reused %llu",
+             status.upstream_connections, status.client_connections,
+             Since(status.disconnected_clients, disconnected_before), Since(now.connects, before.connects),
+             Since(now.reuses, before.reuses), Since(now.stale, before.stale),
+             Since(now.not_started, before.not_started), Since(now.resets_new, before.resets_new),
+             Since(now.resets_reused, before.resets_reused)));
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/policy_driver.cpp
+++ b/src/proxy/policy_driver.cpp
@@ -59,8 +59,7 @@
 }
 
 void PolicyDriver::Execute(const policy::LogLine& line) {
-  const bool is_status = line.text.starts_with("state:");
-  base::Log(base::Level::kInfo, "decisions", is_status ? "counts" : "news", line.text);
+  base::Log(base::Level::kInfo, "decisions", line.is_status ? "counts" : "news", line.text);
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -32,7 +32,7 @@
   if (predecessor_state_ != PredecessorState::kNone) BeginOverlap();
   if (predecessor_state_ == PredecessorState::kUnresponsive) EndOverlapLater();
   if (predecessor_) {
-    base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a process that serves");
+    base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a running process");
     predecessor_->SetObserver(*this);
     NotifyReadiness();
   }
@@ -107,7 +107,7 @@
 TransferredState HotRestart::StateForSuccessor() { return callbacks_.export_state(); }
 
 void HotRestart::OnSuccessor(std::unique_ptr<HotRestartChannel> channel) {
-  base::Log(base::Level::kInfo, "replacement", "successor_came", "a process that replaces this one has come");
+  base::Log(base::Level::kInfo, "replacement", "successor_came", "a successor process has connected");
   successor_ = std::move(channel);
   successor_state_ = SuccessorState::kStarting;
   BeginOverlap();
@@ -115,8 +115,7 @@
 }
 
 void HotRestart::OnSuccessorGone() {
-  base::Log(base::Level::kWarning, "replacement", "successor_gone",
-            "the process that replaces this one has gone");
+  base::Log(base::Level::kWarning, "replacement", "successor_gone", "the successor process has ended");
   successor_state_ = SuccessorState::kNone;
   successor_.reset();
   if (!callbacks_.is_stopping()) EndOverlap();
--- a/src/proxy/restart/saved_state.cpp
+++ b/src/proxy/restart/saved_state.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 
 void LogNotRead(const std::string& reason) {
-  base::Log(base::Level::kWarning, "state", "not_read", "state kept: " + reason);
+  base::Log(base::Level::kWarning, "state", "not_read", "saved state: " + reason);
 }
 
 std::optional<policy::LearnedState> ParseLearned(const json& form) {
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -18,7 +18,7 @@
 constexpr auto kLastWritePollInterval = std::chrono::milliseconds(1);
 
 void LogState(base::Level level, const char* event, const std::string& text) {
-  base::Log(level, "state", event, "state kept: " + text);
+  base::Log(level, "state", event, "saved state: " + text);
 }
 
 // Delays each sync of `files`.
@@ -119,7 +119,7 @@
   const storage::Status status = storage::Store::Open(files_, folder_, options_, store_, found);
   if (found.is_foreign()) return Unusable(status.Text() + "; it is left as it is");
   if (status.ok() && found.snapshot && found.snapshot->version > kSavedStateVersion) {
-    return Unusable(folder_ + ": kept by a newer program; it is left as it is");
+    return Unusable(folder_ + ": saved by a newer program; it is left as it is");
   }
   if (status.ok()) return OpenResult::kOpened;
   if (std::exchange(last_open_error_, status.Text()) != status.Text()) {
@@ -138,7 +138,7 @@
   const storage::Status status = store_->TakeSnapshot(kSavedStateVersion, state);
   if (!status.ok()) {
     LogState(base::Level::kError, "not_written",
-             status.Text() + "; nothing more is kept until the next start");
+             status.Text() + "; nothing more is saved until the next start");
     shared_->ok = false;
     return false;
   }
--- a/src/proxy/restart/successor_acceptor.cpp
+++ b/src/proxy/restart/successor_acceptor.cpp
@@ -55,7 +55,7 @@
   }
   if (ec || !socket) {
     base::Log(base::Level::kWarning, "replacement", "no_handover",
-              "nothing can be handed over at " + path + ": " + ec.message(), {{"path", path}});
+              "hot restart is not possible at " + path + ": " + ec.message(), {{"path", path}});
     return;
   }
   socket.Release();
--- a/src/proxy/upstream/upstream_error_log.cpp
+++ b/src/proxy/upstream/upstream_error_log.cpp
@@ -46,7 +46,8 @@
 void UpstreamErrorLog::LogErrorResponse(const std::string& endpoint, unsigned status) {
   if (!BeginLine()) return;
   base::Log(base::Level::kWarning, "hosts", "error_answer",
-            "answer " + std::to_string(status) + " by " + endpoint, {{"host", endpoint}, {"status", status}});
+            "response " + std::to_string(status) + " from " + endpoint,
+            {{"host", endpoint}, {"status", status}});
 }
 
 }  // namespace gateway::proxy
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -142,7 +142,7 @@
   }
 
   // Whether the actions log a decrease of the admission rate.
-  static bool DecreasedRate(const std::vector<Action>& actions) { return HasLogLine(actions, "rate cut"); }
+  static bool DecreasedRate(const std::vector<Action>& actions) { return HasLogLine(actions, "admission rate decreased"); }
 
   // The number of actions of the type.
   template <typename ActionType>
