--- a/include/gateway/events.hpp
+++ b/include/gateway/events.hpp
@@ -37,7 +37,7 @@
   kError,          // answered with an error; may have been executed
   kRejected,       // refused by the endpoint before execution
   kTimedOut,       // no response in time; may have been executed
-  kConnectFailed,  // no connection; not executed
+  kConnectFailed,  // no connection, or it ended before the request was sent completely; not executed
   kReset,          // connection lost under way; may have been executed
   kCancelled,      // ended by Cancel; may have been executed
   kNotSent,        // not sent by this gateway; not executed
@@ -50,13 +50,14 @@
   int attempt = 0;  // index among the request's Sends, from 0
   std::string endpoint;
   AttemptResult result = AttemptResult::kServed;
-  bool request_finished = false;  // the client needs no other answer
+  bool request_finished = false;  // the client needs no other answer; set by the gateway on delivery
   Millis latency = 0;             // since the Send
   std::vector<double> load;       // the endpoint's load report by Settings::load_report_fields; may be empty
   bool request_buffered = true;   // the gateway still has the complete request, so it could be sent again
 };
 
-// The client has closed its connection; the request needs no answer any more.
+// The request needs no answer any more: its client has closed the connection, or the gateway has answered it
+// by itself because the policy's answer was late.
 struct ClientDisconnected {
   std::string request;
 };
--- a/include/gateway/time.hpp
+++ b/include/gateway/time.hpp
@@ -4,7 +4,8 @@
 
 namespace gateway::policy {
 
-// Milliseconds: a duration, or a point on the monotonic clock of the caller, from any origin.
+// Milliseconds: a duration, or a point in time. All points share one clock of the caller, which never runs
+// backwards; EndpointInfo::started_at is on it too.
 using Millis = double;
 
 }  // namespace gateway::policy
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -162,7 +162,7 @@
   idle.push_back(std::move(connection));
 }
 
-void Clients::OnResult(const std::shared_ptr<Attempt>& attempt, ClientConnection::Result result) {
+void Clients::OnResult(const std::shared_ptr<Attempt>& attempt, const ClientConnection::Result& result) {
   const auto connection = std::exchange(attempt->connection, nullptr);
   // The gateway closed an idle connection while this request was on its way to it.
   const bool closed_while_idle = result.failure == Failure::kNoResponse && connection->exchanges() > 1;
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -76,7 +76,7 @@
   void Send(const std::shared_ptr<ClientRequest>& request);
   std::shared_ptr<Attempt> MakeAttempt(const std::shared_ptr<ClientRequest>& request, int target);
   void Exchange(const std::shared_ptr<Attempt>& attempt);
-  void OnResult(const std::shared_ptr<Attempt>& attempt, ClientConnection::Result result);
+  void OnResult(const std::shared_ptr<Attempt>& attempt, const ClientConnection::Result& result);
   void CheckResult(const Attempt& attempt, const std::shared_ptr<ClientConnection>& connection,
                    const ClientConnection::Result& result);
   void OnServed(const std::shared_ptr<ClientRequest>& request);
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -22,8 +22,8 @@
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
   options.revision = config.known.revision;
-  options.guard_mass_removal = config.list_guarded;
-  options.max_removed_share = config.most_removed;
+  options.guard_mass_removal = config.guard_mass_removal;
+  options.max_removed_share = config.max_removed_share;
   return options;
 }
 
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -20,7 +20,8 @@
 constexpr double kFailureThreshold = 0.2;
 constexpr double kSharedFailureThreshold = 0.25;
 
-// The weight of an outcome in the failure rate, so that the estimate covers about a second of traffic.
+// The weight of an outcome in the failure rate: the estimate covers about a second of traffic, but at least 5
+// and at most 20 outcomes.
 constexpr double kMinimumOutcomeWeight = 0.05;
 constexpr double kMaximumOutcomeWeight = 0.2;
 
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -22,6 +22,7 @@
   // first call that has any.
   void Advance(Millis passed, const Fleet& fleet);
 
+  // An attempt may be sent while any part of a token is left: the balance falls below 0 by less than one.
   bool HasToken() const { return tokens_ > 0; }
 
   // Counts an attempt that is sent.
--- a/src/policy/class_queues.cpp
+++ b/src/policy/class_queues.cpp
@@ -15,7 +15,8 @@
 
 Millis QueueDeadline(const ActiveRequest& request) {
   const Millis objective = request.objective_at - request.arrived_at;
-  return std::min(request.arrived_at + kMaximumWaitShare * objective, request.deadline_at - kAnswerMargin);
+  return std::min(request.arrived_at + kMaximumWaitShare * objective,
+                  request.deadline_at - kQueueAnswerMargin);
 }
 
 ClassQueues::ClassQueues(const std::vector<TrafficClassSettings>& classes) {
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -1,4 +1,5 @@
-// Bounded queues, one set a traffic class, released by Most Credit First.
+// Bounded queues of each traffic class (retries, requests within and beyond quota), released by Most Credit
+// First.
 //
 // Each class earns credit by its weight whenever a request is released while it has requests waiting, and
 // pays 1 for each of its own. The waiting class with the most credit goes first.
@@ -20,7 +21,7 @@
 
 // Time before the client gives up by which a request has to be answered: two sweeps, since timers may be
 // late.
-constexpr Millis kAnswerMargin = 20;
+constexpr Millis kQueueAnswerMargin = 20;
 
 // The time by which a queued request must have been released. What waited longer would be sent with too
 // little of its latency objective left.
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -25,7 +25,7 @@
   LatencyEstimate latency;
   double utilization = 0;  // reported, smoothed
   double limit = 1;        // below 1 the endpoint pauses between attempts
-  double slots = 1;        // the limit as a whole number
+  double slots = 1;        // the limit, randomly rounded up or down; at least 1
   Millis backing_off_until = kNever;
   int consecutive_rejections = 0;
 };
--- a/src/policy/list_polling.hpp
+++ b/src/policy/list_polling.hpp
@@ -1,7 +1,8 @@
 // List polling: when the endpoint list is asked for at the start and after a failed call.
 //
-// The list service may be overloaded: each failure in a row doubles the backoff, with jitter. But a change of
-// the list must arrive in time whatever failed before, so the backoff is bounded.
+// The list service may be overloaded: where the list is polled, each failure in a row doubles the backoff,
+// with jitter. But a change of the list must arrive in time whatever failed before, so the backoff is
+// bounded. A list that is pushed is watched again within the minimum backoff.
 #ifndef GATEWAY_POLICY_LIST_POLLING_HPP_
 #define GATEWAY_POLICY_LIST_POLLING_HPP_
 
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -24,7 +24,7 @@
 constexpr Millis kMaximumClassErrorBackoff = 4000;
 constexpr int kMaximumBackoffDoublings = 30;
 
-constexpr std::size_t kLostZoneEndpoints = 3;  // unresponsive ones, with no response from the zone since
+constexpr std::size_t kLostZoneEndpoints = 3;  // unresponsive since the last response from the zone
 constexpr Millis kRestartSilence = 1000;  // without a response, after which failed connections mean a restart
 
 // Spreads a backoff over 75 to 125%.
@@ -67,7 +67,7 @@
   Assessment assessment;
   assessment.shows_latency = !isolated_timeout && !broken_connection;
   if (served && state.ejected) {
-    assessment.change = Readmit(state, now);
+    assessment.change = RecordProbeSuccess(state, now);
   } else if (!served && !isolated_timeout && (state.failure_rate > kEjectionThreshold || state.ejected)) {
     if (Eject(state, now, random)) assessment.change = Change::kEjected;
   }
@@ -107,7 +107,7 @@
   return newly_ejected;
 }
 
-OutlierDetection::Change OutlierDetection::Readmit(OutlierState& state, Millis now) const {
+OutlierDetection::Change OutlierDetection::RecordProbeSuccess(OutlierState& state, Millis now) const {
   state.next_probe_at = now;
   state.probe_backoff = kInitialProbeBackoff;
   state.ejected = state.failure_rate >= kReadmissionThreshold;
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -98,7 +98,7 @@
   void RecordZone(Endpoint& endpoint, const Outcome& outcome, Millis now) const;
   void RecordClassError(OutlierState& state, const Outcome& outcome, Millis now) const;
   bool Eject(OutlierState& state, Millis now, RandomSource& random) const;
-  Change Readmit(OutlierState& state, Millis now) const;
+  Change RecordProbeSuccess(OutlierState& state, Millis now) const;
 
   const std::size_t class_count_;
   double probe_budget_ = 1;
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -33,7 +33,7 @@
     observed_share_ = observed_share;
   }
 
-  // The sum itself, as it was last scaled by the decay.
+  // The decayed sum of the weights, which is below Rate() until a whole memory was observed.
   double decayed_sum() const { return decayed_sum_; }
 
  private:
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -56,7 +56,7 @@
   retry_budget_.RecordRequest();
   upstream_.RecordRequest();
   const bool worthless = late && traffic_class.late_weight <= 0;
-  const bool too_late = context.now >= active.deadline_at - kAnswerMargin;
+  const bool too_late = context.now >= active.deadline_at - kQueueAnswerMargin;
   if (worthless || too_late) {
     ++log_.counters().rejected_late;
     return Answer(context, active);
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -45,7 +45,8 @@
 
 // Whether a request none of whose attempts is in flight is attempted again: the repeat must be safe, the
 // gateway must still hold the request, and the response must be likely within the latency objective. A
-// time-out at a healthy endpoint is not retried, since the request itself is then likely to be slow.
+// time-out at a healthy endpoint is not retried, since the request itself is then likely to be slow. A retry
+// waits in the queue of its class, with the queue deadline of the request (see QueueDeadline).
 bool ShouldRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                  const RetryConditions& conditions, Millis now);
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,8 +1,9 @@
-// Slow start: a started endpoint warms up, and is sent no more meanwhile than all gateways together may send.
+// Slow start: limits the attempts that an endpoint is sent while it warms up after its start.
 //
-// While it warms up an endpoint earns credit at the rate at which warm endpoints of its machine type serve
-// this gateway, reduced by how far it has warmed up. An attempt costs 1. Since each gateway grants only its
-// own part, the parts of all gateways add up to what the endpoint bears, without communication.
+// An endpoint that warms up earns credit at the rate at which warm endpoints of its machine type serve this
+// gateway, times its warm-up fraction, times a safe share of the overload factor. An attempt costs 1. Each
+// gateway uses the rate that it sees itself, so the sum over all gateways stays within what the endpoint
+// bears, without communication.
 #ifndef GATEWAY_POLICY_SLOW_START_HPP_
 #define GATEWAY_POLICY_SLOW_START_HPP_
 
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -44,7 +44,7 @@
   // Begins or ends a drain: meanwhile each response closes its connection, and idle connections are closed
   // after a delay, when the load balancer in front sends no new requests.
   void SetDraining(bool draining);
-  // Changes the number of connections. When it is reached, idle connections are evicted for new clients.
+  // Changes the limit on connections. When it is reached, idle connections are evicted for new clients.
   void SetConnectionLimit(std::size_t limit);
 
   // The listening socket for another process, still owned by this; -1 if it is closed.
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -98,19 +98,20 @@
       if (!endpoint) throw ConfigError("discovery_endpoints: " + one.dump() + " is not an address and port");
       config.other_discoveries.push_back(*endpoint);
     }
-    config.list_guarded = true;
+    config.guard_mass_removal = true;
     config.discovery = config.other_discoveries.front();
     config.other_discoveries.erase(config.other_discoveries.begin());
   }
-  config.most_removed = PositiveOr(file, "/list/most_removed", config.most_removed);
-  config.list_old_after = 1000 * PositiveOr(file, "/list/old_after_s", config.list_old_after / 1000);
+  config.max_removed_share = PositiveOr(file, "/list/most_removed", config.max_removed_share);
+  config.list_stale_after = 1000 * PositiveOr(file, "/list/old_after_s", config.list_stale_after / 1000);
   const char* const management = variable("NODE_MGMT");
   if (management != nullptr || (file.contains("mgmt") && !file["mgmt"].is_null())) {
     config.management = ReadAddress(management, "NODE_MGMT", file, "mgmt");
     // The platform replaces processes where operators look after them.
     const char* const folder = variable("TMPDIR");
     if (folder != nullptr && *folder != '\0') {
-      config.handover = std::string(folder) + "/forkwick-" + std::to_string(config.listen.port()) + ".sock";
+      config.hot_restart_path =
+          std::string(folder) + "/forkwick-" + std::to_string(config.listen.port()) + ".sock";
     }
   }
   if (file.contains("seed")) {
@@ -123,7 +124,7 @@
   config.sockets = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
   config.memory = static_cast<std::size_t>(PositiveOr(file, "/limits/memory_mb", 64) * (1 << 20));
   config.settings = ReadSettings(file);
-  config.dial_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.dial_timeout);
+  config.connect_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
   config.idle_timeout = PositiveOr(file, "/settings/limits/connIdleMs", config.idle_timeout);
   if (file.contains("state_dir") && !file["state_dir"].is_null()) {
     const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
@@ -131,7 +132,7 @@
     const char* const name = variable("NODE_NAME");
     const std::string own = name != nullptr ? name : Scalar(file.value("name", json("")));
     config.state_folder = folder;
-    config.state_loaded = variable("ELDERHEAD_WITHOUT_STATE") == nullptr;
+    config.load_state = variable("ELDERHEAD_WITHOUT_STATE") == nullptr;
     if (const char* const delay = variable("ELDERHEAD_SLOW_SYNC_MS")) {
       config.state_sync_delay = std::clamp(std::atof(delay), 0.0, 60000.0);
     }
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -21,27 +21,27 @@
 
 using base::ConfigError;
 
+// What the NODE_* variables and the configuration file say.
 struct Config {
-  boost::asio::ip::tcp::endpoint listen;
-  boost::asio::ip::tcp::endpoint discovery;
-  std::vector<boost::asio::ip::tcp::endpoint>
-      other_discoveries;      // services of the same list; empty: one alone
-  bool list_guarded = false;  // a list that removes more than that at once has to be confirmed by operators
-  double most_removed = 0.5;  // share of the hosts
-  Millis list_old_after = 30000;  // without an answer the gateway says that its list is old
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // for operators; none: no such listener
-  std::string handover;  // the Unix socket on which a replacement asks for what it takes over; empty: none
-  std::uint64_t seed = 0;
+  boost::asio::ip::tcp::endpoint listen;                          // address of the clients
+  boost::asio::ip::tcp::endpoint discovery;                       // address of the list service
+  std::vector<boost::asio::ip::tcp::endpoint> other_discoveries;  // further services of the same list
+  bool guard_mass_removal = false;                                // see EndpointListWatcher::Options
+  double max_removed_share = 0.5;
+  Millis list_stale_after = 30000;  // time without an answer of a list service until the list counts as stale
+  std::optional<boost::asio::ip::tcp::endpoint> management;  // address for operators; empty: no such listener
+  std::string hot_restart_path;   // of the Unix socket on which a successor connects; empty: none ever does
+  std::uint64_t seed = 0;         // of the policy and of jitter
   std::size_t sockets = 1024;     // file descriptors that the process may hold
-  std::size_t memory = 64 << 20;  // bytes
+  std::size_t memory = 64 << 20;  // bytes that the process may use
   policy::Settings settings;
-  Millis dial_timeout = 250;
-  Millis idle_timeout = 15000;  // a host closes a connection that stood idle for this long
-  EndpointList known;           // may be old
-  std::string state_folder;     // where this gateway keeps what the next process needs; empty: nowhere
-  bool state_loaded = true;     // else this start goes without what stands there, and replaces it
-  Millis state_sync_delay = 0;  // each of its syncs takes so much longer: for drills with a slow disk
-  std::string state_owner;      // whose it is: its name and clients' address
+  Millis connect_timeout = 250;
+  Millis idle_timeout = 15000;  // after which an endpoint closes an idle connection
+  EndpointList known;           // the list to begin with; may be out of date
+  std::string state_folder;     // where the gateway saves its state; empty: nowhere
+  bool load_state = true;       // else this start ignores the saved state and replaces it
+  Millis state_sync_delay = 0;  // added to each sync of the state, for drills with a slow disk
+  std::string state_owner;      // name and clients' address of the gateway that the state belongs to
   base::LogForm log = base::LogForm::kText;
 };
 
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -39,7 +39,7 @@
     // Nothing more is called until Watch() begins a new one, which this may do.
     virtual void OnWatchFailed(Millis call_duration) = 0;
     // Returns why a list must not be accepted, for the log; empty: it may be. A rejected list counts as a
-    // failed call.
+    // failed call. May apply the drains of a list that it rejects.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
   };
 
--- a/src/proxy/discovery/endpoint_list.hpp
+++ b/src/proxy/discovery/endpoint_list.hpp
@@ -1,6 +1,6 @@
 // The endpoint list: its types and its JSON form, which the list service, the configuration's `known`, a
 // transferred state and a saved state share. The words of that form ("members", "phase", "flavor", ...) are
-// translated here and nowhere else.
+// translated here; the list service writes the same form in registry/registry_json.cpp.
 #ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_HPP_
 #define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_HPP_
 
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -31,8 +31,7 @@
     std::int64_t revision = 0;
     std::string epoch;
     bool position_is_current = true;
-    bool guard_mass_removal =
-        false;  // a list that removes too many endpoints needs an operator's confirmation
+    bool guard_mass_removal = false;  // too many removals need an operator's confirmation
     double max_removed_share = 0.5;  // of the known endpoints that a list may remove without one, 0 to 1
   };
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -23,12 +23,12 @@
 constexpr std::size_t kMaximumManagementCalls = 16;  // at a time
 
 InheritedState InheritFromRunningProcess(const Config& config) {
-  if (config.handover.empty()) return {};
-  return InheritFromPredecessor(config.handover, config.listen);
+  if (config.hot_restart_path.empty()) return {};
+  return InheritFromPredecessor(config.hot_restart_path, config.listen);
 }
 
 std::optional<SavedState> LoadConfiguredState(const Config& config) {
-  if (config.state_folder.empty() || !config.state_loaded) return std::nullopt;
+  if (config.state_folder.empty() || !config.load_state) return std::nullopt;
   return LoadSavedState(config.state_folder, config.state_owner);
 }
 
@@ -40,8 +40,8 @@
   options.service = config.discovery;
   options.other_services = config.other_discoveries;
   options.seed = config.seed;
-  options.guard_mass_removal = config.list_guarded;
-  options.max_removed_share = config.most_removed;
+  options.guard_mass_removal = config.guard_mass_removal;
+  options.max_removed_share = config.max_removed_share;
   options.revision = config.known.revision;
   options.position_is_current = true;
   if (inherited.transferred) {
@@ -58,7 +58,7 @@
 ClientServerOptions MakeClientServerOptions(const Config& config, const DescriptorBudget& budget) {
   ClientServerOptions options;
   options.address = config.listen;
-  options.shared = !config.handover.empty();
+  options.shared = !config.hot_restart_path.empty();
   options.connection_limit = budget.client_connections;
   options.body_budget_bytes = config.memory / kBodyBudgetDivisor;
   return options;
@@ -66,7 +66,7 @@
 
 UpstreamPoolOptions MakeUpstreamPoolOptions(const Config& config, const DescriptorBudget& budget) {
   UpstreamPoolOptions options;
-  options.connect_timeout_ms = config.dial_timeout;
+  options.connect_timeout_ms = config.connect_timeout;
   options.endpoint_idle_timeout_ms = config.idle_timeout;
   options.connection_limit = budget.upstream_connections;
   options.response_budget_bytes = config.memory / kBodyBudgetDivisor;
@@ -75,7 +75,7 @@
 
 // Whether another process listens there that handed nothing over.
 bool IsAddressTaken(const Config& config, const InheritedState& inherited) {
-  return !config.handover.empty() && !inherited.listener && IsAddressInUse(config.listen);
+  return !config.hot_restart_path.empty() && !inherited.listener && IsAddressInUse(config.listen);
 }
 
 }  // namespace
@@ -93,9 +93,9 @@
       list_(io, WatcherOptions(config, inherited, saved), MakeListCallbacks()),
       metrics_(config.settings),
       requests_(io, settings_, driver_, upstream_, metrics_),
-      hot_restart_(io, config.handover, std::move(inherited.predecessor), IsAddressTaken(config, inherited),
-                   MakeHotRestartCallbacks()),
-      list_stale_after_(config.list_old_after),
+      hot_restart_(io, config.hot_restart_path, std::move(inherited.predecessor),
+                   IsAddressTaken(config, inherited), MakeHotRestartCallbacks()),
+      list_stale_after_(config.list_stale_after),
       started_at_(Now()),
       stop_timer_(io),
       clients_(io, MakeClientServerOptions(config, budget_), std::move(inherited.listener), settings_,
@@ -160,8 +160,8 @@
                       [this](const std::string& call) { return commands_.Run(call); });
 }
 
-// A running process knows a newer list than the disk, and the disk may know a newer one than the
-// configuration.
+// The list of a predecessor goes before that on the disk, which goes before the configuration's where it is
+// newer. An operator's drain is restored from the disk only: a successor begins undrained.
 void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
   list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -13,8 +13,8 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned kHttpVersion = 11;       // HTTP/1.1
-constexpr Millis kAnswerMargin = 10;        // before the client gives up: answers travel, timers are late
-constexpr Millis kFinalAnswerMargin = 4;    // before it gives up: what the policy has not answered times out
+constexpr Millis kNetworkMargin = 10;       // before the client gives up: answers travel, timers are late
+constexpr Millis kOverdueMargin = 4;        // before it gives up: what the policy has not answered times out
 constexpr Millis kMaximumUpload = 1200000;  // a body of the largest size at the lowest accepted rate
 const char* const kLoadReportField = "Srv-Load";
 
@@ -51,14 +51,14 @@
   active.class_name = request.class_name;
   active.received_at = request.received_at;
   const Millis client_gives_up_at = request.received_at + request.time_allowed;
-  active.answer_by = client_gives_up_at - kAnswerMargin;
+  active.answer_by = client_gives_up_at - kNetworkMargin;
   if (active.complete) SetDeadline(request.id, active, client_gives_up_at);
   return active;
 }
 
 void RequestForwarder::SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at) {
-  active.answer_by = client_gives_up_at - kAnswerMargin;
-  active.overdue.expires_after(Span(client_gives_up_at - kFinalAnswerMargin - Now()));
+  active.answer_by = client_gives_up_at - kNetworkMargin;
+  active.overdue.expires_after(Span(client_gives_up_at - kOverdueMargin - Now()));
   active.overdue.async_wait([this, id](boost::system::error_code ec) {
     if (!ec) TimeOut(id);
   });
@@ -175,7 +175,6 @@
   outcome.request = send.request;
   outcome.endpoint = send.endpoint;
   outcome.result = policy::AttemptResult::kNotSent;
-  outcome.request_finished = true;
   if (active != nullptr) {
     outcome.attempt = static_cast<int>(active->attempts.size());
     active->attempts.push_back({send.endpoint, Now(), 0, 0, false});
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -38,7 +38,7 @@
   // What the gateway provides. All must be set and remain valid for this object's lifetime. Called from the
   // event loop, or from within Start() and NotifyReadiness(); they must not call back.
   struct Callbacks {
-    std::function<bool()> is_ready;     // whether the gateway accepts clients
+    std::function<bool()> is_ready;     // whether the gateway answers a readiness check with yes
     std::function<bool()> is_stopping;  // whether SIGTERM has come
     // The clients' listening socket, which stays the gateway's; -1: it is closed.
     std::function<int()> listener;
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -22,7 +22,7 @@
 
 // Words that earlier versions did not write (at, gateways, kinds, last_outcome_at) may be absent: their
 // fields keep their defaults. Throws std::exception where anything else is missing or of another type, or
-// where a number is negative, infinite or implausibly large.
+// where a number is negative, infinite or implausibly large; points in time are not checked.
 policy::LearnedState LearnedStateFromJson(const nlohmann::json& form);
 
 }  // namespace gateway::proxy
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -51,7 +51,7 @@
 
   // Idle, connecting, and serving an attempt.
   std::size_t connections() const { return context_.open_connections; }
-  // Changes the number of connections. Idle connections beyond it are closed.
+  // Changes the limit on connections. Idle connections beyond it are closed.
   void SetConnectionLimit(std::size_t limit);
 
   const UpstreamCounts& counts() const { return context_.counts; }
--- a/src/registry/health_checker.hpp
+++ b/src/registry/health_checker.hpp
@@ -22,7 +22,7 @@
 
   // Makes the first check at once.
   void Start() { Check(); }
-  // Makes no further checks once one that is under way has ended.
+  // Cancels the next check. A check that is under way still ends, and schedules another one.
   void Stop() { timer_.cancel(); }
 
  private:
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -1,5 +1,5 @@
 // Self-preservation, as in Netflix's Eureka: where many leases expire together, the cause is likely the
-// network or this service, so no member is removed for it.
+// network or this service, so no member is suspected or removed for it.
 #ifndef GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 #define GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 
--- a/tests/proxy/world.hpp
+++ b/tests/proxy/world.hpp
@@ -48,13 +48,13 @@
 
   // The process's end and the next one's start, on the same configuration.
   void Restart(bool with_state = true) {
-    config_.state_loaded = with_state;
+    config_.load_state = with_state;
     gateway.reset();
     gateway.emplace(io, config_);
   }
   // As with the list services named in `discovery_endpoints`.
   void GuardList() {
-    config_.list_guarded = true;
+    config_.guard_mass_removal = true;
     Restart();
   }
   const std::string& owner() const { return config_.state_owner; }
