--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -197,7 +197,7 @@
   storage::FaultyFileSystem faulty(*files, [](storage::FaultyFileSystem::Call call, const std::string&) {
     const bool fails = fail_syncs && call == storage::FaultyFileSystem::Call::kSync;
     return storage::FaultyFileSystem::Fault{fails ? std::make_error_code(std::errc::io_error)
-                                                    : std::error_code()};
+                                                  : std::error_code()};
   });
   storage::Examination found;
   const auto log = Open(faulty, folder + "/faulty", found);
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -32,7 +32,7 @@
     std::string epoch;
     bool position_is_current = true;
     bool guard_mass_removal = false;  // too many removals need an operator's confirmation
-    double max_removed_share = 0.5;  // of the known endpoints that a list may remove without one, 0 to 1
+    double max_removed_share = 0.5;   // of the known endpoints that a list may remove without one, 0 to 1
   };
 
   // Called from the event loop, and list_changed from within Apply() too. Each may call Watch() and the
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -142,7 +142,9 @@
   }
 
   // Whether the actions log a decrease of the admission rate.
-  static bool DecreasedRate(const std::vector<Action>& actions) { return HasLogLine(actions, "admission rate decreased"); }
+  static bool DecreasedRate(const std::vector<Action>& actions) {
+    return HasLogLine(actions, "admission rate decreased");
+  }
 
   // The number of actions of the type.
   template <typename ActionType>
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -18,10 +18,10 @@
 namespace gateway::proxy::testing {
 namespace {
 
+using base::FileDescriptor;
 using proxy::BodySource;
 using proxy::ClientRequest;
 using proxy::ClientServer;
-using base::FileDescriptor;
 
 // What happens right before and right behind the next look at how much the client of that port has sent.
 struct LookHook {
