--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -150,7 +150,7 @@
   }
   attempt->connection->Exchange(
       RequestText(*attempt), attempt->timeout + kLateAnswerGrace,
-      [this, attempt](ClientConnection::Result result) { OnResult(attempt, std::move(result)); });
+      [this, attempt](const ClientConnection::Result& result) { OnResult(attempt, result); });
 }
 
 void Clients::ReuseLater(int target, std::shared_ptr<ClientConnection> connection) {
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -83,7 +83,8 @@
                               const GatewayStart& start) {
   const Fleet& fleet = experiment.fleet;
   const int gateway = start.gateway;
-  const auto process = static_cast<std::uint64_t>(gateway * kSeedsPerGateway + start.number);
+  const int process_number = gateway * kSeedsPerGateway + start.number;
+  const auto process = static_cast<std::uint64_t>(process_number);
   const std::string list = Addresses::Text(addresses.List(gateway));
   json config{{"name", fmt::format("n{}", gateway)},
               {"peer_listen", Addresses::Text(addresses.PeerListen(gateway))},
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -60,10 +60,10 @@
   bool IsExcused(int gateway, Millis since) const;
 
   // Faults. A gateway that is killed or terminated starts again so long after its end.
-  void Kill(int gateway, Millis restart_delay);
+  void Kill(int number, Millis restart_delay);
   void Stop(int gateway);
   void Continue(int gateway);
-  void Terminate(int gateway, Millis restart_delay);
+  void Terminate(int number, Millis restart_delay);
   void Replace(int gateway);
 
   // Kills all processes and waits for their ends, which count in the figures.
@@ -97,14 +97,14 @@
   ProcessSpec SpecOf(int gateway, int start, const std::filesystem::path& config,
                      const std::filesystem::path& temporary) const;
   void Probe(int gateway);
-  void OnProbeResult(int gateway, const base::ClientConnection::Result& result);
+  void OnProbeResult(int number, const base::ClientConnection::Result& result);
   void BeginExcuse(Gateway& gateway);
   void KillAfterGrace(Gateway& gateway, std::function<void()> kill);
   void CheckSuccessor(int gateway, Millis until);
-  void OnSuccessorCheck(int gateway, Millis until, bool success);
+  void OnSuccessorCheck(int number, Millis until, bool success);
   void OnProcessEnd(const ProcessEnd& end);
-  void OnGatewayEnd(int gateway, const ProcessEnd& end);
-  void RestartLater(int gateway);
+  void OnGatewayEnd(int number, const ProcessEnd& end);
+  void RestartLater(int number);
 
   Environment env_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -155,7 +155,7 @@
   // An idle connection to the endpoint, or a new one.
   std::shared_ptr<ClientConnection> TakeConnection(Endpoint& endpoint) {
     while (!endpoint.idle.empty()) {
-      const auto connection = endpoint.idle.back();
+      auto connection = endpoint.idle.back();
       endpoint.idle.pop_back();
       if (connection->usable()) return connection;
     }
--- a/src/proxy/admin/management_commands.hpp
+++ b/src/proxy/admin/management_commands.hpp
@@ -12,11 +12,10 @@
 // What the calls act on.
 class ManagedGateway {
  public:
+  virtual ~ManagedGateway() = default;
+
   virtual GatewayStatus Status() const = 0;
   virtual void SetDraining(bool draining) = 0;
-
- protected:
-  ~ManagedGateway() = default;
 };
 
 class ManagementCommands {
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -83,20 +83,18 @@
   return file;
 }
 
-}  // namespace
+using Variables = std::function<const char*(const char*)>;
 
-Config LoadConfig(const std::function<const char*(const char*)>& variable) {
-  const json file = ReadFile(variable);
-  Config config;
-  config.listen = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
-  config.discovery = ReadAddress(variable("NODE_DISCOVERY"), "NODE_DISCOVERY", file, "discovery");
-  if (file.contains("discovery_endpoints") && !file["discovery_endpoints"].is_null()) {
+bool HasValue(const json& file, const char* key) { return file.contains(key) && !file[key].is_null(); }
+
+void ReadListServices(const json& file, Config& config) {
+  if (HasValue(file, "discovery_endpoints")) {
     const json& all = file["discovery_endpoints"];
     if (!all.is_array() || all.empty()) throw ConfigError("discovery_endpoints: must be a list of addresses");
     for (const json& one : all) {
-      const auto endpoint = base::ParseSocketAddress(one.is_string() ? one.get<std::string>() : "");
-      if (!endpoint) throw ConfigError("discovery_endpoints: " + one.dump() + " is not an address and port");
-      config.other_discoveries.push_back(*endpoint);
+      const auto address = base::ParseSocketAddress(one.is_string() ? one.get<std::string>() : "");
+      if (!address) throw ConfigError("discovery_endpoints: " + one.dump() + " is not an address and port");
+      config.other_discoveries.push_back(*address);
     }
     config.guard_mass_removal = true;
     config.discovery = config.other_discoveries.front();
@@ -104,52 +102,82 @@
   }
   config.max_removed_share = PositiveOr(file, "/list/most_removed", config.max_removed_share);
   config.list_stale_after = 1000 * PositiveOr(file, "/list/old_after_s", config.list_stale_after / 1000);
+}
+
+// Hot restart is possible where operators can see when the new process is ready.
+void ReadManagement(const json& file, const Variables& variable, Config& config) {
   const char* const management = variable("NODE_MGMT");
-  if (management != nullptr || (file.contains("mgmt") && !file["mgmt"].is_null())) {
-    config.management = ReadAddress(management, "NODE_MGMT", file, "mgmt");
-    // The platform replaces processes where operators look after them.
-    const char* const folder = variable("TMPDIR");
-    if (folder != nullptr && *folder != '\0') {
-      config.hot_restart_path =
-          std::string(folder) + "/forkwick-" + std::to_string(config.listen.port()) + ".sock";
-    }
-  }
-  if (file.contains("seed")) {
-    const std::string text = Scalar(file["seed"]);
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
-    if (error != std::errc() || end != text.data() + text.size()) {
-      throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
-    }
+  if (management == nullptr && !HasValue(file, "mgmt")) return;
+  config.management = ReadAddress(management, "NODE_MGMT", file, "mgmt");
+  const char* const folder = variable("TMPDIR");
+  if (folder == nullptr || *folder == '\0') return;
+  config.hot_restart_path =
+      std::string(folder) + "/forkwick-" + std::to_string(config.listen.port()) + ".sock";
+}
+
+void ReadSeed(const json& file, Config& config) {
+  if (!file.contains("seed")) return;
+  const std::string text = Scalar(file["seed"]);
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
+  if (error != std::errc() || end != text.data() + text.size()) {
+    throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
   }
+}
+
+void ReadLimits(const json& file, Config& config) {
   config.sockets = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
   config.memory = static_cast<std::size_t>(PositiveOr(file, "/limits/memory_mb", 64) * (1 << 20));
   config.settings = ReadSettings(file);
   config.connect_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
   config.idle_timeout = PositiveOr(file, "/settings/limits/connIdleMs", config.idle_timeout);
-  if (file.contains("state_dir") && !file["state_dir"].is_null()) {
-    const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
-    if (folder.empty()) throw ConfigError("state_dir: must be the path of a folder");
-    const char* const name = variable("NODE_NAME");
-    const std::string own = name != nullptr ? name : Scalar(file.value("name", json("")));
-    config.state_folder = folder;
-    config.load_state = variable("ELDERHEAD_WITHOUT_STATE") == nullptr;
-    if (const char* const delay = variable("ELDERHEAD_SLOW_SYNC_MS")) {
-      config.state_sync_delay = std::clamp(std::atof(delay), 0.0, 60000.0);
-    }
-    config.state_owner =
-        own + " at " + config.listen.address().to_string() + ":" + std::to_string(config.listen.port());
-    if (config.state_owner.find('\n') != std::string::npos) throw ConfigError("NODE_NAME: must be one line");
-  }
-  if (const json::json_pointer at("/log/form"); file.contains(at)) {
-    const json& form = file[at];
-    if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
-    if (form == "json") config.log = base::LogForm::kJson;
-  }
-  if (file.contains("known") && !file["known"].is_null()) {
-    const auto known = ParseEndpointList(file["known"].dump());
-    if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
-    config.known = *known;
+}
+
+void ReadStateFolder(const json& file, const Variables& variable, Config& config) {
+  constexpr double kMaximumSyncDelay = 60000;
+  if (!HasValue(file, "state_dir")) return;
+  const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
+  if (folder.empty()) throw ConfigError("state_dir: must be the path of a folder");
+  const char* const name = variable("NODE_NAME");
+  const std::string own_name = name != nullptr ? name : Scalar(file.value("name", json("")));
+  config.state_folder = folder;
+  config.load_state = variable("ELDERHEAD_WITHOUT_STATE") == nullptr;
+  if (const char* const delay = variable("ELDERHEAD_SLOW_SYNC_MS")) {
+    config.state_sync_delay = std::clamp(std::atof(delay), 0.0, kMaximumSyncDelay);
   }
+  config.state_owner =
+      own_name + " at " + config.listen.address().to_string() + ":" + std::to_string(config.listen.port());
+  if (config.state_owner.find('\n') != std::string::npos) throw ConfigError("NODE_NAME: must be one line");
+}
+
+void ReadLogForm(const json& file, Config& config) {
+  const json::json_pointer at("/log/form");
+  if (!file.contains(at)) return;
+  const json& form = file[at];
+  if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
+  if (form == "json") config.log = base::LogForm::kJson;
+}
+
+void ReadKnownList(const json& file, Config& config) {
+  if (!HasValue(file, "known")) return;
+  const auto known = ParseEndpointList(file["known"].dump());
+  if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
+  config.known = *known;
+}
+
+}  // namespace
+
+Config LoadConfig(const std::function<const char*(const char*)>& variable) {
+  const json file = ReadFile(variable);
+  Config config;
+  config.listen = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
+  config.discovery = ReadAddress(variable("NODE_DISCOVERY"), "NODE_DISCOVERY", file, "discovery");
+  ReadListServices(file, config);
+  ReadManagement(file, variable, config);
+  ReadSeed(file, config);
+  ReadLimits(file, config);
+  ReadStateFolder(file, variable, config);
+  ReadLogForm(file, config);
+  ReadKnownList(file, config);
   return config;
 }
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -31,7 +31,7 @@
 
 namespace gateway::proxy {
 
-class Gateway : private ManagedGateway {
+class Gateway final : private ManagedGateway {
  public:
   // Listens and watches the endpoint list at once. Takes over from a running process of the same gateway, or
   // else from the state folder, what they have. Throws std::exception if the settings or an address cannot
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -18,6 +18,8 @@
 // Carries out the actions that concern requests.
 class RequestActions {
  public:
+  virtual ~RequestActions() = default;
+
   virtual void Execute(const policy::Send& send) = 0;
   virtual void Execute(const policy::Reject& reject) = 0;
   virtual void Execute(const policy::Fail& fail) = 0;
@@ -28,9 +30,6 @@
 
   // Called after the actions of an event that was about the request.
   virtual void OnEventHandled(const std::string& request) = 0;
-
- protected:
-  ~RequestActions() = default;
 };
 
 class PolicyDriver {
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -86,7 +86,7 @@
   void RefuseToSend(const policy::Send& send, ActiveRequest* active);
   UpstreamRequest MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
                                       std::size_t index, Millis now, Millis timeout);
-  void OnAttemptEnded(const std::string& id, std::size_t attempt, policy::AttemptResult result,
+  void OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
                       HttpResponse response);
   void OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
                          std::shared_ptr<BodySource> remaining_body);
