--- a/src/proxy/discovery/list_call.cpp
+++ b/src/proxy/discovery/list_call.cpp
@@ -108,18 +108,25 @@
   if (!observer_) return;
   timer_.cancel();
   Observer* const observer = std::exchange(observer_, nullptr);
-  if (std::holds_alternative<ListError>(result)) connection_.reset();
+  if (std::holds_alternative<ListError>(result)) CloseConnection();
   observer->OnListCallEnded(*this, std::move(result));
 }
 
 void ListCall::Abandon() {
   if (!std::exchange(observer_, nullptr)) return;
   timer_.cancel();
-  connection_.reset();
+  CloseConnection();
+}
+
+// Closes the socket but does not destroy it: an operation whose completion is pending continues on it first.
+void ListCall::CloseConnection() {
+  if (!connection_) return;
+  error_code ignored;
+  connection_->close(ignored);
 }
 
 ListCall::Connection ListCall::TakeConnection() {
-  if (!connection_ || !parser_.get().keep_alive()) return nullptr;
+  if (!connection_ || !connection_->is_open() || !parser_.get().keep_alive()) return nullptr;
   return std::move(connection_);
 }
 
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -71,6 +71,7 @@
   ListError TransportError(const boost::system::error_code& ec) const;
   Result ParseResponse() const;
   void End(Result result);
+  void CloseConnection();
 
   const Options options_;
   Connection connection_;
