--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -32,7 +32,7 @@
       outcome.request = send->request;
       outcome.endpoint = send->endpoint;
       outcome.result = AttemptResult::kServed;
-      outcome.finished = true;
+      outcome.request_finished = true;
       outcome.latency = 31;
       std::vector<Action> more;
       policy.Handle(36, outcome, more);
