--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -21,20 +21,20 @@
 // Both hosts fail a request's first attempt. Returns what further ones told them, in order.
 class FailingHosts {
  public:
-  explicit FailingHosts(World& world) {
+  explicit FailingHosts(GatewayHarness& world) {
     for (const auto& host : world.hosts) {
-      host->serve = [this](const Peer::Taken& taken) { Serve(taken); };
+      host->serve = [this](const FakeServer::ReceivedRequest& taken) { Serve(taken); };
     }
   }
   const std::vector<double>& told() const { return told_; }
 
  private:
-  void Serve(const Peer::Taken& taken) {
+  void Serve(const FakeServer::ReceivedRequest& taken) {
     const std::string id(taken.http["Req-Id"]);
-    if (id.starts_with("warm")) return taken.Answer(200, "");
-    if (tries_++ == 0) return taken.Answer(500, "");
+    if (id.starts_with("warm")) return taken.Respond(200, "");
+    if (tries_++ == 0) return taken.Respond(500, "");
     told_.push_back(std::stod(std::string(taken.http["Req-Deadline"])));
-    taken.Answer(200, "second");
+    taken.Respond(200, "second");
   }
 
   int tries_ = 0;
@@ -49,7 +49,7 @@
 
 // Guards what a further attempt tells its host: no more than its client has left, wherever the request stood.
 TEST(Arrival, CountsTheWaitToBeAccepted) {
-  World world(2);
+  GatewayHarness world(2);
   const FailingHosts hosts(world);
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
@@ -60,7 +60,7 @@
 }
 
 TEST(Arrival, CountsTheWaitToBeReadOnAnOpenConnection) {
-  World world(2);
+  GatewayHarness world(2);
   const FailingHosts hosts(world);
   const auto client = world.Connect();
   client->Send(ApiCall("warm"));
@@ -74,7 +74,7 @@
 
 // The same while all places are taken, by clients that go on sending half of a request.
 TEST(Arrival, CountsTheWaitForAPlace) {
-  World world(2, TestSettings(), 10);  // 3 for clients
+  GatewayHarness world(2, TestSettings(), 10);  // 3 for clients
   const FailingHosts hosts(world);
   std::vector<std::unique_ptr<Client>> halves;
   for (int i = 0; i < 3; ++i) {
@@ -89,9 +89,9 @@
     for (const auto& half : halves) half->Send("x");
     world.io.run_for(std::chrono::milliseconds(20));
   }
-  EXPECT_TRUE(client->answers().empty());
+  EXPECT_TRUE(client->responses().empty());
   const Millis waited = Now() - sent_at;
-  halves.front()->Leave();
+  halves.front()->Disconnect();
   EXPECT_EQ(client->Await().body(), "second");
   ASSERT_EQ(hosts.told().size(), 1u);
   EXPECT_LE(hosts.told().front(), kAllowed - waited);
@@ -99,7 +99,7 @@
 
 // Guards the other side: a client that rests before it sends has lost nothing by that.
 TEST(Arrival, CountsNoRestBeforeTheRequest) {
-  World world(2);
+  GatewayHarness world(2);
   const FailingHosts hosts(world);
   const auto client = world.Connect();
   client->Send(ApiCall("warm"));
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -30,7 +30,7 @@
 // A connection that is written and read byte by byte.
 class Wire {
  public:
-  explicit Wire(World& world) : world_(world), state_(std::make_shared<State>(world.io)) {
+  explicit Wire(GatewayHarness& world) : world_(world), state_(std::make_shared<State>(world.io)) {
     state_->socket.connect(world.gateway->address());
   }
   ~Wire() {
@@ -46,7 +46,7 @@
     state_->socket.async_read_some(asio::buffer(state_->piece),
                                    [this, state = state_](error_code ec, std::size_t got) {
                                      state->text.append(state->piece.data(), got);
-                                     state->ended = ec && ec != asio::error::operation_aborted;
+                                     state->closed_by_gateway = ec && ec != asio::error::operation_aborted;
                                      state->reset = ec == asio::error::connection_reset;
                                      if (!ec) Read();
                                    });
@@ -54,8 +54,8 @@
   bool Await(const std::string& words) {
     return RunUntil(world_.io, [&] { return state_->text.find(words) != std::string::npos; });
   }
-  bool AwaitEnd() {
-    return RunUntil(world_.io, [&] { return state_->ended; });
+  bool AwaitClose() {
+    return RunUntil(world_.io, [&] { return state_->closed_by_gateway; });
   }
   const std::string& text() const { return state_->text; }
   bool reset() const { return state_->reset; }
@@ -68,15 +68,15 @@
     std::array<char, 65536> piece;
     std::string text;
     int sent = 0;
-    bool ended = false, reset = false;
+    bool closed_by_gateway = false, reset = false;
   };
-  World& world_;
+  GatewayHarness& world_;
   std::shared_ptr<State> state_;
 };
 
 // Guards long bodies both ways, of stated length and in chunks, and the connections that they leave behind.
 TEST(Bodies, PassThroughWhole) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   const std::string long_body = Body(5000000);
   std::size_t n = 0;
@@ -89,7 +89,7 @@
       ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == n; }));
       EXPECT_TRUE(world.host().requests.back().http.body() == body);
       EXPECT_EQ(world.host().requests.back().http["Req-Id"], id);
-      world.host().requests.back().on->Raw(
+      world.host().requests.back().connection->WriteRaw(
           chunked ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 777)
                   : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n" + body);
       EXPECT_EQ(client->Await(n).result_int(), 200u);
@@ -105,15 +105,15 @@
 
 // Guards the memory: who does not read holds back who writes, both ways, and gets all of it in the end.
 TEST(Bodies, AreHeldBackByASlowReader) {
-  World world;
+  GatewayHarness world;
   const std::string body = Body(32 * 1024 * 1024);
   Wire slow(world);
   slow.Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].on->Raw("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
-                                   "\r\n\r\n" + body);
+  world.host().requests[0].connection->WriteRaw(
+      "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   world.io.run_for(std::chrono::milliseconds(500));
-  EXPECT_EQ(world.host().requests[0].on->raw, 0);
+  EXPECT_EQ(world.host().requests[0].connection->completed_writes, 0);
   slow.Read();
   ASSERT_TRUE(RunUntil(world.io, [&] { return slow.text().size() > body.size(); }));
   EXPECT_TRUE(slow.text().ends_with(body));
@@ -121,15 +121,16 @@
 
 // Guards the first bytes of a long answer, which count: they are not kept until there are more.
 TEST(Bodies, AreBegunWithTheirFirstBytes) {
-  World world;
+  GatewayHarness world;
   Wire client(world);
   client.Read();
   client.Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst bytes");
+  world.host().requests[0].connection->WriteRaw(
+      "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst bytes");
   EXPECT_TRUE(client.Await("first bytes"));
   EXPECT_EQ(world.Vars()["active"], 1);  // it has not ended
-  world.host().requests[0].on->Raw(std::string(100000 - 11, 'x'));
+  world.host().requests[0].connection->WriteRaw(std::string(100000 - 11, 'x'));
   EXPECT_TRUE(RunUntil(world.io, [&] { return client.text().size() > 100000; }));
 }
 
@@ -147,16 +148,16 @@
   };
   for (std::size_t i = 0; i < forms.size(); ++i) {
     SCOPED_TRACE(i);
-    World world;
+    GatewayHarness world;
     Wire client(world);
     client.Read();
     client.Send(forms[i].client);
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-    const auto on = world.host().requests[0].on;
-    on->Raw(forms[i].head + std::string(100000, 'x'));
+    const auto on = world.host().requests[0].connection;
+    on->WriteRaw(forms[i].head + std::string(100000, 'x'));
     ASSERT_TRUE(client.Await("xxx"));
     on->Reset();
-    ASSERT_TRUE(client.AwaitEnd());
+    ASSERT_TRUE(client.AwaitClose());
     EXPECT_EQ(client.text().find("\r\n0\r\n"), std::string::npos);
     const bool sized = client.text().find("Content-Length") != std::string::npos ||
                        client.text().find("chunked") != std::string::npos;
@@ -179,15 +180,15 @@
       };
       for (std::size_t i = 0; i < forms.size(); ++i) {
         SCOPED_TRACE(std::to_string(size) + " form " + std::to_string(i) + (old ? " to HTTP/1.0" : ""));
-        World world;
+        GatewayHarness world;
         const auto client = world.Connect();
         client->Send(old ? "GET /api HTTP/1.0\r\nReq-Id: r1\r\nReq-Kind: view\r\nReq-Deadline: 9000m\r\n\r\n"
                          : ApiCall("r1"));
         ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-        const auto on = world.host().requests[0].on;
-        on->Raw(forms[i].first);
+        const auto on = world.host().requests[0].connection;
+        on->WriteRaw(forms[i].first);
         if (forms[i].second) {
-          ASSERT_TRUE(world.Until([&] { return on->raw == 1; }));
+          ASSERT_TRUE(world.Until([&] { return on->completed_writes == 1; }));
           on->Close();
         }
         EXPECT_EQ(client->Await().result_int(), 200u);
@@ -229,13 +230,13 @@
       "POST /api HTTP/3.7\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n",
       head + "Transfer-Encoding: chunked\r\n\r\n4000000\r\n" + std::string(100000, 'x'),
   };
-  World world;
+  GatewayHarness world;
   for (const std::string& input : inputs) {
     SCOPED_TRACE(input.substr(60, 120));
     Wire client(world);
     client.Read();
     client.Send(input);
-    EXPECT_TRUE(client.AwaitEnd());
+    EXPECT_TRUE(client.AwaitClose());
     const std::string status = client.text().substr(8, 2);  // the version is the client's
     EXPECT_TRUE(status == " 4" || status == " 5") << client.text();
     EXPECT_EQ(client.text().find("HTTP/", 1), std::string::npos);  // one answer
@@ -245,7 +246,7 @@
 
 // Guards a client that waits to be asked for its body, and one whose request is wrong: that is told first.
 TEST(Bodies, AreAskedForWhereTheClientWaits) {
-  World world;
+  GatewayHarness world;
   Wire client(world);
   client.Read();
   client.Send(
@@ -257,20 +258,20 @@
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(world.host().requests[0].http.body(), "abcde");
   EXPECT_EQ(world.host().requests[0].http.count("Expect"), 0u);
-  world.host().requests[0].Answer(200, "done");
+  world.host().requests[0].Respond(200, "done");
   EXPECT_TRUE(client.Await("done"));
   Wire wrong(world);
   wrong.Read();
   wrong.Send(
       "POST /api HTTP/1.1\r\nReq-Id: r2\r\nReq-Kind: steal\r\nReq-Deadline: 9000m\r\nExpect: "
       "100-continue\r\nContent-Length: 5\r\n\r\n");
-  EXPECT_TRUE(wrong.AwaitEnd());
+  EXPECT_TRUE(wrong.AwaitClose());
   EXPECT_TRUE(wrong.text().starts_with("HTTP/1.1 400"));
 }
 
 // Guards the head against what follows the body: a trailer must not change what the request says.
 TEST(Bodies, KeepTheirTrailersOutOfTheHead) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ChunkedHead("r1") + Chunked("abcde", 2, "Req-Id: r9\r\nX-Later: y\r\n") + ApiCall("r2"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
@@ -278,11 +279,11 @@
   EXPECT_EQ(got.body(), "abcde");
   EXPECT_EQ(got.count("Req-Id"), 1u);
   EXPECT_EQ(got["Req-Id"], "r1");
-  world.host().requests[0].Answer(200, "one");
+  world.host().requests[0].Respond(200, "one");
   EXPECT_EQ(client->Await(1).body(), "one");
   ASSERT_TRUE(
       world.Until([&] { return world.host().requests.size() == 2; }));  // what was pipelined behind it
-  world.host().requests[1].Answer(200, "two");
+  world.host().requests[1].Respond(200, "two");
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
@@ -291,17 +292,17 @@
 TEST(Bodies, AreSentAgainOnlyWhileHeld) {
   const std::string body = Body(300000);
   for (const std::size_t dead : {0, 1}) {  // a new gateway's first pick is the same both times, and dead once
-    World world(2);
-    Peer& alive = world.host(1 - dead);
+    GatewayHarness world(2);
+    FakeServer& alive = world.host(1 - dead);
     world.host(dead).StopListening();
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "pay", "9000m", body));
     ASSERT_TRUE(world.Until([&] { return alive.requests.size() == 1; }));
     EXPECT_TRUE(alive.requests[0].http.body() == body);
-    alive.requests[0].Answer(200, "");
+    alive.requests[0].Respond(200, "");
     EXPECT_EQ(client->Await().result_int(), 200u);
   }
-  World world(2);
+  GatewayHarness world(2);
   const auto client = world.Connect();
   const std::string call = ApiCall("r1", "pay", "9000m", body);
   client->Send(call.substr(0, 150000));
@@ -322,7 +323,7 @@
 // Guards the places of clients and hosts against bodies that never come: the request is told as such, and the
 // host sees its connection end.
 TEST(Bodies, ThatNeverComeAreGivenUp) {
-  World world;
+  GatewayHarness world;
   Wire held(world), passing(world);
   held.Read();
   passing.Read();
@@ -331,7 +332,7 @@
   ASSERT_TRUE(world.Until([&] { return world.host().connections.size() == 1; }));
   EXPECT_TRUE(held.Await("HTTP/1.1 408"));
   EXPECT_TRUE(passing.Await("HTTP/1.1 408"));
-  EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
+  EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->closed_by_gateway; }));
   EXPECT_TRUE(world.host().requests.empty());
   EXPECT_EQ(world.Vars()["active"], 0);
 }
@@ -339,8 +340,8 @@
 // Guards clients against a host that hangs while it is sent a long request: it never ran, and is told so long
 // before the connection would end by itself.
 TEST(Bodies, AreGivenUpWhereTheHostTakesNothingIn) {
-  World world;
-  world.host().deaf = true;
+  GatewayHarness world;
+  world.host().never_reads = true;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "20000m", Body(32 * 1024 * 1024)));
   EXPECT_EQ(client->Await().result_int(), 503u);
@@ -348,13 +349,13 @@
 
 // Guards the places against a peer that was told of its error and drips on.
 TEST(Bodies, BehindAnErrorAreNotReadForEver) {
-  World world;
+  GatewayHarness world;
   const auto peer = world.Connect();
   peer->Send("POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n");
   EXPECT_EQ(peer->Await().result_int(), 400u);
   EXPECT_TRUE(RunUntil(world.io, [&] {
     peer->Send("x");
-    return peer->refused();
+    return peer->write_failed();
   }));
 }
 
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -18,7 +18,7 @@
 struct TwoServices : DiscoveryClient::Observer {
   struct One {
     explicit One(asio::io_context& io) : peer(io) {}
-    Peer peer;
+    FakeServer peer;
     std::int64_t revision = 50;
     std::string epoch = "e1";
     int status = 200;
@@ -26,7 +26,7 @@
   };
   TwoServices() {
     for (One* one : {&first, &second}) {
-      one->peer.serve = [one](const Peer::Taken& taken) {
+      one->peer.serve = [one](const FakeServer::ReceivedRequest& taken) {
         const std::string target(taken.http.target());
         const bool waits = target.find("wait_ms=0") == std::string::npos;
         one->watches += waits;
@@ -34,7 +34,7 @@
         list["epoch"] = one->epoch;
         const auto after = target.find("after=" + std::to_string(one->revision) + "&");
         if (waits && after != std::string::npos && one->status == 200) return;  // nothing new: it waits
-        taken.Answer(one->status, list.dump());
+        taken.Respond(one->status, list.dump());
       };
     }
     DiscoveryClient::Options options;
@@ -179,8 +179,8 @@
 // Guards the endpoints against a service that lost them: its list is not taken without an operator's
 // confirmation, but the endpoints that it drains are drained.
 TEST(MassRemovalGuard, KeepsEndpointsWhoseMassRemovalIsUnconfirmed) {
-  World world(6);
-  world.GuardList();
+  GatewayHarness world(6);
+  world.EnableMassRemovalGuard();
   const auto list_of = [&](std::int64_t revision, std::size_t hosts, std::int64_t confirmed) {
     std::vector<nlohmann::json> members;
     for (std::size_t i = 0; i < hosts; ++i) {
@@ -193,7 +193,7 @@
   const auto answer = [&](const std::string& body) {
     const std::size_t asked = world.discovery.requests.size();
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() > asked; }));
-    world.discovery.requests.back().Answer(200, body);
+    world.discovery.requests.back().Respond(200, body);
   };
   answer(list_of(42, 2, 0));
   answer(list_of(43, 2, 0));
@@ -208,10 +208,10 @@
 // silent, in its first call or a later one, is reopened early enough to leave a second for the response.
 TEST(DiscoveryClient, ReopensASilentWatchInTime) {
   for (const std::size_t silent : {0u, 1u}) {  // the call that is never answered
-    World world(2);
+    GatewayHarness world(2);
     ASSERT_TRUE(world.Until([&] { return !world.discovery.requests.empty(); }));
     const auto answer = [&](std::size_t call, const std::string& phase) {
-      world.discovery.requests[call].Answer(
+      world.discovery.requests[call].Respond(
           200, List(42 + static_cast<int>(call), true,
                     {Member("h0", world.host(0).address(), phase), Member("h1", world.host(1).address())})
                    .dump());
@@ -223,7 +223,7 @@
     const Millis begun = base::MonotonicNow();
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == silent + 2; }));
     EXPECT_LT(base::MonotonicNow() - begun, 5000) << "call " << silent;
-    EXPECT_NE(world.discovery.requests[silent].on, world.discovery.requests[silent + 1].on);
+    EXPECT_NE(world.discovery.requests[silent].connection, world.discovery.requests[silent + 1].connection);
     answer(silent + 1, "draining");
     const std::string metric = "list_revision " + std::to_string(43 + silent) + "\n";
     ASSERT_TRUE(world.Until([&] { return world.Call("metrics\n").find(metric) != std::string::npos; }));
@@ -236,10 +236,10 @@
 
 // A gateway whose discovery gets a new address while a call to the former one is in progress. The new address
 // answers when the test makes it.
-struct MovingWorld : World {
-  MovingWorld() : World(2) {
+struct MovingWorld : GatewayHarness {
+  MovingWorld() : GatewayHarness(2) {
     for (const auto& host : hosts) {
-      host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+      host->serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
     }
   }
   bool FirstCallArrived() {
@@ -249,7 +249,7 @@
   // has closed it, the checks that follow fail.
   void Write(const std::string& text) {
     error_code ignored;
-    asio::write(discovery.requests[0].on->socket, asio::buffer(text), ignored);
+    asio::write(discovery.requests[0].connection->socket, asio::buffer(text), ignored);
   }
   void Move() { gateway->MoveDiscovery(moved.address()); }
   // Runs the event loop for a few complete management calls: it has read what its sockets held before them.
@@ -274,7 +274,7 @@
     return List(revision, false, {Member("h0", host(0).address(), "draining")});
   }
 
-  Peer moved{io};
+  FakeServer moved{io};
   int asked = 0;
 };
 
@@ -292,7 +292,7 @@
   EXPECT_EQ(world.Share(0), 0u);
   // The watch at the new address begins at the revision known at the change.
   EXPECT_NE(std::string(world.moved.requests[0].http.target()).find("after=41&"), std::string::npos);
-  world.moved.requests[0].Answer(200, world.Drained(42).dump());
+  world.moved.requests[0].Respond(200, world.Drained(42).dump());
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 2; }));
   EXPECT_NE(std::string(world.moved.requests[1].http.target()).find("after=42&"), std::string::npos);
   EXPECT_EQ(world.Share(0), 0u);
@@ -324,20 +324,20 @@
   ASSERT_TRUE(world.FirstCallArrived());
   world.Move();
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
-  EXPECT_FALSE(world.discovery.connections[0]->ended);
-  world.moved.requests[0].Answer(200, List(7, true, {Member("h1", world.host(1).address())}).dump());
+  EXPECT_FALSE(world.discovery.connections[0]->closed_by_gateway);
+  world.moved.requests[0].Respond(200, List(7, true, {Member("h1", world.host(1).address())}).dump());
   ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 2; }));
   EXPECT_NE(std::string(world.moved.requests[1].http.target()).find("after=7&"), std::string::npos);
   world.Write(world.Answer(List(50, true, {Member("h0", world.host(0).address())})));
   world.TurnLoop();
   EXPECT_EQ(world.Share(0), 0u);
-  ASSERT_TRUE(world.Until([&] { return world.discovery.connections[0]->ended; }));
+  ASSERT_TRUE(world.Until([&] { return world.discovery.connections[0]->closed_by_gateway; }));
 
   MovingWorld silent;
   ASSERT_TRUE(silent.FirstCallArrived());
   silent.Move();
   const Millis moved_at = base::MonotonicNow();
-  ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
+  ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->closed_by_gateway; }));
   EXPECT_GE(base::MonotonicNow() - moved_at, 1400);
   ASSERT_TRUE(silent.Until([&] { return silent.moved.requests.size() == 2; }));  // the next call, by 4.5 s
 }
@@ -345,7 +345,7 @@
 // Guards that lists from the former address pass the guard against mass removal too.
 TEST(DiscoveryClient, GuardsAgainstMassRemovalByTheFormerAddress) {
   MovingWorld world;
-  world.GuardList();
+  world.EnableMassRemovalGuard();
   ASSERT_TRUE(world.FirstCallArrived());
   world.Write(world.Answer(List(42, true, nlohmann::json::array())));
   world.Move();
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -26,7 +26,7 @@
 
 // Guards the way through: everything that hosts and clients rely on arrives unchanged.
 TEST(Gateway, PassesARequestOnAndItsAnswerBack) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
@@ -41,7 +41,7 @@
   EXPECT_EQ(left.back(), 'm');
   EXPECT_GT(std::stoi(left), 0);
   EXPECT_LT(std::stoi(left), 5000);  // what is left, not what there was
-  world.host().requests[0].Answer(200, "answer to r1");
+  world.host().requests[0].Respond(200, "answer to r1");
   EXPECT_EQ(client->Await().result(), http::status::ok);
   EXPECT_EQ(client->Await().body(), "answer to r1");
   EXPECT_TRUE(client->Await().keep_alive());
@@ -49,12 +49,12 @@
 
 // Guards the 64 KiB up to which a body is held, to the byte.
 TEST(Gateway, TakesABodyOfTheFullSize) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(world.host().requests[0].http.body().size(), 64u * 1024);
-  world.host().requests[0].Answer(200, std::string(64 * 1024, 'y'));
+  world.host().requests[0].Respond(200, std::string(64 * 1024, 'y'));
   EXPECT_EQ(client->Await().body().size(), 64u * 1024);
 }
 
@@ -93,7 +93,7 @@
       {"unsafe class by GET", head + "Req-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n", 405},
       {"keyed class without a key", ApiCall("a", "key"), 400},
   };
-  World world;
+  GatewayHarness world;
   for (const BadInput& input : inputs) {
     SCOPED_TRACE(input.what);
     const auto client = world.Connect();
@@ -104,25 +104,25 @@
   const auto client = world.Connect();
   client->Send(ApiCall("fine"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].Answer(200, "");
+  world.host().requests[0].Respond(200, "");
   EXPECT_EQ(client->Await().result(), http::status::ok);
 }
 
 // Guards against two requests of one id: their answers could not be told apart.
 TEST(Gateway, TurnsAwayAnIdThatIsInUse) {
-  World world;
+  GatewayHarness world;
   const auto first = world.Connect(), second = world.Connect();
   first->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   second->Send(ApiCall("r1"));
   EXPECT_EQ(second->Await().result(), http::status::conflict);
-  world.host().requests[0].Answer(200, "");
+  world.host().requests[0].Respond(200, "");
   EXPECT_EQ(first->Await().result(), http::status::ok);
 }
 
 // Guards against a request that the module gives up on being held back, or told without a time to come back.
 TEST(Gateway, RefusesWithRetryAfter) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "15m"));  // no time to try
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
@@ -133,35 +133,38 @@
 // How a host may treat a request, and what a gateway may make of it.
 struct Treatment {
   std::string what;
-  std::function<void(const Peer::Taken&)> treat;
+  std::function<void(const FakeServer::ReceivedRequest&)> treat;
   bool may_have_run;
 };
 
 const std::vector<Treatment>& Treatments() {
   static const std::vector<Treatment> all = {
-      {"reset", [](const auto& r) { r.on->Reset(); }, true},
-      {"closed", [](const auto& r) { r.on->Close(); }, true},
+      {"reset", [](const auto& r) { r.connection->Reset(); }, true},
+      {"closed", [](const auto& r) { r.connection->Close(); }, true},
       {"half an answer",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+         r.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+         asio::post(r.connection->socket.get_executor(), [on = r.connection] { on->Close(); });
        },
        true},
       {"half a header",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+         r.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-");
+         asio::post(r.connection->socket.get_executor(), [on = r.connection] { on->Close(); });
        },
        true},
-      {"no HTTP", [](const auto& r) { r.on->Raw("220 mail ready\r\n\r\n"); }, true},
+      {"no HTTP", [](const auto& r) { r.connection->WriteRaw("220 mail ready\r\n\r\n"); }, true},
       {"too large",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nsome"); }, true},
-      {"error", [](const auto& r) { r.Answer(500, "oops"); }, true},
-      {"503 without a word", [](const auto& r) { r.Answer(503, ""); }, true},
-      {"declined otherwise", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "0"); }, true},
-      {"declined by an error", [](const auto& r) { r.Answer(500, "", "Srv-Declined", "1"); }, true},
-      {"declined", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "1"); }, false},
-      {"declined as over", [](const auto& r) { r.Answer(504, "", "Srv-Declined", "1"); }, false},
+       [](const auto& r) {
+         r.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nsome");
+       },
+       true},
+      {"error", [](const auto& r) { r.Respond(500, "oops"); }, true},
+      {"503 without a word", [](const auto& r) { r.Respond(503, ""); }, true},
+      {"declined otherwise", [](const auto& r) { r.Respond(503, "", "Srv-Declined", "0"); }, true},
+      {"declined by an error", [](const auto& r) { r.Respond(500, "", "Srv-Declined", "1"); }, true},
+      {"declined", [](const auto& r) { r.Respond(503, "", "Srv-Declined", "1"); }, false},
+      {"declined as over", [](const auto& r) { r.Respond(504, "", "Srv-Declined", "1"); }, false},
   };
   return all;
 }
@@ -171,19 +174,19 @@
 TEST(Gateway, SendsUnsafeAgainOnlyIfItNeverRan) {
   for (const Treatment& treatment : Treatments()) {
     SCOPED_TRACE(treatment.what);
-    World world(2);
+    GatewayHarness world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const FakeServer::ReceivedRequest& taken) {
         if (tries++ == 0) return treatment.treat(taken);
-        taken.Answer(200, "second");
+        taken.Respond(200, "second");
       };
     }
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "pay"));
     EXPECT_EQ(client->Await().result_int(), treatment.may_have_run ? 502u : 200u);
     EXPECT_EQ(tries, treatment.may_have_run ? 1 : 2);
-    EXPECT_EQ(client->answers().size(), 1u);
+    EXPECT_EQ(client->responses().size(), 1u);
   }
 }
 
@@ -191,12 +194,12 @@
 TEST(Gateway, SendsSafeAgain) {
   for (const Treatment& treatment : Treatments()) {
     SCOPED_TRACE(treatment.what);
-    World world(2);
+    GatewayHarness world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const FakeServer::ReceivedRequest& taken) {
         if (tries++ == 0) return treatment.treat(taken);
-        taken.Answer(200, "second");
+        taken.Respond(200, "second");
       };
     }
     const auto client = world.Connect();
@@ -207,7 +210,7 @@
 
 // Guards against a refused dial being taken for a request that may have run: the client may try again.
 TEST(Gateway, TellsARefusedDialAsNeverRun) {
-  World world;
+  GatewayHarness world;
   world.host().StopListening();
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "300m"));
@@ -218,47 +221,47 @@
 // Guards a stalled host's request: it ends in time, its connection is closed so that the late answer can't
 // reach anyone, and the client gets one answer.
 TEST(Gateway, GivesUpOnAHostThatStalls) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   const auto begun = std::chrono::steady_clock::now();
   client->Send(ApiCall("r1", "pay", "400m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(client->Await().result_int(), 502u);
   EXPECT_GE(std::chrono::steady_clock::now() - begun, std::chrono::milliseconds(300));
-  ASSERT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
-  world.host().requests[0].Answer(200, "late");
+  ASSERT_TRUE(world.Until([&] { return world.host().connections[0]->closed_by_gateway; }));
+  world.host().requests[0].Respond(200, "late");
   client->Send("GET /up HTTP/1.1\r\n\r\n");  // the next answer on the connection is this one's
   EXPECT_EQ(client->Await(2).body(), "");
-  EXPECT_EQ(client->answers().size(), 2u);
+  EXPECT_EQ(client->responses().size(), 2u);
 }
 
 // Guards against dials that cost hosts work: one connection serves requests that follow each other, and of
 // several the one used last is taken.
 TEST(Gateway, ReusesTheMostRecentConnection) {
-  World world;
-  Peer& host = world.host();
+  GatewayHarness world;
+  FakeServer& host = world.host();
   const auto one = world.Connect(), two = world.Connect();
   one->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
   two->Send(ApiCall("r2"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
   EXPECT_EQ(host.connections.size(), 2u);
-  host.requests[0].Answer(200, "");
+  host.requests[0].Respond(200, "");
   one->Await();
-  host.requests[1].Answer(200, "");
+  host.requests[1].Respond(200, "");
   two->Await();
   one->Send(ApiCall("r3"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 3; }));
   EXPECT_EQ(host.connections.size(), 2u);
-  EXPECT_EQ(host.requests[2].on, host.requests[1].on);
+  EXPECT_EQ(host.requests[2].connection, host.requests[1].connection);
 }
 
 // Guards against a write into a connection that the host has closed while it stood idle: an unsafe request
 // would be lost to a reset that need not be.
 TEST(Gateway, NoticesAConnectionClosedWhileIdle) {
-  World world;
-  Peer& host = world.host();
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  GatewayHarness world;
+  FakeServer& host = world.host();
+  host.serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   const auto client = world.Connect();
   for (std::size_t i = 1; i <= 6; ++i) {
     client->Send(ApiCall("r" + std::to_string(i), "pay"));
@@ -270,33 +273,33 @@
 
 // Guards against an answer that no request asked for being given to the next request.
 TEST(Gateway, DropsAConnectionThatSpeaksUnasked) {
-  World world;
-  Peer& host = world.host();
+  GatewayHarness world;
+  FakeServer& host = world.host();
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
-  host.requests[0].Answer(200, "one");
+  host.requests[0].Respond(200, "one");
   EXPECT_EQ(client->Await().body(), "one");
-  host.requests[0].Answer(200, "stray");
+  host.requests[0].Respond(200, "stray");
   client->Send(ApiCall("r2"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2 || client->answers().size() == 2; }));
+  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2 || client->responses().size() == 2; }));
   ASSERT_EQ(host.requests.size(), 2u);
-  host.requests[1].Answer(200, "two");
+  host.requests[1].Respond(200, "two");
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
 // Guards against work for a client that has left: the attempt is given up by closing its connection.
 TEST(Gateway, CancelsForAClientThatLeft) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  client->Leave();
-  EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
+  client->Disconnect();
+  EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->closed_by_gateway; }));
   const auto other = world.Connect();  // the id is free again, and the gateway serves
   other->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
-  world.host().requests[1].Answer(200, "");
+  world.host().requests[1].Respond(200, "");
   EXPECT_EQ(other->Await().result(), http::status::ok);
 }
 
@@ -304,7 +307,7 @@
 // it sent on, nor a further attempt, reaches a host; the one under way is given up.
 TEST(Gateway, SeesAClientLeaveBehindWhatItSentOn) {
   for (const std::size_t more : {1u, 600u}) {  // requests that follow; many are more than is read ahead
-    World world;
+    GatewayHarness world;
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "view", "20000m"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
@@ -312,9 +315,9 @@
     for (std::size_t i = 0; i < more; ++i) on += ApiCall("more" + std::to_string(i));
     client->Send(on);
     world.Call("check\n");  // the gateway has seen that more came
-    client->Leave();
+    client->Disconnect();
     const Millis left = proxy::Now();
-    EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; })) << more;
+    EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->closed_by_gateway; })) << more;
     EXPECT_LT(proxy::Now() - left, 5000) << more;  // not by the request's own time
     EXPECT_EQ(world.host().requests.size(), 1u);
     EXPECT_EQ(world.host().connections.size(), 1u);
@@ -327,10 +330,12 @@
 TEST(Gateway, SendsNoFurtherAttemptForAClientWhoseCloseIsNotToldYet) {
   int crossed = 0;
   for (int turns = 0; turns < 8; ++turns) {
-    World world(2);
+    GatewayHarness world(2);
     std::vector<std::string> sent;  // ids, as hosts get them
     for (const auto& host : world.hosts) {
-      host->serve = [&](const Peer::Taken& taken) { sent.emplace_back(taken.http["Req-Id"]); };
+      host->serve = [&](const FakeServer::ReceivedRequest& taken) {
+        sent.emplace_back(taken.http["Req-Id"]);
+      };
     }
     std::vector<std::unique_ptr<Client>> warm;  // several at once: they spread over both hosts
     for (int i = 0; i < 4; ++i) {
@@ -340,7 +345,7 @@
     ASSERT_TRUE(world.Until([&] { return sent.size() == 4; }));
     for (const auto& host : world.hosts) {
       ASSERT_FALSE(host->requests.empty());
-      for (const auto& taken : host->requests) taken.Answer(200, "");
+      for (const auto& taken : host->requests) taken.Respond(200, "");
     }
     for (const auto& other : warm) other->Await();
     sent.clear();
@@ -348,9 +353,9 @@
     client->Send(ApiCall("r1"));
     ASSERT_TRUE(world.Until([&] { return sent.size() == 1; }));
     const std::size_t first = world.host(0).requests.back().http["Req-Id"] == "r1" ? 0 : 1;
-    world.host(first).requests.back().on->Reset();
+    world.host(first).requests.back().connection->Reset();
     for (int i = 0; i < turns; ++i) world.io.run_one_for(std::chrono::milliseconds(5));
-    client->Leave();
+    client->Disconnect();
     error_code ec;
     bool begun = sent.size() > 1;  // the further attempt, by then
     for (const auto& rests : world.host(1 - first).connections) begun |= rests->socket.available(ec) > 0;
@@ -379,14 +384,15 @@
     fill.connect(listener.local_endpoint());  // takes the one place in the queue
     nlohmann::json settings = TestSettings();
     settings["limits"]["cancelling"] = cancels;
-    World world(0, settings, 300, {{"known", List(41, true, {Member("h0", listener.local_endpoint())})}});
+    GatewayHarness world(0, settings, 300,
+                         {{"known", List(41, true, {Member("h0", listener.local_endpoint())})}});
     const auto client = world.Connect();
     client->Send(ApiCall("r1"));
     const auto metric = [&](const std::string& line) {
       return world.Call("metrics\n").find(line) != std::string::npos;
     };
     ASSERT_TRUE(world.Until([&] { return metric("dials_total 1"); }));
-    client->Leave();
+    client->Disconnect();
     ASSERT_TRUE(world.Until([&] { return metric("clients_left_total 1"); }));
     std::vector<tcp::socket> accepted;
     ASSERT_TRUE(world.Until([&] {
@@ -404,19 +410,22 @@
 
 // Guards against answers out of order, and against a request lost that came before the last was answered.
 TEST(Gateway, AnswersRequestsThatCameTogetherInOrder) {
-  World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, std::string(taken.http["Req-Id"])); };
+  GatewayHarness world;
+  world.host().serve = [](const FakeServer::ReceivedRequest& taken) {
+    taken.Respond(200, std::string(taken.http["Req-Id"]));
+  };
   const auto client = world.Connect();
   client->Send(ApiCall("r1") + ApiCall("r2") + ApiCall("r3"));
   client->Await(3);
-  ASSERT_EQ(client->answers().size(), 3u);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(client->answers()[i].body(), "r" + std::to_string(i + 1));
+  ASSERT_EQ(client->responses().size(), 3u);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(client->responses()[i].body(), "r" + std::to_string(i + 1));
 }
 
 // Guards rule 3: news that a host drains takes effect on the next send, and idle connections to it go.
 TEST(Gateway, SendsNothingToAHostThatDrains) {
-  World world(2);
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  GatewayHarness world(2);
+  for (auto& host : world.hosts)
+    host->serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   const auto client = world.Connect();
   std::size_t sent = 0;
   while (world.host(0).requests.empty() && sent < 1000) {
@@ -425,9 +434,9 @@
   }
   ASSERT_FALSE(world.host(0).requests.empty());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  world.discovery.requests[0].Answer(
+  world.discovery.requests[0].Respond(
       200, List(42, false, {Member("h0", world.host(0).address(), "draining")}).dump());
-  ASSERT_TRUE(world.Until([&] { return world.host(0).connections[0]->ended; }));
+  ASSERT_TRUE(world.Until([&] { return world.host(0).connections[0]->closed_by_gateway; }));
   const std::size_t before = world.host(0).requests.size();
   for (int i = 0; i < 20; ++i) {
     client->Send(ApiCall("r" + std::to_string(++sent)));
@@ -476,7 +485,7 @@
 // end.
 TEST(UpstreamPool, EndsAnAttemptThatIsFoundUnwantedBehindItsDial) {
   asio::io_context io;
-  Peer host(io);
+  FakeServer host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), host.address()}};
@@ -504,7 +513,7 @@
 // Guards the limit on connections: beyond it an attempt is told as never sent, and one that idles makes room.
 TEST(UpstreamPool, KeepsToItsLimit) {
   asio::io_context io;
-  Peer one(io), two(io);
+  FakeServer one(io), two(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
@@ -520,7 +529,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests.size() == 2; }));
   start("h2");
   EXPECT_EQ(results, std::vector<policy::AttemptResult>{policy::AttemptResult::kNotSent});
-  one.requests[0].Answer(200, "");
+  one.requests[0].Respond(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
   start("h2");
   EXPECT_TRUE(RunUntil(io, [&] { return two.requests.size() == 1; }));
@@ -533,8 +542,8 @@
 // Guards an attempt that is given up before its write was told of: what is written must stay until then.
 TEST(UpstreamPool, CancelsAnAttemptThatIsBeingWritten) {
   asio::io_context io;
-  Peer host(io);
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  FakeServer host(io);
+  host.serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
   list.endpoints = {{MakeHost("h1"), host.address()}};
@@ -559,64 +568,64 @@
 // Guards the watch: it starts from the known list, goes on from each answer, and a call that fails in any way
 // is made again from the last good revision.
 TEST(Gateway, KeepsWatchingThroughFailures) {
-  World world;
-  Peer& discovery = world.discovery;
+  GatewayHarness world;
+  FakeServer& discovery = world.discovery;
   const auto asked = [&](std::size_t n) {
     EXPECT_TRUE(world.Until([&] { return discovery.requests.size() >= n; })) << "call " << n;
     return discovery.requests.size() < n ? std::string()
                                          : std::string(discovery.requests[n - 1].http.target());
   };
   EXPECT_EQ(asked(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
-  discovery.requests[0].Answer(200, List(42, false, {}).dump());
+  discovery.requests[0].Respond(200, List(42, false, {}).dump());
   EXPECT_NE(asked(2).find("after=42&"), std::string::npos);
   EXPECT_EQ(discovery.connections.size(), 1u);
-  discovery.requests[1].Answer(200, "{\"revision\":43,");
+  discovery.requests[1].Respond(200, "{\"revision\":43,");
   EXPECT_NE(asked(3).find("after=42&"), std::string::npos);
   nlohmann::json wrong = List(43, true, {Member("h9", world.host().address(), "dancing")});
-  discovery.requests[2].Answer(200, wrong.dump());
+  discovery.requests[2].Respond(200, wrong.dump());
   EXPECT_NE(asked(4).find("after=42&"), std::string::npos);
-  discovery.requests[3].Answer(503, "");
+  discovery.requests[3].Respond(503, "");
   EXPECT_NE(asked(5).find("after=42&"), std::string::npos);
-  discovery.requests[4].on->Reset();
+  discovery.requests[4].connection->Reset();
   EXPECT_NE(asked(6).find("after=42&"), std::string::npos);
-  discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
+  discovery.requests[5].Respond(200, List(44, true, {Member("h0", world.host().address())}).dump());
   EXPECT_NE(asked(7).find("after=44&"), std::string::npos);
-  discovery.requests[6].Answer(200, List(43, true, {}).dump());  // older: changes nothing
+  discovery.requests[6].Respond(200, List(43, true, {}).dump());  // older: changes nothing
   EXPECT_NE(asked(8).find("after=44&"), std::string::npos);
   EXPECT_EQ(world.Vars().at("pool_size"), 1);
 }
 
 // Guards the memory: the extension of a chunk's head may be of any length, and must not be kept whole.
 TEST(Gateway, EndsARequestWhoseChunkHeadNeverEnds) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
                std::string(100000, 'x'));
   EXPECT_EQ(client->Await().result(), http::status::bad_request);
-  EXPECT_TRUE(client->AwaitEnd());
+  EXPECT_TRUE(client->AwaitClose());
 }
 
 // Guards the same on the other side: the attempt has failed and may have run.
 TEST(Gateway, EndsAnAnswerWhoseChunkHeadNeverEnds) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
-                                   std::string(100000, 'x'));
+  world.host().requests[0].connection->WriteRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
+                                                std::string(100000, 'x'));
   EXPECT_EQ(client->Await().result(), http::status::bad_gateway);
 }
 
 // Guards the answer that follows an announcement: a host may send any number of 1xx heads before it.
 TEST(Gateway, WaitsForTheAnswerBehindAnAnnouncement) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   for (std::size_t i = 0; i < 2; ++i) {
     client->Send(ApiCall("r" + std::to_string(i), "pay"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == i + 1; }));
-    world.host().requests[i].on->Raw(
+    world.host().requests[i].connection->WriteRaw(
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-    world.host().requests[i].Answer(200, "done");
+    world.host().requests[i].Respond(200, "done");
     EXPECT_EQ(client->Await(i + 1).result(), http::status::ok);
     EXPECT_EQ(client->Await(i + 1).body(), "done");
   }
@@ -626,34 +635,35 @@
 // Guards the memory against an answer of a stated length that no body may have: it is given up at its head.
 TEST(Gateway, EndsAnAnswerThatStatesTooLargeABody) {
   for (const std::string length : {"33554433", "3000000000"}) {
-    World world;
+    GatewayHarness world;
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "pay"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-    world.host().requests[0].on->Raw("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nsome");
+    world.host().requests[0].connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: " + length +
+                                                  "\r\n\r\nsome");
     EXPECT_EQ(client->Await().result(), http::status::bad_gateway) << length;
-    EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
+    EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->closed_by_gateway; }));
   }
 }
 
 // Guards the places against peers that connect and send nothing, or never the whole of a first request: far
 // sooner than a client's connection between two requests they are closed or told.
 TEST(Gateway, EndsConnectionsThatBringNoRequest) {
-  World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  GatewayHarness world;
+  world.host().serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   const auto kept = world.Connect(), silent = world.Connect(), partial = world.Connect();
   kept->Send(ApiCall("r1"));
   EXPECT_EQ(kept->Await().result(), http::status::ok);
   partial->Send("GET /api HTTP/1.1\r\nReq-Id:");
-  EXPECT_TRUE(silent->AwaitEnd());
+  EXPECT_TRUE(silent->AwaitClose());
   EXPECT_EQ(partial->Await().result(), http::status::request_timeout);
-  EXPECT_FALSE(kept->ended());
+  EXPECT_FALSE(kept->closed_by_gateway());
 }
 
 // Guards a flood of clients: those between requests make room, and a new one is served.
 TEST(Gateway, ServesThroughAFloodOfConnections) {
-  World world(1, TestSettings(), 200);  // 106 of them for clients
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  GatewayHarness world(1, TestSettings(), 200);  // 106 of them for clients
+  world.host().serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 150; ++i) {
     flood.push_back(world.Connect());
@@ -664,7 +674,7 @@
   EXPECT_EQ(client->Await().result(), http::status::ok);
   std::size_t closed = 0;
   EXPECT_TRUE(world.Until([&] {
-    closed = std::count_if(flood.begin(), flood.end(), [](const auto& c) { return c->ended(); });
+    closed = std::count_if(flood.begin(), flood.end(), [](const auto& c) { return c->closed_by_gateway(); });
     return closed >= 45;
   }));
   EXPECT_LE(closed, 46u);
@@ -676,8 +686,8 @@
   const std::string body = ApiCall("r0", "pay", "9000m", std::string(2000, 'x')).substr(0, 1000);
   for (const std::string& half : {std::string("GET /api HTTP/1.1\r\nReq-Id:"), body}) {
     SCOPED_TRACE(half.substr(0, 4));
-    World world(1, TestSettings(), 200);
-    world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+    GatewayHarness world(1, TestSettings(), 200);
+    world.host().serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
     std::vector<std::unique_ptr<Client>> flood;
     for (int i = 0; i < 300; ++i) {
       flood.push_back(world.Connect());
@@ -688,14 +698,14 @@
     client->Send(ApiCall("r1"));
     EXPECT_EQ(client->Await().result(), http::status::ok);
     const auto told =
-        std::count_if(flood.begin(), flood.end(), [](const auto& c) { return !c->answers().empty(); });
+        std::count_if(flood.begin(), flood.end(), [](const auto& c) { return !c->responses().empty(); });
     EXPECT_LT(told, 100);  // of the time-outs that would all have come first
   }
 }
 
 // Guards the clients that wait for a place while all are taken by requests under way: places come free.
 TEST(Gateway, MakesRoomWhenAllPlacesAreBusy) {
-  World world(1, TestSettings(), 10);  // 3 for clients
+  GatewayHarness world(1, TestSettings(), 10);  // 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(world.Connect());
@@ -707,7 +717,7 @@
 // Guards a planned restart: not ready any more but still accepting, all that was taken is answered,
 // keep-alives end with Connection: close, idle ones are closed, and then it is done.
 TEST(Gateway, AnswersAllBeforeItStops) {
-  World world;
+  GatewayHarness world;
   const auto idle = world.Connect(), busy = world.Connect();
   idle->Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(idle->Await().result(), http::status::ok);
@@ -721,23 +731,23 @@
   const auto queued = world.Connect();
   queued->Send(ApiCall("r2", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
-  EXPECT_TRUE(idle->AwaitEnd());
+  EXPECT_TRUE(idle->AwaitClose());
   EXPECT_FALSE(done);
-  for (const auto& request : world.host().requests) request.Answer(200, "");
+  for (const auto& request : world.host().requests) request.Respond(200, "");
   for (Client* client : {busy.get(), queued.get()}) {
     EXPECT_EQ(client->Await().result(), http::status::ok);
     EXPECT_FALSE(client->Await().keep_alive());
-    EXPECT_TRUE(client->AwaitEnd());
-    client->Leave();
+    EXPECT_TRUE(client->AwaitClose());
+    client->Disconnect();
   }
-  late->Leave();
-  idle->Leave();
+  late->Disconnect();
+  idle->Disconnect();
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
 // Guards a stop with a host that never answers: what is left is failed before the process would be killed.
 TEST(Gateway, FailsWhatIsLeftWhenTheStopRunsOut) {
-  World world;
+  GatewayHarness world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "20000m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -20,11 +20,11 @@
     folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
-    host.serve = [this](const Peer::Taken& taken) {
-      if (taken.http["Req-Id"] != "held") return taken.Answer(200, std::string(taken.http["Req-Id"]));
+    host.serve = [this](const FakeServer::ReceivedRequest& taken) {
+      if (taken.http["Req-Id"] != "held") return taken.Respond(200, std::string(taken.http["Req-Id"]));
       held.push_back(taken);
     };
-    discovery.serve = [](const Peer::Taken&) {};
+    discovery.serve = [](const FakeServer::ReceivedRequest&) {};
   }
   ~Platform() { std::filesystem::remove_all(folder); }
 
@@ -64,18 +64,18 @@
   }
 
   asio::io_context io;
-  Peer host{io}, discovery{io};
-  std::vector<Peer::Taken> held;
+  FakeServer host{io}, discovery{io};
+  std::vector<FakeServer::ReceivedRequest> held;
   const tcp::endpoint listen = FreeAddress(io);
   std::filesystem::path folder;
-  const File file{nlohmann::json{
+  const ConfigFile file{nlohmann::json{
       {"seed",
        "1f"},  // More than one: while both run each gives a new host one place only, which "held" takes.
       {"known",
        List(1, true,
             {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
-      {"settings", TestSettings()}}
-                      .dump()};
+      {"settings",
+       TestSettings()}}.dump()};
 };
 
 // Guards the form on the socket between an old and a new process, which may be of different builds.
@@ -121,21 +121,21 @@
   for (int i = 0; i < 50; ++i) {
     Client another(platform.io, platform.listen);
     EXPECT_EQ(platform.Ask(another, "n" + std::to_string(i)), "n" + std::to_string(i))
-        << another.Await() << old.process->Errors() << next.process->Errors();
+        << another.Await() << old.process->StandardError() << next.process->StandardError();
   }
-  platform.held[0].Answer(200, "held");
+  platform.held[0].Respond(200, "held");
   EXPECT_EQ(busy.Await().body(), "held");
   EXPECT_TRUE(busy.Await().keep_alive());
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
+  ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
   EXPECT_EQ(old.process->Wait(), 0);
   EXPECT_EQ(platform.Ask(idle, "two", 2), "two");
   EXPECT_EQ(platform.Ask(busy, "three", 2), "three");
-  EXPECT_FALSE(idle.ended());
-  EXPECT_FALSE(busy.ended());
+  EXPECT_FALSE(idle.closed_by_gateway());
+  EXPECT_FALSE(busy.closed_by_gateway());
   auto last = platform.Start();  // and once more
   ASSERT_TRUE(platform.Ready(last));
   next.process->Terminate();
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->Ended(); }));
+  ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->HasExited(); }));
   EXPECT_EQ(platform.Ask(idle, "four", 3), "four");
 }
 
@@ -197,7 +197,7 @@
     }
     auto old = platform.Start();
     ASSERT_TRUE(platform.Ready(old));
-    if (there == "hung process") old.process->Hang();
+    if (there == "hung process") old.process->Suspend();
     auto next = platform.Start();
     EXPECT_TRUE(platform.Ready(next));
     if (there == "hung process") {
@@ -205,7 +205,7 @@
     } else {
       old.process->Terminate();
     }
-    ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
+    ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
     Client client(platform.io, platform.listen);
     EXPECT_EQ(platform.Ask(client, "one"), "one");
   }
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -15,7 +15,7 @@
 
 // Guards what operators are told: the answer's first word, for good calls and for any others.
 TEST(Management, AnswersEachCallByOneLine) {
-  World world;
+  GatewayHarness world;
   EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
   EXPECT_TRUE(world.Call("check\r\nvars\n").starts_with("SUCCESS"));  // what follows the line is not heard
   for (const std::string& call :
@@ -27,18 +27,18 @@
 
 // Guards a gateway that knows no host: it takes no clients yet, and says so until a list has come.
 TEST(Management, SaysYesOnlyOnceClientsAreTaken) {
-  World world(0);
+  GatewayHarness world(0);
   EXPECT_TRUE(world.Call("check\n").starts_with("FAILURE"));
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  Peer host(world.io);
-  world.discovery.requests[0].Answer(200, List(42, true, {Member("h0", host.address())}).dump());
+  FakeServer host(world.io);
+  world.discovery.requests[0].Respond(200, List(42, true, {Member("h0", host.address())}).dump());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
   EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
 }
 
 // Guards a call that is not whole: its caller is told when it ends its side, and keeps nobody waiting.
 TEST(Management, HearsOthersBesideCallersThatHold) {
-  World world;
+  GatewayHarness world;
   std::vector<tcp::socket> slow;
   for (int i = 0; i < 100; ++i) {  // far more than there are places
     slow.emplace_back(world.io).connect(*world.gateway->management());
@@ -60,7 +60,7 @@
 
 // Guards the figures: each counter against one request or attempt of its kind, for each class from the start.
 TEST(Metrics, CountWhatHappened) {
-  World world(2);
+  GatewayHarness world(2);
   const nlohmann::json none = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
   EXPECT_EQ(world.Vars(), nlohmann::json({{"responses", {{"view", none}, {"key", none}, {"pay", none}}},
                                           {"tries", 0},
@@ -69,11 +69,11 @@
                                           {"pool_ejected", 0}}));
   int first = 0;
   for (auto& host : world.hosts) {
-    host->serve = [&](const Peer::Taken& taken) {
+    host->serve = [&](const FakeServer::ReceivedRequest& taken) {
       const std::string id(taken.http["Req-Id"]);
-      if (id == "again" && first++ == 0) return taken.on->Reset();  // tried twice
-      if (id == "fails") return taken.Answer(500, "");
-      if (id != "waits" && id != "leaves") taken.Answer(200, "");
+      if (id == "again" && first++ == 0) return taken.connection->Reset();  // tried twice
+      if (id == "fails") return taken.Respond(500, "");
+      if (id != "waits" && id != "leaves") taken.Respond(200, "");
     };
   }
   const auto client = world.Connect();
@@ -93,7 +93,7 @@
   const auto taken = [&] { return world.hosts[0]->requests.size() + world.hosts[1]->requests.size(); };
   ASSERT_TRUE(world.Until([&] { return taken() == 6; }));
   EXPECT_EQ(world.Vars()["active"], 2);
-  leaves->Leave();
+  leaves->Disconnect();
   ASSERT_TRUE(world.Until([&] { return world.Vars()["active"] == 1; }));
   const nlohmann::json vars = world.Vars();
   EXPECT_EQ(vars["responses"]["view"], nlohmann::json({{"ok", 2}, {"shed", 0}, {"errors", 0}}));
@@ -105,10 +105,10 @@
 // Guards the scraped form: every sample once under a type, buckets that only grow, and the spans of what was
 // played.
 TEST(Metrics, AreTheSameInPrometheusForm) {
-  World world(2);
+  GatewayHarness world(2);
   for (auto& host : world.hosts) {
-    host->serve = [](const Peer::Taken& taken) {
-      taken.Answer(taken.http["Req-Id"] == "fails" ? 500 : 200, "");
+    host->serve = [](const FakeServer::ReceivedRequest& taken) {
+      taken.Respond(taken.http["Req-Id"] == "fails" ? 500 : 200, "");
     };
   }
   const auto client = world.Connect();
@@ -171,9 +171,9 @@
 TEST(SavedState, SurvivesTheProcess) {
   const StateFolder folder;
   {
-    World world(2, TestSettings(), 300, WithState(folder));
+    GatewayHarness world(2, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-    world.discovery.requests[0].Answer(
+    world.discovery.requests[0].Respond(
         200, List(42, false, {Member("h1", world.host(1).address(), "removed")}).dump());
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
     EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
@@ -199,7 +199,7 @@
     EXPECT_TRUE(world.Call("drain-off\n").starts_with("SUCCESS"));
     const std::size_t asked = world.discovery.requests.size();
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() > asked || asked >= 3; }));
-    world.discovery.requests.back().Answer(
+    world.discovery.requests.back().Respond(
         200,
         List(7, true, {Member("h0", world.host(0).address()), Member("h1", world.host(1).address())}).dump());
     ASSERT_TRUE(world.Until([&] { return world.Vars()["pool_size"] == 2; }));
@@ -213,9 +213,9 @@
   const StateFolder folder;
   for (const int damage : {0, 1, 2}) {
     std::filesystem::remove_all(folder.path);
-    World world(1, TestSettings(), 300, WithState(folder));
+    GatewayHarness world(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-    world.discovery.requests[0].Answer(200, List(42, true, {Member("h0", world.host().address())}).dump());
+    world.discovery.requests[0].Respond(200, List(42, true, {Member("h0", world.host().address())}).dump());
     ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
     world.gateway.reset();
     for (const auto& entry : std::filesystem::directory_iterator(folder.path)) {
@@ -230,7 +230,7 @@
     EXPECT_FALSE(proxy::LoadSavedState(folder.path, world.owner()));
     world.Restart();
     EXPECT_TRUE(world.Call("check\n").starts_with("SUCCESS"));
-    world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+    world.host().serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
     const auto client = world.Connect();
     client->Send(ApiCall("r"));
     EXPECT_EQ(client->Await(1).result_int(), 200u);
@@ -252,7 +252,7 @@
 TEST(SavedState, OfANewerProgramIsNotChanged) {
   const StateFolder folder;
   const std::string newer = R"({"draining":"maybe"})";
-  World world(1, TestSettings(), 300, WithState(folder));
+  GatewayHarness world(1, TestSettings(), 300, WithState(folder));
   EXPECT_TRUE(world.Call("drain-on\n").starts_with("SUCCESS"));
   ASSERT_TRUE(world.Until([&] { return proxy::LoadSavedState(folder.path, world.owner()).has_value(); }));
   world.gateway.reset();
@@ -277,8 +277,8 @@
 // Guards what was learned: it is saved while requests are served, and the next process begins with it.
 TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
-  World world(1, TestSettings(), 300, WithState(folder));
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  GatewayHarness world(1, TestSettings(), 300, WithState(folder));
+  world.host().serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   const auto client = world.Connect();
   for (std::size_t i = 1; i <= 5; ++i) {
     client->Send(ApiCall("r" + std::to_string(i)));
@@ -344,8 +344,9 @@
 
 // Guards the figures on hosts: what is listed, drained or not, and what the module avoids.
 TEST(Metrics, TellListedAndAvoidedHosts) {
-  World world(2);
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(500, ""); };
+  GatewayHarness world(2);
+  for (auto& host : world.hosts)
+    host->serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(500, ""); };
   const auto client = world.Connect();
   std::size_t sent = 0;
   while (sent < 100 && world.Vars()["pool_ejected"] != 2) {
@@ -354,10 +355,10 @@
   }
   EXPECT_EQ(world.Vars()["pool_ejected"], 2);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  world.discovery.requests[0].Answer(200, List(42, false,
-                                               {Member("h0", world.host(0).address(), "draining"),
-                                                Member("h1", world.host(1).address(), "removed")})
-                                              .dump());
+  world.discovery.requests[0].Respond(200, List(42, false,
+                                                {Member("h0", world.host(0).address(), "draining"),
+                                                 Member("h1", world.host(1).address(), "removed")})
+                                               .dump());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
   EXPECT_EQ(world.Vars()["pool_size"], 1);
   EXPECT_EQ(world.Vars()["pool_ejected"], 0);
@@ -366,7 +367,7 @@
 // Guards a drain: no at once, what is open is served to its end and closed, idle connections go, the process
 // stays and takes clients again when told. Both calls may be repeated.
 TEST(Drain, ShedsConnectionsAndTakesThemAgain) {
-  World world;
+  GatewayHarness world;
   const auto up = [&] {
     const auto client = world.Connect();
     client->Send("GET /up HTTP/1.1\r\n\r\n");
@@ -383,27 +384,27 @@
   const auto partial = world.Connect(), late = world.Connect();
   late->Send(ApiCall("r2"));  // from before the front knew
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
-  EXPECT_TRUE(idle->AwaitEnd());
-  for (const auto& request : world.host().requests) request.Answer(200, "");
+  EXPECT_TRUE(idle->AwaitClose());
+  for (const auto& request : world.host().requests) request.Respond(200, "");
   for (Client* client : {busy.get(), late.get()}) {
     EXPECT_EQ(client->Await().result(), http::status::ok);
     EXPECT_FALSE(client->Await().keep_alive());
-    EXPECT_TRUE(client->AwaitEnd());
+    EXPECT_TRUE(client->AwaitClose());
   }
   partial->Send("GET /api HTTP/1.1\r\n");
-  EXPECT_TRUE(partial->AwaitEnd());  // refused or closed: it is not held
+  EXPECT_TRUE(partial->AwaitClose());  // refused or closed: it is not held
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(world.Call("drain-off\n").starts_with("SUCCESS"));
   EXPECT_EQ(up(), 200u);
   const auto kept = world.Connect();
   kept->Send(ApiCall("r3"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 3; }));
-  world.host().requests[2].Answer(200, "");
+  world.host().requests[2].Respond(200, "");
   EXPECT_TRUE(kept->Await().keep_alive());
 }
 
 // Guards SIGTERM during a drain: it ends as it would without one, and no call keeps it from that.
 TEST(Drain, EndsOnStopAllTheSame) {
-  World world;
+  GatewayHarness world;
   world.Call("drain-on\n");
   bool done = false;
   world.gateway->Stop([&] { done = true; });
--- a/tests/proxy/peers.hpp
+++ b/tests/proxy/peers.hpp
@@ -1,5 +1,5 @@
-// The other side of the gateway's sockets, for tests: scripted servers and clients on loopback. They share
-// the gateway's event loop, and tests wait for what they expect instead of for time to pass.
+// Fake servers and clients on loopback, for tests of the gateway. They share the gateway's event loop, and
+// tests wait for conditions instead of sleeping.
 #ifndef GATEWAY_TESTS_PROXY_PEERS_HPP_
 #define GATEWAY_TESTS_PROXY_PEERS_HPP_
 
@@ -29,44 +29,46 @@
 
 inline tcp::endpoint Loopback(unsigned short port = 0) { return {asio::ip::address_v4::loopback(), port}; }
 
-inline std::string ToText(const tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+inline std::string ToText(const tcp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// Runs the loop until `done`; false after half a minute, which no healthy run comes near.
-template <typename Done>
-bool RunUntil(asio::io_context& io, Done done) {
-  const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-  while (!done()) {
-    if (std::chrono::steady_clock::now() > end) return false;
+// Runs the event loop until `condition` returns true. Returns false after 30 s, far longer than any condition
+// takes in a test that passes.
+template <typename Condition>
+bool RunUntil(asio::io_context& io, Condition condition) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+  while (!condition()) {
+    if (std::chrono::steady_clock::now() > deadline) return false;
     io.run_one_for(std::chrono::milliseconds(50));
   }
   return true;
 }
 
-// A server that keeps each request until the test says what becomes of it.
-class Peer {
+// An HTTP server that records each request. The test responds to it, or installs `serve`.
+class FakeServer {
  public:
   struct Connection : std::enable_shared_from_this<Connection> {
-    Connection(Peer& owner, tcp::socket s) : peer(owner), socket(std::move(s)) {}
+    Connection(FakeServer& owner, tcp::socket s) : server(owner), socket(std::move(s)) {}
 
-    void Read() {
+    void ReadRequests() {
       parser.emplace();
       parser->body_limit(64 << 20);
       http::async_read(socket, buffer, *parser, [self = shared_from_this()](error_code ec, std::size_t) {
         if (ec) {
-          self->ended = true;
+          self->closed_by_gateway = true;
           return;
         }
-        self->peer.requests.push_back({self->parser->release(), self});
-        self->Read();
-        if (self->peer.serve) self->peer.serve(self->peer.requests.back());
+        self->server.requests.push_back({self->parser->release(), self});
+        self->ReadRequests();
+        if (self->server.serve) self->server.serve(self->server.requests.back());
       });
     }
-    void Raw(std::string text) {
-      const auto kept = std::make_shared<std::string>(std::move(text));
-      asio::async_write(socket, asio::buffer(*kept),
-                        [kept, self = shared_from_this()](error_code ec, std::size_t) { self->raw += !ec; });
+    void WriteRaw(std::string text) {
+      const auto data = std::make_shared<std::string>(std::move(text));
+      asio::async_write(
+          socket, asio::buffer(*data),
+          [data, self = shared_from_this()](error_code ec, std::size_t) { self->completed_writes += !ec; });
     }
     void Close() {
       error_code ignored;
@@ -78,49 +80,50 @@
       socket.close(ignored);
     }
 
-    Peer& peer;
+    FakeServer& server;
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::optional<http::request_parser<http::string_body>> parser;
-    bool ended = false;  // by the gateway
-    int raw = 0;         // texts that were written to their end
+    bool closed_by_gateway = false;
+    int completed_writes = 0;  // calls to WriteRaw whose text was written completely
   };
 
-  struct Taken {
+  struct ReceivedRequest {
     HttpRequest http;
-    std::shared_ptr<Connection> on;
+    std::shared_ptr<Connection> connection;
 
-    void Answer(int status, std::string body, const std::string& field = "",
-                const std::string& value = "") const {
+    // Sends a response, with one additional header field unless `field` is empty.
+    void Respond(int status, std::string body, const std::string& field = "",
+                 const std::string& value = "") const {
       HttpResponse response(static_cast<http::status>(status), 11);
       response.body() = std::move(body);
       response.prepare_payload();
       if (!field.empty()) response.set(field, value);
       std::ostringstream text;
       text << response;
-      on->Raw(text.str());
+      connection->WriteRaw(text.str());
     }
   };
 
-  explicit Peer(asio::io_context& io) : io_(io), acceptor_(io, Loopback()) { Accept(); }
-  ~Peer() {
+  explicit FakeServer(asio::io_context& io) : io_(io), acceptor_(io, Loopback()) { Accept(); }
+  ~FakeServer() {
     for (const auto& connection : connections) connection->Close();
   }
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void StopListening() { acceptor_.close(); }
 
-  std::vector<Taken> requests;
+  std::vector<ReceivedRequest> requests;
   std::vector<std::shared_ptr<Connection>> connections;
-  std::function<void(const Taken&)> serve;  // if set, called for each request
-  bool deaf = false;                        // reads nothing
+  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request
+  bool never_reads = false;                           // accepts connections but reads nothing from them
 
  private:
   void Accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
       if (ec) return;
       connections.push_back(std::make_shared<Connection>(*this, std::move(socket)));
-      if (!deaf) connections.back()->Read();
+      if (!never_reads) connections.back()->ReadRequests();
       Accept();
     });
   }
@@ -129,70 +132,72 @@
   tcp::acceptor acceptor_;
 };
 
-// A client on one connection.
+// An HTTP client with one connection, which collects the responses.
 class Client {
  public:
-  Client(asio::io_context& io, const tcp::endpoint& at) : io_(io), state_(std::make_shared<State>(io)) {
-    state_->socket.connect(at);
-    Read(state_);
+  Client(asio::io_context& io, const tcp::endpoint& address) : io_(io), state_(std::make_shared<State>(io)) {
+    state_->socket.connect(address);
+    ReadResponses(state_);
   }
-  ~Client() { Leave(); }
+  ~Client() { Disconnect(); }
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   void Send(const std::string& text) {
     state_->socket.non_blocking(true);
-    for (std::size_t at = 0; at < text.size();) {  // the gateway shares the loop, and must read meanwhile
+    for (std::size_t sent = 0; sent < text.size();) {
       error_code ec;
-      at += state_->socket.write_some(asio::buffer(text.data() + at, text.size() - at), ec);
+      sent += state_->socket.write_some(asio::buffer(text.data() + sent, text.size() - sent), ec);
       if (ec == asio::error::would_block) {
-        io_.run_one_for(std::chrono::milliseconds(10));
+        io_.run_one_for(std::chrono::milliseconds(10));  // lets the gateway read, which shares the event loop
       } else if (ec) {
-        state_->refused = true;
-        return;  // a gateway may close on what it has read enough of
+        state_->write_failed = true;
+        return;  // the gateway may close the connection before it has read all of the text
       }
     }
   }
-  void Leave() {
+  void Disconnect() {
     error_code ignored;
     state_->socket.close(ignored);
   }
 
-  // Waits until `n` answers in all have come, and gives the last of them.
+  // Waits for the `n`th response on the connection, counted from 1, and returns it.
   const HttpResponse& Await(std::size_t n = 1) {
     static const HttpResponse kNone(http::status::unknown, 11);
-    if (RunUntil(io_, [&] { return answers().size() >= n; })) return answers()[n - 1];
-    ADD_FAILURE() << "no answer " << n;
+    if (RunUntil(io_, [&] { return responses().size() >= n; })) return responses()[n - 1];
+    ADD_FAILURE() << "response " << n << " has not arrived";
     return kNone;
   }
-  bool AwaitEnd() {
-    return RunUntil(io_, [&] { return ended(); });
+  // Waits until the gateway has closed the connection. Returns false after the time of RunUntil.
+  bool AwaitClose() {
+    return RunUntil(io_, [&] { return closed_by_gateway(); });
   }
-  const std::vector<HttpResponse>& answers() const { return state_->answers; }
-  bool ended() const { return state_->ended; }      // by the gateway
-  bool refused() const { return state_->refused; }  // what was sent after that
+  const std::vector<HttpResponse>& responses() const { return state_->responses; }
+  bool closed_by_gateway() const { return state_->closed_by_gateway; }
+  // Whether a call to Send has failed because the connection was closed.
+  bool write_failed() const { return state_->write_failed; }
 
  private:
-  struct State {  // outlives the client until its last read has ended
+  struct State {  // shared with the pending read, which may outlive the client
     explicit State(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::optional<http::response_parser<http::string_body>> parser;
-    std::vector<HttpResponse> answers;
-    bool ended = false, refused = false;
+    std::vector<HttpResponse> responses;
+    bool closed_by_gateway = false, write_failed = false;
   };
 
-  static void Read(const std::shared_ptr<State>& state) {
+  static void ReadResponses(const std::shared_ptr<State>& state) {
     state->parser.emplace();
     state->parser->body_limit(64 << 20);
     http::async_read(state->socket, state->buffer, *state->parser, [state](error_code ec, std::size_t) {
       if (ec == asio::error::operation_aborted) return;
       if (ec) {
-        state->ended = true;
+        state->closed_by_gateway = true;
         return;
       }
-      state->answers.push_back(state->parser->release());
-      Read(state);
+      state->responses.push_back(state->parser->release());
+      ReadResponses(state);
     });
   }
 
@@ -200,46 +205,53 @@
   const std::shared_ptr<State> state_;
 };
 
-// A request as clients send it. `more` holds further header lines, each with its line end.
-inline std::string ApiCall(const std::string& id, const std::string& cls = "view",
+// Returns the text of an API request. `extra_header_lines` holds complete lines, each with its CRLF.
+inline std::string ApiCall(const std::string& id, const std::string& class_name = "view",
                            const std::string& deadline = "5000m", const std::string& body = "",
-                           const std::string& more = "") {
-  const bool safe = cls == "view";
-  std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\n";
-  text += "Req-Id: " + id + "\r\nReq-Kind: " + cls + "\r\nReq-Deadline: " + deadline + "\r\n" + more;
-  if (!safe || !body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+                           const std::string& extra_header_lines = "") {
+  const bool idempotent = class_name == "view";
+  std::string text = std::string(idempotent ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\n";
+  text += "Req-Id: " + id + "\r\nReq-Kind: " + class_name + "\r\nReq-Deadline: " + deadline + "\r\n";
+  text += extra_header_lines;
+  if (!idempotent || !body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   return text + "\r\n" + body;
 }
 
-// A member of discovery's list.
-inline nlohmann::json Member(const std::string& id, const tcp::endpoint& at,
+// Returns an entry of discovery's list.
+inline nlohmann::json Member(const std::string& id, const tcp::endpoint& address,
                              const std::string& phase = "up") {
-  return {{"id", id},  {"host_port", ToText(at)}, {"locality", "a"}, {"flavor", "m"},
-          {"cell", 0}, {"phase", phase},          {"size", 1.0},     {"up_since_ms", 0}};
+  return {{"id", id},        {"host_port", ToText(address)},
+          {"locality", "a"}, {"flavor", "m"},
+          {"cell", 0},       {"phase", phase},
+          {"size", 1.0},     {"up_since_ms", 0}};
 }
 
+// Returns a response body of discovery: the complete list, or a delta if not `complete`.
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
   return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
 }
 
-// The configuration's settings: one safe class and one unsafe, with aims far above what a busy machine needs.
+// The configuration's settings: a class of each idempotency, with latency objectives that a busy machine
+// meets easily.
 inline nlohmann::json TestSettings() {
-  const auto cls = [](const char* name, const char* effect) {
-    return nlohmann::json{{"name", name},      {"sloMs", 20000.0},      {"deadlineMs", 20000.0},
-                          {"importance", 1.0}, {"idempotency", effect}, {"lateWorth", 0.0}};
+  const auto traffic_class = [](const char* name, const char* idempotency) {
+    return nlohmann::json{{"name", name},      {"sloMs", 20000.0},           {"deadlineMs", 20000.0},
+                          {"importance", 1.0}, {"idempotency", idempotency}, {"lateWorth", 0.0}};
   };
-  return {{"categories", {cls("view", "pure"), cls("key", "token"), cls("pay", "side_effect")}},
-          {"membershipMode", "ask"},
-          {"limits",
-           {{"maxAttempts", 4},
-            {"dialTimeoutMs", 5000.0},
-            {"connIdleMs", 60000.0},
-            {"cancelling", true},
-            {"retryAfter", true},
-            {"maxRetryAfterMs", 2000.0}}},
-          {"report", {{"fields", {"inflight", "util"}}, {"source", "answers"}}},
-          {"zone", "a"},
-          {"somethingNew", {{"never", "heard of"}}}};
+  return {
+      {"categories",
+       {traffic_class("view", "pure"), traffic_class("key", "token"), traffic_class("pay", "side_effect")}},
+      {"membershipMode", "ask"},
+      {"limits",
+       {{"maxAttempts", 4},
+        {"dialTimeoutMs", 5000.0},
+        {"connIdleMs", 60000.0},
+        {"cancelling", true},
+        {"retryAfter", true},
+        {"maxRetryAfterMs", 2000.0}}},
+      {"report", {{"fields", {"inflight", "util"}}, {"source", "answers"}}},
+      {"zone", "a"},
+      {"somethingNew", {{"never", "heard of"}}}};
 }
 
 }  // namespace gateway::proxy::testing
--- a/tests/proxy/process.hpp
+++ b/tests/proxy/process.hpp
@@ -1,4 +1,4 @@
-// The program as a process, for tests.
+// Runs the gateway program as a child process, for tests.
 #ifndef GATEWAY_TESTS_PROXY_PROCESS_HPP_
 #define GATEWAY_TESTS_PROXY_PROCESS_HPP_
 
@@ -16,7 +16,7 @@
 
 namespace gateway::proxy::testing {
 
-// A loopback address with a port that is free now.
+// Returns a loopback address with a port that is free at the time of the call.
 inline tcp::endpoint FreeAddress(asio::io_context& io) {
   tcp::acceptor probe(io, Loopback());
   return probe.local_endpoint();
@@ -24,61 +24,65 @@
 
 class Process {
  public:
-  // Starts the program with the variables given, and no more descriptors if that is not 0; its standard error
-  // goes to a file.
-  explicit Process(const std::vector<std::pair<std::string, std::string>>& variables, rlim_t descriptors = 0)
-      : errors_(::testing::TempDir() + "gateway-err-" + std::to_string(getpid()) + "-" +
-                std::to_string(++started_)),
+  // Starts the program with these environment variables, and with this limit on file descriptors unless it is
+  // 0. Standard error is redirected to a file.
+  explicit Process(const std::vector<std::pair<std::string, std::string>>& variables,
+                   rlim_t descriptor_limit = 0)
+      : stderr_path_(::testing::TempDir() + "gateway-err-" + std::to_string(getpid()) + "-" +
+                     std::to_string(++started_processes_)),
         pid_(fork()) {
     if (pid_ != 0) return;
     for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
-    if (descriptors > 0) {
-      for (int fd = 3; fd < 1024; ++fd) close(fd);  // the test's own
-      const rlimit limit{descriptors, descriptors};
+    if (descriptor_limit > 0) {
+      for (int fd = 3; fd < 1024; ++fd) close(fd);  // those that were inherited from the test
+      const rlimit limit{descriptor_limit, descriptor_limit};
       setrlimit(RLIMIT_NOFILE, &limit);
     }
-    if (std::freopen(errors_.c_str(), "w", stderr) == nullptr) _exit(99);
+    if (std::freopen(stderr_path_.c_str(), "w", stderr) == nullptr) _exit(99);
     execl(GATEWAY_PROGRAM, GATEWAY_PROGRAM, nullptr);
     _exit(98);
   }
   ~Process() {
-    if (!ended_) kill(pid_, SIGKILL);
+    if (!exited_) kill(pid_, SIGKILL);
     Wait();
-    std::remove(errors_.c_str());
+    std::remove(stderr_path_.c_str());
   }
 
   void Kill() { kill(pid_, SIGKILL); }
-  void Hang() { kill(pid_, SIGSTOP); }
+  void Suspend() { kill(pid_, SIGSTOP); }
   void Terminate() { kill(pid_, SIGTERM); }
   void Reload() { kill(pid_, SIGHUP); }
-  bool Ended() {
-    if (!ended_) ended_ = waitpid(pid_, &status_, WNOHANG) == pid_;
-    return ended_;
+  bool HasExited() {
+    if (!exited_) exited_ = waitpid(pid_, &status_, WNOHANG) == pid_;
+    return exited_;
   }
-  int Wait() {  // the exit code; -1 if it was killed
-    if (!ended_) ended_ = waitpid(pid_, &status_, 0) == pid_;
+  // Waits for the process to exit. Returns its exit code, or -1 if a signal has killed it.
+  int Wait() {
+    if (!exited_) exited_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
-  std::string Errors() const {
+  // Returns what the process has written to standard error so far.
+  std::string StandardError() const {
     std::stringstream text;
-    text << std::ifstream(errors_).rdbuf();
+    text << std::ifstream(stderr_path_).rdbuf();
     return text.str();
   }
 
  private:
-  inline static int started_ = 0;
-  const std::string errors_;
+  inline static int started_processes_ = 0;
+  const std::string stderr_path_;
   const pid_t pid_;
   int status_ = 0;
-  bool ended_ = false;
+  bool exited_ = false;
 };
 
-struct File {
-  explicit File(const std::string& text)
+// A configuration file that is removed at the end of the test.
+struct ConfigFile {
+  explicit ConfigFile(const std::string& text)
       : path(::testing::TempDir() + "gateway-process-" + std::to_string(getpid()) + ".json") {
     std::ofstream(path) << text;
   }
-  ~File() { std::remove(path.c_str()); }
+  ~ConfigFile() { std::remove(path.c_str()); }
   const std::string path;
 };
 
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -30,26 +30,26 @@
   };
   for (const auto& [text, listen, named] : cases) {
     SCOPED_TRACE(named + ": " + text);
-    const File file(text);
+    const ConfigFile file(text);
     Process process({{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
     EXPECT_EQ(process.Wait(), 1);
-    const std::string errors = process.Errors();
+    const std::string errors = process.StandardError();
     EXPECT_NE(errors.find(named), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
   Process process({{"NODE_LISTEN", "127.0.0.1:0"}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("NODE_CONFIG"), std::string::npos);
+  EXPECT_NE(process.StandardError().find("NODE_CONFIG"), std::string::npos);
 }
 
 // Guards a planned restart as the platform does it: SIGTERM with work in hand, the answer, exit code 0.
 TEST(Program, AnswersItsWorkOnSigtermAndExitsCleanly) {
   asio::io_context io;
-  Peer host(io), discovery(io);
+  FakeServer host(io), discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
@@ -66,10 +66,10 @@
     stopping = probe.Await().result() == http::status::service_unavailable;
   }
   EXPECT_TRUE(stopping);
-  host.requests[0].Answer(200, "done");
+  host.requests[0].Respond(200, "done");
   EXPECT_EQ(client.Await().body(), "done");
   EXPECT_FALSE(client.Await().keep_alive());
-  EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
+  EXPECT_TRUE(RunUntil(io, [&] { return process.HasExited(); }));
   EXPECT_EQ(process.Wait(), 0);
 }
 
@@ -77,12 +77,12 @@
 // list comes from there, whatever the variable said at the start. A file that can't be read changes nothing.
 TEST(Program, WatchesWhereTheReloadedFileSays) {
   asio::io_context io;
-  Peer first(io), second(io), discovery(io), moved(io);
+  FakeServer first(io), second(io), discovery(io), moved(io);
   const tcp::endpoint listen = FreeAddress(io);
   nlohmann::json config = {{"seed", "1f"},
                            {"known", List(1, true, {Member("h0", first.address())})},
                            {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
@@ -90,21 +90,22 @@
 
   std::ofstream(file.path) << "{";
   process.Reload();
-  ASSERT_TRUE(RunUntil(io, [&] { return process.Errors().find("not reloaded") != std::string::npos; }));
+  ASSERT_TRUE(
+      RunUntil(io, [&] { return process.StandardError().find("not reloaded") != std::string::npos; }));
 
   config["discovery"] = ToText(moved.address());
   std::ofstream(file.path) << config;
   process.Reload();
   ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 1; }));
   EXPECT_NE(std::string(moved.requests[0].http.target()).find("after=1&"), std::string::npos);
-  moved.requests[0].Answer(200, List(2, true, {Member("h1", second.address())}).dump());
+  moved.requests[0].Respond(200, List(2, true, {Member("h1", second.address())}).dump());
   ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 2; }));  // the list was taken in
   Client client(io, listen);
   client.Send(ApiCall("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return second.requests.size() == 1; }));
-  second.requests[0].Answer(200, "from there");
+  second.requests[0].Respond(200, "from there");
   EXPECT_EQ(client.Await().body(), "from there");
-  EXPECT_FALSE(process.Ended());
+  EXPECT_FALSE(process.HasExited());
 }
 
 // Guards the operators' address: where the configuration names none nothing listens, and one that can't be
@@ -113,7 +114,7 @@
   asio::io_context io;
   tcp::acceptor taken(io, Loopback());
   const nlohmann::json config = {{"seed", "1f"}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   for (const bool management : {true, false}) {
     const std::string busy = ToText(taken.local_endpoint()), free = "127.0.0.1:0";
     std::vector<std::pair<std::string, std::string>> variables = {{"NODE_CONFIG", file.path},
@@ -122,7 +123,7 @@
     if (management) variables.push_back({"NODE_MGMT", busy});
     Process process(variables);
     EXPECT_EQ(process.Wait(), 1);
-    const std::string errors = process.Errors();
+    const std::string errors = process.StandardError();
     EXPECT_NE(errors.find(management ? "NODE_MGMT: " + busy : "NODE_LISTEN: " + busy), std::string::npos)
         << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
@@ -136,7 +137,7 @@
   constexpr int kSockets = 128;
   constexpr std::size_t kPlaces = (kSockets - 40) * 2 / 3;
   asio::io_context io;
-  Peer host(io);
+  FakeServer host(io);
   const tcp::endpoint listen = FreeAddress(io), management = FreeAddress(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // and does not listen: it is down
@@ -144,7 +145,7 @@
                                  {"limits", {{"sockets", kSockets}}},
                                  {"known", List(1, true, {Member("h0", host.address())})},
                                  {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_MGMT", ToText(management)},
@@ -192,13 +193,13 @@
     return asked.has_value();
   }));
   EXPECT_LT(std::chrono::steady_clock::now() - back, std::chrono::milliseconds(5000));
-  for (const auto& taken : std::vector<Peer::Taken>(host.requests)) taken.Answer(200, "");
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  for (const auto& taken : std::vector<FakeServer::ReceivedRequest>(host.requests)) taken.Respond(200, "");
+  host.serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, ""); };
   for (const auto& client : busy) EXPECT_EQ(client->Await().result(), http::status::ok);
   Client after(io, listen);
   after.Send(ApiCall("after"));
   EXPECT_EQ(after.Await().result(), http::status::ok);
-  EXPECT_FALSE(process.Ended());
+  EXPECT_FALSE(process.HasExited());
 }
 
 constexpr std::chrono::seconds kReadyWithin{10};
@@ -225,20 +226,21 @@
 // What a discovery does while gateways are restarted.
 struct DiscoveryTrouble {
   std::string name;
-  bool listens;                                     // else dials are refused
-  std::function<void(const Peer::Taken&)> answers;  // none: it is silent
+  bool listens;                                                     // else dials are refused
+  std::function<void(const FakeServer::ReceivedRequest&)> answers;  // none: it is silent
 };
 
 std::vector<DiscoveryTrouble> DiscoveryTroubles() {
-  return {{"IsDown", false, nullptr},
-          {"IsSilent", true, nullptr},
-          {"Refuses", true, [](const Peer::Taken& taken) { taken.Answer(503, ""); }},
-          {"Resets", true, [](const Peer::Taken& taken) { taken.on->Reset(); }},
-          {"BreaksOff", true,
-           [](const Peer::Taken& taken) {
-             taken.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
-           }},
-          {"TalksNonsense", true, [](const Peer::Taken& taken) { taken.Answer(200, "{}"); }}};
+  return {
+      {"IsDown", false, nullptr},
+      {"IsSilent", true, nullptr},
+      {"Refuses", true, [](const FakeServer::ReceivedRequest& taken) { taken.Respond(503, ""); }},
+      {"Resets", true, [](const FakeServer::ReceivedRequest& taken) { taken.connection->Reset(); }},
+      {"BreaksOff", true,
+       [](const FakeServer::ReceivedRequest& taken) {
+         taken.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
+       }},
+      {"TalksNonsense", true, [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, "{}"); }}};
 }
 
 class Restart : public ::testing::TestWithParam<DiscoveryTrouble> {};
@@ -248,14 +250,14 @@
 TEST_P(Restart, IsReadyByTheKnownListWhateverDiscoveryDoes) {
   const DiscoveryTrouble& trouble = GetParam();
   asio::io_context io;
-  Peer host(io), discovery(io);
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "served"); };
+  FakeServer host(io), discovery(io);
+  host.serve = [](const FakeServer::ReceivedRequest& taken) { taken.Respond(200, "served"); };
   discovery.serve = trouble.answers;
   if (!trouble.listens) discovery.StopListening();
   const tcp::endpoint listen = FreeAddress(io), at = trouble.listens ? discovery.address() : FreeAddress(io);
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   const std::vector<std::pair<std::string, std::string>> variables = {
       {"NODE_CONFIG", file.path}, {"NODE_LISTEN", ToText(listen)}, {"NODE_DISCOVERY", ToText(at)}};
   for (const bool killed : {true, false}) {
@@ -263,13 +265,13 @@
     Process before(variables);
     ASSERT_TRUE(IsUpInTime(io, listen));
     killed ? before.Kill() : before.Terminate();
-    ASSERT_TRUE(RunUntil(io, [&] { return before.Ended(); }));
+    ASSERT_TRUE(RunUntil(io, [&] { return before.HasExited(); }));
     Process restarted(variables);
     ASSERT_TRUE(IsUpInTime(io, listen));
     Client client(io, listen);
     client.Send(ApiCall("r1"));
     EXPECT_EQ(client.Await().body(), "served");
-    EXPECT_FALSE(restarted.Ended());
+    EXPECT_FALSE(restarted.HasExited());
   }
 }
 
@@ -280,15 +282,15 @@
 // discovery is back.
 TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryIsBack) {
   asio::io_context io;
-  Peer host(io);
+  FakeServer host(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // and does not listen: it is down
   const tcp::endpoint listen = FreeAddress(io);
-  const File file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
+  const ConfigFile file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.local_endpoint())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return process.Errors().find("call failed") != std::string::npos; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return process.StandardError().find("call failed") != std::string::npos; }));
   Client probe(io, listen);
   probe.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(probe.Await().result(), http::status::service_unavailable);
--- a/tests/proxy/world.hpp
+++ b/tests/proxy/world.hpp
@@ -1,4 +1,4 @@
-// A gateway on loopback with the other side of all its sockets.
+// A gateway on loopback with fake servers for its discovery and its hosts.
 #ifndef GATEWAY_TESTS_PROXY_WORLD_HPP_
 #define GATEWAY_TESTS_PROXY_WORLD_HPP_
 
@@ -16,22 +16,24 @@
 
 namespace gateway::proxy::testing {
 
-// One gateway, its discovery and some hosts.
-struct World {
-  // Starts the gateway, which knows hosts h0, h1 ... from its configuration.
-  explicit World(std::size_t hosts_wanted = 1, nlohmann::json settings = TestSettings(),
-                 std::size_t sockets = 300, const nlohmann::json& more = nlohmann::json::object()) {
+// Runs one gateway in the test's process, with its discovery and some hosts.
+struct GatewayHarness {
+  // Starts the gateway with hosts h0, h1 ... in its configuration. The fields of `extra_config` are added to
+  // the configuration file, or replace those set here.
+  explicit GatewayHarness(std::size_t host_count = 1, nlohmann::json settings = TestSettings(),
+                          std::size_t socket_limit = 300,
+                          const nlohmann::json& extra_config = nlohmann::json::object()) {
     std::vector<nlohmann::json> members;
-    for (std::size_t i = 0; i < hosts_wanted; ++i) {
-      hosts.push_back(std::make_unique<Peer>(io));
+    for (std::size_t i = 0; i < host_count; ++i) {
+      hosts.push_back(std::make_unique<FakeServer>(io));
       members.push_back(Member("h" + std::to_string(i), hosts.back()->address()));
     }
     nlohmann::json file = {{"seed", "5"},
-                           {"limits", {{"sockets", sockets}}},
+                           {"limits", {{"sockets", socket_limit}}},
                            {"known", List(41, true, members)},
                            {"mgmt", "127.0.0.1:0"},
                            {"settings", std::move(settings)}};
-    file.update(more);
+    file.update(extra_config);
     const std::string path = ::testing::TempDir() + "gateway-" + std::to_string(getpid()) + ".json";
     std::ofstream(path) << file;
     const std::map<std::string, std::string> variables = {{"NODE_CONFIG", path},
@@ -46,48 +48,51 @@
     Restart();
   }
 
-  // The process's end and the next one's start, on the same configuration.
-  void Restart(bool with_state = true) {
-    config_.load_state = with_state;
+  // Replaces the gateway by a new one with the same configuration, as a restart of its process does.
+  void Restart(bool load_state = true) {
+    config_.load_state = load_state;
     gateway.reset();
     gateway.emplace(io, config_);
   }
-  // As with the list services named in `discovery_endpoints`.
-  void GuardList() {
+  // Restarts the gateway with the guard against mass removal, which is on in a configuration that names list
+  // services in `discovery_endpoints`.
+  void EnableMassRemovalGuard() {
     config_.guard_mass_removal = true;
     Restart();
   }
+  // The owner that the gateway's saved state names.
   const std::string& owner() const { return config_.state_owner; }
 
-  template <typename Done>
-  ::testing::AssertionResult Until(Done done) {
-    if (RunUntil(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "did not come about";
+  // Runs the event loop until `condition` returns true. Fails after the time of RunUntil.
+  template <typename Condition>
+  ::testing::AssertionResult Until(Condition condition) {
+    if (RunUntil(io, condition)) return ::testing::AssertionSuccess();
+    return ::testing::AssertionFailure() << "condition not met in time";
   }
 
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(io, gateway->address()); }
-  // An operator's call: the whole answer, until the gateway ends the connection.
+  // Sends a management command. Returns all that the gateway sends until it closes the connection.
   std::string Call(const std::string& line) {
     tcp::socket socket(io);
     socket.connect(*gateway->management());
     asio::write(socket, asio::buffer(line));
-    std::string answer;
-    bool ended = false;
-    asio::async_read(socket, asio::dynamic_buffer(answer), [&](error_code, std::size_t) { ended = true; });
-    EXPECT_TRUE(Until([&] { return ended; })) << line;
-    return answer;
+    std::string response;
+    bool closed = false;
+    asio::async_read(socket, asio::dynamic_buffer(response), [&](error_code, std::size_t) { closed = true; });
+    EXPECT_TRUE(Until([&] { return closed; })) << line;
+    return response;
   }
-  // The figures, as operators read them.
+  // Returns the parsed response to the management command `vars`.
   nlohmann::json Vars() {
     const std::string text = Call("vars\n");
     EXPECT_TRUE(text.ends_with("\nEOT\n")) << text;
     return nlohmann::json::parse(text.substr(0, text.find("\nEOT\n")), nullptr, false);
   }
-  Peer& host(std::size_t i = 0) { return *hosts[i]; }
+  FakeServer& host(std::size_t i = 0) { return *hosts[i]; }
 
   asio::io_context io;
-  Peer discovery{io};
-  std::vector<std::unique_ptr<Peer>> hosts;
+  FakeServer discovery{io};
+  std::vector<std::unique_ptr<FakeServer>> hosts;
   std::optional<proxy::Gateway> gateway;
 
  private:
