--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -1,6 +1,8 @@
-// The ends of a client's connection that rests: what crosses a close is served once or sent again, and takes
-// nothing along. Each order of events is forced: the kernel's answer to the look before the close is the
-// moment in which the client writes.
+// Races between the close or transfer of an idle client connection and a request that the client sends at the
+// same time. Such a request is either served exactly once or never read, so that the client can safely retry
+// it, and the previous response is not lost. Before it closes a connection the gateway asks the kernel for
+// the number of unread bytes (ioctl FIONREAD). The tests intercept that call to write the request right
+// before or right after it.
 #include "proxy/client/client_server.hpp"
 
 #include <gtest/gtest.h>
@@ -23,45 +25,46 @@
 using proxy::ClientRequest;
 using proxy::ClientServer;
 
-// What happens right before and right behind the next look at how much the client of that port has sent.
-struct LookHook {
+// Callbacks for the next FIONREAD call on the connection of the client with this port, right before and right
+// after the system call.
+struct UnreadBytesHook {
   unsigned short port = 0;
-  std::function<void()> before, behind;
+  std::function<void()> before, after;
 };
-LookHook look_hook;  // NOLINT: reached by the system call below
+UnreadBytesHook unread_bytes_hook;  // NOLINT: used by the replacement of ioctl below
 
 bool IsHooked(int socket, unsigned long request) {
-  if (request != FIONREAD || look_hook.port == 0) return false;
+  if (request != FIONREAD || unread_bytes_hook.port == 0) return false;
   sockaddr_in peer{};
   socklen_t size = sizeof peer;
   return getpeername(socket, reinterpret_cast<sockaddr*>(&peer), &size) == 0 &&
-         ntohs(peer.sin_port) == look_hook.port;
+         ntohs(peer.sin_port) == unread_bytes_hook.port;
 }
 
 }  // namespace
 }  // namespace gateway::proxy::testing
 
-// In place of the C library's, for this program.
+// Replaces the C library's function in this program.
 extern "C" int ioctl(int descriptor, unsigned long request, ...) noexcept {
-  using gateway::proxy::testing::look_hook;
-  va_list rest;
-  va_start(rest, request);
-  void* const argument = va_arg(rest, void*);
-  va_end(rest);
+  using gateway::proxy::testing::unread_bytes_hook;
+  va_list arguments;
+  va_start(arguments, request);
+  void* const argument = va_arg(arguments, void*);
+  va_end(arguments);
   if (!gateway::proxy::testing::IsHooked(descriptor, request)) {
     return static_cast<int>(syscall(SYS_ioctl, descriptor, request, argument));
   }
-  const auto hook = std::exchange(look_hook, {});
+  const auto hook = std::exchange(unread_bytes_hook, {});
   if (hook.before) hook.before();
   const int result = static_cast<int>(syscall(SYS_ioctl, descriptor, request, argument));
-  if (hook.behind) hook.behind();
+  if (hook.after) hook.after();
   return result;
 }
 
 namespace gateway::proxy::testing {
 namespace {
 
-policy::Settings OneClass() {
+policy::Settings MakeSettings() {
   policy::TrafficClassSettings view;
   view.name = "view";
   view.idempotency = policy::Idempotency::kIdempotent;
@@ -70,69 +73,74 @@
   return settings;
 }
 
-// The clients' side of a gateway; each request is answered at once, unless the test does that.
-struct Server {
-  explicit Server(asio::io_context& io)
-      : clients(io, {.address = Loopback(), .connection_limit = 100, .body_budget_bytes = 1 << 20},
-                base::FileDescriptor(), OneClass(),
-                {.is_ready = [] { return true; },
-                 .on_request =
-                     [this](ClientRequest request) {
-                       received.push_back(request.id);
-                       if (serve) return serve(std::move(request));
-                       HttpResponse response(http::status::ok, 11);
-                       response.body() = "answer to " + request.id;
-                       request.responder.Respond(std::move(response), nullptr);
-                     },
-                 .on_request_complete = [](const std::string&, Millis) {},
-                 .on_disconnect = [](const std::string&) {},
-                 .on_response_end = [this](const std::string&, unsigned, bool) { ++answered; }}) {}
+// A ClientServer that responds to each request at once, unless the test installs `serve`.
+struct TestServer {
+  explicit TestServer(asio::io_context& io)
+      : client_server(
+            io, {.address = Loopback(), .connection_limit = 100, .body_budget_bytes = 1 << 20},
+            base::FileDescriptor(), MakeSettings(),
+            {.is_ready = [] { return true; },
+             .on_request =
+                 [this](ClientRequest request) {
+                   received_ids.push_back(request.id);
+                   if (serve) return serve(std::move(request));
+                   HttpResponse response(http::status::ok, 11);
+                   response.body() = "answer to " + request.id;
+                   request.responder.Respond(std::move(response), nullptr);
+                 },
+             .on_request_complete = [](const std::string&, Millis) {},
+             .on_disconnect = [](const std::string&) {},
+             .on_response_end = [this](const std::string&, unsigned, bool) { ++written_responses; }}) {}
 
   std::function<void(ClientRequest)> serve;
-  std::vector<std::string> received;  // ids of requests
-  int answered = 0;
-  ClientServer clients;
+  std::vector<std::string> received_ids;
+  int written_responses = 0;
+  ClientServer client_server;
 };
 
-// A client that reads nothing until it is told to, so that what it is sent stays where a reset finds it.
-class QuietClient {
+// A client that does not read before BeginReading: what it was sent stays in the kernel, where a reset of the
+// connection would destroy it.
+class DeferredReadClient {
  public:
-  QuietClient(asio::io_context& io, const tcp::endpoint& at, int receive_buffer = 0) : io_(io), socket_(io) {
+  DeferredReadClient(asio::io_context& io, const tcp::endpoint& address, int receive_buffer_bytes = 0)
+      : io_(io), socket_(io) {
     socket_.open(tcp::v4());
-    if (receive_buffer > 0) socket_.set_option(asio::socket_base::receive_buffer_size(receive_buffer));
-    socket_.connect(at);
+    if (receive_buffer_bytes > 0)
+      socket_.set_option(asio::socket_base::receive_buffer_size(receive_buffer_bytes));
+    socket_.connect(address);
   }
   unsigned short port() const { return socket_.local_endpoint().port(); }
   void Write(const std::string& text) {
     error_code ec;
     asio::write(socket_, asio::buffer(text), ec);
   }
-  // Whether the server has closed its side, by the kernel: nothing is read.
-  bool Closed() {
-    pollfd end{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&end, 1, 0) > 0;
+  // Returns whether the server has closed its side. Asks the kernel, without reading.
+  bool IsClosedByServer() {
+    pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
+    return ::poll(&descriptor, 1, 0) > 0;
   }
   void BeginReading() {
-    if (!std::exchange(reading_, true)) ReadOn();
+    if (!std::exchange(reading_, true)) ReadMore();
   }
-  // All that has come by the time that the connection has ended.
+  // Returns all that was received until the connection ended.
   const std::string& ReadToEnd() {
     BeginReading();
     EXPECT_TRUE(RunUntil(io_, [&] { return ended_; }));
     return text_;
   }
-  bool ReadUntil(const std::string& words) {
+  // Returns whether `expected` was received before the connection ended.
+  bool ReadUntil(const std::string& expected) {
     BeginReading();
-    return RunUntil(io_, [&] { return ended_ || text_.find(words) != std::string::npos; }) && !ended_;
+    return RunUntil(io_, [&] { return ended_ || text_.find(expected) != std::string::npos; }) && !ended_;
   }
   const std::string& text() const { return text_; }
 
  private:
-  void ReadOn() {
-    socket_.async_read_some(asio::buffer(piece_), [this](error_code ec, std::size_t got) {
-      text_.append(piece_.data(), got);
+  void ReadMore() {
+    socket_.async_read_some(asio::buffer(piece_), [this](error_code ec, std::size_t received_bytes) {
+      text_.append(piece_.data(), received_bytes);
       ended_ = static_cast<bool>(ec);
-      if (!ended_) ReadOn();
+      if (!ended_) ReadMore();
     });
   }
 
@@ -143,233 +151,240 @@
   bool reading_ = false, ended_ = false;
 };
 
-enum class Cause { kIdle, kEvicted, kDrained, kStopped };
-enum class Moment { kBeforeTheLook, kBetweenLookAndClose, kBehindTheClose };
+enum class CloseCause { kIdleTimeout, kEviction, kDrain, kStop };
+// When the client writes its request. The check is the gateway's call that asks for unread bytes.
+enum class WriteTime { kBeforeCheck, kBetweenCheckAndClose, kAfterClose };
 
-std::string Name(Cause cause) {
-  constexpr std::array kNames = {"idle", "evicted", "drained", "stopped"};
+std::string Name(CloseCause cause) {
+  constexpr std::array kNames = {"IdleTimeout", "Eviction", "Drain", "Stop"};
   return kNames[static_cast<std::size_t>(cause)];
 }
 
-std::size_t Answers(const std::string& text) {
+std::size_t CountResponses(const std::string& text) {
   std::size_t count = 0;
-  for (auto at = text.find("HTTP/1.1 "); at != std::string::npos; at = text.find("HTTP/1.1 ", at + 1))
+  for (auto position = text.find("HTTP/1.1 "); position != std::string::npos;
+       position = text.find("HTTP/1.1 ", position + 1))
     ++count;
   return count;
 }
 
-// One client that rests, a cause to close its connection, and a request that crosses that.
-class Crossing {
+// One race between the close of an idle connection and the first bytes of a request.
+class CloseRace {
  public:
-  Crossing(Cause cause, Moment moment, std::size_t crossing_bytes)
-      : cause_(cause), moment_(moment), now_(kRequest().substr(0, crossing_bytes)) {}
+  CloseRace(CloseCause cause, WriteTime write_time, std::size_t racing_bytes)
+      : cause_(cause), write_time_(write_time), racing_text_(RacingRequest().substr(0, racing_bytes)) {}
 
   void Run() {
-    // A connection that has brought no request is the one whose idle time is short enough for a test.
-    if (cause_ != Cause::kIdle) {
+    // Only the timeout for a connection's first request is short enough for a test.
+    if (cause_ != CloseCause::kIdleTimeout) {
       client_.Write(ApiCall("first"));
-      ASSERT_TRUE(RunUntil(io_, [&] { return server_.answered == 1; }));
+      ASSERT_TRUE(RunUntil(io_, [&] { return server_.written_responses == 1; }));
     }
-    bool looked = false;
+    bool checked = false;
     const auto write = [&] {
-      looked = true;
-      client_.Write(now_);
+      checked = true;
+      client_.Write(racing_text_);
     };
-    const auto see = [&] { looked = true; };
-    look_hook.port = client_.port();
-    if (moment_ == Moment::kBeforeTheLook) look_hook.before = write;
-    if (moment_ == Moment::kBetweenLookAndClose) look_hook.behind = write;
-    if (moment_ == Moment::kBehindTheClose) look_hook.behind = see;
-    Begin();
-    ASSERT_TRUE(RunUntil(io_, [&] { return looked; }));
-    if (moment_ == Moment::kBeforeTheLook) return ExpectServed();
-    ASSERT_TRUE(RunUntil(io_, [&] { return client_.Closed(); }));
-    if (moment_ == Moment::kBehindTheClose) client_.Write(now_);
+    const auto record_check = [&] { checked = true; };
+    unread_bytes_hook.port = client_.port();
+    if (write_time_ == WriteTime::kBeforeCheck) unread_bytes_hook.before = write;
+    if (write_time_ == WriteTime::kBetweenCheckAndClose) unread_bytes_hook.after = write;
+    if (write_time_ == WriteTime::kAfterClose) unread_bytes_hook.after = record_check;
+    CauseClose();
+    ASSERT_TRUE(RunUntil(io_, [&] { return checked; }));
+    if (write_time_ == WriteTime::kBeforeCheck) return ExpectServed();
+    ASSERT_TRUE(RunUntil(io_, [&] { return client_.IsClosedByServer(); }));
+    if (write_time_ == WriteTime::kAfterClose) client_.Write(racing_text_);
     ExpectClosed();
   }
 
  private:
-  static std::string kRequest() { return ApiCall("crossing"); }
+  static std::string RacingRequest() { return ApiCall("crossing"); }
 
-  void Begin() {
+  void CauseClose() {
     switch (cause_) {
-      case Cause::kIdle: return;  // the sweep comes
-      case Cause::kEvicted:
-        server_.clients.SetConnectionLimit(1);
-        other_.emplace(io_, server_.clients.address());
+      case CloseCause::kIdleTimeout: return;  // the server checks timeouts by itself
+      case CloseCause::kEviction:
+        server_.client_server.SetConnectionLimit(1);
+        other_.emplace(io_, server_.client_server.address());
         return;
-      case Cause::kDrained: return server_.clients.SetDraining(true);
-      case Cause::kStopped:
-        // Those that were answered a moment ago are not closed at once.
-        Rest();
-        return server_.clients.StopListening([this] { done_ = true; });
+      case CloseCause::kDrain: return server_.client_server.SetDraining(true);
+      case CloseCause::kStop:
+        WaitUntilSettled();
+        return server_.client_server.StopListening([this] { stopped_ = true; });
     }
   }
 
-  void Rest() {
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(310);
-    ASSERT_TRUE(RunUntil(io_, [&] { return std::chrono::steady_clock::now() > until; }));
+  // A stop does not close connections at once whose last response was written within 300 ms.
+  void WaitUntilSettled() {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(310);
+    ASSERT_TRUE(RunUntil(io_, [&] { return std::chrono::steady_clock::now() > end; }));
   }
 
-  long TimesReceived() const { return std::ranges::count(server_.received, "crossing"); }
+  long TimesReceived() const { return std::ranges::count(server_.received_ids, "crossing"); }
 
-  // What was there before the look keeps the connection open, and is answered on it.
+  // Bytes that arrived before the check keep the connection open, and their request is served on it.
   void ExpectServed() {
-    client_.Write(kRequest().substr(now_.size()));
+    client_.Write(RacingRequest().substr(racing_text_.size()));
     ASSERT_TRUE(client_.ReadUntil("answer to crossing")) << client_.text();
-    EXPECT_EQ(Answers(client_.text()), cause_ == Cause::kIdle ? 1u : 2u);
+    EXPECT_EQ(CountResponses(client_.text()), cause_ == CloseCause::kIdleTimeout ? 1u : 2u);
     EXPECT_EQ(TimesReceived(), 1);
-    const bool last = client_.text().find("Connection: close") != std::string::npos;
-    EXPECT_EQ(last, cause_ != Cause::kIdle);
+    const bool closes_connection = client_.text().find("Connection: close") != std::string::npos;
+    EXPECT_EQ(closes_connection, cause_ != CloseCause::kIdleTimeout);
   }
 
-  // What came later is read by nobody; the answer before it has arrived, and the client sends again.
+  // Bytes that arrived after the check are never read. The previous response has arrived, and a retry of the
+  // request is served.
   void ExpectClosed() {
     const std::string text = client_.ReadToEnd();
-    EXPECT_TRUE(cause_ == Cause::kIdle || text.ends_with("answer to first")) << text;
-    EXPECT_EQ(Answers(text), cause_ == Cause::kIdle ? 0u : 1u);
+    EXPECT_TRUE(cause_ == CloseCause::kIdleTimeout || text.ends_with("answer to first")) << text;
+    EXPECT_EQ(CountResponses(text), cause_ == CloseCause::kIdleTimeout ? 0u : 1u);
     EXPECT_EQ(TimesReceived(), 0);
-    if (cause_ == Cause::kStopped) {
-      EXPECT_TRUE(RunUntil(io_, [&] { return done_; }));
+    if (cause_ == CloseCause::kStop) {
+      EXPECT_TRUE(RunUntil(io_, [&] { return stopped_; }));
       EXPECT_EQ(TimesReceived(), 0);
-      return;  // the next one is another gateway's
+      return;  // a retry would go to another gateway
     }
-    QuietClient again(io_, server_.clients.address());
-    again.Write(kRequest());
-    EXPECT_TRUE(again.ReadUntil("answer to crossing")) << again.text();
+    DeferredReadClient retry_client(io_, server_.client_server.address());
+    retry_client.Write(RacingRequest());
+    EXPECT_TRUE(retry_client.ReadUntil("answer to crossing")) << retry_client.text();
     EXPECT_EQ(TimesReceived(), 1);
   }
 
-  const Cause cause_;
-  const Moment moment_;
-  const std::string now_;  // of the request, in that moment; what is missing follows
+  const CloseCause cause_;
+  const WriteTime write_time_;
+  const std::string racing_text_;  // the part of the request that is written during the race
   asio::io_context io_;
-  Server server_{io_};
-  QuietClient client_{io_, server_.clients.address()};
-  std::optional<QuietClient> other_;
-  bool done_ = false;
+  TestServer server_{io_};
+  DeferredReadClient client_{io_, server_.client_server.address()};
+  std::optional<DeferredReadClient> other_;
+  bool stopped_ = false;
 };
 
-class ClosedAtRest : public ::testing::TestWithParam<std::tuple<Cause, std::size_t>> {};
+class IdleConnectionClose : public ::testing::TestWithParam<std::tuple<CloseCause, std::size_t>> {};
 
-// Guards the request that comes while the gateway closes the connection on which its client rests: whole or
-// half a line of it, before the gateway's look at the socket, between that and the close, or behind the
-// close.
-TEST_P(ClosedAtRest, ServesWhatCameBeforeTheLookAndReadsNothingBehindIt) {
+// A request, or half of its first line, may arrive while the gateway closes the idle connection: before it
+// checks for unread bytes, between the check and the close, or after the close.
+TEST_P(IdleConnectionClose, ServesBytesFromBeforeTheCheckAndReadsNoLaterOnes) {
   const auto [cause, bytes] = GetParam();
-  for (const Moment moment :
-       {Moment::kBeforeTheLook, Moment::kBetweenLookAndClose, Moment::kBehindTheClose}) {
-    SCOPED_TRACE(static_cast<int>(moment));
-    Crossing(cause, moment, bytes).Run();
-    look_hook = {};
+  for (const WriteTime write_time :
+       {WriteTime::kBeforeCheck, WriteTime::kBetweenCheckAndClose, WriteTime::kAfterClose}) {
+    SCOPED_TRACE(static_cast<int>(write_time));
+    CloseRace(cause, write_time, bytes).Run();
+    unread_bytes_hook = {};
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Causes, ClosedAtRest,
-                         ::testing::Combine(::testing::Values(Cause::kIdle, Cause::kEvicted, Cause::kDrained,
-                                                              Cause::kStopped),
+INSTANTIATE_TEST_SUITE_P(Causes, IdleConnectionClose,
+                         ::testing::Combine(::testing::Values(CloseCause::kIdleTimeout, CloseCause::kEviction,
+                                                              CloseCause::kDrain, CloseCause::kStop),
                                             ::testing::Values(std::string::npos, 11)),
                          [](const auto& param) {
-                           return Name(std::get<0>(param.param)) +
-                                  (std::get<1>(param.param) == 11 ? "ByHalfALine" : "ByAWholeRequest");
+                           return Name(std::get<0>(param.param)) + (std::get<1>(param.param) == 11
+                                                                        ? "WithPartialLine"
+                                                                        : "WithCompleteRequest");
                          });
 
-enum class GiveMoment { kBefore, kWhileGiven, kBehind };
+// When the client writes its request.
+enum class TransferWriteTime { kBefore, kDuring, kAfter };
 
-// Guards the same for a connection that is given to another process: the request goes with it, whenever it
-// comes, and is served there, once.
-TEST(GivenAway, TakesTheCrossingRequestAlong) {
-  for (const GiveMoment moment : {GiveMoment::kBefore, GiveMoment::kWhileGiven, GiveMoment::kBehind}) {
+// A request that arrives while its idle connection is transferred to another process moves with the
+// connection, and is served there exactly once.
+TEST(ConnectionTransfer, MovesARacingRequestToTheOtherProcess) {
+  for (const TransferWriteTime write_time :
+       {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
     for (const std::size_t bytes : {std::string::npos, std::size_t{11}}) {
-      SCOPED_TRACE(std::to_string(static_cast<int>(moment)) + " " + std::to_string(bytes));
+      SCOPED_TRACE(std::to_string(static_cast<int>(write_time)) + " " + std::to_string(bytes));
       asio::io_context io;
-      Server old(io), next(io);
-      QuietClient client(io, old.clients.address());
+      TestServer predecessor(io), successor(io);
+      DeferredReadClient client(io, predecessor.client_server.address());
       client.Write(ApiCall("first"));
-      ASSERT_TRUE(RunUntil(io, [&] { return old.answered == 1; }));
+      ASSERT_TRUE(RunUntil(io, [&] { return predecessor.written_responses == 1; }));
       const std::string request = ApiCall("crossing");
       const auto write = [&] { client.Write(request.substr(0, bytes)); };
-      if (moment == GiveMoment::kBefore) write();
+      if (write_time == TransferWriteTime::kBefore) write();
       bool done = false;
-      old.clients.TransferConnections(
-          [&](base::FileDescriptor given) {
-            if (moment == GiveMoment::kWhileGiven) write();
-            next.clients.AcceptTransferredConnection(std::move(given));
+      predecessor.client_server.TransferConnections(
+          [&](base::FileDescriptor connection) {
+            if (write_time == TransferWriteTime::kDuring) write();
+            successor.client_server.AcceptTransferredConnection(std::move(connection));
             return true;
           },
           [&] { done = true; });
-      if (moment == GiveMoment::kBehind) write();
+      if (write_time == TransferWriteTime::kAfter) write();
       ASSERT_TRUE(RunUntil(io, [&] { return done; }));
       if (bytes < request.size()) client.Write(request.substr(bytes));
       ASSERT_TRUE(client.ReadUntil("answer to crossing")) << client.text();
-      EXPECT_EQ(Answers(client.text()), 2u);
-      EXPECT_EQ(old.received, std::vector<std::string>{"first"});
-      EXPECT_EQ(next.received, std::vector<std::string>{"crossing"});
+      EXPECT_EQ(CountResponses(client.text()), 2u);
+      EXPECT_EQ(predecessor.received_ids, std::vector<std::string>{"first"});
+      EXPECT_EQ(successor.received_ids, std::vector<std::string>{"crossing"});
     }
   }
 }
 
-// Guards a connection that the other process does not take: it ends with the answer before whole, and nobody
-// has read what crossed.
-TEST(GivenAway, EndsAConnectionThatIsNotTaken) {
-  for (const GiveMoment moment : {GiveMoment::kBefore, GiveMoment::kWhileGiven, GiveMoment::kBehind}) {
-    SCOPED_TRACE(static_cast<int>(moment));
+// If the other process does not accept the connection, it is closed. The previous response must have arrived
+// completely, and the racing request must not have been read.
+TEST(ConnectionTransfer, ClosesAConnectionThatIsNotAccepted) {
+  for (const TransferWriteTime write_time :
+       {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
+    SCOPED_TRACE(static_cast<int>(write_time));
     asio::io_context io;
-    Server old(io);
-    QuietClient client(io, old.clients.address());
+    TestServer predecessor(io);
+    DeferredReadClient client(io, predecessor.client_server.address());
     client.Write(ApiCall("first"));
-    ASSERT_TRUE(RunUntil(io, [&] { return old.answered == 1; }));
-    if (moment == GiveMoment::kBefore) client.Write(ApiCall("crossing"));
+    ASSERT_TRUE(RunUntil(io, [&] { return predecessor.written_responses == 1; }));
+    if (write_time == TransferWriteTime::kBefore) client.Write(ApiCall("crossing"));
     bool done = false;
-    old.clients.TransferConnections(
+    predecessor.client_server.TransferConnections(
         [&](base::FileDescriptor) {
-          if (moment == GiveMoment::kWhileGiven) client.Write(ApiCall("crossing"));
+          if (write_time == TransferWriteTime::kDuring) client.Write(ApiCall("crossing"));
           return false;
         },
         [&] { done = true; });
-    if (moment == GiveMoment::kBehind) client.Write(ApiCall("crossing"));
+    if (write_time == TransferWriteTime::kAfter) client.Write(ApiCall("crossing"));
     ASSERT_TRUE(RunUntil(io, [&] { return done; }));
     const std::string text = client.ReadToEnd();
     EXPECT_TRUE(text.ends_with("answer to first")) << text;
-    EXPECT_EQ(Answers(text), 1u);
-    EXPECT_EQ(old.received, std::vector<std::string>{"first"});
+    EXPECT_EQ(CountResponses(text), 1u);
+    EXPECT_EQ(predecessor.received_ids, std::vector<std::string>{"first"});
   }
 }
 
-// Guards a client that has connected when the listener closes, and whose request is on its way: it is served.
-TEST(ClosedAtRest, ServesAClientThatConnectedRightBeforeTheStop) {
+// A client may be connected but not yet accepted when the listener closes. It is accepted and its request is
+// served.
+TEST(IdleConnectionClose, ServesAClientThatConnectedRightBeforeTheStop) {
   asio::io_context io;
-  Server server(io);
-  server.clients.SetDraining(true);
-  QuietClient client(io, server.clients.address());  // in the queue: the loop has not run
+  TestServer server(io);
+  server.client_server.SetDraining(true);
+  DeferredReadClient client(io, server.client_server.address());  // not accepted: the event loop has not run
   bool done = false;
-  server.clients.StopListening([&] { done = true; });
+  server.client_server.StopListening([&] { done = true; });
   client.Write(ApiCall("crossing"));
   const std::string text = client.ReadToEnd();
   EXPECT_TRUE(text.ends_with("answer to crossing")) << text;
-  EXPECT_EQ(server.received, std::vector<std::string>{"crossing"});
+  EXPECT_EQ(server.received_ids, std::vector<std::string>{"crossing"});
 }
 
-// The remaining body of a response, which the test holds back.
+// The remaining body of a response, which stays incomplete until Finish.
 class PausedBody : public BodySource {
  public:
   void ReadNext(PieceHandler handler) override { handler_ = std::move(handler); }
   void Cancel() override {}
   bool started() const override { return true; }
-  bool awaited() const { return handler_ != nullptr; }
+  bool read_pending() const { return handler_ != nullptr; }
   void Finish(std::string_view piece) { std::exchange(handler_, nullptr)({}, piece, /*last=*/true); }
 
  private:
   PieceHandler handler_;
 };
 
-// Guards an answer that is still on its way when the listener has closed: a close over a request that crosses
-// would reset the connection, and the rest of the answer would never arrive.
-TEST(ClosedAtRest, BreaksOffNoAnswerForWhatCrossesIt) {
-  constexpr std::size_t kSize = 64 * 1024;
+// A response may still be in transit after the listener was closed. A close with an unread request would
+// reset the connection, and the client would lose the rest of the response.
+TEST(IdleConnectionClose, DoesNotCutOffAResponseWhenAnotherRequestArrives) {
+  constexpr std::size_t kBodyBytes = 64 * 1024;
   asio::io_context io;
-  Server server(io);
-  const auto rest = std::make_shared<PausedBody>();
+  TestServer server(io);
+  const auto remaining_body = std::make_shared<PausedBody>();
   server.serve = [&](ClientRequest request) {
     if (request.id == "crossing") {
       HttpResponse response(http::status::ok, 11);
@@ -377,24 +392,24 @@
       return request.responder.Respond(std::move(response), nullptr);
     }
     HttpResponse head(http::status::ok, 11);
-    head.content_length(kSize);
-    request.responder.Respond(std::move(head), rest);
+    head.content_length(kBodyBytes);
+    request.responder.Respond(std::move(head), remaining_body);
   };
-  QuietClient client(io, server.clients.address(), /*receive_buffer=*/4096);
+  DeferredReadClient client(io, server.client_server.address(), /*receive_buffer_bytes=*/4096);
   client.Write(ApiCall("first"));
-  ASSERT_TRUE(RunUntil(io, [&] { return rest->awaited(); }));
+  ASSERT_TRUE(RunUntil(io, [&] { return remaining_body->read_pending(); }));
   bool done = false;
-  server.clients.StopListening([&] { done = true; });
-  look_hook = {client.port(), nullptr, [&] { client.Write(ApiCall("crossing")); }};
-  const std::string body(kSize, 'x');
+  server.client_server.StopListening([&] { done = true; });
+  unread_bytes_hook = {client.port(), nullptr, [&] { client.Write(ApiCall("crossing")); }};
+  const std::string body(kBodyBytes, 'x');
   client.BeginReading();
-  rest->Finish(body);
+  remaining_body->Finish(body);
   const std::string text = client.ReadToEnd();
-  const auto begin = text.find("\r\n\r\n");
-  ASSERT_NE(begin, std::string::npos);
-  EXPECT_TRUE(text.substr(begin + 4) == body) << text.size() << " bytes came";
-  EXPECT_EQ(server.received, std::vector<std::string>{"first"});
-  look_hook = {};
+  const auto head_end = text.find("\r\n\r\n");
+  ASSERT_NE(head_end, std::string::npos);
+  EXPECT_TRUE(text.substr(head_end + 4) == body) << text.size() << " bytes received";
+  EXPECT_EQ(server.received_ids, std::vector<std::string>{"first"});
+  unread_bytes_hook = {};
 }
 
 }  // namespace
