--- a/tests/proxy/body_framing_test.cpp
+++ b/tests/proxy/body_framing_test.cpp
@@ -1,4 +1,4 @@
-// The bytes that one piece of a streamed body becomes.
+// The framing of one piece of a streamed body.
 #include "proxy/body_framing.hpp"
 
 #include <gtest/gtest.h>
@@ -14,19 +14,19 @@
   return {boost::asio::buffers_begin(framed), boost::asio::buffers_end(framed)};
 }
 
-TEST(BodyFraming, EndsTheBodyBehindTheLastChunk) {
+TEST(BodyFraming, AppendsTheFinalChunkToTheLastPiece) {
   EXPECT_EQ(Frame("0123456789", /*last=*/false, /*chunked=*/true), "head,a\r\n0123456789\r\n");
   EXPECT_EQ(Frame("0123456789", /*last=*/true, /*chunked=*/true), "head,a\r\n0123456789\r\n0\r\n\r\n");
   EXPECT_EQ(Frame("", /*last=*/false, /*chunked=*/true), "head,");
   EXPECT_EQ(Frame("", /*last=*/true, /*chunked=*/true), "head,0\r\n\r\n");
 }
 
-TEST(BodyFraming, AddsNothingToABodyOfStatedLength) {
+TEST(BodyFraming, AddsNothingToABodyThatIsNotChunked) {
   EXPECT_EQ(Frame("abc", /*last=*/false, /*chunked=*/false), "head,abc");
   EXPECT_EQ(Frame("abc", /*last=*/true, /*chunked=*/false), "head,abc");
 }
 
-// The memory of the last piece is not valid for the duration of the write.
+// The memory of the last piece may be reused before the write has completed.
 TEST(BodyFraming, CopiesTheLastPiece) {
   std::string piece = "abc";
   std::string prefix;
--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -1,4 +1,4 @@
-// The deadline for request bodies, and the rules of a drain, in simulated time.
+// The timeouts of request bodies and the rules of a drain, in simulated time.
 #include "proxy/client/body_progress.hpp"
 
 #include <gtest/gtest.h>
@@ -11,17 +11,17 @@
 TEST(BodyProgress, CountsOnlyTheTimeSpentWaiting) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
-  EXPECT_FALSE(progress.TimedOut(100000));  // the client was not asked for anything
+  EXPECT_FALSE(progress.TimedOut(100000));  // the gateway does not wait for the client
   progress.BeginWait(100000);
   EXPECT_FALSE(progress.TimedOut(100700));
   EXPECT_TRUE(progress.TimedOut(100701));
-  progress.EndWait(100600, /*received_bytes=*/3200);  // which take 100 ms at the least rate
+  progress.EndWait(100600, /*received_bytes=*/3200);  // which take 100 ms at the minimum rate
   progress.BeginWait(200000);
   EXPECT_FALSE(progress.TimedOut(200200));
   EXPECT_TRUE(progress.TimedOut(200201));
 }
 
-TEST(BodyProgress, AddsWhatTheHeadHasLeft) {
+TEST(BodyProgress, ExtendsTheGraceByUnusedHeadTime) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/1000);
   progress.BeginWait(1000);
@@ -29,7 +29,7 @@
   EXPECT_TRUE(progress.TimedOut(2701));
 }
 
-TEST(BodyProgress, BoundsEachPause) {
+TEST(BodyProgress, LimitsEachPause) {
   BodyProgress progress;
   progress.Start(0, 0);
   progress.BeginWait(0);
@@ -43,7 +43,7 @@
   DrainState drain;
   EXPECT_FALSE(drain.ClosesIdleConnections(10000));
   drain.Begin(1000);
-  drain.Begin(1400);  // it is under way
+  drain.Begin(1400);  // has no effect on an active drain
   EXPECT_FALSE(drain.ClosesIdleConnections(1500));
   EXPECT_TRUE(drain.ClosesIdleConnections(1501));
   EXPECT_FALSE(drain.RejectsIncompleteRequests(2700));
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -1,4 +1,4 @@
-// The rules by which a client's request is rejected before anything else sees it.
+// The rules by which the head of a client's request is rejected.
 #include "proxy/client/request_validation.hpp"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   return head;
 }
 
-// Returns the status of the rejection; ok if there is none.
+// Returns the status of the error response, or ok if there is no error.
 http::status StatusOf(const std::optional<RequestError>& error) {
   return error ? error->status : http::status::ok;
 }
@@ -56,7 +56,7 @@
   EXPECT_EQ(attributes.time_allowed, 480);
 }
 
-TEST(RequestValidation, RejectsByTheFirstRuleThatIsBroken) {
+TEST(RequestValidation, ReportsTheFirstViolatedRule) {
   HttpRequest head = MakeHead(http::verb::get, "pay");
   EXPECT_EQ(Validate(head), http::status::method_not_allowed);
   head.method(http::verb::post);
--- a/tests/proxy/response_classification_test.cpp
+++ b/tests/proxy/response_classification_test.cpp
@@ -1,4 +1,4 @@
-// What an endpoint's response says of its attempt.
+// The classification of endpoints' responses as results of attempts.
 #include "proxy/upstream/response_classification.hpp"
 
 #include <gtest/gtest.h>
@@ -17,8 +17,8 @@
   return ClassifyResponse(response);
 }
 
-// Only 503 and 504 prove that a request was not executed, and only if they say so.
-TEST(ResponseClassification, TakesOnlyAMarkedRejectionForOne) {
+// Only 503 and 504 with Srv-Declined: 1 prove that a request was not executed, and so may be retried.
+TEST(ResponseClassification, TreatsOnlyMarkedResponsesAsRejections) {
   EXPECT_EQ(Classify(http::status::ok, nullptr), AttemptResult::kServed);
   EXPECT_EQ(Classify(http::status::ok, "1"), AttemptResult::kServed);
   EXPECT_EQ(Classify(http::status::service_unavailable, "1"), AttemptResult::kRejected);
