--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -62,7 +62,7 @@
   shed_ = true;
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  RejectAndClose({http::status::service_unavailable, "no place is free"}, context_.shed_retry_after_ms);
+  RejectAndClose({http::status::service_unavailable, "too many connections"}, context_.shed_retry_after_ms);
 }
 
 void ClientConnection::Close() {
