--- a/src/proxy/upstream/upstream_error_log.cpp
+++ b/src/proxy/upstream/upstream_error_log.cpp
@@ -15,11 +15,10 @@
 std::string DescribeReset(const ConnectionReset& reset) {
   const auto name_bytes = static_cast<int>(std::min(reset.class_name.size(), kMaxClassNameBytes));
   char text[kMaxDetailBytes];
-  std::snprintf(
-      text, sizeof text,
-      ", %.*s with %zu bytes of body, use %d of the connection, rested %.1f ms, broke after %.1f ms",
-      name_bytes, reset.class_name.data(), reset.request_body_bytes, reset.use, reset.idle_ms,
-      reset.since_used_ms);
+  std::snprintf(text, sizeof text,
+                ", class %.*s, %zu body bytes, request %d on connection, idle %.1f ms, reset after %.1f ms",
+                name_bytes, reset.class_name.data(), reset.request_body_bytes, reset.use, reset.idle_ms,
+                reset.since_used_ms);
   return text;
 }
 
@@ -27,15 +26,15 @@
 
 bool UpstreamErrorLog::BeginLine() {
   const Millis now = Now();
-  if (now < silent_until_) return false;
-  silent_until_ = now + kLineIntervalMs;
+  if (now < suppressed_until_) return false;
+  suppressed_until_ = now + kLineIntervalMs;
   return true;
 }
 
 void UpstreamErrorLog::LogReset(const ConnectionReset& reset) {
   if (!BeginLine()) return;
   base::Log(base::Level::kWarning, "hosts", "reset",
-            "reset by " + reset.endpoint + ": " + reset.error.message() + DescribeReset(reset),
+            "connection reset by " + reset.endpoint + ": " + reset.error.message() + DescribeReset(reset),
             {{"host", reset.endpoint},
              {"class", reset.class_name},
              {"use", reset.use},
@@ -46,7 +45,7 @@
 void UpstreamErrorLog::LogErrorResponse(const std::string& endpoint, unsigned status) {
   if (!BeginLine()) return;
   base::Log(base::Level::kWarning, "hosts", "error_answer",
-            "response " + std::to_string(status) + " from " + endpoint,
+            "error response " + std::to_string(status) + " from " + endpoint,
             {{"host", endpoint}, {"status", status}});
 }
 
--- a/src/proxy/upstream/upstream_error_log.hpp
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -17,23 +17,23 @@
   boost::system::error_code error;
   std::string_view class_name;  // of the request's traffic class
   std::size_t request_body_bytes;
-  int use;               // which request of the connection it was, from 1
-  Millis idle_ms;        // how long the connection had been idle before it; 0 if it was new
-  Millis since_used_ms;  // how long the request had the connection
+  int use;               // number of the request on the connection, from 1
+  Millis idle_ms;        // for which the connection was idle before the request; 0 if it was new
+  Millis since_used_ms;  // since the request was assigned to the connection
 };
 
-// Writes at most one line per interval, of whichever kind: an outage breaks many connections at once.
+// Logs at most one failure, of either kind, per interval, because an outage breaks many connections at once.
 class UpstreamErrorLog {
  public:
   void LogReset(const ConnectionReset& reset);
-  // A response whose status means that the attempt has failed.
+  // Logs a response whose status means that the attempt has failed.
   void LogErrorResponse(const std::string& endpoint, unsigned status);
 
  private:
   // Returns whether a line may be written now, and starts the next interval if so.
   bool BeginLine();
 
-  Millis silent_until_ = 0;
+  Millis suppressed_until_ = 0;
 };
 
 }  // namespace gateway::proxy
