--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -12,10 +12,13 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr unsigned kHttpVersion = 11;       // HTTP/1.1
-constexpr Millis kNetworkMargin = 10;       // before the client gives up: answers travel, timers are late
-constexpr Millis kOverdueMargin = 4;        // before it gives up: what the policy has not answered times out
-constexpr Millis kMaximumUpload = 1200000;  // a body of the largest size at the lowest accepted rate
+constexpr unsigned kHttpVersion = 11;  // HTTP/1.1
+// The policy must respond this much before the client's timeout: responses take time to arrive, and timers
+// fire late.
+constexpr Millis kResponseMarginMs = 10;
+// A request that the policy has not responded to is timed out this much before the client's timeout.
+constexpr Millis kTimeoutMarginMs = 4;
+constexpr Millis kMaxUploadMs = 1200000;  // for the largest body at the minimum accepted rate
 const char* const kLoadReportField = "Srv-Load";
 
 void StripUpstreamFields(HttpResponse& response) {
@@ -30,14 +33,14 @@
     : io_(io), settings_(settings), driver_(driver), upstream_(upstream), metrics_(metrics) {}
 
 void RequestForwarder::OnRequest(ClientRequest request) {
-  if (requests_.contains(request.id)) {  // outcomes of both could not be told apart
+  if (requests_.contains(request.id)) {  // their outcomes could not be told apart
     HttpResponse response(http::status::conflict, kHttpVersion);
     response.body() = "Req-Id is in use\n";
     return request.responder.Respond(std::move(response), nullptr);
   }
   const ActiveRequest& active = Add(request);
   driver_.Report(policy::Request{request.id, request.class_name, request.tenant, request.affinity_key,
-                                 active.answer_by - Now()});
+                                 active.respond_by - Now()});
   if (ActiveRequest* const waiting = Find(request.id)) waiting->handled_on_arrival = false;
 }
 
@@ -47,34 +50,35 @@
   active.responder = request.responder;
   active.remaining_body = std::move(request.remaining_body);
   active.complete = active.remaining_body == nullptr;
-  active.allowed = request.time_allowed;
+  active.time_allowed = request.time_allowed;
   active.class_name = request.class_name;
   active.received_at = request.received_at;
-  const Millis client_gives_up_at = request.received_at + request.time_allowed;
-  active.answer_by = client_gives_up_at - kNetworkMargin;
-  if (active.complete) SetDeadline(request.id, active, client_gives_up_at);
+  const Millis client_timeout_at = request.received_at + request.time_allowed;
+  active.respond_by = client_timeout_at - kResponseMarginMs;
+  if (active.complete) SetDeadline(request.id, active, client_timeout_at);
   return active;
 }
 
-void RequestForwarder::SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at) {
-  active.answer_by = client_gives_up_at - kNetworkMargin;
-  active.overdue.expires_after(Span(client_gives_up_at - kOverdueMargin - Now()));
-  active.overdue.async_wait([this, id](boost::system::error_code ec) {
+void RequestForwarder::SetDeadline(const std::string& id, ActiveRequest& active, Millis client_timeout_at) {
+  active.respond_by = client_timeout_at - kResponseMarginMs;
+  active.timeout_timer.expires_after(Span(client_timeout_at - kTimeoutMarginMs - Now()));
+  active.timeout_timer.async_wait([this, id](boost::system::error_code ec) {
     if (!ec) TimeOut(id);
   });
 }
 
-// The time of the request and of its attempt begins now: before, the endpoint had nothing to work on.
+// The deadline of the request and the timeouts of its attempts count from now, since an endpoint cannot
+// execute an incomplete request.
 void RequestForwarder::OnRequestComplete(const std::string& id, Millis at) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || std::exchange(active->complete, true)) return;
-  SetDeadline(id, *active, at + active->allowed);
+  SetDeadline(id, *active, at + active->time_allowed);
   for (Attempt& attempt : active->attempts) {
     if (!attempt.in_flight) continue;
     attempt.sent_at = at;
-    upstream_.SetDeadline(attempt.number, std::min(at + attempt.timeout, active->answer_by));
+    upstream_.SetDeadline(attempt.id, std::min(at + attempt.timeout, active->respond_by));
   }
-  driver_.Report(policy::RequestComplete{id, active->answer_by - Now()});
+  driver_.Report(policy::RequestComplete{id, active->respond_by - Now()});
 }
 
 void RequestForwarder::OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
@@ -94,9 +98,9 @@
   outcome.request_buffered = !active->remaining_body || !active->remaining_body->started();
   if (result == policy::AttemptResult::kServed) {
     metrics_.Took(active->class_name, Metrics::Span::kAtHost, outcome.latency);
-    if (!active->answered) {
+    if (!active->responded) {
       StripUpstreamFields(response);
-      Answer(*active, std::move(response));
+      Respond(*active, std::move(response));
     }
   }
   driver_.Report(std::move(outcome));
@@ -105,44 +109,44 @@
 void RequestForwarder::OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
                                          std::shared_ptr<BodySource> remaining_body) {
   ActiveRequest* const active = Find(id);
-  if (active == nullptr || active->answered) {
+  if (active == nullptr || active->responded) {
     asio::post(io_, [remaining_body] { remaining_body->Cancel(); });
     return;
   }
   StripUpstreamFields(response);
-  Answer(*active, std::move(response), std::move(remaining_body));
+  Respond(*active, std::move(response), std::move(remaining_body));
   driver_.Report(policy::ResponseStarted{id, static_cast<int>(attempt)});
 }
 
 void RequestForwarder::OnClientDisconnected(const std::string& id) {
   ActiveRequest* const active = Find(id);
-  if (active == nullptr || active->answered) return;
+  if (active == nullptr || active->responded) return;
   ++disconnected_;
-  active->answered = true;
-  active->overdue.cancel();
+  active->responded = true;
+  active->timeout_timer.cancel();
   driver_.Report(policy::ClientDisconnected{id});
   const ActiveRequest* const remaining = Find(id);
   if (remaining == nullptr) return;
-  std::vector<AttemptId> in_flight;  // a withdrawn attempt may erase the request
+  std::vector<AttemptId> in_flight;  // CancelUnsent may erase the request
   for (const Attempt& attempt : remaining->attempts) {
-    if (attempt.in_flight) in_flight.push_back(attempt.number);
+    if (attempt.in_flight) in_flight.push_back(attempt.id);
   }
   for (const AttemptId attempt : in_flight) upstream_.CancelUnsent(attempt);
 }
 
 bool RequestForwarder::IsAwaited(const std::string& id) {
   const ActiveRequest* const active = Find(id);
-  if (active == nullptr || active->answered) return false;
+  if (active == nullptr || active->responded) return false;
   if (!active->responder.ClientDisconnected()) return true;
   OnClientDisconnected(id);
   return false;
 }
 
-// The policy answers in time by its own timers; this covers timers that fire late.
+// The policy responds in time by its own timers. This covers timers that fire late.
 void RequestForwarder::TimeOut(const std::string& id) {
   ActiveRequest* const active = Find(id);
-  if (active == nullptr || active->answered) return;
-  Answer(*active, HttpResponse(http::status::gateway_timeout, kHttpVersion));
+  if (active == nullptr || active->responded) return;
+  Respond(*active, HttpResponse(http::status::gateway_timeout, kHttpVersion));
   driver_.Report(policy::ClientDisconnected{id});
 }
 
@@ -155,22 +159,23 @@
 void RequestForwarder::Execute(const policy::Send& send) {
   const bool awaited = IsAwaited(send.request);
   ActiveRequest* const active = Find(send.request);
-  if (!awaited) return RefuseToSend(send, active);
+  if (!awaited) return ReportNotSent(send, active);
   const bool attempts_left = static_cast<int>(active->attempts.size()) < settings_.max_attempts;
   const bool buffered = !active->remaining_body || !active->remaining_body->started();
-  if (!attempts_left || !buffered) return RefuseToSend(send, active);
+  if (!attempts_left || !buffered) return ReportNotSent(send, active);
   const Millis now = Now();
   const std::size_t index = active->attempts.size();
   if (index == 0) RecordFirstDecision(*active, now, true);
-  const Millis timeout = send.timeout > 0 ? send.timeout : kMaximumUpload;
+  const Millis timeout = send.timeout > 0 ? send.timeout : kMaxUploadMs;
   active->attempts.push_back({send.endpoint, now, timeout});
   const AttemptId number =
       upstream_.Start(send.endpoint, MakeUpstreamRequest(send, *active, index, now, timeout));
-  active->attempts[index].number = number;
+  active->attempts[index].id = number;
 }
 
-// The request has ended since the policy decided, or may not be sent again.
-void RequestForwarder::RefuseToSend(const policy::Send& send, ActiveRequest* active) {
+// Reports that the attempt was not sent, because the request has ended since the policy decided, or must not
+// be sent again.
+void RequestForwarder::ReportNotSent(const policy::Send& send, ActiveRequest* active) {
   policy::AttemptOutcome outcome;
   outcome.request = send.request;
   outcome.endpoint = send.endpoint;
@@ -187,9 +192,9 @@
   UpstreamRequest request;
   request.request = active.http;
   if (!active.complete) request.remaining_body = active.remaining_body;
-  request.deadline = active.complete ? std::min(now + timeout, active.answer_by) : now + kMaximumUpload;
-  request.may_send = [this, id = send.request, write_by = now + send.start_writing_within] {
-    return Now() <= write_by && IsAwaited(id);
+  request.deadline = active.complete ? std::min(now + timeout, active.respond_by) : now + kMaxUploadMs;
+  request.may_send = [this, id = send.request, send_by = now + send.start_writing_within] {
+    return Now() <= send_by && IsAwaited(id);
   };
   request.on_end = [this, id = send.request, index](policy::AttemptResult result, HttpResponse response) {
     OnAttemptEnded(id, index, result, std::move(response));
@@ -211,14 +216,14 @@
   if (active->attempts.empty()) RecordFirstDecision(*active, Now(), false);
   HttpResponse response(http::status::service_unavailable, kHttpVersion);
   response.set(http::field::retry_after, FormatSeconds(reject.retry_after));
-  Answer(*active, std::move(response));
+  Respond(*active, std::move(response));
   EraseIfEnded(reject.request);
 }
 
 void RequestForwarder::Execute(const policy::Fail& fail) {
   ActiveRequest* const active = Find(fail.request);
   if (active == nullptr) return;
-  Answer(*active, HttpResponse(http::status::bad_gateway, kHttpVersion));
+  Respond(*active, HttpResponse(http::status::bad_gateway, kHttpVersion));
   EraseIfEnded(fail.request);
 }
 
@@ -226,12 +231,12 @@
   ActiveRequest* const active = Find(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
   if (active == nullptr || attempt >= active->attempts.size()) return;
-  upstream_.Cancel(active->attempts[attempt].number);
+  upstream_.Cancel(active->attempts[attempt].id);
 }
 
 bool RequestForwarder::IsFinished(const std::string& request) const {
   const auto found = requests_.find(request);
-  return found == requests_.end() || found->second.answered;
+  return found == requests_.end() || found->second.responded;
 }
 
 void RequestForwarder::OnEventHandled(const std::string& request) { EraseIfEnded(request); }
@@ -241,10 +246,10 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void RequestForwarder::Answer(ActiveRequest& active, HttpResponse response,
-                              std::shared_ptr<BodySource> remaining_body) {
-  if (std::exchange(active.answered, true)) return;
-  active.overdue.cancel();
+void RequestForwarder::Respond(ActiveRequest& active, HttpResponse response,
+                               std::shared_ptr<BodySource> remaining_body) {
+  if (std::exchange(active.responded, true)) return;
+  active.timeout_timer.cancel();
   metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received_at);
   active.responder.Respond(std::move(response), std::move(remaining_body));
 }
@@ -257,7 +262,7 @@
 
 void RequestForwarder::EraseIfEnded(const std::string& id) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || !found->second.answered) return;
+  if (found == requests_.end() || !found->second.responded) return;
   if (std::ranges::none_of(found->second.attempts, &Attempt::in_flight)) requests_.erase(found);
 }
 
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -1,7 +1,7 @@
-// Forwards clients' requests to endpoints as the policy decides, and answers each exactly once.
+// Forwards clients' requests to endpoints as the policy decides, and responds to each exactly once.
 //
-// Reports to the policy what happens to requests and attempts, and carries out its actions on them. One
-// thread: that of the event loop.
+// Reports the events of requests and attempts to the policy, and executes its actions on them. Runs on the
+// event loop's thread only.
 #ifndef GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
 #define GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
 
@@ -32,17 +32,17 @@
   RequestForwarder(boost::asio::io_context& io, const policy::Settings& settings, PolicyDriver& driver,
                    UpstreamPool& upstream, Metrics& metrics);
 
-  // Begins a request; rejected at once if another one of its id is active.
+  // Begins to handle a request. Rejects it if another request with the same ID is active.
   void OnRequest(ClientRequest request);
-  // The last byte of a request that began incomplete was read at `at`.
+  // Records that the last byte of a request whose body was incomplete was read at `at`.
   void OnRequestComplete(const std::string& id, Millis at);
-  // The client of the request has closed its connection.
+  // Records that the client of the request has disconnected.
   void OnClientDisconnected(const std::string& id);
 
-  // Answers all requests that are still unanswered with a time-out.
+  // Responds to all requests that have no response yet with a timeout.
   void TimeOutAll();
 
-  // Clients that disconnected before their answer, since the start.
+  // The number of clients that disconnected before their response, since the start.
   std::uint64_t disconnected() const { return disconnected_; }
 
   void Execute(const policy::Send& send) override;
@@ -55,43 +55,43 @@
  private:
   struct Attempt {
     std::string endpoint;
-    Millis sent_at = 0;    // or when the request was complete, if that was later
-    Millis timeout = 0;    // from then on
-    AttemptId number = 0;  // of the upstream pool
+    Millis sent_at = 0;  // or the time at which the request was complete, if that was later
+    Millis timeout = 0;  // counted from sent_at
+    AttemptId id = 0;    // in the upstream pool
     bool in_flight = true;
   };
-  // A client's request until it is answered and all its attempts have ended.
+  // A client's request until it has a response and all its attempts have ended.
   struct ActiveRequest {
-    explicit ActiveRequest(boost::asio::io_context& io) : overdue(io) {}
+    explicit ActiveRequest(boost::asio::io_context& io) : timeout_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
     std::shared_ptr<BodySource> remaining_body;  // if the request was reported before it was complete
     bool complete = true;
     std::string class_name;
     Millis received_at = 0;
-    Millis allowed = 0;              // time that the client waits, counted from received_at
-    bool handled_on_arrival = true;  // the policy sent or answered it while it was being reported
+    Millis time_allowed = 0;         // for which the client waits, counted from received_at
+    bool handled_on_arrival = true;  // the policy sent, rejected or failed it while its arrival was reported
     ClientResponder responder;
-    Millis answer_by = 0;  // for the policy
-    bool answered = false;
+    Millis respond_by = 0;  // deadline for the policy
+    bool responded = false;
     std::vector<Attempt> attempts;
-    boost::asio::steady_timer overdue;
+    boost::asio::steady_timer timeout_timer;
   };
 
   ActiveRequest* Find(const std::string& id);
   ActiveRequest& Add(ClientRequest& request);
-  void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at);
+  void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_timeout_at);
   void TimeOut(const std::string& id);
-  // Whether the client still waits for the answer. Notices a disconnection that was not reported yet.
+  // Returns whether the client still waits for the response. Detects a disconnect that was not reported yet.
   bool IsAwaited(const std::string& id);
-  void RefuseToSend(const policy::Send& send, ActiveRequest* active);
+  void ReportNotSent(const policy::Send& send, ActiveRequest* active);
   UpstreamRequest MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
                                       std::size_t index, Millis now, Millis timeout);
   void OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
                       HttpResponse response);
   void OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
                          std::shared_ptr<BodySource> remaining_body);
-  void Answer(ActiveRequest& active, HttpResponse response,
-              std::shared_ptr<BodySource> remaining_body = nullptr);
+  void Respond(ActiveRequest& active, HttpResponse response,
+               std::shared_ptr<BodySource> remaining_body = nullptr);
   // Records how long the request waited for the policy's first decision.
   void RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent);
   void EraseIfEnded(const std::string& id);
