--- a/src/proxy/client/accept_queue.hpp
+++ b/src/proxy/client/accept_queue.hpp
@@ -1,5 +1,5 @@
 // Measures how long data and connections have waited in the kernel before the gateway reads them. A client's
-// deadline counts from the arrival of its request at this machine, so this time has to be subtracted.
+// deadline counts from the arrival of its request at this machine, so this time is subtracted from it.
 #ifndef GATEWAY_PROXY_CLIENT_ACCEPT_QUEUE_HPP_
 #define GATEWAY_PROXY_CLIENT_ACCEPT_QUEUE_HPP_
 
--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -70,9 +70,9 @@
   if (previous == Phase::kClosed) return;
   reader_.Stop();
   linger_.Stop();
-  const bool response_cut = previous == Phase::kWriting && request_open_;
+  const bool interrupted = previous == Phase::kWriting && request_open_;
   EndRequest();
-  if (response_cut) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/false);
+  if (interrupted) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/false);
   error_code ignored;
   socket_.close(ignored);
   context_.owner.OnConnectionClosed(shared_from_this());
@@ -117,7 +117,8 @@
 
 // --- Reading a request
 
-// Begins the next request: at once if some of it was read with the last one, else when it arrives.
+// Begins to read the next request: at once if a part of it was read with the previous one, else when it
+// arrives.
 void ClientConnection::AwaitRequest() {
   reading_request_ = reader_.has_unparsed_bytes();
   if (reading_request_) return reader_.ReadHead();
@@ -139,7 +140,7 @@
   is_readiness_check_ = IsReadinessCheck(head);
   if (!is_readiness_check_) {
     if (const auto error = context_.validator.Validate(head, attributes_)) {
-      // Where the next request begins is known only if this one has no body.
+      // The start of the next request is known only if this one has no body.
       if (!reader_.done()) return RejectAndClose(*error);
       EnterPhase(Phase::kServing);
       return RespondWithError(*error);
@@ -186,14 +187,14 @@
   context_.callbacks.on_request_complete(request_id_, Now());
 }
 
-// The request is complete.
+// Called once the request is complete.
 void ClientConnection::BeginServing() {
   ++context_.active_requests;
   counted_active_ = true;
   WatchForDisconnect();
 }
 
-// Returns an upper bound on the time between the arrival of the last bytes and now.
+// Returns an upper bound on the time since the last bytes arrived at this machine.
 Millis ClientConnection::TimeInKernelQueues() {
   if (const auto since_received = TimeSinceLastReceived(socket_.native_handle())) return *since_received;
   return request_number_ == 0 ? accept_wait_ms_ : 0;
@@ -201,7 +202,7 @@
 
 // --- Disconnects while a request is being served
 
-// Where more was read ahead than may be buffered, CheckTimeouts looks for a disconnect instead.
+// If the read-ahead buffer is full, CheckTimeouts checks for a disconnect instead.
 void ClientConnection::WatchForDisconnect() {
   watches_for_disconnect_ = reader_.CanReadAhead();
   if (!watches_for_disconnect_) return;
@@ -250,20 +251,20 @@
 }
 
 void ClientConnection::CheckReadingTimeouts(Millis now) {
-  const bool begun = !IsBetweenRequests();
-  const bool first = request_number_ == 0;
-  // The time of a first request counts from the start of the connection; that of a later one from the last
-  // time at which nothing of it had arrived.
-  if (!begun && !first) request_started_at_ = now;
+  const bool in_request = !IsBetweenRequests();
+  const bool is_first_request = request_number_ == 0;
+  // The head timeout of a connection's first request counts from the start of the connection; that of a later
+  // request from the last check at which no part of it had arrived.
+  if (!in_request && !is_first_request) request_started_at_ = now;
   reader_.ObserveHeadProgress(now);
-  const bool slow =
+  const bool too_slow =
       reader_.in_body() ? reader_.BodyTimedOut(now) : now - request_started_at_ > kHeadTimeoutMs;
-  if (begun && slow) return RejectSlowRequest();
-  if (begun && context_.drain.RejectsIncompleteRequests(now)) {
+  if (in_request && too_slow) return RejectSlowRequest();
+  if (in_request && context_.drain.RejectsIncompleteRequests(now)) {
     return RejectAndClose({http::status::service_unavailable, "this gateway drains"});
   }
   if (context_.drain.ClosesIdleConnections(now) && IsSettled(now)) return Close();
-  const Millis idle_timeout_ms = first ? kFirstRequestTimeoutMs : kIdleTimeoutMs;
+  const Millis idle_timeout_ms = is_first_request ? kFirstRequestTimeoutMs : kIdleTimeoutMs;
   if (now - phase_entered_at_ > idle_timeout_ms && IsIdle()) Close();
 }
 
@@ -316,8 +317,8 @@
   writer_.Write(std::move(response), std::move(remaining_body), http_version_, KeepsAliveAfterResponse());
 }
 
-// During a drain, and while clients wait for a connection, the response closes this one: unless some of the
-// next request has arrived. A body that was not read to its end always closes the connection.
+// During a drain, and at the connection limit, the response closes the connection unless a part of the next
+// request has arrived. After a request whose body was not read completely the connection is always closed.
 bool ClientConnection::KeepsAliveAfterResponse() {
   if (!keep_alive_ || reader_.in_body()) return false;
   error_code ignored;
@@ -340,11 +341,12 @@
   reading_request_ = reader_.has_unparsed_bytes();
   if (!reading_request_) reader_.ShrinkBuffer();
   if (context_.transfer && Transfer()) return;
-  // If the listener is closed, CheckTimeouts closes the connection once the response has had time to arrive.
+  // Once the listener is closed, CheckTimeouts closes the connection once the response has had time to
+  // arrive.
   AwaitRequest();
 }
 
-// The dispatched request, if there is one, has its response or never will.
+// Ends the dispatched request, if there is one, with or without a response.
 void ClientConnection::EndRequest() {
   request_open_ = false;
   if (std::exchange(counted_active_, false)) --context_.active_requests;
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -27,21 +27,21 @@
 
 class ClientConnection;
 
-// Sends a client's idle connection to another process. Returns false if that does not take it; the connection
-// is closed then.
+// Transfers a client's idle connection to another process. Returns false if that process does not accept it;
+// the connection is closed in this case.
 using ConnectionTransfer = std::function<bool(base::FileDescriptor client)>;
 
 // Implemented by the owner of the connections.
 class ClientConnectionOwner {
  public:
   virtual ~ClientConnectionOwner() = default;
-  // Returns whether there are as many connections as there may be.
+  // Returns whether the limit on connections is reached.
   virtual bool AtConnectionLimit() const = 0;
   // The connection was closed or transferred. The owner drops its pointer to it.
   virtual void OnConnectionClosed(const std::shared_ptr<ClientConnection>& connection) = 0;
 };
 
-// What all connections of a ClientServer share. Must outlive their last event.
+// State that all connections of a ClientServer share. Must outlive their last event.
 struct ClientConnectionContext {
   boost::asio::io_context& io;
   ClientConnectionOwner& owner;
@@ -56,10 +56,10 @@
 
 // Serves the requests of one client, one after the other.
 //
-// Between requests the connection only waits until the socket is readable: nothing is read before a request
-// is begun, so an idle connection can be closed, or transferred to another process, without loss. While a
-// request is being served the connection reads ahead to see the client disconnect; what it reads is the start
-// of the next request. For a request whose body is streamed the connection is the body's source.
+// Between requests the connection only waits until the socket is readable. Nothing is read before that, so an
+// idle connection can be closed, or transferred to another process, without loss. While a request is being
+// served the connection reads ahead to detect that the client disconnects; the bytes read belong to the next
+// request. For a request whose body is streamed the connection is the body's source.
 //
 // The owner holds a shared pointer until OnConnectionClosed; pending operations and streamed bodies hold
 // others. Runs on the event loop's thread.
@@ -69,44 +69,44 @@
                                private ResponseWriter::Delegate,
                                private LingeringClose::Delegate {
  public:
-  // `transferred` says that the connection comes from another process, which has served requests on it.
+  // `transferred` is set if another process has served requests on the connection and transferred it.
   ClientConnection(ClientConnectionContext& context, boost::asio::ip::tcp::socket socket, bool transferred);
 
   // Begins to serve requests. `accept_wait_ms` bounds the time for which the connection waited to be
   // accepted.
   void Start(Millis accept_wait_ms);
-  // Answers with 503 without reading a request, and closes.
+  // Responds with 503 without reading a request, and closes the connection.
   void Shed();
-  // Closes the connection at once, and ends what is under way on it. No effect if it is closed.
+  // Closes the connection at once, and ends its current request. Has no effect on a closed connection.
   void Close();
-  // Transfers the connection to another process by the context's `transfer`, if it is between requests.
-  // Returns false if it is not.
+  // Transfers the connection to another process by the context's `transfer`. Returns false, without effect,
+  // if the connection is not between requests.
   bool Transfer();
   // Applies the timeouts and the rules of a drain. Called at regular intervals.
   void CheckTimeouts(Millis now);
 
   // Whether the connection is between requests with nothing unread, so that closing it loses nothing.
   bool IsIdle();
-  // Whether it has been idle for long enough that no request should be on its way, nor a response that a
+  // Whether it has been idle for long enough that no request should be in transit, nor a response that a
   // reset would destroy.
   bool IsSettled(Millis now) { return now - phase_entered_at_ > kSettleTimeMs && IsIdle(); }
-  // Whether a part of a request was read, and the rest has not arrived.
+  // Whether a request was read in part, and no more of it has arrived.
   bool IsRequestStalled();
-  // Whether the connection can end soon without an endpoint's doing: it may be evicted, or is closing.
+  // Whether the connection can end soon without waiting for an endpoint: it can be evicted, or is closing.
   bool IsReclaimable() const;
-  // When the current phase began: for an idle connection, when it became idle.
+  // The start of the current phase: for an idle connection, the time at which it became idle.
   Millis phase_entered_at() const { return phase_entered_at_; }
-  // When the client was last seen to make progress with an incomplete request.
+  // The last time at which the client was observed to make progress with an incomplete request.
   Millis last_progress_at() const;
 
-  // For ClientResponder; `request_number` is that of the request.
+  // Called by ClientResponder with the number of its request.
   void Respond(std::uint64_t request_number, HttpResponse response,
                std::shared_ptr<BodySource> remaining_body);
   bool DetectDisconnect(std::uint64_t request_number);
 
   // BodySource: the rest of the current request's body.
   void ReadNext(PieceHandler handler) override { reader_.ReadNextPiece(std::move(handler)); }
-  void Cancel() override {}  // the response ends the connection
+  void Cancel() override {}  // the connection closes after the response
   bool started() const override { return reader_.streaming_started(); }
 
  private:
@@ -161,16 +161,16 @@
 
   Phase phase_ = Phase::kReading;
   Millis phase_entered_at_ = Now();
-  Millis request_started_at_ = phase_entered_at_;  // not after the first byte of the current request
-  bool reading_request_ = false;                   // in kReading: some of a request has arrived
-  std::uint64_t wait_number_ = 0;                  // of the wait for readability that counts
-  bool watches_for_disconnect_ = false;            // in kServing: such a wait is pending
+  Millis request_started_at_ = phase_entered_at_;  // at or before the first byte of the current request
+  bool reading_request_ = false;                   // in kReading: a part of a request has arrived
+  std::uint64_t wait_number_ = 0;        // of the latest wait for readability; earlier ones are ignored
+  bool watches_for_disconnect_ = false;  // in kServing: such a wait is pending
 
-  bool keep_alive_ = true;  // the connection goes on behind the current response
+  bool keep_alive_ = true;  // the connection may stay open after the current response
   bool shed_ = false;
   unsigned http_version_ = 11;
-  std::uint64_t request_number_ = 0;  // of the last request that was dispatched; 0: none was
-  Millis accept_wait_ms_ = 0;         // of the bytes that had arrived when the connection was accepted
+  std::uint64_t request_number_ = 0;  // of the last dispatched request; 0 if there was none
+  Millis accept_wait_ms_ = 0;         // for bytes that had arrived when the connection was accepted
 
   bool is_readiness_check_ = false;
   RequestAttributes attributes_;  // of the request that is being read
--- a/src/proxy/client/client_listener.cpp
+++ b/src/proxy/client/client_listener.cpp
@@ -11,9 +11,9 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The time between two looks for room.
+// The retry interval while there is no room for another connection.
 constexpr Millis kNoRoomRetryMs = 20;
-// The delay after a failed accept, which would fail again at once.
+// The delay after a failed accept. A retry without a delay would fail for the same reason.
 constexpr Millis kAcceptErrorRetryMs = 50;
 constexpr char kAddressSetting[] = "NODE_LISTEN";
 
@@ -34,7 +34,7 @@
 void ClientListener::Resume() {
   if (accepting_ || !acceptor_.is_open()) return;
   const bool may_accept = delegate_.MayAccept();
-  if (accepting_) return;  // a connection was closed to make room, which has resumed accepting
+  if (accepting_) return;  // MayAccept has closed a connection, which called this function
   if (!may_accept) {
     queue_delay_.Observe(Now(), /*pending=*/true);
     return ResumeAfter(kNoRoomRetryMs);
--- a/src/proxy/client/client_listener.hpp
+++ b/src/proxy/client/client_listener.hpp
@@ -14,41 +14,41 @@
 
 namespace gateway::proxy {
 
-// A listener that accepts one connection after the other, as long as there is room for them. Meanwhile
-// further clients wait in the kernel's accept queue. Runs on the event loop's thread.
+// Accepts one connection at a time, as long as the delegate has room for it. Other clients wait in the
+// kernel's accept queue. Runs on the event loop's thread.
 class ClientListener {
  public:
   class Delegate {
    public:
     virtual ~Delegate() = default;
-    // Returns whether another connection may be accepted. May close a connection for that, and thereby call
-    // Resume.
+    // Returns whether another connection may be accepted. May close a connection to make room, and thereby
+    // call Resume.
     virtual bool MayAccept() = 0;
-    // A connection was accepted. LongestWait bounds how long it has waited.
+    // A connection was accepted. LongestWait returns the bound on the time for which it was queued.
     virtual void OnAccepted(boost::asio::ip::tcp::socket socket) = 0;
     // An accept has failed because no descriptor was available.
     virtual void OnOutOfDescriptors() = 0;
   };
 
-  // Opens the listener: uses `inherited`, if it is an open listener, else listens at `address`, where other
-  // processes may listen too if `shared`. Throws ConfigError if the address is not available. Accepts nothing
-  // before Resume.
+  // Uses `inherited` if it is an open listening socket, else listens at `address`. With `shared`, other
+  // processes may listen at the same address. Throws ConfigError if the address is not available. Accepts
+  // nothing before Resume.
   ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, bool shared,
                  base::FileDescriptor inherited, Delegate& delegate);
 
-  // Accepts connections as long as the delegate allows; tries again after a while when it does not. To be
-  // called as well when room has become available.
+  // Accepts connections as long as the delegate allows it, and retries after a delay when it does not. Must
+  // also be called when room has become available.
   void Resume();
-  // Accepts a connection that is pending now; nothing if there is none.
+  // Accepts a pending connection. Returns nothing if there is none.
   std::optional<boost::asio::ip::tcp::socket> AcceptPending();
   void Close();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  // The protocol of clients' sockets.
+  // The protocol (IPv4 or IPv6) of clients' sockets.
   boost::asio::ip::tcp protocol() const;
-  // The listening socket, which stays owned by this; -1 if it is closed.
+  // The listening socket, still owned by this object; -1 if it is closed.
   int native_handle();
-  // Returns the longest time that a connection which is accepted now can have waited.
+  // Returns the longest time for which a connection that is accepted now can have been queued.
   Millis LongestWait() const { return queue_delay_.LongestWait(Now()); }
 
  private:
--- a/src/proxy/client/client_request.hpp
+++ b/src/proxy/client/client_request.hpp
@@ -1,4 +1,4 @@
-// A client's request as the client side hands it to the gateway, and the means to respond to it.
+// A client's request as the ClientServer reports it to the gateway, and the handle for its response.
 #ifndef GATEWAY_PROXY_CLIENT_CLIENT_REQUEST_HPP_
 #define GATEWAY_PROXY_CLIENT_CLIENT_REQUEST_HPP_
 
@@ -16,17 +16,17 @@
 
 class ClientConnection;
 
-// Sends the response to one request, and tells whether its client still waits. Does not keep the connection
-// alive; all calls are valid after it has ended.
+// Sends the response to one request, and reports whether its client has disconnected. Does not keep the
+// connection alive; all calls remain valid after the connection has ended.
 class ClientResponder {
  public:
   ClientResponder() = default;
-  // For request number `request_number` of `connection`.
+  // Creates the responder for request number `request_number` of `connection`.
   ClientResponder(std::weak_ptr<ClientConnection> connection, std::uint64_t request_number)
       : connection_(std::move(connection)), request_number_(request_number) {}
 
   // Sends the response. `remaining_body` is the part of its body that is not in `response` yet, or null.
-  // Cancels `remaining_body` at once if the request was responded to before or its client has disconnected.
+  // Cancels `remaining_body` at once if the request already has a response or its client has disconnected.
   void Respond(HttpResponse response, std::shared_ptr<BodySource> remaining_body) const;
 
   // Asks the socket whether the client has disconnected. If it has, and ClientCallbacks::on_disconnect was
@@ -41,26 +41,26 @@
 // A valid request. Its body is complete unless there is a `remaining_body`.
 struct ClientRequest : RequestAttributes {
   HttpRequest http;
-  // When the last byte of what `http` holds reached this machine, whether or not it was read then.
+  // The time at which the last byte of `http` arrived at this machine; it may have been read later.
   Millis received_at = 0;
   std::shared_ptr<BodySource> remaining_body;
   ClientResponder responder;
 };
 
-// What a ClientServer reports to the gateway. All functions are required, are called on the event loop's
-// thread, and may call back into the ClientServer and the ClientResponder.
+// The callbacks by which a ClientServer reports to the gateway. All of them are required, are called on the
+// event loop's thread, and may call back into the ClientServer and the ClientResponder.
 struct ClientCallbacks {
   // Returns whether GET /up is answered with 200, else with 503.
   std::function<bool()> is_ready;
-  // A valid request has arrived. Exactly one response is due, unless on_disconnect follows.
+  // A valid request has arrived. The gateway must respond exactly once, unless on_disconnect follows.
   std::function<void(ClientRequest request)> on_request;
   // The last byte of a request with a remaining body was read at `received_at`. Called before the body's
   // source delivers the last piece.
   std::function<void(const std::string& request_id, Millis received_at)> on_request_complete;
-  // The client of a request has disconnected, or was too slow with its body, before the response was due. A
-  // later response is dropped.
+  // The client of a request has disconnected, or was too slow with its body, before a response was sent. A
+  // later response is discarded.
   std::function<void(const std::string& request_id)> on_disconnect;
-  // The response to a request was written to its end, or was broken off on the way if not `complete`.
+  // The response to a request was written completely, or was interrupted if not `complete`.
   std::function<void(const std::string& class_name, unsigned status, bool complete)> on_response_end;
 };
 
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -15,7 +15,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The time between two checks of all connections' timeouts.
+// The interval at which the timeouts of all connections are checked.
 constexpr Millis kTimeoutCheckIntervalMs = 500;
 // The Retry-After of connections that are shed, unless the settings' maximum is lower.
 constexpr Millis kShedRetryAfterMs = 500;
@@ -47,7 +47,7 @@
   return table_.MakeRoom() || (table_.ShedsNewClients() && table_.HasRoomToShed());
 }
 
-// The accept may have been pending for long, so whether there is room is checked again.
+// Checks again whether there is room, because the accept may have been pending for a long time.
 void ClientServer::OnAccepted(tcp::socket socket) {
   if (!table_.MakeRoom() && table_.ShedsNewClients()) {
     AddConnection(std::move(socket), /*transferred=*/false)->Shed();
@@ -109,7 +109,7 @@
 void ClientServer::StopListening(std::function<void()> done) {
   SetDraining(true);
   on_stopped_ = std::move(done);
-  // Clients in the accept queue are connected, and may have sent a request that a close would lose.
+  // Clients in the accept queue are connected, and may have sent requests that a close would lose.
   while (!table_.AtLimit()) {
     auto socket = listener_.AcceptPending();
     if (!socket) break;
@@ -117,7 +117,7 @@
   }
   listener_.Close();
   for (const auto& connection : table_.Snapshot()) {
-    if (connection->IsSettled(Now())) connection->Close();  // CheckTimeouts ends the others
+    if (connection->IsSettled(Now())) connection->Close();  // CheckTimeouts closes the others
   }
   ReportStopIfEmpty();
 }
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -26,11 +26,12 @@
   std::size_t body_budget_bytes = 0;
 };
 
-// Accepts clients and passes their valid requests on; answers invalid ones, and GET /up, by itself. Runs on
-// the event loop's thread, and must outlive the events of `io` that concern it.
+// Accepts clients' connections and reports valid requests to the gateway. Responds by itself to invalid
+// requests and to GET /up. Runs on the event loop's thread, and must outlive the events of `io` that concern
+// it.
 class ClientServer final : private ClientConnectionOwner, private ClientListener::Delegate {
  public:
-  // Accepts at once: on `inherited_listener` if that is open, else at the options' address. Throws
+  // Starts to accept connections: on `inherited_listener` if it is open, else at the options' address. Throws
   // ConfigError if the address is not available. Callbacks are called from the event loop only.
   ClientServer(boost::asio::io_context& io, const ClientServerOptions& options,
                base::FileDescriptor inherited_listener, const policy::Settings& settings,
@@ -41,21 +42,22 @@
   // The number of complete requests whose response is not written yet.
   std::size_t active_requests() const { return context_.active_requests; }
 
-  // Begins or ends a drain: meanwhile each response closes its connection, and idle connections are closed
-  // after a delay, when the load balancer in front sends no new requests.
+  // Begins or ends a drain. During a drain each response closes its connection. Idle connections are closed
+  // after a delay, when the load balancer in front has stopped sending new requests.
   void SetDraining(bool draining);
   // Changes the limit on connections. When it is reached, idle connections are evicted for new clients.
   void SetConnectionLimit(std::size_t limit);
 
-  // The listening socket for another process, still owned by this; -1 if it is closed.
+  // The listening socket, for the transfer to another process. Still owned by this object; -1 if it is
+  // closed.
   int listener() { return listener_.native_handle(); }
-  // Takes over a client's connection from another process, where it was between two requests.
+  // Accepts a client's connection that another process transfers, where it was between two requests.
   void AcceptTransferredConnection(base::FileDescriptor client);
   // Stops accepting, since another process accepts from the same queue, and transfers each connection as soon
-  // as nothing of a request has been read on it. Calls `done` when none is left.
+  // as it is between requests. Calls `done` when no connection is left.
   void TransferConnections(ConnectionTransfer transfer, std::function<void()> done);
-  // Begins a drain, accepts what is pending, then closes the listener and the idle connections. Calls `done`
-  // when none is left.
+  // Begins a drain, accepts the pending connections, then closes the listener and the idle connections. Calls
+  // `done` when no connection is left.
   void StopListening(std::function<void()> done);
 
  private:
@@ -75,7 +77,7 @@
   ClientConnectionContext context_;
   ConnectionTable table_;
   boost::asio::steady_timer timeout_timer_;
-  std::function<void()> on_stopped_;  // to be called when no connection is left; empty before a stop
+  std::function<void()> on_stopped_;  // called when no connection is left; empty before a stop
   ClientListener listener_;
 };
 
--- a/src/proxy/client/connection_table.cpp
+++ b/src/proxy/client/connection_table.cpp
@@ -5,13 +5,14 @@
 namespace gateway::proxy {
 namespace {
 
-// An idle connection is evicted no sooner, so that its client can send its request.
+// The idle time after which a connection may be evicted. Until then its client has the chance to send a
+// request.
 constexpr Millis kMinIdleTimeMs = 50;
-// A connection with an incomplete request is evicted after no shorter silence.
+// The time without progress after which a connection with an incomplete request may be evicted.
 constexpr Millis kMinStallTimeMs = 1000;
 // The time without a reclaimable connection after which new clients are shed.
 constexpr Millis kShedDelayMs = 300;
-// How many connections beyond the limit may exist at a time to be shed.
+// The number of connections beyond the limit that may be open at a time to be shed.
 constexpr std::size_t kMaxShedConnections = 8;
 
 }  // namespace
--- a/src/proxy/client/connection_table.hpp
+++ b/src/proxy/client/connection_table.hpp
@@ -13,8 +13,8 @@
 
 namespace gateway::proxy {
 
-// Owns the connections. Once their limit is reached, each new client needs an idle or stalled connection to
-// be evicted; if none has been reclaimable for some time, new clients are shed. Times are those of Now().
+// Owns the connections. Once their limit is reached, an idle or stalled connection is evicted for each new
+// client. If none has been reclaimable for some time, new clients are shed. Times are those of Now().
 class ConnectionTable {
  public:
   explicit ConnectionTable(std::size_t limit) : limit_(limit) {}
@@ -22,24 +22,25 @@
   std::size_t size() const { return connections_.size(); }
   bool empty() const { return connections_.empty(); }
   bool AtLimit() const { return connections_.size() >= limit_; }
-  // Changes the limit. Connections beyond it stay until they are evicted or end.
+  // Changes the limit. Connections in excess of it stay open until they are evicted or end.
   void SetLimit(std::size_t limit) { limit_ = limit; }
 
   void Add(std::shared_ptr<ClientConnection> connection) { connections_.insert(std::move(connection)); }
   void Remove(const std::shared_ptr<ClientConnection>& connection) { connections_.erase(connection); }
-  // Returns a copy, for calls that may add or remove connections.
+  // Returns a copy, for loops that may add or remove connections.
   std::vector<std::shared_ptr<ClientConnection>> Snapshot() const;
 
-  // Returns whether there is room for another connection, and evicts one if that is needed.
+  // Returns whether there is room for another connection. Evicts one if necessary.
   bool MakeRoom();
-  // Closes the connection that has been idle for longest, or else the one that has been silent for longest in
-  // the middle of its request: stalled clients must not keep out those that send complete requests. Returns
-  // false if no connection may be closed. Takes time in proportion to the number of connections.
+  // Closes the connection that has been idle for longest. If none is idle, closes the one whose incomplete
+  // request has made no progress for longest: stalled clients must not lock out those that send complete
+  // requests. Returns false if no connection may be closed. Takes time proportional to the number of
+  // connections.
   bool EvictOne();
-  // Returns whether no connection was reclaimable for so long that new clients are to be answered with 503.
-  // Up to date after MakeRoom.
+  // Returns whether no connection has been reclaimable for so long that new clients get the response 503.
+  // Valid after a call to MakeRoom.
   bool ShedsNewClients() const;
-  // Returns whether there is room for a connection that only receives that answer.
+  // Returns whether there is room for a connection that only receives that response.
   bool HasRoomToShed() const;
 
  private:
@@ -47,7 +48,7 @@
 
   std::size_t limit_;
   std::unordered_set<std::shared_ptr<ClientConnection>> connections_;
-  Millis last_reclaimable_at_ = 0;  // when there last was room, or a connection that soon gives some
+  Millis last_reclaimable_at_ = 0;  // last time at which there was room or a reclaimable connection
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/client/drain_state.hpp
+++ b/src/proxy/client/drain_state.hpp
@@ -1,4 +1,4 @@
-// The rules by which clients' connections end while the gateway drains.
+// The rules for closing clients' connections while the gateway drains.
 #ifndef GATEWAY_PROXY_CLIENT_DRAIN_STATE_HPP_
 #define GATEWAY_PROXY_CLIENT_DRAIN_STATE_HPP_
 
@@ -10,14 +10,14 @@
 
 // The time into a drain by which the load balancer in front has stopped sending new requests.
 constexpr Millis kDrainIdleCloseDelayMs = 500;
-// The time into a drain after which requests that have begun and are still incomplete are rejected.
+// The time into a drain after which requests that are still incomplete are rejected.
 constexpr Millis kDrainRequestTimeoutMs = 1700;
 
-// Whether, and since when, the gateway drains. Every response closes its connection during a drain; idle
-// connections are closed after a delay. A state machine without I/O; times are those of Now().
+// Records whether, and since when, the gateway drains. Every response closes its connection during a drain;
+// idle connections are closed after a delay. A state machine without I/O; times are those of Now().
 class DrainState {
  public:
-  // Begins a drain, unless one is under way.
+  // Begins a drain, unless one is active.
   void Begin(Millis now) {
     if (!started_at_) started_at_ = now;
   }
--- a/src/proxy/client/lingering_close.cpp
+++ b/src/proxy/client/lingering_close.cpp
@@ -11,9 +11,9 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The time for a client that sends nothing more to close its side.
+// The time within which a client that sends nothing more must close its side.
 constexpr Millis kQuietTimeoutMs = 1000;
-// The time for a client that goes on sending.
+// The time within which a client that continues to send must close its side.
 constexpr Millis kTotalTimeoutMs = 6000;
 constexpr std::size_t kDiscardBufferBytes = 4096;
 
--- a/src/proxy/client/lingering_close.hpp
+++ b/src/proxy/client/lingering_close.hpp
@@ -24,12 +24,12 @@
     ~Delegate() = default;
   };
 
-  // The socket and the delegate belong to the connection, and outlive this.
+  // The socket and the delegate belong to the connection, and outlive this object.
   LingeringClose(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
       : socket_(socket), delegate_(delegate) {}
 
   void Start();
-  // Ends the notifications.
+  // Stops the notifications of the delegate.
   void Stop() { active_ = false; }
   // Returns whether the client has had enough time to close.
   bool TimedOut(Millis now) const;
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -20,12 +20,13 @@
 
 // The largest number of unparsed bytes: a message head, or the header of a chunk.
 constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
-// What is read at once behind a request that is being served.
+// The size of one read ahead of the request that is being served.
 constexpr std::size_t kReadAheadBytes = 4096;
-// The read size, and the buffered part of a body while the budget is exceeded.
+// The size of reads while a body is buffered, and the limit on the buffered part while the budget is
+// exceeded.
 constexpr std::size_t kSmallPieceBytes = kBodyPieceBytes / 4;
 
-// Whether a receive call has found an open connection, with or without data.
+// Returns whether the result of a receive call means that the connection is open, with or without data.
 bool IsOpen(ssize_t received) {
   return received > 0 || (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR));
 }
@@ -99,7 +100,7 @@
   });
 }
 
-// Reads on in the body.
+// Continues to read the body.
 void RequestReader::ReadPiece() {
   const bool streaming = piece_handler_ != nullptr;
   if (done()) {
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -24,18 +24,18 @@
 namespace gateway::proxy {
 
 // Reads one request at a time: first its head; then its body, buffered as long as it is small and the budget
-// allows, else streamed piece by piece. Also reads ahead of the current request, which is the one way to see
-// that the client has closed the connection.
+// allows, else streamed piece by piece. Also reads ahead past the current request, since only a read can
+// detect that the client has closed the connection.
 class RequestReader {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
     // The head is complete: request() returns it. The delegate calls ReadBody, or writes a response.
     virtual void OnRequestHead() = 0;
-    // The body is complete, or what was read of it is not to be buffered any longer: in_body() tells which.
+    // The body is complete, or the limit for buffering it is reached; in_body() is true in the latter case.
     // The delegate takes the request with ReleaseRequest.
     virtual void OnRequestBuffered() = 0;
-    // The last byte of a streamed body was read. The last piece is handed on afterwards.
+    // The last byte of a streamed body was read. The last piece is delivered afterwards.
     virtual void OnStreamedBodyComplete() = 0;
     // The request is malformed, or the connection has ended before it was complete.
     virtual void OnReadError(boost::system::error_code error) = 0;
@@ -44,51 +44,52 @@
     ~Delegate() = default;
   };
 
-  // The socket and the delegate belong to the connection, and outlive this.
+  // The socket and the delegate belong to the connection, and outlive this object.
   RequestReader(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, BufferBudget& budget,
                 Delegate& delegate);
 
   // Begins to read the next request.
   void ReadHead();
-  // Reads the body of the request whose head is complete. `request_started_at` is a time not after the
-  // request's first byte.
+  // Reads the body of the request whose head is complete. `request_started_at` is at or before the arrival of
+  // the request's first byte.
   void ReadBody(Millis request_started_at);
   // Streams the body, see BodySource::ReadNext. Only while the request is incomplete.
   void ReadNextPiece(BodySource::PieceHandler handler);
-  // Ends the notifications until the next call to ReadHead. A pending piece handler stays pending.
+  // Stops the notifications of the delegate until the next call to ReadHead. A pending piece handler stays
+  // pending.
   void Stop() { stopped_ = true; }
   // Calls a pending piece handler with an error, after this returns.
   void FailPendingPiece();
 
-  // The head, and what was buffered of the body.
+  // The head, and the buffered part of the body.
   const HttpRequest& request() const { return request_; }
   HttpRequest ReleaseRequest() { return std::exchange(request_, {}); }
   RequestFraming framing() const;
-  // Whether the client wants its connection to go on behind this request.
+  // Whether the client wants the connection to stay open after this request.
   bool keep_alive() const { return parser_->keep_alive(); }
   // Whether all of the request has been parsed.
   bool done() const { return parser_->is_done(); }
-  // Whether the head has been read, and the body not to its end.
+  // Whether the head has been read and the body is incomplete.
   bool in_body() const { return in_body_; }
-  // Whether some of the current body was requested by ReadNextPiece.
+  // Whether ReadNextPiece was called for the current body.
   bool streaming_started() const { return streaming_started_; }
-  // Whether bytes behind the current request, or of the next one, have been read.
+  // Whether bytes that follow the current request, and so belong to the next one, have been read.
   bool has_unparsed_bytes() const { return buffer_.size() > 0; }
 
   // Returns whether more may be read ahead of the current request.
   bool CanReadAhead() const;
-  // Returns whether the client has closed its side or the connection has failed, by asking the socket. Reads
-  // ahead of the request as far as its body is complete.
+  // Asks the socket whether the client has closed its side or the connection has failed. Reads ahead if the
+  // body of the current request is complete.
   bool DetectDisconnect();
 
-  // Returns whether the client is too slow with the body.
+  // Returns whether the client sends the body too slowly.
   bool BodyTimedOut(Millis now) const { return progress_.TimedOut(now); }
   // Records whether more of a head has arrived since the last call. Called at regular intervals.
   void ObserveHeadProgress(Millis now);
-  // The last time at which the client was seen to make progress with the current request.
+  // The last time at which the client was observed to make progress with the current request.
   Millis last_progress_at() const { return in_body_ ? progress_.wait_started_at() : head_progress_at_; }
 
-  // Drops the request and the accounting of its memory.
+  // Discards the request and releases its share of the buffer budget.
   void Reset();
   // Frees the memory of an empty buffer, for a connection that becomes idle.
   void ShrinkBuffer() { buffer_.shrink_to_fit(); }
--- a/src/proxy/client/request_validation.cpp
+++ b/src/proxy/client/request_validation.cpp
@@ -32,7 +32,8 @@
   return path == "/api" || path.starts_with("/api/");
 }
 
-// The method that a class's requests use. Class and method must agree on whether a request may be repeated.
+// Returns the method that a class's requests must use. Class and method must agree on whether a request may
+// be repeated.
 http::verb MethodOf(policy::Idempotency idempotency) {
   return idempotency == policy::Idempotency::kIdempotent ? http::verb::get : http::verb::post;
 }
--- a/src/proxy/client/request_validation.hpp
+++ b/src/proxy/client/request_validation.hpp
@@ -15,7 +15,7 @@
 
 namespace gateway::proxy {
 
-// Why a request is rejected: the status and the text of the response.
+// The status and the text of the response that rejects a request.
 struct RequestError {
   boost::beast::http::status status;
   std::string text;
@@ -30,23 +30,24 @@
   Millis time_allowed = 0;   // how long the client waits, from when it sent the request
 };
 
-// How the parser understood the framing of a request's body.
+// The framing of a request's body as the parser understood it.
 struct RequestFraming {
   bool chunked = false;
-  std::uint64_t content_length = 0;  // bytes; 0 where none is stated
+  std::uint64_t content_length = 0;  // bytes; 0 if there is none
 };
 
 // Returns whether the request asks if this process accepts clients (GET /up).
 bool IsReadinessCheck(const HttpRequest& head);
 
-// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, cut to
-// ten minutes; nothing if the text is malformed or negative.
+// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, at
+// most ten minutes; nothing if the text is malformed or negative.
 std::optional<Millis> ParseDeadline(std::string_view text);
 
-// Rejects what two recipients could frame differently (request smuggling), and what cannot be forwarded.
+// Returns an error for a request that two recipients could frame differently (request smuggling), or that
+// cannot be forwarded.
 std::optional<RequestError> ValidateFraming(const HttpRequest& head, const RequestFraming& framing);
 
-// The rules that depend on the settings. Immutable.
+// Validates requests by the rules that depend on the settings. Immutable.
 class RequestValidator {
  public:
   explicit RequestValidator(const policy::Settings& settings);
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -14,7 +14,7 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// The time in which the client must have made room for what was written.
+// The time within which the client must read enough for a write to complete.
 constexpr Millis kWriteTimeoutMs = 10000;
 
 }  // namespace
@@ -49,7 +49,7 @@
                     });
 }
 
-// Writes the head with what there is of the body.
+// Writes the head and the available part of the body.
 void ResponseWriter::WriteHead() {
   chunked_ = !response_.has_content_length() && response_.version() >= 11;
   ends_by_close_ = !response_.has_content_length() && !chunked_;
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -15,40 +15,41 @@
 
 namespace gateway::proxy {
 
-// Writes one response at a time: in one go if its body is complete, else piece by piece as its source
-// delivers them.
+// Writes one response at a time: at once if its body is complete, else piece by piece as its source delivers
+// them.
 class ResponseWriter {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
     // The last byte was handed to the kernel, or the write has failed.
     virtual void OnResponseWritten(boost::system::error_code error) = 0;
-    // A piece of a streamed response could not be written, or its source has failed. The client can tell that
-    // the response is incomplete once the delegate closes the socket.
+    // A piece of a streamed response could not be written, or its source has failed. When the delegate closes
+    // the socket, the client recognizes that the response is incomplete.
     virtual void OnResponseAborted() = 0;
 
    protected:
     ~Delegate() = default;
   };
 
-  // The socket and the delegate belong to the connection, and outlive this.
+  // The socket and the delegate belong to the connection, and outlive this object.
   ResponseWriter(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
       : socket_(socket), delegate_(delegate) {}
 
   // Starts to write a response with the HTTP version of its request (10 or 11). `remaining_body` is the part
-  // of the body that follows what `response` contains, or null. `keep_alive` says whether the connection may
-  // go on afterwards. Calls one of the delegate's methods once, never before this returns, unless stopped.
+  // of the body that follows what `response` contains, or null. `keep_alive` is whether the connection may
+  // stay open afterwards. Calls one of the delegate's methods once, never before this returns, unless
+  // stopped.
   void Write(HttpResponse response, std::shared_ptr<BodySource> remaining_body, unsigned version,
              bool keep_alive);
-  // Ends the notifications, and cancels the remaining body if there is one.
+  // Stops the notifications of the delegate, and cancels the remaining body if there is one.
   void Stop();
 
-  // Returns whether the connection may go on behind the response being written. False where the end of the
-  // connection is what delimits the body.
+  // Returns whether the connection may stay open after the current response. False if the body is delimited
+  // by the end of the connection.
   bool keep_alive() const { return keep_alive_; }
   // The status of the current response.
   unsigned status() const { return response_.result_int(); }
-  // Returns whether the client has not read for too long.
+  // Returns whether the client has not read for longer than the write timeout.
   bool TimedOut(Millis now) const;
   // Frees the memory of the response that was written.
   void Reset() { response_ = {}; }
@@ -66,13 +67,13 @@
   Delegate& delegate_;
   HttpResponse response_;
   std::shared_ptr<BodySource> remaining_body_;
-  std::string frame_;            // what precedes the piece being written
+  std::string frame_;            // what is written before the current piece
   bool active_ = false;          // a response is being written
-  bool write_pending_ = false;   // the kernel has not taken what was written yet
+  bool write_pending_ = false;   // the kernel has not accepted all of the last write yet
   Millis write_started_at_ = 0;  // of the last write
-  bool keep_alive_ = true;       // the connection may go on behind the response
-  bool chunked_ = false;         // the body has chunked coding
-  bool ends_by_close_ = false;   // neither length nor coding delimits the body
+  bool keep_alive_ = true;       // the connection may stay open after the response
+  bool chunked_ = false;         // the body has chunked transfer coding
+  bool ends_by_close_ = false;   // neither Content-Length nor chunked coding delimits the body
 };
 
 }  // namespace gateway::proxy
