--- a/src/proxy/body_framing.hpp
+++ b/src/proxy/body_framing.hpp
@@ -9,11 +9,11 @@
 
 namespace gateway::proxy {
 
-// What is written to the socket for one piece: what precedes it, the piece itself, and what follows it.
+// The buffers that are written to the socket for one piece: its prefix, the piece itself, and its trailer.
 using FramedPiece = std::array<boost::asio::const_buffer, 3>;
 
-// Frames a piece of a body for a gathering write. `prefix` holds what has to be written before the piece, a
-// message head for example; the chunk header is appended to it. The last piece is copied into `prefix` too,
+// Frames a piece of a body for a gathering write. `prefix` holds the bytes to write before the piece, for
+// example a message head; the chunk header is appended to it. The last piece is copied into `prefix` too,
 // because its memory is not valid for the duration of the write. Both `prefix` and any other piece must stay
 // unchanged until the write has completed.
 FramedPiece FrameBodyPiece(std::string& prefix, std::string_view piece, bool last, bool chunked);
--- a/src/proxy/body_source.hpp
+++ b/src/proxy/body_source.hpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kBodyPieceBytes = 16 * 1024;
 
 // The part of a body that has not been read from its connection yet. Pieces are pulled one at a time: the
-// next one is read from the socket when it is requested, so that a slow reader slows down the writer.
+// next one is read from the socket only when it is requested, which applies backpressure to the sender.
 //
 // The connection that the body arrives on implements this interface. A shared pointer to the source keeps the
 // connection object alive, but not its socket. All calls are made on the thread of the event loop.
@@ -29,7 +29,7 @@
   // Reads the next piece. Calls `handler` exactly once, and never before this call returns. At most one read
   // may be pending.
   virtual void ReadNext(PieceHandler handler) = 0;
-  // Declares that the rest of the body is not wanted. ReadNext must not be called afterwards.
+  // Discards the rest of the body. ReadNext must not be called afterwards.
   virtual void Cancel() = 0;
   // Returns whether ReadNext was called. From then on the body cannot be read again from its start.
   virtual bool started() const = 0;
--- a/src/proxy/buffer_budget.hpp
+++ b/src/proxy/buffer_budget.hpp
@@ -1,4 +1,4 @@
-// Accounting of the memory that incomplete bodies occupy over all connections of one side of the proxy.
+// Accounting of the memory that incomplete bodies occupy on all connections of one side of the proxy.
 #ifndef GATEWAY_PROXY_BUFFER_BUDGET_HPP_
 #define GATEWAY_PROXY_BUFFER_BUDGET_HPP_
 
--- a/src/proxy/connection_part.hpp
+++ b/src/proxy/connection_part.hpp
@@ -1,4 +1,4 @@
-// What the asynchronous parts of a connection have in common, on both sides of the proxy.
+// The interface between a connection and its asynchronous parts, on both sides of the proxy.
 #ifndef GATEWAY_PROXY_CONNECTION_PART_HPP_
 #define GATEWAY_PROXY_CONNECTION_PART_HPP_
 
--- a/src/proxy/http_types.hpp
+++ b/src/proxy/http_types.hpp
@@ -22,7 +22,7 @@
 // A message with a longer head is rejected.
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
-// Removes the header fields that concern one connection alone (RFC 9110, section 7.6.1). The framing fields
+// Removes the hop-by-hop header fields (RFC 9110, section 7.6.1). The framing fields
 // are set again when the message is written.
 template <typename Message>
 void StripHopByHop(Message& message) {
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -12,7 +12,7 @@
 
 namespace gateway::proxy {
 
-// Returns whether some process listens at the address now.
+// Returns whether a process currently listens at the address.
 inline bool IsAddressInUse(const boost::asio::ip::tcp::endpoint& address) {
   using boost::asio::ip::tcp;
   boost::asio::io_context io(1);
@@ -35,7 +35,7 @@
     acceptor.open(address.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     if (shared) {
-      // A system without the option only keeps other processes from sharing the address.
+      // Without this option other processes cannot share the address, which is no error.
       boost::system::error_code ignored;
       acceptor.set_option(ReusePort(true), ignored);
     }
--- a/src/proxy/load_report.hpp
+++ b/src/proxy/load_report.hpp
@@ -9,7 +9,7 @@
 namespace gateway::proxy {
 
 // Parses "inflight=7,util=0.61" into values in the order of `fields`. A field that is missing or malformed is
-// NaN; unknown ones are skipped. Empty for an empty text.
+// NaN; unknown ones are ignored. Returns an empty vector for an empty text.
 std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace gateway::proxy
--- a/src/proxy/upstream/request_writer.hpp
+++ b/src/proxy/upstream/request_writer.hpp
@@ -16,15 +16,15 @@
 
 namespace gateway::proxy {
 
-// Writes one request at a time: in one go if its body is complete, else piece by piece as its source delivers
+// Writes one request at a time: at once if its body is complete, else piece by piece as its source delivers
 // them.
 class RequestWriter {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // A part of a streamed request is being written: now the endpoint has to read it.
+    // A part of a streamed request is being written, and the endpoint has to read it.
     virtual void OnWaitForEndpoint() = 0;
-    // The next piece of a streamed request was requested: now its client has to send it.
+    // The next piece of a streamed request was requested, and its client has to send it.
     virtual void OnWaitForBody() = 0;
     // The head and the buffered part of a streamed request were written. May stop the writer.
     virtual void OnBufferedPartSent() = 0;
@@ -38,23 +38,24 @@
     ~Delegate() = default;
   };
 
-  // The socket and the delegate belong to the connection, and outlive this.
+  // The socket and the delegate belong to the connection, and outlive this object.
   RequestWriter(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
       : socket_(socket), delegate_(delegate) {}
 
-  // Writes a complete request, with the time that is left until `deadline` as its deadline.
+  // Writes a complete request, and states the remaining time until `deadline` in it.
   void Write(const HttpRequest& request, Millis deadline);
-  // Writes a request whose body goes on with `remaining_body`. Its deadline is that which the client stated,
-  // since the client's time counts from the last byte.
+  // Writes a request whose body continues with `remaining_body`. States the same deadline as the client did,
+  // since that counts from the last byte of the request.
   void WriteStreamed(std::shared_ptr<const HttpRequest> request, std::shared_ptr<BodySource> remaining_body);
-  // Ends the notifications. What is being written stays in memory until the write has ended.
+  // Stops the notifications of the delegate. The buffers of a pending write stay valid until it has
+  // completed.
   void Stop();
   // Frees the memory of a request that was written completely.
   void Reset() { head_and_body_ = {}; }
 
   // Whether the last part of the body is being written, or was.
   bool last_part_started() const { return last_part_started_; }
-  // Of the current request. The body's size is 0 for a streamed request.
+  // The traffic class and the body size of the current request. The size is 0 for a streamed request.
   std::string_view class_name() const;
   std::size_t body_bytes() const { return head_and_body_.body().size(); }
 
@@ -68,7 +69,7 @@
   Delegate& delegate_;
   HttpRequest head_and_body_;  // as sent; without the body if that is streamed
   std::shared_ptr<BodySource> remaining_body_;
-  std::string frame_;               // what precedes the piece being written
+  std::string frame_;               // what is written before the current piece
   bool active_ = false;             // a request is being written
   bool last_part_started_ = false;  // see last_part_started()
 };
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -16,9 +16,9 @@
 
 // The largest number of unparsed bytes: a message head, or the header of a chunk.
 constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
-// The read size while a body is buffered. Beast's own choice is 512 bytes.
+// The read size while a body is buffered. Beast's default is 512 bytes.
 constexpr std::size_t kBufferedReadBytes = kBodyPieceBytes / 4;
-// The time for which a body of unknown length is buffered. It may be a long one, whose client waits for its
+// The time for which a body of unknown length is buffered. It may be long, and the client may wait for its
 // first bytes.
 constexpr Millis kMaxUnsizedBufferTimeMs = 50;
 
@@ -57,7 +57,7 @@
   response_.base() = head();
   const bool long_body = parser_->content_length().value_or(0) > kMaxBufferedBodyBytes;
   const bool served = response_.result() == http::status::ok;
-  served&& long_body ? delegate_.OnBufferLimitReached() : ReadPiece();
+  (served && long_body) ? delegate_.OnBufferLimitReached() : ReadPiece();
 }
 
 void ResponseReader::StartStreaming() {
@@ -130,7 +130,7 @@
           handler({}, {piece_.data(), received_bytes}, false);
         });
   }
-  // The last piece owns its memory: the connection may serve another request by then.
+  // The last piece owns its memory: the connection may serve another request before the handler is called.
   asio::post(io_, [piece = std::make_shared<std::vector<char>>(std::exchange(piece_, {})),
                    handler = std::move(handler), received_bytes] {
     handler({}, {piece->data(), received_bytes}, true);
--- a/src/proxy/upstream/response_reader.hpp
+++ b/src/proxy/upstream/response_reader.hpp
@@ -32,20 +32,20 @@
     virtual void OnResponseHead(boost::system::error_code error) = 0;
     // The response is complete, and buffered.
     virtual void OnResponseBuffered() = 0;
-    // What was read of the body is not to be buffered any longer. The delegate calls StartStreaming, or Stop.
+    // The limit for buffering the body is reached. The delegate calls StartStreaming, or Stop.
     virtual void OnBufferLimitReached() = 0;
-    // A piece of a streamed body, not the last one, is passed on.
+    // A piece of a streamed body, other than the last one, is about to be delivered.
     virtual void OnPieceStreamed() = 0;
-    // The last piece of a streamed body is passed on.
+    // The last piece of a streamed body is about to be delivered.
     virtual void OnResponseStreamed() = 0;
-    // The body's read has failed, or the body violates HTTP.
+    // Reading the body has failed, or the body violates HTTP.
     virtual void OnResponseBroken(boost::system::error_code error) = 0;
 
    protected:
     ~Delegate() = default;
   };
 
-  // The socket and the delegate belong to the connection, and outlive this.
+  // The socket and the delegate belong to the connection, and outlive this object.
   ResponseReader(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, BufferBudget& budget,
                  Delegate& delegate);
 
@@ -53,30 +53,30 @@
   void ReadHead();
   // Reads the body of the response whose head has arrived.
   void ReadBody();
-  // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the part before.
+  // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the part that is buffered already.
   void StartStreaming();
   // Streams the body, see BodySource::ReadNext. Only between StartStreaming and the last piece.
   void ReadNextPiece(BodySource::PieceHandler handler);
-  // Ends the notifications on the body, and the accounting of its memory. A pending piece handler stays
-  // pending.
+  // Stops the notifications about the body, and releases its share of the buffer budget. A pending piece
+  // handler stays pending.
   void Stop();
   // Calls a pending piece handler with an error, after this returns.
   void FailPendingPiece();
-  // The same for a handler that comes too late.
+  // Does the same for a handler that was passed after the end of the attempt.
   void Fail(BodySource::PieceHandler handler);
 
   // The head of the current response, before ReadBody.
   const HttpResponse::header_type& head() const { return parser_->get().base(); }
-  // Whether the head is that of an interim response such as 100 Continue: the response itself follows. A
-  // switch of protocols is not interim; it was never asked for.
+  // Whether the head is that of an interim response such as 100 Continue, which the final response follows. A
+  // switch of protocols does not count as interim, because the gateway never requests one.
   bool is_interim() const;
-  // Whether the head states a longer body than is accepted.
+  // Whether the Content-Length exceeds the limit on bodies.
   bool exceeds_body_limit() const;
-  // The response as far as it is buffered.
+  // The buffered part of the response.
   const HttpResponse& response() const { return response_; }
   HttpResponse ReleaseResponse() { return std::exchange(response_, {}); }
   bool streaming() const { return streaming_; }
-  // Whether the endpoint keeps the connection open, and has sent nothing behind the response.
+  // Whether the endpoint keeps the connection open, and has sent nothing after the response.
   bool AllowsReuse() const { return parser_->keep_alive() && buffer_.size() == 0; }
   // Frees the memory for bodies, for a connection that becomes idle.
   void ReleaseMemory();
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -19,11 +19,11 @@
 using policy::AttemptResult;
 using tcp = asio::ip::tcp;
 
-// The time in which a streamed response must go on, on the endpoint's side and on the client's.
+// The longest time for which a streamed response waits for its endpoint, or for its client to read.
 constexpr Millis kStreamTimeoutMs = 30000;
-// The time in which an endpoint must read a part of a streamed request.
+// The time within which an endpoint must read a part of a streamed request.
 constexpr Millis kEndpointReadTimeoutMs = 5000;
-// An expiry that comes sooner than this before the due time is that of a wait which was replaced.
+// A timer that fires earlier than this before the due time belongs to a wait that was replaced.
 constexpr Millis kTimerToleranceMs = 1;
 
 }  // namespace
@@ -64,7 +64,7 @@
 void UpstreamConnection::OnConnected(error_code error) {
   connecting_ = false;
   if (error) return EndAttempt(AttemptResult::kConnectFailed);
-  const auto may_send = std::move(attempt_->request.may_send);  // the call may end the attempt
+  const auto may_send = std::move(attempt_->request.may_send);  // the callback may end the attempt
   if (!context_.owner.MayUse(endpoint_, address_) || (may_send && !may_send())) {
     return EndAttempt(AttemptResult::kNotSent);
   }
@@ -191,8 +191,9 @@
   reader_.ReadBody();
 }
 
-// The endpoint responded, or closed, before it had the whole request. If the last part of the request is
-// being sent already, the end of that write tells whether the endpoint may have executed the request.
+// The endpoint responded, or closed the connection, before it received the complete request. If the last part
+// of the request is already being sent, the result of that write shows whether the endpoint may have executed
+// the request.
 void UpstreamConnection::OnEarlyResponse(error_code error) {
   if (writer_.last_part_started()) {
     broken_before_sent_ = true;
@@ -200,7 +201,7 @@
   }
   if (error) return EndAttempt(AttemptResult::kConnectFailed);
   const AttemptResult result = ClassifyResponse(reader_.head());
-  // A success cannot refer to the whole request.
+  // The request was incomplete, so a success cannot be valid.
   EndAttempt(result == AttemptResult::kServed ? AttemptResult::kError : result);
 }
 
@@ -213,7 +214,7 @@
   FinishAttempt(result, std::move(response));
 }
 
-// Of a failed attempt the head is enough.
+// For a failed attempt the head of the response is sufficient.
 void UpstreamConnection::OnBufferLimitReached() {
   const AttemptResult result = ClassifyResponse(reader_.response());
   result == AttemptResult::kServed ? StartStreaming() : EndAttempt(result);
@@ -223,7 +224,7 @@
   reader_.StartStreaming();
   SetTimer(Now() + kStreamTimeoutMs);
   const auto on_response_streaming = std::move(attempt_->request.on_response_streaming);
-  // The call may end the attempt.
+  // The callback may end the attempt.
   on_response_streaming(reader_.ReleaseResponse(), shared_from_this());
 }
 
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -32,7 +32,7 @@
   virtual ~UpstreamConnectionOwner() = default;
   // Returns whether requests may be sent to this endpoint at this address.
   virtual bool MayUse(const std::string& endpoint, const boost::asio::ip::tcp::endpoint& address) const = 0;
-  // The connection serves the attempt from now on, or not any longer.
+  // The connection has begun to serve the attempt, or has ceased to.
   virtual void OnAttemptStarted(AttemptId attempt, const std::shared_ptr<UpstreamConnection>& connection) = 0;
   virtual void OnAttemptEnded(AttemptId attempt) = 0;
   // The connection can serve another attempt. Called only while MayUse returns true.
@@ -41,17 +41,17 @@
   virtual void OnIdleClosed(const UpstreamConnection& connection) = 0;
 };
 
-// Cumulative numbers since the start of the process.
+// Counters since the start of the process.
 struct UpstreamCounts {
-  std::uint64_t connects = 0;       // connections that were begun
-  std::uint64_t reuses = 0;         // attempts that got an idle connection
-  std::uint64_t stale = 0;          // idle connections found closed when they were to be reused
+  std::uint64_t connects = 0;       // connections that were started
+  std::uint64_t reuses = 0;         // attempts that were sent on an idle connection
+  std::uint64_t stale = 0;          // idle connections that were found closed on reuse
   std::uint64_t resets_new = 0;     // connections that broke after their first request was sent
   std::uint64_t resets_reused = 0;  // connections that broke after a later request was sent
   std::uint64_t not_started = 0;    // attempts for which there was no endpoint or no connection
 };
 
-// What all connections of a pool share. Must outlive their last event.
+// State that all connections of a pool share. Must outlive their last event.
 struct UpstreamConnectionContext {
   boost::asio::io_context& io;
   UpstreamConnectionOwner& owner;
@@ -64,7 +64,7 @@
 };
 
 // Serves the attempts for one endpoint, one after the other. A read is always pending, so that a close by the
-// endpoint is noticed while the connection is idle. For a response that is streamed the connection is the
+// endpoint is detected while the connection is idle. For a response that is streamed the connection is the
 // body's source.
 //
 // The owner holds a shared pointer while the connection serves an attempt or is idle; pending operations and
@@ -92,7 +92,7 @@
   // Closes the connection, which must not serve an attempt. No effect if it is closed.
   void Close();
 
-  // Asks the socket whether an idle connection is open still, with nothing received on it.
+  // Asks the socket whether an idle connection is still open and has received nothing.
   bool IsUsable();
   bool connecting() const { return connecting_; }
 
@@ -145,11 +145,11 @@
   std::optional<Attempt> attempt_;
   bool open_ = false;
   bool connecting_ = false;
-  bool request_sent_ = false;        // completely
+  bool request_sent_ = false;        // to its last byte
   bool broken_before_sent_ = false;  // the endpoint responded or closed while the last part was being sent
-  int uses_ = 0;                     // attempts that it has served, with the current one
+  int uses_ = 0;                     // attempts served on it, including the current one
   Millis attempt_started_at_ = 0;
-  Millis idle_since_ = 0;  // before the current attempt
+  Millis idle_since_ = 0;  // start of the last idle period
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -1,4 +1,5 @@
-// The connections to endpoints: one request at a time on each, and the most recently used one first.
+// A pool of connections to endpoints. Each serves one request at a time, and the most recently used one is
+// reused first.
 #ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
 #define GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
 
@@ -22,36 +23,36 @@
   Millis connect_timeout_ms = 250;
   // How long endpoints leave an idle connection open. The pool closes it sooner.
   Millis endpoint_idle_timeout_ms = 15000;
-  // Connections over all endpoints, see SetConnectionLimit.
+  // The limit on connections to all endpoints together, see SetConnectionLimit.
   std::size_t connection_limit = 256;
   // Bytes of response bodies that are buffered over all connections, beyond which bodies are streamed sooner.
   std::size_t response_budget_bytes = 16 * 1024 * 1024;
 };
 
-// Sends attempts to endpoints, on idle connections where there are any, else on new ones. Runs on the event
+// Sends attempts to endpoints, on idle connections if there are any, else on new ones. Runs on the event
 // loop's thread, and must outlive the events of `io` that concern it.
 class UpstreamPool final : private UpstreamConnectionOwner {
  public:
   UpstreamPool(boost::asio::io_context& io, const UpstreamPoolOptions& options);
 
   // Applies a complete list of endpoints, or a change of the list. Takes effect at once: nothing more is sent
-  // to an endpoint that drains or is not listed any more, not even on a connection that is being established.
+  // to an endpoint that drains or is no longer listed, not even on a connection that is being established.
   // The cost of a change does not depend on the length of the list.
   void ApplyEndpointList(const EndpointList& list);
 
-  // Sends the request, unless the endpoint must not be used, its deadline has passed, or no connection is to
-  // be had: the attempt ends with kNotSent then, before this returns.
+  // Sends the request. If the endpoint must not be used, the deadline has passed, or no connection is
+  // available, the attempt ends with kNotSent before this returns.
   AttemptId Start(const std::string& endpoint, UpstreamRequest request);
-  // Changes the deadline of an attempt. No effect if it has ended.
+  // Changes the deadline of an attempt. Has no effect if the attempt has ended.
   void SetDeadline(AttemptId attempt, Millis deadline);
-  // Ends an attempt that is still waiting for its connection, with kNotSent. No effect on any other.
+  // Ends an attempt whose connection is still being established with kNotSent. Has no effect on any other.
   void CancelUnsent(AttemptId attempt);
-  // Ends an attempt with kCancelled, and closes its connection. No effect if it has ended.
+  // Ends an attempt with kCancelled, and closes its connection. Has no effect if the attempt has ended.
   void Cancel(AttemptId attempt);
 
-  // Idle, connecting, and serving an attempt.
+  // The number of connections that are idle, connecting, or serving an attempt.
   std::size_t connections() const { return context_.open_connections; }
-  // Changes the limit on connections. Idle connections beyond it are closed.
+  // Changes the limit on connections. Closes idle connections in excess of it.
   void SetConnectionLimit(std::size_t limit);
 
   const UpstreamCounts& counts() const { return context_.counts; }
@@ -61,7 +62,7 @@
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
     bool up = false;
-    IdleConnections idle;  // the most recently used last
+    IdleConnections idle;  // the most recently used one last
   };
 
   // UpstreamConnectionOwner
--- a/src/proxy/upstream/upstream_request.hpp
+++ b/src/proxy/upstream/upstream_request.hpp
@@ -1,4 +1,4 @@
-// One attempt of a request, as the gateway hands it to the upstream pool.
+// One attempt of a request, as the gateway passes it to the upstream pool.
 #ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_REQUEST_HPP_
 #define GATEWAY_PROXY_UPSTREAM_UPSTREAM_REQUEST_HPP_
 
@@ -16,26 +16,26 @@
 // Identifies an attempt within its pool. Never reused.
 using AttemptId = std::uint64_t;
 
-// What to send, and the callbacks that report the attempt's progress. Callbacks are called on the event
-// loop's thread and may call back into the pool. `on_end` is required, and `on_response_streaming` too unless
-// all responses are short enough to be buffered; the others may be empty.
+// The request to send, and the callbacks that report the attempt's progress. Callbacks are called on the
+// event loop's thread and may call back into the pool. `on_end` is required, and `on_response_streaming` too
+// unless all responses are short enough to be buffered; the others may be empty.
 struct UpstreamRequest {
-  // The head, and the body as far as it is buffered. Shared among the attempts of one request.
+  // The head, and the buffered part of the body. Shared among the attempts of one request.
   std::shared_ptr<const HttpRequest> request;
-  // The part of the body behind what is buffered; null if the body is complete.
+  // The part of the body that follows the buffered one; null if the body is complete.
   std::shared_ptr<BodySource> remaining_body;
-  // When the response must have arrived, or the attempt ends with kTimedOut; see Now().
+  // If the response has not arrived by this time, the attempt ends with kTimedOut; see Now().
   Millis deadline = 0;
-  // Called once a connection that had to be opened is established. Returns whether the request is still to be
-  // sent; if not, the attempt ends with kNotSent. May cancel the attempt, and must then return false.
+  // Called when a new connection is established. Returns whether the request should still be sent; if not,
+  // the attempt ends with kNotSent. May cancel the attempt, and must then return false.
   std::function<bool()> may_send;
   // Everything that is buffered has been sent, and `remaining_body` follows. The pool keeps no pointer to
   // `request` from here on.
   std::function<void()> on_buffered_part_sent;
   // The last byte of the request was handed to the kernel.
   std::function<void()> on_request_sent;
-  // The head of a response with status 200 has arrived whose body is not going to be buffered. `response`
-  // holds what there is of the body, `remaining_body` delivers the rest. `on_end` follows.
+  // The head of a response with status 200 has arrived whose body is streamed instead of buffered. `response`
+  // holds the part of the body that has arrived, `remaining_body` delivers the rest. `on_end` follows.
   std::function<void(HttpResponse response, std::shared_ptr<BodySource> remaining_body)>
       on_response_streaming;
   // The attempt has ended; called exactly once, possibly before UpstreamPool::Start returns. `response` is
