--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -69,14 +69,14 @@
 
 // The deadline of the request and the timeouts of its attempts count from now, since an endpoint cannot
 // execute an incomplete request.
-void RequestForwarder::OnRequestComplete(const std::string& id, Millis at) {
+void RequestForwarder::OnRequestComplete(const std::string& id, Millis completed_at) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || std::exchange(active->complete, true)) return;
-  SetDeadline(id, *active, at + active->time_allowed);
+  SetDeadline(id, *active, completed_at + active->time_allowed);
   for (Attempt& attempt : active->attempts) {
     if (!attempt.in_flight) continue;
-    attempt.sent_at = at;
-    upstream_.SetDeadline(attempt.id, std::min(at + attempt.timeout, active->respond_by));
+    attempt.sent_at = completed_at;
+    upstream_.SetDeadline(attempt.id, std::min(completed_at + attempt.timeout, active->respond_by));
   }
   driver_.Report(policy::RequestComplete{id, active->respond_by - Now()});
 }
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -34,8 +34,8 @@
 
   // Begins to handle a request. Rejects it if another request with the same ID is active.
   void OnRequest(ClientRequest request);
-  // Records that the last byte of a request whose body was incomplete was read at `at`.
-  void OnRequestComplete(const std::string& id, Millis at);
+  // Records that the last byte of a request whose body was incomplete was read at `completed_at`.
+  void OnRequestComplete(const std::string& id, Millis completed_at);
   // Records that the client of the request has disconnected.
   void OnClientDisconnected(const std::string& id);
 
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -100,7 +100,7 @@
   attempt_ = Attempt{id, std::move(request)};
   request_sent_ = false;
   broken_before_sent_ = false;
-  ++uses_;
+  ++attempt_count_;
   attempt_started_at_ = Now();
   context_.owner.OnAttemptStarted(id, shared_from_this());
 }
@@ -246,15 +246,15 @@
 }
 
 void UpstreamConnection::OnResponseBroken(error_code error) {
-  const bool reused = uses_ > 1;
+  const bool reused = attempt_count_ > 1;
   ++(reused ? context_.counts.resets_reused : context_.counts.resets_new);
   context_.error_log.LogReset({.endpoint = endpoint_,
                                .error = error,
                                .class_name = writer_.class_name(),
                                .request_body_bytes = writer_.body_bytes(),
-                               .use = uses_,
+                               .request_number = attempt_count_,
                                .idle_ms = reused ? attempt_started_at_ - idle_since_ : 0,
-                               .since_used_ms = Now() - attempt_started_at_});
+                               .attempt_ms = Now() - attempt_started_at_});
   EndAttempt(AttemptResult::kReset);
 }
 
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -147,7 +147,7 @@
   bool connecting_ = false;
   bool request_sent_ = false;        // to its last byte
   bool broken_before_sent_ = false;  // the endpoint responded or closed while the last part was being sent
-  int uses_ = 0;                     // attempts served on it, including the current one
+  int attempt_count_ = 0;            // attempts served on it, including the current one
   Millis attempt_started_at_ = 0;
   Millis idle_since_ = 0;  // start of the last idle period
 };
--- a/src/proxy/upstream/upstream_error_log.cpp
+++ b/src/proxy/upstream/upstream_error_log.cpp
@@ -17,8 +17,8 @@
   char text[kMaxDetailBytes];
   std::snprintf(text, sizeof text,
                 ", class %.*s, %zu body bytes, request %d on connection, idle %.1f ms, reset after %.1f ms",
-                name_bytes, reset.class_name.data(), reset.request_body_bytes, reset.use, reset.idle_ms,
-                reset.since_used_ms);
+                name_bytes, reset.class_name.data(), reset.request_body_bytes, reset.request_number,
+                reset.idle_ms, reset.attempt_ms);
   return text;
 }
 
@@ -37,9 +37,9 @@
             "connection reset by " + reset.endpoint + ": " + reset.error.message() + DescribeReset(reset),
             {{"host", reset.endpoint},
              {"class", reset.class_name},
-             {"use", reset.use},
+             {"use", reset.request_number},
              {"rested_ms", reset.idle_ms},
-             {"after_ms", reset.since_used_ms}});
+             {"after_ms", reset.attempt_ms}});
 }
 
 void UpstreamErrorLog::LogErrorResponse(const std::string& endpoint, unsigned status) {
--- a/src/proxy/upstream/upstream_error_log.hpp
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -17,9 +17,9 @@
   boost::system::error_code error;
   std::string_view class_name;  // of the request's traffic class
   std::size_t request_body_bytes;
-  int use;               // number of the request on the connection, from 1
-  Millis idle_ms;        // for which the connection was idle before the request; 0 if it was new
-  Millis since_used_ms;  // since the request was assigned to the connection
+  int request_number;  // number of the request on the connection, from 1
+  Millis idle_ms;      // for which the connection was idle before the request; 0 if it was new
+  Millis attempt_ms;   // time since the request was assigned to the connection
 };
 
 // Logs at most one failure, of either kind, per interval, because an outage breaks many connections at once.
