--- a/include/gateway/policy.hpp
+++ b/include/gateway/policy.hpp
@@ -32,7 +32,7 @@
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
   // Number of listed endpoints that are up and ejected by outlier detection.
-  std::size_t EjectedEndpoints() const;
+  std::size_t EjectedEndpointCount() const;
 
   // For the next process of this gateway.
   LearnedState ExportState() const;
@@ -44,7 +44,7 @@
 
   // Multiplies the admission rate and the limits of all endpoints by `factor`. While two processes act as one
   // gateway each takes a share: 0.5 when the overlap begins, 2 when it ends.
-  void ScaleToShare(double factor);
+  void ScaleLimits(double factor);
 
  private:
   class Impl;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -49,7 +49,7 @@
     requests_.ReleaseQueued(context);
   }
 
-  std::size_t EjectedEndpoints() const { return upstream_.EjectedCount(); }
+  std::size_t EjectedEndpointCount() const { return upstream_.EjectedCount(); }
 
   LearnedState Export() const {
     LearnedState state;
@@ -143,12 +143,12 @@
   impl_->Handle(now, event, actions);
 }
 
-std::size_t Policy::EjectedEndpoints() const { return impl_->EjectedEndpoints(); }
+std::size_t Policy::EjectedEndpointCount() const { return impl_->EjectedEndpointCount(); }
 
 LearnedState Policy::ExportState() const { return impl_->Export(); }
 
 void Policy::ImportState(Millis now, const LearnedState& state) { impl_->Import(now, state); }
 
-void Policy::ScaleToShare(double factor) { impl_->Scale(factor); }
+void Policy::ScaleLimits(double factor) { impl_->Scale(factor); }
 
 }  // namespace gateway::policy
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -131,7 +131,7 @@
   callbacks.is_stopping = [this] { return stopping_; };
   callbacks.listener = [this] { return clients_.listener(); };
   callbacks.export_state = [this] { return StateForSuccessor(); };
-  callbacks.scale_rate = [this](double factor) { driver_.policy().ScaleToShare(factor); };
+  callbacks.scale_rate = [this](double factor) { driver_.policy().ScaleLimits(factor); };
   callbacks.limit_connections = [this](bool half) { UseHalfOfConnections(half); };
   callbacks.adopt_client = [this](base::FileDescriptor client) {
     clients_.AcceptTransferredConnection(std::move(client));
@@ -237,7 +237,7 @@
   status.upstream_connections = upstream_.connections();
   status.upstream_counts = upstream_.counts();
   status.endpoints = list_.endpoints().size();
-  status.ejected_endpoints = driver_.policy().EjectedEndpoints();
+  status.ejected_endpoints = driver_.policy().EjectedEndpointCount();
   status.list_revision = list_.revision();
   status.list_service = list_.service_index();
   status.list_age = Now() - std::max(list_.last_list_at(), list_confirmed_at_);
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -17,20 +17,20 @@
   FakeGateway former;
   former.AddEndpoints(3);
   former.ServeRequests(200, 50);
-  for (int i = 0; i < 40 && former.policy.EjectedEndpoints() == 0; ++i) {
+  for (int i = 0; i < 40 && former.policy.EjectedEndpointCount() == 0; ++i) {
     const std::string id = "f" + std::to_string(i);
     const std::string endpoint = FakeGateway::SentEndpoint(former.SendRequest(id));
     former.now += 1;
     former.FinishAttempt(id, endpoint,
                          endpoint == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 50);
   }
-  ASSERT_EQ(former.policy.EjectedEndpoints(), 1u);
+  ASSERT_EQ(former.policy.EjectedEndpointCount(), 1u);
   const LearnedState learned = former.policy.ExportState();
   FakeGateway successor;
   successor.now = former.now;
   successor.AddEndpoints(3);
   successor.policy.ImportState(successor.now, learned);
-  EXPECT_EQ(successor.policy.EjectedEndpoints(), 1u);
+  EXPECT_EQ(successor.policy.EjectedEndpointCount(), 1u);
   for (int i = 0; i < 10; ++i) {
     EXPECT_NE(FakeGateway::SentEndpoint(successor.SendRequest("n" + std::to_string(i))), "s1");
   }
@@ -38,13 +38,13 @@
   ASSERT_EQ(exported.endpoints.size(), 3u);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(exported.endpoints[i].latency, learned.endpoints[i].latency);
   EXPECT_EQ(exported.rate, learned.rate);
-  successor.policy.ScaleToShare(0.5);
+  successor.policy.ScaleLimits(0.5);
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().rate, learned.rate / 2);
   ASSERT_EQ(learned.machine_types.size(), 1u);
   EXPECT_GT(learned.machine_types[0].served, 0);
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().machine_types.at(0).served,
                    learned.machine_types[0].served / 2);
-  successor.policy.ScaleToShare(2);
+  successor.policy.ScaleLimits(2);
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().rate, learned.rate);
 }
 
@@ -104,7 +104,7 @@
     successor.AddEndpoints(5);
     successor.policy.ImportState(successor.now, state);
     const LearnedState imported = successor.policy.ExportState();
-    EXPECT_EQ(successor.policy.EjectedEndpoints(), row.ejected ? 1u : 0u) << row.down;
+    EXPECT_EQ(successor.policy.EjectedEndpointCount(), row.ejected ? 1u : 0u) << row.down;
     EXPECT_EQ(imported.endpoints[0].latency > 0, row.measured) << row.down;
     EXPECT_GE(imported.rate, 10 * row.minimum_rate) << row.down;
     for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(imported.endpoints[i].samples, state.endpoints[i].samples);
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -335,7 +335,7 @@
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   gateway.ServeRequests(100, 50);
-  for (int i = 0; i < 200 && gateway.policy.EjectedEndpoints() == 0; ++i) {
+  for (int i = 0; i < 200 && gateway.policy.EjectedEndpointCount() == 0; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
     gateway.AdvanceTime(50);
@@ -343,7 +343,7 @@
     gateway.AdvanceTime(1500);  // no other attempt is served meanwhile
     gateway.Handle(AttemptOutcome{id, 0, endpoint, AttemptResult::kReset, true, 1550, {}});
   }
-  EXPECT_GT(gateway.policy.EjectedEndpoints(), 0u);
+  EXPECT_GT(gateway.policy.EjectedEndpointCount(), 0u);
 }
 
 TEST(OutlierDetectionTest, EjectsAboveAFailureRateOf30PercentAndDoublesTheProbeBackoff) {
