--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -36,10 +36,10 @@
   std::size_t class_index = 0;  // in Settings::classes
   std::uint64_t key_hash = 0;   // of the routing key; 0 = none
   Millis arrived_at = 0;
-  Millis objective_at = 0;  // end of the latency objective
-  Millis deadline_at = 0;   // the client gives up
+  Millis objective_ends_at = 0;  // end of the latency objective
+  Millis deadline_at = 0;        // the client gives up
   // A repeat of what may have been executed has to begin by then, while endpoints still drop repeats.
-  Millis repeat_by = std::numeric_limits<Millis>::infinity();
+  Millis repeat_deadline_at = std::numeric_limits<Millis>::infinity();
   bool within_quota = true;
   bool answered = false;
   bool queued = false;
@@ -49,7 +49,7 @@
   bool HasAttemptInFlight() const { return std::ranges::any_of(attempts, &Attempt::in_flight); }
 
   // The first attempt that may have been executed, or null.
-  const Attempt* FirstExecuted() const {
+  const Attempt* FirstPossiblyExecuted() const {
     const auto found = std::ranges::find_if(attempts, &Attempt::may_have_executed);
     return found == attempts.end() ? nullptr : &*found;
   }
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second, above what any endpoint serves
-constexpr double kIncrease = 0.3;                 // tokens per second, for each response within its objective
+constexpr double kAdditiveIncrease = 0.3;         // tokens per second, for each response within its objective
 constexpr double kMaximumRelativeIncrease = 0.05;
 constexpr double kDecreaseFactor = 0.85;
-constexpr Millis kMinimumDecreaseInterval = 100;
-constexpr Millis kBucketPeriod = 50;       // the bucket holds the tokens of this time
-constexpr double kMinimumBucket = 2;       // tokens
-constexpr Millis kSentMemory = 1000;       // time constant of the rate of sent attempts
-constexpr double kSharedMemoryFactor = 4;  // times that, where a gateway sends each endpoint little
+constexpr Millis kMinimumDecreaseIntervalMs = 100;
+constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens of this time
+constexpr double kMinimumBucketTokens = 2;        // tokens
+constexpr Millis kSentRateTimeConstantMs = 1000;  // time constant of the rate of sent attempts
+constexpr double kSharedTimeConstantFactor = 4;   // times that, where a gateway sends each endpoint little
 
 // Failure rate above which the rate is decreased. It is higher where many gateways share an endpoint, since
 // the decreases of all of them add up.
@@ -35,12 +35,12 @@
   return 1.0 * fleet.endpoints_up / fleet.gateway_count;
 }
 
-Millis AdmissionRate::SentMemory(const Fleet& fleet) {
-  return kSentMemory * (fleet.many_gateways_per_endpoint ? kSharedMemoryFactor : 1);
+Millis AdmissionRate::SentRateTimeConstant(const Fleet& fleet) {
+  return kSentRateTimeConstantMs * (fleet.many_gateways_per_endpoint ? kSharedTimeConstantFactor : 1);
 }
 
 double AdmissionRate::BucketCapacity() const {
-  return std::max(kMinimumBucket, rate_ * kBucketPeriod / 1000);
+  return std::max(kMinimumBucketTokens, rate_ * kBucketPeriodMs / 1000);
 }
 
 void AdmissionRate::Advance(Millis passed, const Fleet& fleet) {
@@ -48,12 +48,12 @@
   if (first) rate_ = kInitialRatePerEndpoint * fleet.endpoints_up;
   const double capacity = BucketCapacity();
   tokens_ = first ? capacity : std::min(tokens_ + rate_ * passed / 1000, capacity);
-  sent_.Advance(passed, SentMemory(fleet));
+  sent_.Advance(passed, SentRateTimeConstant(fleet));
 }
 
 void AdmissionRate::TakeToken(const Fleet& fleet) {
   tokens_ -= 1;
-  sent_.Add(1000 / SentMemory(fleet));
+  sent_.Add(1000 / SentRateTimeConstant(fleet));
 }
 
 bool AdmissionRate::RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet) {
@@ -61,7 +61,7 @@
   const double weight = std::clamp(1 / (1 + rate_), kMinimumOutcomeWeight, kMaximumOutcomeWeight);
   failure_rate_ += weight * ((within_objective ? 0.0 : 1.0) - failure_rate_);
   if (within_objective) {
-    const double increase = std::min(kIncrease, kMaximumRelativeIncrease * rate_);
+    const double increase = std::min(kAdditiveIncrease, kMaximumRelativeIncrease * rate_);
     rate_ = std::min(rate_ + increase, MaximumRate(fleet));
     return false;
   }
@@ -72,7 +72,7 @@
 void AdmissionRate::Decrease(Millis now, Millis round_trip, const Fleet& fleet) {
   rate_ = std::max(MinimumRate(fleet), std::min(rate_, SentPerSecond()) * kDecreaseFactor);
   decreased_at_ = now;
-  next_decrease_at_ = now + std::max(kMinimumDecreaseInterval, round_trip);
+  next_decrease_at_ = now + std::max(kMinimumDecreaseIntervalMs, round_trip);
 }
 
 bool AdmissionRate::AdmitsBeyondQuota() const { return failure_rate_ < kSharedFailureThreshold; }
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -45,7 +45,7 @@
     return failure_rate_;
   }  // smoothed share of outcomes not within the objective
   double SentPerSecond() const { return sent_.Rate(); }
-  double sent_sum() const { return sent_.decayed_sum(); }
+  double sent_decayed_sum() const { return sent_.decayed_sum(); }
 
   void Export(LearnedState& state) const;
   // `kept`: the share of what was learned that still holds, by its age. `share`: this gateway's part of the
@@ -56,7 +56,7 @@
  private:
   static double MaximumRate(const Fleet& fleet);
   static double MinimumRate(const Fleet& fleet);
-  static Millis SentMemory(const Fleet& fleet);
+  static Millis SentRateTimeConstant(const Fleet& fleet);
   double BucketCapacity() const;
 
   double tokens_ = 1;
--- a/src/policy/class_queues.cpp
+++ b/src/policy/class_queues.cpp
@@ -7,16 +7,16 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMaximumCredit = 4;        // requests, and the same below 0
-constexpr double kMinimumQueueLength = 32;  // requests that every class can queue
-constexpr double kMaximumWaitShare = 0.25;  // of its latency objective that a request may wait
+constexpr double kMaximumCredit = 4;          // requests, and the same below 0
+constexpr double kMinimumQueueRequests = 32;  // requests that every class can queue
+constexpr double kMaximumWaitShare = 0.25;    // of its latency objective that a request may wait
 
 }  // namespace
 
 Millis QueueDeadline(const ActiveRequest& request) {
-  const Millis objective = request.objective_at - request.arrived_at;
+  const Millis objective = request.objective_ends_at - request.arrived_at;
   return std::min(request.arrived_at + kMaximumWaitShare * objective,
-                  request.deadline_at - kQueueAnswerMargin);
+                  request.deadline_at - kQueueAnswerMarginMs);
 }
 
 ClassQueues::ClassQueues(const std::vector<TrafficClassSettings>& classes) {
@@ -36,7 +36,7 @@
 
 bool ClassQueues::IsFull(std::size_t class_index, double sent_per_second) const {
   const Class& traffic_class = classes_[class_index];
-  const double capacity = sent_per_second * traffic_class.latency_objective / 1000 + kMinimumQueueLength;
+  const double capacity = sent_per_second * traffic_class.latency_objective / 1000 + kMinimumQueueRequests;
   return static_cast<double>(traffic_class.size()) >= capacity;
 }
 
@@ -89,7 +89,7 @@
   return *std::ranges::find_if(queues, [](const Queue& queue) { return !queue.empty(); })->front();
 }
 
-void ClassQueues::SettleCredit(std::size_t class_index) {
+void ClassQueues::RecordRelease(std::size_t class_index) {
   for (Class& traffic_class : classes_) {
     const double earned = traffic_class.size() > 0 ? traffic_class.weight : 0;
     traffic_class.credit = std::min(kMaximumCredit, traffic_class.credit + earned);
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -21,7 +21,7 @@
 
 // Time before the client gives up by which a request has to be answered: two sweeps, since timers may be
 // late.
-constexpr Millis kQueueAnswerMargin = 20;
+constexpr Millis kQueueAnswerMarginMs = 20;
 
 // The time by which a queued request must have been released. What waited longer would be sent with too
 // little of its latency objective left.
@@ -60,7 +60,7 @@
   ActiveRequest& Next(std::size_t class_index);
 
   // Accounts for the release of one request of the class, before it is removed.
-  void SettleCredit(std::size_t class_index);
+  void RecordRelease(std::size_t class_index);
 
  private:
   using Queue = std::deque<ActiveRequest*>;
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -8,14 +8,14 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kLatencySampleWeight = 0.1;    // least weight of a sample in an endpoint's latency
-constexpr double kLongTermSampleWeight = 0.02;  // the same in its long-term latency
-constexpr double kBaseDrift = 0.001;            // share by which the base latency follows upwards
+constexpr double kMinimumLatencySampleWeight = 0.1;    // least weight of a sample in an endpoint's latency
+constexpr double kMinimumLongTermSampleWeight = 0.02;  // the same in its long-term latency
+constexpr double kBaseLatencyDriftShare = 0.001;       // share by which the base latency follows upwards
 constexpr int kMinimumBaseSamples = 20;        // before which the base latency of a type is its long-term one
 constexpr double kLatencyTolerance = 1.1;      // times the base latency that is no queueing yet
 constexpr double kCachedLatencyTolerance = 2;  // the same where latency depends on the keys too
 constexpr double kMinimumGradient = 0.2;
-constexpr double kGrowth = 0.7;                 // of a limit, times its square root
+constexpr double kLimitGrowthFactor = 0.7;      // of a limit, times its square root
 constexpr double kInitialLimit = 8;             // attempts over all gateways
 constexpr double kInitialLimitWithReports = 2;  // the same where utilisation soon shows how much is free
 constexpr double kMinimumLimit = 1;             // attempts over all gateways
@@ -27,32 +27,32 @@
 constexpr double kBusyUtilization = 0.6;       // of the machine type
 constexpr double kBusyShareBeyondQuota = 0.3;  // of the slots, for requests beyond their tenant's quota
 
-constexpr Millis kMaximumBackoff = 300;
+constexpr Millis kMaximumBackoffMs = 300;
 constexpr int kMaximumBackoffDoublings = 30;
 
 const char* const kUtilizationField = "util";
 
-void RecordTypeLatency(LatencyEstimate& type, double sample) {
+void UpdateTypeLatency(LatencyEstimate& type, double sample) {
   ++type.samples;
-  type.current += std::max(kLatencySampleWeight / 2, 1.0 / type.samples) * (sample - type.current);
+  type.current += std::max(kMinimumLatencySampleWeight / 2, 1.0 / type.samples) * (sample - type.current);
 }
 
-void UpdateTypeBase(LatencyEstimate& type, double sample) {
-  type.long_term += std::max(kLongTermSampleWeight, 1.0 / type.samples) * (sample - type.long_term);
+void UpdateTypeBaseLatency(LatencyEstimate& type, double sample) {
+  type.long_term += std::max(kMinimumLongTermSampleWeight, 1.0 / type.samples) * (sample - type.long_term);
   if (type.samples < kMinimumBaseSamples || type.long_term < type.base) type.base = type.long_term;
-  type.base += kBaseDrift / 4 * (type.long_term - type.base);
+  type.base += kBaseLatencyDriftShare / 4 * (type.long_term - type.base);
 }
 
 // With few samples the base latency of an endpoint leans on that of its machine type.
-void UpdateBase(LatencyEstimate& own, const LatencyEstimate& type, double sample) {
-  own.long_term += std::max(kLongTermSampleWeight, 1.0 / own.samples) * (sample - own.long_term);
-  const double confidence = std::min(1.0, own.samples * kLongTermSampleWeight);
+void UpdateBaseLatency(LatencyEstimate& own, const LatencyEstimate& type, double sample) {
+  own.long_term += std::max(kMinimumLongTermSampleWeight, 1.0 / own.samples) * (sample - own.long_term);
+  const double confidence = std::min(1.0, own.samples * kMinimumLongTermSampleWeight);
   own.base = confidence < 1 ? confidence * own.long_term + (1 - confidence) * type.base
                             : std::min(own.base, own.long_term);
-  own.base += kBaseDrift * (own.current - own.base);
+  own.base += kBaseLatencyDriftShare * (own.current - own.base);
 }
 
-std::size_t FindUtilization(const Settings& settings) {
+std::size_t FindUtilizationIndex(const Settings& settings) {
   const auto& fields = settings.load_report_fields;
   return static_cast<std::size_t>(std::ranges::find(fields, kUtilizationField) - fields.begin());
 }
@@ -62,7 +62,7 @@
 ConcurrencyLimit::ConcurrencyLimit(const Settings& settings)
     : endpoints_cache_keys_(settings.endpoints_cache_keys),
       gateway_count_(settings.gateway_count),
-      utilization_index_(FindUtilization(settings)),
+      utilization_index_(FindUtilizationIndex(settings)),
       reports_utilization_(utilization_index_ < settings.load_report_fields.size()) {}
 
 double ConcurrencyLimit::LatencyTolerance() const {
@@ -101,7 +101,7 @@
 
 void ConcurrencyLimit::RecordRejection(ConcurrencyState& state, Millis now) const {
   const int doublings = std::min(state.consecutive_rejections++, kMaximumBackoffDoublings);
-  state.backing_off_until = now + std::min(kMaximumBackoff, state.latency.current * std::exp2(doublings));
+  state.backing_off_until = now + std::min(kMaximumBackoffMs, state.latency.current * std::exp2(doublings));
 }
 
 void ConcurrencyLimit::RecordLatency(Endpoint& endpoint, const Sample& sample, double gateways_per_endpoint,
@@ -123,18 +123,19 @@
   LatencyEstimate& own = state.latency;
   LatencyEstimate& type = endpoint.machine_type->latency;
   ++own.samples;
-  own.current += std::max(kLatencySampleWeight, 1.0 / own.samples) * (sample - own.current);
-  RecordTypeLatency(type, sample);
+  own.current += std::max(kMinimumLatencySampleWeight, 1.0 / own.samples) * (sample - own.current);
+  UpdateTypeLatency(type, sample);
   if (served) {
-    UpdateTypeBase(type, sample);
-    UpdateBase(own, type, sample);
+    UpdateTypeBaseLatency(type, sample);
+    UpdateBaseLatency(own, type, sample);
   }
   if (own.base <= 0) return;
   const double ratio = std::sqrt(own.current / own.base * type.current / type.base);
   const double excess = ExcessUtilization(endpoint);
   const double gradient =
       std::clamp(std::min(LatencyTolerance() / ratio, 1 - kUtilizationGain * excess), kMinimumGradient, 1.0);
-  const double growth = excess > 0 || !served ? 0 : kGrowth * std::sqrt(state.limit / gateways_per_endpoint);
+  const double growth =
+      excess > 0 || !served ? 0 : kLimitGrowthFactor * std::sqrt(state.limit / gateways_per_endpoint);
   const double target = state.limit * gradient + growth;
   const bool in_use = 2.0 * (endpoint.in_flight + 1) >= state.limit;
   if (target > state.limit && !in_use) return;  // an unused limit has not shown that it can grow
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -24,9 +24,9 @@
   Zone* zone = nullptr;
   std::uint64_t hash = 0;  // of the id
 
-  bool up = false;              // listed as such
-  bool in_subset = false;       // used by this gateway
-  std::uint64_t last_list = 0;  // number of the last list event that named it
+  bool up = false;                      // listed as such
+  bool in_subset = false;               // used by this gateway
+  std::uint64_t listed_generation = 0;  // number of the last list event that named it
 
   int references = 0;  // attempts of active requests that name it
   int in_flight = 0;   // own attempts that await a response
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -13,13 +13,13 @@
   Endpoint& endpoint = entry->second;
   const bool started = added || info.started_at > endpoint.info.started_at;
   const bool moved = info.machine_type != endpoint.info.machine_type || info.zone != endpoint.info.zone;
-  if (moved) SetUp(endpoint, false);  // leaves the ring before its position changes
+  if (moved) SetIsUp(endpoint, false);  // leaves the ring before its position changes
   endpoint.info = info;
-  endpoint.last_list = list_number_;
+  endpoint.listed_generation = list_generation_;
   endpoint.machine_type = &machine_types_[info.machine_type];
   endpoint.zone = &zones_[info.zone];
   if (added) endpoint.hash = Hash(info.id);
-  SetUp(endpoint, info.state == EndpointState::kUp);
+  SetIsUp(endpoint, info.state == EndpointState::kUp);
   const bool valid_weight = info.weight > 0 && std::isfinite(info.weight);
   if (!valid_weight) endpoint.info.weight = 1;
   return {endpoint, started};
@@ -27,18 +27,18 @@
 
 void EndpointTable::RemoveUnlisted() {
   for (auto& [id, endpoint] : endpoints_) {
-    SetUp(endpoint, endpoint.up && endpoint.last_list == list_number_);
+    SetIsUp(endpoint, endpoint.up && endpoint.listed_generation == list_generation_);
   }
 }
 
 void EndpointTable::RemoveUnreferenced() {
-  std::erase_if(not_up_, [this](Endpoint* endpoint) {
+  std::erase_if(removal_candidates_, [this](Endpoint* endpoint) {
     return endpoint->up || (endpoint->references == 0 && Erase(*endpoint));
   });
 }
 
-void EndpointTable::SetUp(Endpoint& endpoint, bool up) {
-  if (!up) not_up_.insert(&endpoint);
+void EndpointTable::SetIsUp(Endpoint& endpoint, bool up) {
+  if (!up) removal_candidates_.insert(&endpoint);
   if (std::exchange(endpoint.up, up) == up) return;
   up ? ring_.Insert(endpoint) : ring_.Erase(endpoint);
   if (IsInOwnZone(endpoint)) own_zone_up_count_ += up ? 1 : -1;
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -21,9 +21,9 @@
  public:
   explicit EndpointTable(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  // A list event is applied by BeginList(), Update() for each endpoint it names, RemoveUnlisted() if it is a
-  // snapshot, and RemoveUnreferenced() once no subset names the removed endpoints any more.
-  void BeginList() { ++list_number_; }
+  // A list event is applied by BeginListUpdate(), Update() for each endpoint it names, RemoveUnlisted() if it
+  // is a snapshot, and RemoveUnreferenced() once no subset names the removed endpoints any more.
+  void BeginListUpdate() { ++list_generation_; }
 
   struct UpdateResult {
     Endpoint& endpoint;
@@ -57,7 +57,7 @@
   Millis MedianLatency() const;
 
  private:
-  void SetUp(Endpoint& endpoint, bool up);
+  void SetIsUp(Endpoint& endpoint, bool up);
   bool Erase(Endpoint& endpoint);
 
   const std::string own_zone_;
@@ -66,10 +66,10 @@
   std::map<std::string, Zone> zones_;
   EndpointRing ring_;
   std::set<Endpoint*> measured_;
-  std::set<Endpoint*> not_up_;             // a superset, checked by RemoveUnreferenced()
-  mutable std::vector<Millis> latencies_;  // kept for its memory
+  std::set<Endpoint*> removal_candidates_;  // a superset, checked by RemoveUnreferenced()
+  mutable std::vector<Millis> latencies_;   // kept for its memory
   int own_zone_up_count_ = 0;
-  std::uint64_t list_number_ = 0;
+  std::uint64_t list_generation_ = 0;
 };
 
 }  // namespace gateway::policy
--- a/src/policy/learned_state_age.hpp
+++ b/src/policy/learned_state_age.hpp
@@ -8,9 +8,9 @@
 
 namespace gateway::policy {
 
-constexpr Millis kFailureHalfLife = 15000;  // of failure rates and ejections
-constexpr Millis kLatencyHalfLife = 60000;  // of latencies and concurrency limits
-constexpr Millis kRateHalfLife = 20000;     // of rates and throughput
+constexpr Millis kFailureHalfLifeMs = 15000;  // of failure rates and ejections
+constexpr Millis kLatencyHalfLifeMs = 60000;  // of latencies and concurrency limits
+constexpr Millis kRateHalfLifeMs = 20000;     // of rates and throughput
 
 // The weight in [0, 1] of what was learned at `learned_at`. What seems to come from the future has none: the
 // clock was set back, so its age is unknown.
@@ -19,7 +19,7 @@
 }
 
 // This gateway's part of a total that `exported_count` gateways shared equally; 0 = as many as now.
-inline double ShareOfFormerTotal(int exported_count, int gateway_count) {
+inline double ShareOfExportedTotal(int exported_count, int gateway_count) {
   return exported_count > 0 ? 1.0 * exported_count / gateway_count : 1;
 }
 
--- a/src/policy/list_polling.cpp
+++ b/src/policy/list_polling.cpp
@@ -6,12 +6,12 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMinimumBackoff = 100;
-constexpr Millis kSpreadPerGateway = 40;       // for each other gateway that may call meanwhile
-constexpr double kMaximumSpreadShare = 0.4;    // of the maximum poll interval
-constexpr Millis kMaximumFirstDelay = 1000;    // from the start to the first call
-constexpr Millis kMaximumCallInterval = 4500;  // from the beginning of a failed call to the next one
-constexpr double kMaximumBackoffShare = 0.25;  // of the maximum poll interval
+constexpr Millis kMinimumBackoffMs = 100;
+constexpr Millis kSpreadPerGatewayMs = 40;       // for each other gateway that may call meanwhile
+constexpr double kMaximumSpreadShare = 0.4;      // of the maximum poll interval
+constexpr Millis kMaximumInitialDelayMs = 1000;  // from the start to the first call
+constexpr Millis kMaximumCallIntervalMs = 4500;  // from the beginning of a failed call to the next one
+constexpr double kMaximumBackoffShare = 0.25;    // of the maximum poll interval
 
 constexpr Millis kNotScheduled = std::numeric_limits<Millis>::infinity();
 
@@ -24,22 +24,22 @@
       ring_position_(ring_position) {}
 
 Millis ListPolling::Spread() const {
-  return std::min({kSpreadPerGateway * (gateway_count_ - 1), kMaximumSpreadShare * maximum_interval_,
-                   kMaximumCallInterval});
+  return std::min({kSpreadPerGatewayMs * (gateway_count_ - 1), kMaximumSpreadShare * maximum_interval_,
+                   kMaximumCallIntervalMs});
 }
 
 void ListPolling::RecordFailure(Millis call_duration, Millis now, RandomSource& random) {
   const bool repeated = backoff_ > 0;
   const double jitter = repeated ? 0.75 + random.Uniform() / 4 : random.Uniform();
   const Millis maximum_backoff = std::max(maximum_interval_ * kMaximumBackoffShare, 2 * Spread());
-  backoff_ = std::min(std::max({kMinimumBackoff, Spread(), backoff_ * 2}), maximum_backoff);
-  const Millis limit = polls_ ? backoff_ : kMinimumBackoff;
-  next_call_at_ = now + std::clamp(kMaximumCallInterval - call_duration, 0.0, limit) * jitter;
+  backoff_ = std::min(std::max({kMinimumBackoffMs, Spread(), backoff_ * 2}), maximum_backoff);
+  const Millis limit = polls_ ? backoff_ : kMinimumBackoffMs;
+  next_call_at_ = now + std::clamp(kMaximumCallIntervalMs - call_duration, 0.0, limit) * jitter;
 }
 
-bool ListPolling::TakeDueCall(bool list_known, Millis now) {
+bool ListPolling::StartCallIfDue(bool list_known, Millis now) {
   if (next_call_at_ == kNever) {
-    const Millis spread = list_known ? std::min(Spread(), kMaximumFirstDelay) : 0;
+    const Millis spread = list_known ? std::min(Spread(), kMaximumInitialDelayMs) : 0;
     next_call_at_ = polls_ ? now + spread * ring_position_ : kNotScheduled;
   }
   if (now < next_call_at_) return false;
--- a/src/policy/list_polling.hpp
+++ b/src/policy/list_polling.hpp
@@ -18,12 +18,12 @@
   // `ring_position` in [0, 1) spreads the first calls of gateways that start together.
   ListPolling(const Settings& settings, double ring_position);
 
-  void RecordList() { backoff_ = 0; }
+  void RecordSuccess() { backoff_ = 0; }
   // `call_duration`: since the failed call began.
   void RecordFailure(Millis call_duration, Millis now, RandomSource& random);
 
   // Whether a call is due; it is then taken as made. `list_known`: some endpoint is up.
-  bool TakeDueCall(bool list_known, Millis now);
+  bool StartCallIfDue(bool list_known, Millis now);
 
  private:
   // Time over which the calls of all gateways are spread.
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -9,10 +9,10 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kOtherZoneCost = 1.3;     // times that in the own zone: crossing zones has a price
-constexpr double kMachineTypeSamples = 2;  // that the latency of the machine type counts for
-constexpr double kMaximumOwnSamples = 10;  // that the endpoint's own latency counts for
-constexpr std::size_t kChoices = 2;
+constexpr double kOtherZoneCost = 1.3;           // times that in the own zone: crossing zones has a price
+constexpr double kMachineTypeWeightSamples = 2;  // that the latency of the machine type counts for
+constexpr double kMaximumOwnWeightSamples = 10;  // that the endpoint's own latency counts for
+constexpr std::size_t kCandidateCount = 2;
 
 void MoveRandomToFront(std::vector<Endpoint*>& candidates, RandomSource& random) {
   const std::size_t count = candidates.size();
@@ -27,8 +27,8 @@
   const LatencyEstimate& own = endpoint.concurrency.latency;
   const LatencyEstimate& type = endpoint.machine_type->latency;
   const bool lean_on_type = many_gateways_per_endpoint && type.current > 0;
-  const double type_weight = lean_on_type ? kMachineTypeSamples : 0;
-  const double own_weight = std::min(1.0 * own.samples, kMaximumOwnSamples);
+  const double type_weight = lean_on_type ? kMachineTypeWeightSamples : 0;
+  const double own_weight = std::min(1.0 * own.samples, kMaximumOwnWeightSamples);
   const double weight = own_weight + type_weight;
   const double mean = (own_weight * own.current + type_weight * type.current) / std::max(1.0, weight);
   const double latency = weight > 0 ? mean : std::max(1.0, table.MedianLatency());
@@ -42,15 +42,16 @@
     const double fraction = HashToFraction(key_hash ^ endpoint->hash);
     ranked_.emplace_back(-std::log(fraction) / endpoint->info.weight, endpoint);
   }
-  std::ranges::partial_sort(ranked_, ranked_.begin() + kChoices, {}, &std::pair<double, Endpoint*>::first);
-  for (std::size_t i = 0; i < kChoices; ++i) candidates[i] = ranked_[i].second;
+  std::ranges::partial_sort(ranked_, ranked_.begin() + kCandidateCount, {},
+                            &std::pair<double, Endpoint*>::first);
+  for (std::size_t i = 0; i < kCandidateCount; ++i) candidates[i] = ranked_[i].second;
 }
 
 Endpoint& LoadBalancer::Choose(std::vector<Endpoint*>& candidates, std::uint64_t key_hash,
                                bool many_gateways_per_endpoint, const EndpointTable& table,
                                RandomSource& random) {
   if (candidates.size() == 1) return *candidates.front();
-  if (candidates.size() > kChoices) {
+  if (candidates.size() > kCandidateCount) {
     if (endpoints_cache_keys_ && key_hash != 0) {
       MoveBestForKeyToFront(candidates, key_hash);
     } else {
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -14,18 +14,19 @@
 constexpr double kEjectionThreshold = 0.3;     // failure rate
 constexpr double kReadmissionThreshold = 0.1;  // failure rate, after successful probes
 
-constexpr Millis kInitialProbeBackoff = 300;
-constexpr Millis kMaximumProbeBackoff = 4000;
+constexpr Millis kInitialProbeBackoffMs = 300;
+constexpr Millis kMaximumProbeBackoffMs = 4000;
 constexpr double kProbesPerRequest = 0.05;  // where many gateways share an endpoint
-constexpr double kMaximumSavedProbes = 2;
+constexpr double kMaximumProbeBudget = 2;
 constexpr double kProbeTimeShare = 0.5;  // of the time left to the latency objective
 
-constexpr Millis kClassErrorBackoff = 300;
-constexpr Millis kMaximumClassErrorBackoff = 4000;
+constexpr Millis kInitialClassErrorBackoffMs = 300;
+constexpr Millis kMaximumClassErrorBackoffMs = 4000;
 constexpr int kMaximumBackoffDoublings = 30;
 
-constexpr std::size_t kLostZoneEndpoints = 3;  // unresponsive since the last response from the zone
-constexpr Millis kRestartSilence = 1000;  // without a response, after which failed connections mean a restart
+constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // unresponsive since the last response from the zone
+constexpr Millis kRestartDetectionPeriodMs =
+    1000;  // without a response, after which failed connections mean a restart
 
 // Spreads a backoff over 75 to 125%.
 Millis WithJitter(Millis backoff, RandomSource& random) { return backoff * (0.75 + 0.5 * random.Uniform()); }
@@ -36,7 +37,7 @@
   state.failure_rate = 0;
   state.ejected = false;
   state.restart_suspected = false;
-  state.probe_backoff = kInitialProbeBackoff;
+  state.probe_backoff = kInitialProbeBackoffMs;
   state.class_errors.assign(class_count_, {});
 }
 
@@ -50,13 +51,13 @@
   // restarted.
   const bool dropped =
       outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
-  const bool silent = now - state.last_served_at > kRestartSilence;
+  const bool silent = now - state.last_served_at > kRestartDetectionPeriodMs;
   if (dropped && silent && state.failure_rate >= kOutcomeWeight) state.restart_suspected = true;
   // A time-out while other attempts were served shows a slow request, not a failing endpoint.
   const bool isolated_timeout =
       outcome.result == AttemptResult::kTimedOut && state.last_served_at > now - outcome.latency;
   // A connection that breaks while the endpoint serves others shows a fault of the network.
-  const bool served_lately = state.last_served_at > now - kRestartSilence;
+  const bool served_lately = state.last_served_at > now - kRestartDetectionPeriodMs;
   const bool broken_connection = outcome.result == AttemptResult::kReset && served_lately;
   if (served) state.last_served_at = now;
   RecordZone(endpoint, outcome, now);
@@ -65,7 +66,7 @@
     state.failure_rate += weight * ((served ? 0.0 : 1.0) - state.failure_rate);
   }
   Assessment assessment;
-  assessment.shows_latency = !isolated_timeout && !broken_connection;
+  assessment.is_latency_sample = !isolated_timeout && !broken_connection;
   if (served && state.ejected) {
     assessment.change = RecordProbeSuccess(state, now);
   } else if (!served && !isolated_timeout && (state.failure_rate > kEjectionThreshold || state.ejected)) {
@@ -83,7 +84,8 @@
   if (outcome.result == AttemptResult::kServed) errors = {};
   if (outcome.result != AttemptResult::kError) return;
   const int doublings = std::min(errors.consecutive++, kMaximumBackoffDoublings);
-  errors.avoid_until = now + std::min(kMaximumClassErrorBackoff, kClassErrorBackoff * std::exp2(doublings));
+  errors.avoid_until =
+      now + std::min(kMaximumClassErrorBackoffMs, kInitialClassErrorBackoffMs * std::exp2(doublings));
 }
 
 void OutlierDetection::RecordZone(Endpoint& endpoint, const Outcome& outcome, Millis now) const {
@@ -103,13 +105,13 @@
 bool OutlierDetection::Eject(OutlierState& state, Millis now, RandomSource& random) const {
   const bool newly_ejected = !std::exchange(state.ejected, true);
   state.next_probe_at = now + WithJitter(state.probe_backoff, random);
-  state.probe_backoff = std::min(state.probe_backoff * 2, kMaximumProbeBackoff);
+  state.probe_backoff = std::min(state.probe_backoff * 2, kMaximumProbeBackoffMs);
   return newly_ejected;
 }
 
 OutlierDetection::Change OutlierDetection::RecordProbeSuccess(OutlierState& state, Millis now) const {
   state.next_probe_at = now;
-  state.probe_backoff = kInitialProbeBackoff;
+  state.probe_backoff = kInitialProbeBackoffMs;
   state.ejected = state.failure_rate >= kReadmissionThreshold;
   if (state.restart_suspected) return Change::kRestarted;
   return state.ejected ? Change::kNone : Change::kReadmitted;
@@ -120,23 +122,23 @@
   return now < state.class_errors[class_index].avoid_until;
 }
 
-bool OutlierDetection::IsZoneLost(const Zone& zone, std::size_t zone_count) const {
-  return zone_count > 1 && zone.unresponsive.size() >= kLostZoneEndpoints;
+bool OutlierDetection::IsZoneUnresponsive(const Zone& zone, std::size_t zone_count) const {
+  return zone_count > 1 && zone.unresponsive.size() >= kUnresponsiveZoneEndpoints;
 }
 
 bool OutlierDetection::IsProbeDue(const Endpoint& endpoint, Millis now) const {
   return now >= endpoint.outlier.next_probe_at && endpoint.in_flight == 0;
 }
 
-void OutlierDetection::EarnProbe(bool many_gateways_per_endpoint) {
+void OutlierDetection::AddProbeBudget(bool many_gateways_per_endpoint) {
   const double earned = many_gateways_per_endpoint ? kProbesPerRequest : 1;
-  probe_budget_ = std::min(probe_budget_ + earned, kMaximumSavedProbes);
+  probe_budget_ = std::min(probe_budget_ + earned, kMaximumProbeBudget);
 }
 
-void OutlierDetection::TakeProbe() { probe_budget_ = std::max(0.0, probe_budget_ - 1); }
+void OutlierDetection::SpendProbeBudget() { probe_budget_ = std::max(0.0, probe_budget_ - 1); }
 
-Millis OutlierDetection::ProbeDeadline(Millis now, Millis objective_at) const {
-  return now + kProbeTimeShare * (objective_at - now);
+Millis OutlierDetection::ProbeDeadline(Millis now, Millis objective_ends_at) const {
+  return now + kProbeTimeShare * (objective_ends_at - now);
 }
 
 void OutlierDetection::Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned,
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -62,7 +62,8 @@
   };
   struct Assessment {
     Change change = Change::kNone;
-    bool shows_latency = true;  // false: the duration of the attempt says nothing about the endpoint's queue
+    bool is_latency_sample =
+        true;  // false: the duration of the attempt says nothing about the endpoint's queue
   };
   // Records how an attempt at the endpoint ended, and ejects or readmits it. `random` spreads the probes of
   // many gateways.
@@ -75,19 +76,19 @@
   bool IsAvoidedForClass(const OutlierState& state, std::size_t class_index, Millis now) const;
 
   // Whether so many endpoints of the zone are unresponsive that it counts as lost. Not with a single zone.
-  bool IsZoneLost(const Zone& zone, std::size_t zone_count) const;
+  bool IsZoneUnresponsive(const Zone& zone, std::size_t zone_count) const;
 
   // Whether an endpoint that is ejected or in a lost zone may be sent a probe.
   bool IsProbeDue(const Endpoint& endpoint, Millis now) const;
 
   // Probes use clients' requests, and those of all gateways add up at an endpoint. Each request earns a part
   // of a probe where many gateways share the endpoints, and a whole one elsewhere.
-  void EarnProbe(bool many_gateways_per_endpoint);
+  void AddProbeBudget(bool many_gateways_per_endpoint);
   bool HasProbeBudget() const { return probe_budget_ >= 1; }
-  void TakeProbe();
+  void SpendProbeBudget();
 
   // The time by which a probe has to be answered, so that the request can still be retried elsewhere.
-  Millis ProbeDeadline(Millis now, Millis objective_at) const;
+  Millis ProbeDeadline(Millis now, Millis objective_ends_at) const;
 
   // Restores what was learned by another process; `kept` in [0, 1] is what its age leaves of it. The older an
   // ejection, the sooner it is probed; it lapses in the end.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -19,7 +19,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kSweepInterval = 10;
+constexpr Millis kSweepIntervalMs = 10;
 const char* const kSweepTimer = "sweep";
 
 Settings Validated(Settings settings) {
@@ -63,8 +63,8 @@
 
   void Import(Millis now, const LearnedState& state) {
     Advance(now);
-    const double kept = RemainingWeight(state.exported_at, now_, kRateHalfLife);
-    const double share = ShareOfFormerTotal(state.gateway_count, settings_.gateway_count);
+    const double kept = RemainingWeight(state.exported_at, now_, kRateHalfLifeMs);
+    const double share = ShareOfExportedTotal(state.gateway_count, settings_.gateway_count);
     requests_.Import(state, kept, share);
     traffic_.Import(state);
     upstream_.Import(state, kept, share, now_);
@@ -92,7 +92,7 @@
     if (event.kind == EndpointListEvent::Kind::kFailure) {
       return list_polling_.RecordFailure(event.call_duration, context.now, random_);
     }
-    list_polling_.RecordList();
+    list_polling_.RecordSuccess();
     upstream_.ApplyList(event, context.now);
   }
 
@@ -105,9 +105,9 @@
 
   // Periodic work. Sets the timer for the next time.
   void Sweep(EventContext& context) {
-    context.Emit(SetTimer{kSweepInterval, kSweepTimer});
+    context.Emit(SetTimer{kSweepIntervalMs, kSweepTimer});
     const bool list_known = upstream_.up_count() > 0;
-    if (list_polling_.TakeDueCall(list_known, context.now)) context.Emit(WatchEndpointList{});
+    if (list_polling_.StartCallIfDue(list_known, context.now)) context.Emit(WatchEndpointList{});
     upstream_.Sweep(context.now);
     requests_.ExpireQueued(context);
     if (log_.IsStatusDue(context.now)) log_.WriteStatus(context, GetStatus());
--- a/src/policy/policy_log.cpp
+++ b/src/policy/policy_log.cpp
@@ -7,15 +7,15 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kStatusInterval = 5000;
-constexpr Millis kMinimumEventInterval = 200;
-constexpr std::size_t kMaximumLine = 512;  // bytes
+constexpr Millis kStatusIntervalMs = 5000;
+constexpr Millis kMinimumEventIntervalMs = 200;
+constexpr std::size_t kMaximumLineBytes = 512;  // bytes
 
 std::string Format(const PolicyStatus& status, const PolicyCounters& counters) {
   const auto outcomes = [&counters](AttemptResult result) {
     return counters.outcomes[static_cast<std::size_t>(result)];
   };
-  char text[kMaximumLine];
+  char text[kMaximumLineBytes];
   std::snprintf(
       text, sizeof text,
       "policy: rate %.0f sent_rate %.0f tokens %.1f failure_rate %.2f queued %zu endpoints %d ejected %d "
@@ -25,9 +25,9 @@
       status.rate, status.sent_rate, status.tokens, status.failure_rate, status.queued, status.endpoints_up,
       status.endpoints_ejected, status.attempts_in_flight, status.slots, status.latency, counters.arrived,
       counters.sent_directly, counters.released, counters.time_in_queue / std::max(1, counters.released),
-      counters.rejected_full, counters.rejected_waited, counters.rejected_late, counters.failed_attempts,
-      outcomes(AttemptResult::kServed), counters.served_late, outcomes(AttemptResult::kError),
-      outcomes(AttemptResult::kRejected), outcomes(AttemptResult::kTimedOut),
+      counters.rejected_queue_full, counters.rejected_queue_timeout, counters.rejected_too_late,
+      counters.failed_attempts, outcomes(AttemptResult::kServed), counters.served_late,
+      outcomes(AttemptResult::kError), outcomes(AttemptResult::kRejected), outcomes(AttemptResult::kTimedOut),
       outcomes(AttemptResult::kConnectFailed), outcomes(AttemptResult::kReset));
   return text;
 }
@@ -36,12 +36,12 @@
 
 void PolicyLog::WriteEvent(EventContext& context, std::string text) {
   if (context.now < next_event_at_) return;
-  next_event_at_ = context.now + kMinimumEventInterval;
+  next_event_at_ = context.now + kMinimumEventIntervalMs;
   context.Emit(LogLine{std::move(text), /*is_status=*/false});
 }
 
 bool PolicyLog::IsStatusDue(Millis now) {
-  if (now < last_status_at_ + kStatusInterval) return false;
+  if (now < last_status_at_ + kStatusIntervalMs) return false;
   return std::exchange(last_status_at_, now) != kNever;
 }
 
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -19,9 +19,9 @@
   int sent_directly = 0;
   int released = 0;                                 // from a queue
   Millis time_in_queue = 0;                         // of the released requests, summed up
-  int rejected_full = 0;                            // the queue of the class was full
-  int rejected_waited = 0;                          // the queue deadline passed
-  int rejected_late = 0;                            // no time or value left on arrival
+  int rejected_queue_full = 0;                      // the queue of the class was full
+  int rejected_queue_timeout = 0;                   // the queue deadline passed
+  int rejected_too_late = 0;                        // no time or value left on arrival
   int failed_attempts = 0;                          // requests answered because their attempts failed
   int served_late = 0;                              // attempts served after the latency objective
   std::array<int, kAttemptResultCount> outcomes{};  // of attempts, by AttemptResult
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -23,7 +23,7 @@
 
   // Events per time unit. Time before the start counts for nothing: an estimator that has observed a tenth of
   // its memory is not diluted by the rest.
-  double Rate() const { return decayed_sum_ / std::max(observed_share_, kLeastObservedShare); }
+  double Rate() const { return decayed_sum_ / std::max(observed_share_, kMinimumObservedShare); }
 
   void Scale(double factor) { decayed_sum_ *= factor; }
 
@@ -37,7 +37,7 @@
   double decayed_sum() const { return decayed_sum_; }
 
  private:
-  static constexpr double kLeastObservedShare = 0.05;  // bounds the rate that the first events suggest
+  static constexpr double kMinimumObservedShare = 0.05;  // bounds the rate that the first events suggest
 
   double decayed_sum_ = 0;
   double observed_share_ = 0;  // of the memory
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -10,7 +10,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMinimumAttemptTimeout = 1;
+constexpr Millis kMinimumAttemptTimeoutMs = 1;
 
 Millis ValidTimeLeft(Millis time_left) { return std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0; }
 
@@ -56,9 +56,9 @@
   retry_budget_.RecordRequest();
   upstream_.RecordRequest();
   const bool worthless = late && traffic_class.late_weight <= 0;
-  const bool too_late = context.now >= active.deadline_at - kQueueAnswerMargin;
+  const bool too_late = context.now >= active.deadline_at - kQueueAnswerMarginMs;
   if (worthless || too_late) {
-    ++log_.counters().rejected_late;
+    ++log_.counters().rejected_too_late;
     return Answer(context, active);
   }
   if (queues_.size() == 0 && rate_.HasToken()) {
@@ -76,7 +76,7 @@
   active.key_hash = KeyHash(request.key);
   active.arrived_at = now;
   active.deadline_at = now + ValidTimeLeft(request.time_left);
-  active.objective_at = std::min(now + ClassOf(active).latency_objective, active.deadline_at);
+  active.objective_ends_at = std::min(now + ClassOf(active).latency_objective, active.deadline_at);
 }
 
 void RequestController::Handle(EventContext& context, const RequestComplete& complete) {
@@ -84,7 +84,8 @@
   if (request == nullptr || request->answered) return;
   request->arrived_at = context.now;
   request->deadline_at = context.now + ValidTimeLeft(complete.time_left);
-  request->objective_at = std::min(context.now + ClassOf(*request).latency_objective, request->deadline_at);
+  request->objective_ends_at =
+      std::min(context.now + ClassOf(*request).latency_objective, request->deadline_at);
   for (Attempt& attempt : request->attempts) {
     if (attempt.in_flight) attempt.sent_at = context.now;
   }
@@ -92,7 +93,7 @@
 
 void RequestController::Enqueue(EventContext& context, ActiveRequest& request) {
   if (queues_.IsFull(request.class_index, rate_.SentPerSecond())) {
-    ++log_.counters().rejected_full;
+    ++log_.counters().rejected_queue_full;
     ActiveRequest* const evicted = queues_.LastBeyondQuota(request.class_index);
     if (!request.within_quota || evicted == nullptr) return Answer(context, request);
     queues_.Remove(*evicted);
@@ -105,7 +106,7 @@
   expired_.clear();
   queues_.CollectExpired(context.now, expired_);
   for (ActiveRequest* const request : expired_) {
-    ++log_.counters().rejected_waited;
+    ++log_.counters().rejected_queue_timeout;
     queues_.Remove(*request);
     Answer(context, *request);
   }
@@ -122,7 +123,7 @@
       blocked |= ClassQueues::MaskOf(*class_index);
       continue;
     }
-    queues_.SettleCredit(*class_index);
+    queues_.RecordRelease(*class_index);
     queues_.Remove(request);
     ++log_.counters().released;
     log_.counters().time_in_queue += context.now - request.arrived_at;
@@ -132,16 +133,16 @@
 
 void RequestController::Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint) {
   const Millis now = context.now;
-  Millis answer_by = ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_at;
+  Millis answer_by = ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_ends_at;
   const bool is_probe = request.attempts.empty() && upstream_.IsUnhealthy(endpoint);
   if (is_probe && upstream_.many_gateways_per_endpoint()) {
-    answer_by = upstream_.ProbeDeadline(now, request.objective_at);
+    answer_by = upstream_.ProbeDeadline(now, request.objective_ends_at);
   }
   rate_.TakeToken(GetFleet());
   upstream_.RecordSend(endpoint, now);
   request.attempts.push_back({&endpoint, now});
-  const Millis timeout = std::max(kMinimumAttemptTimeout, answer_by - now);
-  context.Emit(policy::Send{request.id, endpoint.info.id, timeout, request.repeat_by - now});
+  const Millis timeout = std::max(kMinimumAttemptTimeoutMs, answer_by - now);
+  context.Emit(policy::Send{request.id, endpoint.info.id, timeout, request.repeat_deadline_at - now});
 }
 
 void RequestController::Handle(EventContext& context, const AttemptOutcome& outcome) {
@@ -152,7 +153,8 @@
   attempt->may_have_executed = MayHaveExecuted(outcome.result);
   const TrafficClassSettings& traffic_class = ClassOf(*request);
   if (attempt->may_have_executed && traffic_class.idempotency == Idempotency::kIdempotencyKey) {
-    request->repeat_by = std::min(request->repeat_by, RepeatDeadline(traffic_class, attempt->sent_at));
+    request->repeat_deadline_at =
+        std::min(request->repeat_deadline_at, RepeatDeadline(traffic_class, attempt->sent_at));
   }
   request->buffered = outcome.request_buffered;
   if (attempt->streaming) {
@@ -160,7 +162,7 @@
     return EraseIfEnded(*request);
   }
   upstream_.RecordResponse(*attempt->endpoint);
-  RecordEnd(context, *request, *attempt, outcome);
+  RecordAttemptEnd(context, *request, *attempt, outcome);
   if (outcome.request_finished || outcome.result == AttemptResult::kServed) request->answered = true;
   if (!request->answered && !request->HasAttemptInFlight() && !request->queued) {
     return RetryOrAnswer(context, *request, outcome.result);
@@ -176,29 +178,29 @@
 }
 
 // Records what the end of an attempt shows of the class, of the admission rate and of the endpoint.
-void RequestController::RecordEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
-                                  const AttemptOutcome& outcome) {
+void RequestController::RecordAttemptEnd(EventContext& context, const ActiveRequest& request,
+                                         const Attempt& attempt, const AttemptOutcome& outcome) {
   const bool served = outcome.result == AttemptResult::kServed;
   const Millis latency = ValidLatency(outcome.latency, attempt, context.now);
   log_.counters().Count(outcome.result);
-  if (served && context.now > request.objective_at) ++log_.counters().served_late;
+  if (served && context.now > request.objective_ends_at) ++log_.counters().served_late;
   if (served) traffic_.RecordLatency(request.class_index, latency);
   const bool ended_by_gateway =
       outcome.result == AttemptResult::kCancelled || outcome.result == AttemptResult::kNotSent;
   if (ended_by_gateway) return;
   // Must run before RecordOutcome, which may eject the endpoint: the rate counts only outcomes of endpoints
   // that were healthy when the attempt ended.
-  RecordForRate(context, request, attempt, outcome.result);
+  UpdateAdmissionRate(context, request, attempt, outcome.result);
   upstream_.RecordLoadReport(*attempt.endpoint, outcome.load);
   upstream_.RecordOutcome(context, *attempt.endpoint, {outcome.result, latency, request.class_index});
 }
 
 // Failures that one endpoint explains eject it, and a broken connection shows no overload: neither moves the
 // admission rate.
-void RequestController::RecordForRate(EventContext& context, const ActiveRequest& request,
-                                      const Attempt& attempt, AttemptResult result) {
+void RequestController::UpdateAdmissionRate(EventContext& context, const ActiveRequest& request,
+                                            const Attempt& attempt, AttemptResult result) {
   if (upstream_.IsUnhealthy(*attempt.endpoint) || result == AttemptResult::kReset) return;
-  const bool within_objective = result == AttemptResult::kServed && context.now <= request.objective_at;
+  const bool within_objective = result == AttemptResult::kServed && context.now <= request.objective_ends_at;
   const AdmissionRate::Fleet fleet = GetFleet();
   if (!rate_.RecordOutcome(within_objective, attempt.sent_at, context.now, fleet)) return;
   rate_.Decrease(context.now, upstream_.MedianLatency(), fleet);
@@ -270,12 +272,12 @@
   outcome.result = AttemptResult::kServed;
   outcome.request_finished = true;
   outcome.latency = context.now - attempt->sent_at;
-  RecordEnd(context, *request, *attempt, outcome);
+  RecordAttemptEnd(context, *request, *attempt, outcome);
 }
 
 void RequestController::FillStatus(PolicyStatus& status) const {
   status.rate = rate_.rate();
-  status.sent_rate = rate_.sent_sum();
+  status.sent_rate = rate_.sent_decayed_sum();
   status.tokens = rate_.tokens();
   status.failure_rate = rate_.failure_rate();
   status.queued = queues_.size();
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -63,12 +63,12 @@
   void Begin(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
   void Enqueue(EventContext& context, ActiveRequest& request);
   void Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint);
-  void RecordEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
-                 const AttemptOutcome& outcome);
+  void RecordAttemptEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
+                        const AttemptOutcome& outcome);
   void RecordStreamEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
                        AttemptResult result);
-  void RecordForRate(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
-                     AttemptResult result);
+  void UpdateAdmissionRate(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
+                           AttemptResult result);
   void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
   void Answer(EventContext& context, ActiveRequest& request);
   Millis RetryAfter() const;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,9 +8,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kSafetyShare = 0.7;  // of the overload factor that an endpoint is sent
-constexpr double kMaximumCredit = 1;  // attempts
-constexpr Millis kThroughputMemory = 10000;
+constexpr double kSafeOverloadShare = 0.7;    // of the overload factor that an endpoint is sent
+constexpr double kMaximumCreditAttempts = 1;  // attempts
+constexpr Millis kThroughputTimeConstantMs = 10000;
 constexpr Millis kArrivalPriorMs = 500;        // endpoint time for which arrivals stand in for responses
 constexpr Millis kMachineTypePriorMs = 20000;  // endpoint time for which the mean of all stands in
 
@@ -37,9 +37,9 @@
   SlowStartState& state = endpoint.slow_start;
   const double fraction = WarmUpFraction(state, now);
   if (fraction >= 1) return true;
-  const double earned = kSafetyShare * overload_factor_ * fraction * endpoint.info.weight *
+  const double earned = kSafeOverloadShare * overload_factor_ * fraction * endpoint.info.weight *
                         ServiceRatePerMs(endpoint.machine_type->throughput) * (now - state.credited_at);
-  state.credit = std::min(kMaximumCredit, state.credit + earned);
+  state.credit = std::min(kMaximumCreditAttempts, state.credit + earned);
   state.credited_at = now;
   return state.credit >= 1;
 }
@@ -56,7 +56,7 @@
 // that warms up would add up to more than the whole.
 void SlowStart::UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset,
                                    Millis passed, double arrivals_per_ms, Millis now) {
-  const double kept = std::exp(-passed / kThroughputMemory);
+  const double kept = std::exp(-passed / kThroughputTimeConstantMs);
   for (auto& [name, machine_type] : machine_types) {
     machine_type.throughput.served *= kept;
     machine_type.throughput.endpoint_time *= kept;
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -10,13 +10,13 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kGatewaysPerEndpoint = 12;  // that the subsets of all gateways come to
-constexpr double kMinimumSize = 6;           // endpoints: some may fail together
-constexpr double kEndpointsPerRequest = 3;   // for each own request being served
-constexpr double kGrowthThreshold = 1.25;    // times the size in use
-constexpr double kMultiplexedShare = 0.5;    // of the size, where connections are kept open
-constexpr double kOtherZoneShare = 0.4;      // of the endpoints of other zones
-constexpr double kManyGatewaysPerEndpoint = 8;
+constexpr double kGatewaysPerEndpoint = 12;      // that the subsets of all gateways come to
+constexpr double kMinimumSubsetEndpoints = 6;    // endpoints: some may fail together
+constexpr double kEndpointsPerRequest = 3;       // for each own request being served
+constexpr double kGrowthThresholdFactor = 1.25;  // times the size in use
+constexpr double kMultiplexedShare = 0.5;        // of the size, where connections are kept open
+constexpr double kOtherZoneShare = 0.4;          // of the endpoints of other zones
+constexpr double kManyGatewaysThreshold = 8;
 constexpr double kGoldenRatio = 0.6180339887498949;  // fractional part
 
 double EndpointsForRequests(double concurrent_requests) { return kEndpointsPerRequest * concurrent_requests; }
@@ -36,7 +36,8 @@
 
 double Subsetting::TargetSize(int up_count, double concurrent_requests) const {
   const double even_share = kGatewaysPerEndpoint * up_count / gateway_count_;
-  const double size = std::max({kMinimumSize, even_share, EndpointsForRequests(concurrent_requests)});
+  const double size =
+      std::max({kMinimumSubsetEndpoints, even_share, EndpointsForRequests(concurrent_requests)});
   return (multiplexes_connections_ ? kMultiplexedShare : 1) * size;
 }
 
@@ -53,7 +54,7 @@
   for (std::size_t i = 0; i < 2 * table.ring().size() && healthy < target_size_; ++i) {
     Endpoint& endpoint = walk.Next();
     const bool first_round = i < table.ring().size();
-    if (endpoint.in_subset || (first_round && IsPassedOver(endpoint, table))) continue;
+    if (endpoint.in_subset || (first_round && IsSkipped(endpoint, table))) continue;
     endpoint.in_subset = true;
     if (!endpoint.outlier.ejected) healthy += 1;
     endpoints_.push_back(&endpoint);
@@ -63,17 +64,17 @@
 }
 
 // Endpoints of other zones are used by some gateways only, as long as there are any in the own zone.
-bool Subsetting::IsPassedOver(const Endpoint& endpoint, const EndpointTable& table) const {
+bool Subsetting::IsSkipped(const Endpoint& endpoint, const EndpointTable& table) const {
   if (table.own_zone_up_count() <= 0 || table.IsInOwnZone(endpoint)) return false;
   return HashToFraction(endpoint.hash ^ salt_) > kOtherZoneShare;
 }
 
 bool Subsetting::IsTooSmall(double concurrent_requests) const {
-  return EndpointsForRequests(concurrent_requests) > kGrowthThreshold * target_size_;
+  return EndpointsForRequests(concurrent_requests) > kGrowthThresholdFactor * target_size_;
 }
 
 bool Subsetting::many_gateways_per_endpoint() const {
-  return gateways_per_endpoint_ > kManyGatewaysPerEndpoint;
+  return gateways_per_endpoint_ > kManyGatewaysThreshold;
 }
 
 }  // namespace gateway::policy
--- a/src/policy/subsetting.hpp
+++ b/src/policy/subsetting.hpp
@@ -39,7 +39,7 @@
 
  private:
   double TargetSize(int up_count, double concurrent_requests) const;
-  bool IsPassedOver(const Endpoint& endpoint, const EndpointTable& table) const;
+  bool IsSkipped(const Endpoint& endpoint, const EndpointTable& table) const;
 
   const int gateway_count_;
   const bool multiplexes_connections_;
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,8 +5,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumBurst = 3;  // tokens that every bucket can hold: a gateway's part may be a fraction
-constexpr Millis kBurstPeriod = 1000;  // a bucket holds the tokens of this time, if that is more
+constexpr double kMinimumBurstTokens =
+    3;  // tokens that every bucket can hold: a gateway's part may be a fraction
+constexpr Millis kBurstPeriodMs = 1000;  // a bucket holds the tokens of this time, if that is more
 
 }  // namespace
 
@@ -22,7 +23,7 @@
   if (found == buckets_.end()) return false;
   Bucket& bucket = found->second;
   if (bucket.tokens_per_ms <= 0) return true;
-  const double capacity = std::max(kMinimumBurst, bucket.tokens_per_ms * kBurstPeriod);
+  const double capacity = std::max(kMinimumBurstTokens, bucket.tokens_per_ms * kBurstPeriodMs);
   bucket.tokens = std::min(bucket.tokens + (now - bucket.refilled_at) * bucket.tokens_per_ms, capacity);
   bucket.refilled_at = now;
   if (bucket.tokens < 1) return false;
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -5,9 +5,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kLatencySampleWeight = 0.01;  // least weight of a new sample
-constexpr double kFirstTryShare = 0.95;        // share of the longest time left that marks a first try
-constexpr Millis kArrivalMemory = 10000;
+constexpr double kMinimumLatencySampleWeight = 0.01;  // least weight of a new sample
+constexpr double kFirstTryTimeLeftShare = 0.95;       // share of the longest time left that marks a first try
+constexpr Millis kArrivalTimeConstantMs = 10000;
 
 }  // namespace
 
@@ -19,22 +19,22 @@
   }
 }
 
-void TrafficStatistics::Advance(Millis passed) { arrivals_.Advance(passed, kArrivalMemory); }
+void TrafficStatistics::Advance(Millis passed) { arrivals_.Advance(passed, kArrivalTimeConstantMs); }
 
 Millis TrafficStatistics::RecordArrival(std::size_t class_index, Millis time_left) {
   Class& traffic_class = classes_[class_index];
   traffic_class.longest_time_left = std::max(traffic_class.longest_time_left, time_left);
-  const bool is_retry = time_left < kFirstTryShare * traffic_class.longest_time_left;
+  const bool is_retry = time_left < kFirstTryTimeLeftShare * traffic_class.longest_time_left;
   const Millis waited = is_retry ? std::max(0.0, traffic_class.deadline - time_left) : 0;
-  if (waited <= 0) arrivals_.Add(1 / kArrivalMemory);
+  if (waited <= 0) arrivals_.Add(1 / kArrivalTimeConstantMs);
   return waited;
 }
 
 void TrafficStatistics::RecordLatency(std::size_t class_index, Millis latency) {
   Class& traffic_class = classes_[class_index];
-  const double class_weight = std::max(kLatencySampleWeight, 1.0 / ++traffic_class.samples);
+  const double class_weight = std::max(kMinimumLatencySampleWeight, 1.0 / ++traffic_class.samples);
   traffic_class.latency += class_weight * (latency - traffic_class.latency);
-  const double mean_weight = std::max(kLatencySampleWeight, 1.0 / ++samples_);
+  const double mean_weight = std::max(kMinimumLatencySampleWeight, 1.0 / ++samples_);
   mean_latency_ += mean_weight * (latency - mean_latency_);
 }
 
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -10,7 +10,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMaximumSweepInterval = 10000;  // a longer pause of the process counts for no more
+constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process counts for no more
 
 }  // namespace
 
@@ -28,7 +28,7 @@
       load_balancer_(settings) {}
 
 void UpstreamController::ApplyList(const EndpointListEvent& event, Millis now) {
-  table_.BeginList();
+  table_.BeginListUpdate();
   for (const EndpointInfo& info : event.endpoints) {
     const auto [endpoint, started] = table_.Update(info);
     const Millis started_at = info.started_at > 0 ? info.started_at : kNever;
@@ -48,7 +48,7 @@
 }
 
 bool UpstreamController::IsUnhealthy(const Endpoint& endpoint) const {
-  return endpoint.outlier.ejected || outliers_.IsZoneLost(*endpoint.zone, table_.zone_count());
+  return endpoint.outlier.ejected || outliers_.IsZoneUnresponsive(*endpoint.zone, table_.zone_count());
 }
 
 bool UpstreamController::HasCapacity(Endpoint& endpoint, bool within_quota, bool admit_beyond_quota,
@@ -87,7 +87,7 @@
 Endpoint* UpstreamController::Select(const ActiveRequest& request, bool admit_beyond_quota, Millis now) {
   CollectCandidates(request, admit_beyond_quota, now);
   if (!probes_.empty() && (outliers_.HasProbeBudget() || candidates_.empty())) {
-    outliers_.TakeProbe();
+    outliers_.SpendProbeBudget();
     return probes_[random_.Index(probes_.size())];
   }
   if (candidates_.empty()) return nullptr;
@@ -118,7 +118,7 @@
   const OutlierDetection::Assessment assessment = outliers_.RecordOutcome(
       endpoint, {outcome.result, outcome.latency, outcome.class_index}, context.now, random_);
   RecordChange(context, endpoint, assessment.change);
-  if (!assessment.shows_latency) return;
+  if (!assessment.is_latency_sample) return;
   const ConcurrencyLimit::Sample sample{outcome.latency, traffic_.RelativeLatency(outcome.class_index),
                                         served};
   limits_.RecordLatency(endpoint, sample, subset_.gateways_per_endpoint(), random_, context.now);
@@ -137,7 +137,7 @@
 
 void UpstreamController::Sweep(Millis now) {
   const Millis last = std::exchange(swept_at_, now);
-  const Millis passed = last == kNever ? 0 : std::min(kMaximumSweepInterval, now - last);
+  const Millis passed = last == kNever ? 0 : std::min(kMaximumSweepIntervalMs, now - last);
   slow_start_.UpdateServiceRates(table_.machine_types(), subset_.endpoints(), passed,
                                  traffic_.ArrivalsPerMs(), now);
   if (subset_.IsTooSmall(traffic_.MeanConcurrency())) ChooseSubset();
--- a/src/policy/upstream_controller.hpp
+++ b/src/policy/upstream_controller.hpp
@@ -56,11 +56,11 @@
   // Whether the endpoint is ejected or in a lost zone, so that it gets probes only.
   bool IsUnhealthy(const Endpoint& endpoint) const;
   // The time by which a first attempt at an unhealthy endpoint has to be answered.
-  Millis ProbeDeadline(Millis now, Millis objective_at) const {
-    return outliers_.ProbeDeadline(now, objective_at);
+  Millis ProbeDeadline(Millis now, Millis objective_ends_at) const {
+    return outliers_.ProbeDeadline(now, objective_ends_at);
   }
   // Counts an arrived request for the budget of probes.
-  void RecordRequest() { outliers_.EarnProbe(many_gateways_per_endpoint()); }
+  void RecordRequest() { outliers_.AddProbeBudget(many_gateways_per_endpoint()); }
 
   // Periodic work: service rates, and the size of the subset.
   void Sweep(Millis now);
--- a/src/policy/upstream_learned_state.cpp
+++ b/src/policy/upstream_learned_state.cpp
@@ -83,8 +83,8 @@
   const Millis started_at = endpoint.info.started_at;
   const bool restarted_since = started_at > 0 && started_at > learned.started_at;
   if (restarted_since) return false;
-  const double kept_latency = RemainingWeight(learned.last_outcome_at, now, kLatencyHalfLife);
-  const double kept_failures = RemainingWeight(learned.last_outcome_at, now, kFailureHalfLife);
+  const double kept_latency = RemainingWeight(learned.last_outcome_at, now, kLatencyHalfLifeMs);
+  const double kept_failures = RemainingWeight(learned.last_outcome_at, now, kFailureHalfLifeMs);
   endpoint.slow_start.started_at = learned.started_at;
   ConcurrencyLimit::Restore(endpoint.concurrency, learned.concurrency_limit, kept_latency);
   endpoint.concurrency.latency = AgedLatency(learned, kept_latency);
--- a/tests/policy/class_queues_test.cpp
+++ b/tests/policy/class_queues_test.cpp
@@ -119,7 +119,7 @@
   return released;
 }
 
-TEST(MostCreditFirstTest, ReleasesBackloggedClassesByWeight) {
+TEST(ClassSchedulingTest, ReleasesBackloggedClassesByWeight) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 3)};
@@ -132,7 +132,7 @@
   EXPECT_NEAR(static_cast<double>(pay) / (view + pay), 0.75, 0.1);
 }
 
-TEST(MostCreditFirstTest, ReleasesSingleBackloggedClassWithNegativeCredit) {
+TEST(ClassSchedulingTest, ReleasesSingleBackloggedClassWithNegativeCredit) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 99)};
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(MostCreditFirstTest, PicksWaitingClassesInTheRatioOfTheirWeights) {
+TEST(ClassSchedulingTest, PicksWaitingClassesInTheRatioOfTheirWeights) {
   ClassQueues queues({MakeClass("view"), MakeClass("pay", Idempotency::kIdempotent, 3)});
   std::array<ActiveRequest, 2> requests;
   requests[1].class_index = 1;
@@ -177,7 +177,7 @@
   EXPECT_EQ(queues.NextClass(ClassQueues::MaskOf(1)), 0u);
   for (const std::size_t expected : {1, 0, 1, 1, 1, 0, 1, 1}) {
     EXPECT_EQ(queues.NextClass(0), expected);
-    queues.SettleCredit(expected);
+    queues.RecordRelease(expected);
   }
 }
 
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -100,10 +100,10 @@
 
   // Advances the clock and fires the sweep timer each 10 ms.
   std::vector<Action> AdvanceTime(Millis duration) {
-    constexpr Millis kSweepInterval = 10;
+    constexpr Millis kSweepIntervalMs = 10;
     std::vector<Action> all;
     for (const Millis until = now + duration; now < until;) {
-      now = std::min(until, now + kSweepInterval);
+      now = std::min(until, now + kSweepIntervalMs);
       for (Action& action : Handle(TimerFired{"sweep"})) all.push_back(std::move(action));
     }
     return all;
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -122,10 +122,10 @@
 // A zone is down for 5 s. Its endpoints leave the list 1 s into that; its gateways restart at the end with
 // the former list, and the removal binds them 6.5 s after it was made, grace period included.
 TEST(ListPollingTest, CallsInTimeAfterADowntime) {
-  constexpr Millis kDowntime = 5000;
-  constexpr Millis kRemovedAt = 1000;
-  constexpr Millis kBindingDelay = 6000;
-  constexpr Millis kGracePeriod = 500;
+  constexpr Millis kDowntimeMs = 5000;
+  constexpr Millis kRemovedAtMs = 1000;
+  constexpr Millis kBindingDelayMs = 6000;
+  constexpr Millis kGracePeriodMs = 500;
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   settings.gateway_count = 3100;
@@ -135,7 +135,7 @@
     int calls = FakeGateway::CountActions<WatchEndpointList>(
         gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("lost")}}));
     calls += FakeGateway::CountActions<WatchEndpointList>(
-        gateway.AdvanceTime(kRemovedAt + kBindingDelay + kGracePeriod - kDowntime));
+        gateway.AdvanceTime(kRemovedAtMs + kBindingDelayMs + kGracePeriodMs - kDowntimeMs));
     EXPECT_EQ(calls, 1) << "gateway " << settings.gateway_index;
   }
 }
@@ -146,14 +146,14 @@
   RandomSource random(1);
   ListPolling polling(settings, /*ring_position=*/0.5);
   Millis now = 1000;
-  EXPECT_TRUE(polling.TakeDueCall(/*list_known=*/true, now));
+  EXPECT_TRUE(polling.StartCallIfDue(/*list_known=*/true, now));
   polling.RecordFailure(0, now, random);
-  EXPECT_TRUE(polling.TakeDueCall(true, now + 100));
+  EXPECT_TRUE(polling.StartCallIfDue(true, now + 100));
   for (const Millis backoff : {200, 400, 800, 1600, 2500, 2500}) {
     polling.RecordFailure(0, now, random);
-    EXPECT_FALSE(polling.TakeDueCall(true, now + 0.74 * backoff));
+    EXPECT_FALSE(polling.StartCallIfDue(true, now + 0.74 * backoff));
     now += backoff;
-    EXPECT_TRUE(polling.TakeDueCall(true, now));
+    EXPECT_TRUE(polling.StartCallIfDue(true, now));
   }
 }
 
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -18,7 +18,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-constexpr Millis kAnswerTolerance = 20;  // after the client gives up
+constexpr Millis kAnswerToleranceMs = 20;  // after the client gives up
 
 struct SentAttempt {
   std::string endpoint;
@@ -58,7 +58,7 @@
 
   void CheckAnsweredInTime(Millis now) const {
     for (const auto& [id, request] : requests) {
-      ASSERT_TRUE(request.answered || now <= request.deadline_at + kAnswerTolerance)
+      ASSERT_TRUE(request.answered || now <= request.deadline_at + kAnswerToleranceMs)
           << "never answered: " << id;
     }
   }
@@ -106,7 +106,7 @@
   void CheckAnswer(Millis now, const std::string& id, bool rejected) {
     ClientRequest& request = requests.at(id);
     ASSERT_FALSE(request.answered) << "answered twice: " << id;
-    ASSERT_LE(now, request.deadline_at + kAnswerTolerance) << "answered too late: " << id;
+    ASSERT_LE(now, request.deadline_at + kAnswerToleranceMs) << "answered too late: " << id;
     if (rejected && request.traffic_class->idempotency != Idempotency::kIdempotent) {
       for (const SentAttempt& attempt : request.attempts) {
         ASSERT_TRUE(attempt.IsProvenNotExecuted()) << "rejected though it may have been executed";
@@ -138,7 +138,7 @@
   void Run() {
     AddEndpoints();
     for (int step = 0; step < kSteps && !::testing::Test::HasFatalFailure(); ++step) {
-      gateway_.now += kStepDuration;
+      gateway_.now += kStepDurationMs;
       if (step % 500 == 0) failure_chance_ = Chance(0.5) ? 0.5 : 0.05;
       if (step % 2 == 0) Report(TimerFired{"sweep"});
       while (step < kLastRequestStep && Chance(0.4)) SendRandomRequest();
@@ -160,7 +160,7 @@
  private:
   static constexpr int kSteps = 6000;
   static constexpr int kLastRequestStep = 5500;
-  static constexpr Millis kStepDuration = 5;
+  static constexpr Millis kStepDurationMs = 5;
 
   bool Chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -156,8 +156,8 @@
  protected:
   RetryRulesTest() {
     endpoint_.info = MakeEndpoint("a", "0");
-    request_.objective_at = 1000;
-    request_.repeat_by = 500;
+    request_.objective_ends_at = 1000;
+    request_.repeat_deadline_at = 500;
     request_.attempts = {Attempt{&endpoint_, 0, /*in_flight=*/false, /*may_have_executed=*/true}};
   }
 
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -19,14 +19,14 @@
 namespace gateway::policy::testing {
 namespace {
 
-constexpr Millis kStep = 10;
+constexpr Millis kStepMs = 10;
 constexpr double kCapacityPerMs = 0.04;  // requests that a warm endpoint serves
-constexpr Millis kLatency = 60;
-constexpr int kEndpoints = 12;
-constexpr int kRestarted = 4;  // of them, all at one moment
-constexpr Millis kFirstList = 1000;
-constexpr Millis kRestart = 30000;
-constexpr Millis kEnd = kRestart + 12000;
+constexpr Millis kLatencyMs = 60;
+constexpr int kEndpointCount = 12;
+constexpr int kRestartedCount = 4;  // of them, all at one moment
+constexpr Millis kFirstListAtMs = 1000;
+constexpr Millis kRestartAtMs = 30000;
+constexpr Millis kEndAtMs = kRestartAtMs + 12000;
 
 struct Scenario {
   int gateways = 1;
@@ -55,9 +55,9 @@
 
 std::vector<EndpointInfo> MakeFleetEndpoints(Millis restarted_at) {
   std::vector<EndpointInfo> endpoints;
-  endpoints.reserve(kEndpoints);
-  for (int i = 0; i < kEndpoints; ++i) {
-    endpoints.push_back(MakeEndpoint("s" + std::to_string(i), "0", i < kRestarted ? restarted_at : 0));
+  endpoints.reserve(kEndpointCount);
+  for (int i = 0; i < kEndpointCount; ++i) {
+    endpoints.push_back(MakeEndpoint("s" + std::to_string(i), "0", i < kRestartedCount ? restarted_at : 0));
   }
   return endpoints;
 }
@@ -72,12 +72,13 @@
          ++settings_.gateway_index) {
       Member& member = members_.emplace_back();
       member.gateway = std::make_unique<FakeGateway>(settings_, random_());
-      member.notified_at = kRestart + scenario_.maximum_notification_delay * uniform(random_);
+      member.notified_at = kRestartAtMs + scenario_.maximum_notification_delay * uniform(random_);
     }
   }
 
   Measurement Run() {
-    for (now_ = scenario_.gateways_run_before ? kFirstList : kRestart; now_ < kEnd; now_ += kStep) {
+    for (now_ = scenario_.gateways_run_before ? kFirstListAtMs : kRestartAtMs; now_ < kEndAtMs;
+         now_ += kStepMs) {
       for (Member& member : members_) UpdateList(member);
       FinishAttempts();
       for (std::size_t i = 0; i < members_.size(); ++i) SendRequests(i);
@@ -103,10 +104,10 @@
   void UpdateList(Member& member) {
     FakeGateway& gateway = *member.gateway;
     gateway.now = now_;
-    if (now_ <= kFirstList) gateway.ReplaceEndpoints(MakeFleetEndpoints(0));
+    if (now_ <= kFirstListAtMs) gateway.ReplaceEndpoints(MakeFleetEndpoints(0));
     if (!member.notified && now_ >= member.notified_at) {
       member.notified = true;
-      gateway.ReplaceEndpoints(MakeFleetEndpoints(kRestart));
+      gateway.ReplaceEndpoints(MakeFleetEndpoints(kRestartAtMs));
     }
     RecordSends(member, gateway.Handle(TimerFired{"sweep"}));
   }
@@ -116,15 +117,16 @@
       const AttemptInFlight finished = in_flight_.front();
       in_flight_.pop_front();
       RecordSends(*finished.member, finished.member->gateway->FinishAttempt(
-                                        finished.request, finished.endpoint, AttemptResult::kServed, kLatency,
-                                        finished.attempt));
+                                        finished.request, finished.endpoint, AttemptResult::kServed,
+                                        kLatencyMs, finished.attempt));
     }
   }
 
   void SendRequests(std::size_t index) {
-    const bool shifted = scenario_.traffic_shifts && now_ >= kRestart;
+    const bool shifted = scenario_.traffic_shifts && now_ >= kRestartAtMs;
     const double share = scenario_.share[shifted ? members_.size() - 1 - index : index];
-    std::poisson_distribution<int> arrivals(scenario_.load * kEndpoints * kCapacityPerMs * kStep * share);
+    std::poisson_distribution<int> arrivals(scenario_.load * kEndpointCount * kCapacityPerMs * kStepMs *
+                                            share);
     Member& member = members_[index];
     for (int n = arrivals(random_); n > 0; --n) {
       RecordSends(member, member.gateway->SendRequest("r" + std::to_string(request_count_++)));
@@ -136,11 +138,11 @@
       const auto* send = std::get_if<Send>(&action);
       if (send == nullptr) continue;
       const int endpoint = std::stoi(send->endpoint.substr(1));
-      if (endpoint < kRestarted && now_ >= kRestart && member.notified) {
+      if (endpoint < kRestartedCount && now_ >= kRestartAtMs && member.notified) {
         sent_at_[static_cast<std::size_t>(endpoint)].push_back(now_);
       }
       const int attempt = member.attempts[send->request]++;
-      in_flight_.push_back({now_ + kLatency, &member, send->request, send->endpoint, attempt});
+      in_flight_.push_back({now_ + kLatencyMs, &member, send->request, send->endpoint, attempt});
     }
   }
 
@@ -160,7 +162,7 @@
     std::size_t first = 0;
     for (std::size_t last = 0; last < sent_at.size(); ++last) {
       while (sent_at[first] <= sent_at[last] - window) ++first;
-      const double budget = Budget(std::max(kRestart, sent_at[last] - window), sent_at[last] + kStep);
+      const double budget = Budget(std::max(kRestartAtMs, sent_at[last] - window), sent_at[last] + kStepMs);
       worst = std::max(worst, static_cast<double>(last - first + 1) / (budget + 2 * std::sqrt(budget) + 2));
     }
     return worst;
@@ -168,7 +170,7 @@
 
   // The attempts that the settings allow in the window, with the warm-up fraction of its middle.
   double Budget(Millis begin, Millis end) const {
-    const Millis age = (begin + end) / 2 - kRestart;
+    const Millis age = (begin + end) / 2 - kRestartAtMs;
     const double fraction = settings_.warm_up_initial_fraction +
                             (1 - settings_.warm_up_initial_fraction) * age / settings_.warm_up_duration;
     return settings_.overload_factor * fraction * kCapacityPerMs * (end - begin);
@@ -181,7 +183,7 @@
   Millis now_ = 0;
   int request_count_ = 0;
   std::deque<AttemptInFlight> in_flight_;  // in the order of their ends: each takes as long
-  std::vector<std::vector<Millis>> sent_at_ = std::vector<std::vector<Millis>>(kRestarted);
+  std::vector<std::vector<Millis>> sent_at_ = std::vector<std::vector<Millis>>(kRestartedCount);
 };
 
 Measurement Simulate(const Scenario& scenario, std::uint64_t seed) {
