--- a/include/gateway/actions.hpp
+++ b/include/gateway/actions.hpp
@@ -1,4 +1,4 @@
-// Actions: what a Policy asks its gateway to do.
+// Actions that a Policy returns for its gateway to carry out.
 #ifndef GATEWAY_ACTIONS_HPP_
 #define GATEWAY_ACTIONS_HPP_
 
@@ -9,43 +9,44 @@
 
 namespace gateway::policy {
 
-// Starts an attempt, which ends with kTimedOut after `timeout`.
+// Starts an attempt. The attempt ends with kTimedOut if no response has arrived after `timeout`.
 struct Send {
   std::string request;
   std::string endpoint;
   Millis timeout = 0;
-  Millis start_writing_within = 1e15;  // if writing has not begun by then, the attempt ends with kNotSent
+  Millis start_writing_within = 1e15;  // the attempt ends with kNotSent if writing starts later
 };
 
-// Final answer: rejected. The client may safely retry; retry_after is 0 where there is no advice.
+// Final answer: rejects the request. The client can safely retry it.
 struct Reject {
   std::string request;
-  Millis retry_after = 0;
+  Millis retry_after = 0;  // recommended delay before the retry; 0 = no recommendation
 };
 
-// Final answer: failed. The request may have been executed.
+// Final answer: fails the request, which may have been executed.
 struct Fail {
   std::string request;
 };
 
-// Ends one attempt early. Its outcome is still reported.
+// Ends an attempt early. The gateway still reports its outcome.
 struct Cancel {
   std::string request;
   int attempt = 0;
 };
 
+// Starts a timer. The gateway reports TimerFired with the same name after `delay`.
 struct SetTimer {
   Millis delay = 0;
   std::string name;
 };
 
-// Begins a watch of the endpoint list, which is answered by EndpointListEvent.
+// Starts a watch of the endpoint list. The gateway reports its result as an EndpointListEvent.
 struct WatchEndpointList {};
 
-// A line for the gateway's log.
+// Writes a line to the gateway's log.
 struct LogLine {
   std::string text;
-  bool is_status = false;  // the periodic status line, else a line on an event
+  bool is_status = false;  // true: the periodic status line; false: a line about an event
 };
 
 using Action = std::variant<Send, Reject, Fail, Cancel, SetTimer, WatchEndpointList, LogLine>;
--- a/include/gateway/events.hpp
+++ b/include/gateway/events.hpp
@@ -1,4 +1,4 @@
-// Events: what the gateway reports to its Policy.
+// Events that the gateway reports to its Policy.
 #ifndef GATEWAY_EVENTS_HPP_
 #define GATEWAY_EVENTS_HPP_
 
@@ -10,54 +10,58 @@
 
 namespace gateway::policy {
 
-// A client's request has arrived. It gets exactly one final answer: the first outcome kServed (whose response
-// the gateway passes on itself), a Reject or a Fail.
+// A client's request has arrived. It gets exactly one final answer: a Reject, a Fail, or the response of the
+// first attempt that ends with kServed, which the gateway forwards without a further action.
 struct Request {
-  std::string id;          // unique for the Policy's lifetime; a client's own retry has another one
-  std::string class_name;  // of Settings::classes
-  std::string tenant;      // empty where there are none
+  std::string id;          // unique for the Policy's lifetime; a retry by the client has a new id
+  std::string class_name;  // name of one of Settings::classes
+  std::string tenant;      // empty if tenants are not used
   std::string key;         // routing key; empty if unknown
-  Millis time_left = 0;    // until the client gives up
+  Millis time_left = 0;    // until the client times out
 };
 
-// The last byte of a request that was reported before it was complete has arrived. Its time begins now.
+// The last byte of a request that was reported before it was complete has arrived. Latency and deadline of
+// the request are counted from now on.
 struct RequestComplete {
   std::string request;
-  Millis time_left = 0;  // until the client gives up
+  Millis time_left = 0;  // until the client times out
 };
 
-// The response to an attempt is being streamed to the client, who will get no other answer.
+// The gateway has started to stream the response of an attempt to the client. The client gets no other
+// answer.
 struct ResponseStarted {
   std::string request;
   int attempt = 0;
 };
 
+// How an attempt ended.
 enum class AttemptResult {
   kServed,
   kError,          // answered with an error; may have been executed
-  kRejected,       // refused by the endpoint before execution
+  kRejected,       // rejected by the endpoint before execution
   kTimedOut,       // no response in time; may have been executed
-  kConnectFailed,  // no connection, or it ended before the request was sent completely; not executed
-  kReset,          // connection lost under way; may have been executed
+  kConnectFailed,  // no connection, or it closed before the request was sent completely; not executed
+  kReset,          // connection lost after the request was sent; may have been executed
   kCancelled,      // ended by Cancel; may have been executed
   kNotSent,        // not sent by this gateway; not executed
 };
 constexpr int kAttemptResultCount = 8;
 
-// How an attempt ended. Each Send gets exactly one, also after the request has its answer.
+// The outcome of an attempt. The gateway reports exactly one for each Send, even if the request has been
+// answered meanwhile.
 struct AttemptOutcome {
   std::string request;
   int attempt = 0;  // index among the request's Sends, from 0
   std::string endpoint;
   AttemptResult result = AttemptResult::kServed;
-  bool request_finished = false;  // the client needs no other answer; set by the gateway on delivery
-  Millis latency = 0;             // since the Send
-  std::vector<double> load;       // the endpoint's load report by Settings::load_report_fields; may be empty
-  bool request_buffered = true;   // the gateway still has the complete request, so it could be sent again
+  bool request_finished = false;  // the gateway has delivered an answer to the client
+  Millis latency = 0;             // from the Send to the outcome
+  std::vector<double> load;       // load report in the order of Settings::load_report_fields; may be empty
+  bool request_buffered = true;   // the gateway still stores the complete request and can send it again
 };
 
-// The request needs no answer any more: its client has closed the connection, or the gateway has answered it
-// by itself because the policy's answer was late.
+// The request no longer needs an answer: the client has closed the connection, or the gateway has answered
+// the request itself because the policy's answer was late.
 struct ClientDisconnected {
   std::string request;
 };
@@ -67,29 +71,30 @@
   std::string name;
 };
 
+// Whether an endpoint accepts new requests.
 enum class EndpointState { kUp, kDraining, kRemoved };
 
-// An upstream endpoint as service discovery describes it.
+// An upstream endpoint as reported by service discovery.
 struct EndpointInfo {
-  std::string id;  // stays the same when the machine restarts
+  std::string id;  // unchanged when the machine restarts
   std::string zone;
   std::string machine_type;
   std::string cell;  // deduplication domain within a zone
   EndpointState state = EndpointState::kUp;
-  double weight = 1;      // relative capacity
-  Millis started_at = 0;  // when its process last started; 0 = long ago
+  double weight = 1;      // capacity relative to other endpoints
+  Millis started_at = 0;  // last start of its process; 0 = long ago
 };
 
-// A watch event of the endpoint list.
+// The result of a watch of the endpoint list.
 struct EndpointListEvent {
   enum class Kind {
-    kSnapshot,  // replaces the list
-    kDelta,     // replaces the endpoints that it names
-    kFailure,   // a call failed: the list stays as it is
+    kSnapshot,  // replaces the complete list
+    kDelta,     // adds or replaces the endpoints that it contains
+    kFailure,   // a call to the list service failed; the list is unchanged
   };
   Kind kind = Kind::kSnapshot;
   std::vector<EndpointInfo> endpoints;
-  Millis call_duration = 0;  // kFailure: since the call began
+  Millis call_duration = 0;  // kFailure: from the start of the failed call
 };
 
 using Event = std::variant<Request, ResponseStarted, AttemptOutcome, ClientDisconnected, TimerFired,
--- a/include/gateway/learned_state.hpp
+++ b/include/gateway/learned_state.hpp
@@ -1,4 +1,4 @@
-// What a Policy has learned, for the process that succeeds it.
+// State that a Policy has learned from traffic, for transfer to a successor process.
 #ifndef GATEWAY_LEARNED_STATE_HPP_
 #define GATEWAY_LEARNED_STATE_HPP_
 
@@ -9,44 +9,44 @@
 
 namespace gateway::policy {
 
-constexpr Millis kNever = -1e15;  // before any time of the clock
+constexpr Millis kNever = -1e15;  // earlier than any time of the clock
 
-// Times are of the clock of the Policy that exported them.
+// Learned estimates. All times are on the clock of the Policy that exported the state.
 struct LearnedState {
   struct TrafficClass {
     std::string name;
     double latency = 0;  // smoothed, ms
     int samples = 0;
-    Millis longest_time_left = 0;  // largest Request::time_left seen: that of a client's first try
+    Millis longest_time_left = 0;  // largest observed Request::time_left, which is that of first tries
   };
   struct EndpointStatistics {
-    double latency = 0;            // smoothed and relative to that of the class, ms; 0 = not measured
-    double long_term_latency = 0;  // the same over more samples
-    double base_latency = 0;       // estimate of the latency without queueing
+    double latency = 0;            // ms, smoothed, relative to that of the class; 0 = no sample yet
+    double long_term_latency = 0;  // ms, smoothed over more samples
+    double base_latency = 0;       // ms, estimate of the latency without queueing
     double failure_rate = 0;       // smoothed share of failed attempts, 0 to 1
-    double concurrency_limit = 1;  // own attempts in flight without queueing; below 1 it pauses between them
+    double concurrency_limit = 1;  // own attempts in flight without queueing; below 1: with pauses
     int samples = 0;
     bool ejected = false;
-    bool restart_suspected = false;  // connections failed: it may return as a new process that warms up
+    bool restart_suspected = false;  // connections failed, so the process may have restarted
     Millis started_at = kNever;      // start of its warm-up
     Millis last_outcome_at = kNever;
   };
   struct Endpoint : EndpointStatistics {
     std::string id;
   };
-  // Throughput of the warm endpoints of a machine type, both values decaying.
+  // Throughput of the warm endpoints of a machine type. Both values decay exponentially.
   struct MachineType {
     std::string name;
     double served = 0;         // responses
-    double endpoint_time = 0;  // ms of endpoint time in which they were served
+    double endpoint_time = 0;  // ms of endpoint time in which the responses were served
   };
   double rate = 0;       // admission rate, attempts per second
   double sent_rate = 0;  // attempts sent per second, smoothed
   double failure_rate = 0;
-  double mean_latency = 0;  // over all classes, ms
+  double mean_latency = 0;  // ms, over all classes
   int samples = 0;
   Millis exported_at = 0;
-  int gateway_count = 0;  // gateways that shared the endpoints then; 0 = as many as now
+  int gateway_count = 0;  // gateways that shared the endpoints at the export; 0 = as many as now
   std::vector<TrafficClass> classes;
   std::vector<Endpoint> endpoints;
   std::vector<MachineType> machine_types;
--- a/include/gateway/policy.hpp
+++ b/include/gateway/policy.hpp
@@ -1,8 +1,9 @@
-// The policy: every decision of one gateway on requests, as a state machine without I/O.
+// The policy of a gateway: a state machine without I/O that makes all decisions on requests.
 //
-// The gateway reports what happens as events and carries out, in order, the actions that it gets back. A
-// Policy reads no clock, opens nothing and starts no thread: the same settings, seed and events always give
-// the same actions. Policies share no state; each is called from one thread at a time.
+// The gateway reports events to the policy and carries out the returned actions in order. A Policy reads no
+// clock, opens no files or sockets and starts no threads. It is deterministic: the same settings, seed and
+// events always give the same actions. Policies share no state. A Policy is not thread-safe: its methods must
+// not be called concurrently.
 #ifndef GATEWAY_POLICY_HPP_
 #define GATEWAY_POLICY_HPP_
 
@@ -19,31 +20,33 @@
 
 namespace gateway::policy {
 
+// Decides which requests are sent, queued, retried and rejected, and which endpoint each attempt uses.
 class Policy {
  public:
-  // Throws SettingsError if the settings cannot work.
+  // Throws SettingsError if a setting is invalid.
   Policy(Settings settings, std::uint64_t seed);
   ~Policy();
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Handles one event at time `now` and appends to `actions`. Time never runs backwards: an earlier `now`
-  // counts as the last one. Nothing is sent before the first endpoint list.
+  // Handles one event at time `now` and appends the resulting actions to `actions`. A `now` before that of
+  // the previous call is replaced by it. Nothing is sent before the first endpoint list.
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-  // Number of listed endpoints that are up and ejected by outlier detection.
+  // Returns the number of endpoints that are up and ejected by outlier detection.
   std::size_t EjectedEndpointCount() const;
 
-  // For the next process of this gateway.
+  // Returns the learned state, for the next process of this gateway.
   LearnedState ExportState() const;
 
-  // Continues with what another Policy learned, aged by the time since its export. To be called after the
-  // first endpoint list and before the first request. Endpoints and classes that `state` does not name stay
-  // as they are.
+  // Restores the state that another Policy exported, with weights reduced by its age. Must be called after
+  // the first endpoint list and before the first request. Endpoints and classes that `state` does not contain
+  // are unchanged.
   void ImportState(Millis now, const LearnedState& state);
 
-  // Multiplies the admission rate and the limits of all endpoints by `factor`. While two processes act as one
-  // gateway each takes a share: 0.5 when the overlap begins, 2 when it ends.
+  // Multiplies the admission rate and the concurrency limits of all endpoints by `factor`. While two
+  // processes of one gateway run in parallel during a hot restart, each uses half of the limits: the factor
+  // is 0.5 when the overlap starts and 2 when it ends.
   void ScaleLimits(double factor);
 
  private:
--- a/include/gateway/time.hpp
+++ b/include/gateway/time.hpp
@@ -1,11 +1,11 @@
-// The unit of time of the policy's interface.
+// The time unit of the policy's interface.
 #ifndef GATEWAY_TIME_HPP_
 #define GATEWAY_TIME_HPP_
 
 namespace gateway::policy {
 
-// Milliseconds: a duration, or a point in time. All points share one clock of the caller, which never runs
-// backwards; EndpointInfo::started_at is on it too.
+// A duration or a point in time, in milliseconds. All points in time, including EndpointInfo::started_at, are
+// on the same monotonic clock of the caller.
 using Millis = double;
 
 }  // namespace gateway::policy
