--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -1,4 +1,4 @@
-// A request from its arrival until it is answered and all of its attempts have ended.
+// Active requests: requests from their arrival until they are answered and all of their attempts have ended.
 #ifndef GATEWAY_POLICY_ACTIVE_REQUEST_HPP_
 #define GATEWAY_POLICY_ACTIVE_REQUEST_HPP_
 
@@ -17,54 +17,57 @@
 
 struct Endpoint;
 
-// Whether an attempt that ended like this may have been executed by its endpoint.
+// Returns whether an attempt with this result may have been executed by its endpoint.
 inline bool MayHaveExecuted(AttemptResult result) {
   return result != AttemptResult::kRejected && result != AttemptResult::kConnectFailed &&
          result != AttemptResult::kNotSent;
 }
 
+// An attempt to have a request served by one endpoint.
 struct Attempt {
   Endpoint* endpoint;
   Millis sent_at;
   bool in_flight = true;
   bool may_have_executed = true;
-  bool streaming = false;  // its response has begun and belongs to the client
+  bool streaming = false;  // its response is being sent to the client
 };
 
+// The state of one active request.
 struct ActiveRequest {
   std::string id;
-  std::size_t class_index = 0;  // in Settings::classes
-  std::uint64_t key_hash = 0;   // of the routing key; 0 = none
+  std::size_t class_index = 0;  // index in Settings::classes
+  std::uint64_t key_hash = 0;   // hash of the routing key; 0 = no key
   Millis arrived_at = 0;
   Millis objective_ends_at = 0;  // end of the latency objective
-  Millis deadline_at = 0;        // the client gives up
-  // A repeat of what may have been executed has to begin by then, while endpoints still drop repeats.
+  Millis deadline_at = 0;        // the client times out
+  // Latest start of a further attempt once an attempt may have been executed: endpoints drop repeats only
+  // within the deduplication window.
   Millis repeat_deadline_at = std::numeric_limits<Millis>::infinity();
   bool within_quota = true;
   bool answered = false;
   bool queued = false;
-  bool buffered = true;  // the gateway could send it again
+  bool buffered = true;  // the gateway stores the complete request and can send it again
   std::vector<Attempt> attempts;
 
   bool HasAttemptInFlight() const { return std::ranges::any_of(attempts, &Attempt::in_flight); }
 
-  // The first attempt that may have been executed, or null.
+  // Returns the first attempt that may have been executed, or null.
   const Attempt* FirstPossiblyExecuted() const {
     const auto found = std::ranges::find_if(attempts, &Attempt::may_have_executed);
     return found == attempts.end() ? nullptr : &*found;
   }
 
-  // The attempt of that index, or null.
+  // Returns the attempt with this index, or null.
   Attempt* FindAttempt(int index) {
     if (index < 0 || index >= static_cast<int>(attempts.size())) return nullptr;
     return &attempts[static_cast<std::size_t>(index)];
   }
 };
 
-// The active requests of a Policy by id. References stay valid until the request is erased.
+// The active requests of a Policy by id. Pointers to a request stay valid until it is erased.
 class ActiveRequests {
  public:
-  // Adds a request of that id; null if there is one already.
+  // Adds a request with this id. Returns null if the id is already in use.
   ActiveRequest* Add(const std::string& id) {
     const auto [entry, added] = requests_.try_emplace(id);
     if (!added) return nullptr;
@@ -82,7 +85,7 @@
   void Erase(const std::string& id) { requests_.erase(id); }
 
  private:
-  std::unordered_map<std::string, ActiveRequest> requests_;  // looked up, never iterated
+  std::unordered_map<std::string, ActiveRequest> requests_;  // never iterated, since the order is unspecified
 };
 
 }  // namespace gateway::policy
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -5,23 +5,23 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second, above what any endpoint serves
-constexpr double kAdditiveIncrease = 0.3;         // tokens per second, for each response within its objective
+constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second; more than any endpoint serves
+constexpr double kAdditiveIncrease = 0.3;         // tokens per second for each response within its objective
 constexpr double kMaximumRelativeIncrease = 0.05;
 constexpr double kDecreaseFactor = 0.85;
 constexpr Millis kMinimumDecreaseIntervalMs = 100;
-constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens of this time
+constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens of this period
 constexpr double kMinimumBucketTokens = 2;        // tokens
-constexpr Millis kSentRateTimeConstantMs = 1000;  // time constant of the rate of sent attempts
-constexpr double kSharedTimeConstantFactor = 4;   // times that, where a gateway sends each endpoint little
+constexpr Millis kSentRateTimeConstantMs = 1000;  // of the smoothed rate of sent attempts
+constexpr double kSharedTimeConstantFactor = 4;   // with many gateways per endpoint: fewer samples
 
-// Failure rate above which the rate is decreased. It is higher where many gateways share an endpoint, since
-// the decreases of all of them add up.
+// Failure rate above which the admission rate is decreased. The threshold is higher if many gateways
+// load_share an endpoint, since the decreases of all gateways add up.
 constexpr double kFailureThreshold = 0.2;
 constexpr double kSharedFailureThreshold = 0.25;
 
-// The weight of an outcome in the failure rate: the estimate covers about a second of traffic, but at least 5
-// and at most 20 outcomes.
+// Bounds of the weight of an outcome in the failure rate: the estimate covers about one second of traffic,
+// but at least 5 and at most 20 outcomes.
 constexpr double kMinimumOutcomeWeight = 0.05;
 constexpr double kMaximumOutcomeWeight = 0.2;
 
@@ -43,12 +43,12 @@
   return std::max(kMinimumBucketTokens, rate_ * kBucketPeriodMs / 1000);
 }
 
-void AdmissionRate::Advance(Millis passed, const Fleet& fleet) {
+void AdmissionRate::Advance(Millis elapsed, const Fleet& fleet) {
   const bool first = rate_ <= 0 && fleet.endpoints_up > 0;
   if (first) rate_ = kInitialRatePerEndpoint * fleet.endpoints_up;
   const double capacity = BucketCapacity();
-  tokens_ = first ? capacity : std::min(tokens_ + rate_ * passed / 1000, capacity);
-  sent_.Advance(passed, SentRateTimeConstant(fleet));
+  tokens_ = first ? capacity : std::min(tokens_ + rate_ * elapsed / 1000, capacity);
+  sent_.Advance(elapsed, SentRateTimeConstant(fleet));
 }
 
 void AdmissionRate::TakeToken(const Fleet& fleet) {
@@ -83,12 +83,13 @@
   state.failure_rate = failure_rate_;
 }
 
-void AdmissionRate::Import(const LearnedState& state, double kept, double share, const Fleet& fleet) {
-  // The older a rate is, the more of the initial rate returns: the overload that decreased it is over.
-  if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * share / kept);
+void AdmissionRate::Import(const LearnedState& state, double remaining_weight, double load_share,
+                           const Fleet& fleet) {
+  // The rate increases with the age of the state, since the overload that decreased it may have ended.
+  if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * load_share / remaining_weight);
   tokens_ = std::min(tokens_, BucketCapacity());
-  sent_.Restore(state.sent_rate * share * kept, kept);
-  failure_rate_ = state.failure_rate * kept;
+  sent_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
+  failure_rate_ = state.failure_rate * remaining_weight;
 }
 
 void AdmissionRate::Scale(double factor, const Fleet& fleet) {
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -9,48 +9,51 @@
 
 namespace gateway::policy {
 
+// Limits the rate at which a gateway sends attempts.
 class AdmissionRate {
  public:
-  // The part of the deployment that bounds the rate.
+  // The properties of the deployment that bound the rate.
   struct Fleet {
     int endpoints_up = 0;
     int gateway_count = 1;
-    bool many_gateways_per_endpoint = false;  // no gateway sees much of an endpoint's traffic
+    bool many_gateways_per_endpoint = false;  // each gateway sees little of an endpoint's traffic
   };
 
-  // Refills the bucket for the time passed. The rate starts high, in proportion to the endpoints, with the
-  // first call that has any.
-  void Advance(Millis passed, const Fleet& fleet);
+  // Refills the bucket for the elapsed time. The first call with an endpoint that is up sets the initial
+  // rate, which is high and proportional to the number of endpoints.
+  void Advance(Millis elapsed, const Fleet& fleet);
 
-  // An attempt may be sent while any part of a token is left: the balance falls below 0 by less than one.
+  // Returns whether an attempt may be sent. A fraction of a token suffices, so the balance can become
+  // negative by less than one token.
   bool HasToken() const { return tokens_ > 0; }
 
-  // Counts an attempt that is sent.
+  // Consumes a token for an attempt that is sent.
   void TakeToken(const Fleet& fleet);
 
-  // Records the outcome of an attempt and increases the rate if it was served within its latency objective.
-  // Returns whether the rate has to be decreased. Failures of attempts sent before the last decrease do not
-  // count again.
+  // Records the outcome of an attempt and increases the rate if the attempt was served within its latency
+  // objective. Returns whether the caller has to decrease the rate. Failures of attempts sent before the last
+  // decrease are ignored.
   bool RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet);
 
-  // Decreases the rate, which is not done again for a `round_trip`.
+  // Decreases the rate. For the duration `round_trip`, RecordOutcome() asks for no further decrease.
   void Decrease(Millis now, Millis round_trip, const Fleet& fleet);
 
-  // Whether requests beyond their tenant's quota may be sent where endpoints are shared by many gateways.
+  // Returns whether requests beyond their tenant's quota may be sent if many gateways share an endpoint.
   bool AdmitsBeyondQuota() const;
 
   double rate() const { return rate_; }  // tokens per second
   double tokens() const { return tokens_; }
-  double failure_rate() const {
-    return failure_rate_;
-  }  // smoothed share of outcomes not within the objective
+  // Returns the smoothed share of outcomes that were not within the objective.
+  double failure_rate() const { return failure_rate_; }
   double SentPerSecond() const { return sent_.Rate(); }
+  // Returns the decayed sum of the sent attempts, which is below SentPerSecond() after the start.
   double sent_decayed_sum() const { return sent_.decayed_sum(); }
 
   void Export(LearnedState& state) const;
-  // `kept`: the share of what was learned that still holds, by its age. `share`: this gateway's part of the
-  // exported rates.
-  void Import(const LearnedState& state, double kept, double share, const Fleet& fleet);
+  // Restores the learned state. `remaining_weight` in [0, 1]: weight of the state after decay by its age.
+  // `load_share`: factor from the exported rates to those of this gateway.
+  void Import(const LearnedState& state, double remaining_weight, double load_share, const Fleet& fleet);
+  // Multiplies the rates by `factor`.
   void Scale(double factor, const Fleet& fleet);
 
  private:
--- a/src/policy/class_queues.cpp
+++ b/src/policy/class_queues.cpp
@@ -7,9 +7,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMaximumCredit = 4;          // requests, and the same below 0
-constexpr double kMinimumQueueRequests = 32;  // requests that every class can queue
-constexpr double kMaximumWaitShare = 0.25;    // of its latency objective that a request may wait
+constexpr double kMaximumCredit = 4;          // requests; the negative value is the lower bound
+constexpr double kMinimumQueueRequests = 32;  // capacity of each queue at a low rate
+constexpr double kMaximumWaitShare = 0.25;    // share of the latency objective that a request may be queued
 
 }  // namespace
 
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -8,24 +8,24 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumLatencySampleWeight = 0.1;    // least weight of a sample in an endpoint's latency
-constexpr double kMinimumLongTermSampleWeight = 0.02;  // the same in its long-term latency
-constexpr double kBaseLatencyDriftShare = 0.001;       // share by which the base latency follows upwards
-constexpr int kMinimumBaseSamples = 20;        // before which the base latency of a type is its long-term one
-constexpr double kLatencyTolerance = 1.1;      // times the base latency that is no queueing yet
-constexpr double kCachedLatencyTolerance = 2;  // the same where latency depends on the keys too
+constexpr double kMinimumLatencySampleWeight = 0.1;    // of a sample in an endpoint's latency
+constexpr double kMinimumLongTermSampleWeight = 0.02;  // of a sample in the long-term latency
+constexpr double kBaseLatencyDriftShare = 0.001;       // of the difference, for each sample
+constexpr int kMinimumBaseSamples = 20;        // below: a type's base latency is its long-term latency
+constexpr double kLatencyTolerance = 1.1;      // multiple of the base latency without queueing
+constexpr double kCachedLatencyTolerance = 2;  // the same if latency also depends on the key
 constexpr double kMinimumGradient = 0.2;
-constexpr double kLimitGrowthFactor = 0.7;      // of a limit, times its square root
-constexpr double kInitialLimit = 8;             // attempts over all gateways
-constexpr double kInitialLimitWithReports = 2;  // the same where utilisation soon shows how much is free
-constexpr double kMinimumLimit = 1;             // attempts over all gateways
+constexpr double kLimitGrowthFactor = 0.7;      // increase of a limit, in multiples of its square root
+constexpr double kInitialLimit = 8;             // attempts, sum over all gateways
+constexpr double kInitialLimitWithReports = 2;  // the same; reports soon show the free capacity
+constexpr double kMinimumLimit = 1;             // attempts, sum over all gateways
 
-constexpr double kUtilizationReserve = 0.07;  // kept free, times the square root of the gateways
-constexpr double kUtilizationGain = 4;        // decrease of a limit by utilisation beyond that
+constexpr double kUtilizationReserve = 0.07;  // free share, times the square root of the gateway count
+constexpr double kUtilizationGain = 4;        // relative decrease of a limit per excess utilization
 constexpr double kUtilizationSampleWeight = 0.3;
 constexpr double kMaximumUtilization = 1.1;    // reports are noisy
-constexpr double kBusyUtilization = 0.6;       // of the machine type
-constexpr double kBusyShareBeyondQuota = 0.3;  // of the slots, for requests beyond their tenant's quota
+constexpr double kBusyUtilization = 0.6;       // from which the endpoints of a machine type count as busy
+constexpr double kBusyShareBeyondQuota = 0.3;  // share of the slots for requests beyond quota
 
 constexpr Millis kMaximumBackoffMs = 300;
 constexpr int kMaximumBackoffDoublings = 30;
@@ -43,7 +43,7 @@
   type.base += kBaseLatencyDriftShare / 4 * (type.long_term - type.base);
 }
 
-// With few samples the base latency of an endpoint leans on that of its machine type.
+// The base latency of an endpoint with few samples is a weighted mean with that of its machine type.
 void UpdateBaseLatency(LatencyEstimate& own, const LatencyEstimate& type, double sample) {
   own.long_term += std::max(kMinimumLongTermSampleWeight, 1.0 / own.samples) * (sample - own.long_term);
   const double confidence = std::min(1.0, own.samples * kMinimumLongTermSampleWeight);
@@ -69,7 +69,7 @@
   return endpoints_cache_keys_ ? kCachedLatencyTolerance : kLatencyTolerance;
 }
 
-// An endpoint that caches keys takes more before it queues, from the start on.
+// Endpoints that cache keys start with a higher limit, since their latency tolerance is higher.
 double ConcurrencyLimit::InitialLimit(double gateways_per_endpoint) const {
   const double limit = reports_utilization_ ? kInitialLimitWithReports
                                             : kInitialLimit * LatencyTolerance() / kLatencyTolerance;
@@ -108,12 +108,12 @@
                                      RandomSource& random, Millis now) const {
   ConcurrencyState& state = endpoint.concurrency;
   const double relative = sample.latency / sample.relative_latency;
-  // A failure never lowers the latency: an endpoint whose errors are fast is not a fast endpoint.
+  // A failure never lowers the latency estimate: fast errors do not make an endpoint fast.
   if (sample.served || relative > state.latency.current) {
     UpdateLimit(endpoint, relative, sample.served, gateways_per_endpoint);
   }
   if (state.limit < 1) state.backing_off_until = now + sample.latency * (1 / state.limit - 1);
-  // Random rounding: if all gateways rounded up, the endpoint would get one attempt more from each.
+  // Rounds up or down at random: if all gateways rounded up, each would send one additional attempt.
   state.slots = std::max(1.0, std::floor(state.limit + random.Uniform()));
 }
 
@@ -138,12 +138,13 @@
       excess > 0 || !served ? 0 : kLimitGrowthFactor * std::sqrt(state.limit / gateways_per_endpoint);
   const double target = state.limit * gradient + growth;
   const bool in_use = 2.0 * (endpoint.in_flight + 1) >= state.limit;
-  if (target > state.limit && !in_use) return;  // an unused limit has not shown that it can grow
+  if (target > state.limit && !in_use) return;  // a limit that is not used gives no evidence for an increase
   const double minimum = kMinimumLimit / gateways_per_endpoint;
   state.limit = std::max(minimum, state.limit + (target - state.limit) / std::max(2.0, state.limit));
 }
 
-// How far the endpoint exceeds the utilisation that leaves room for what the other gateways send next.
+// Returns by how much the endpoint exceeds the utilization at which it can still accept the next attempts of
+// the other gateways.
 double ConcurrencyLimit::ExcessUtilization(const Endpoint& endpoint) const {
   const double mean = (endpoint.concurrency.utilization + endpoint.machine_type->utilization) / 2;
   return mean - (1 - kUtilizationReserve * std::sqrt(gateway_count_));
@@ -154,8 +155,8 @@
   state.slots = std::max(1.0, std::floor(state.limit));
 }
 
-void ConcurrencyLimit::Restore(ConcurrencyState& state, double learned_limit, double kept) {
-  state.limit = state.limit + kept * (learned_limit - state.limit);
+void ConcurrencyLimit::Restore(ConcurrencyState& state, double learned_limit, double remaining_weight) {
+  state.limit = state.limit + remaining_weight * (learned_limit - state.limit);
   state.slots = std::max(1.0, std::floor(state.limit));
 }
 
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,8 +1,9 @@
-// Concurrency limit of each endpoint: how many own attempts it takes at a time without queueing, learned from
-// the gradient of its latency and from the utilisation that it reports.
+// Concurrency limit of each endpoint: the number of attempts of this gateway that the endpoint can process
+// concurrently without queueing. The limit is learned from the latency gradient and from the reported
+// utilization.
 //
-// Where many gateways share each endpoint, a limit would be a fraction of an attempt learned from next to no
-// traffic. There the admission rate alone bounds the load, and limits are learned but not applied.
+// If many gateways share each endpoint, a limit would be a fraction of an attempt and learned from very
+// little traffic. In that case only the admission rate bounds the load: limits are learned but not applied.
 #ifndef GATEWAY_POLICY_CONCURRENCY_LIMIT_HPP_
 #define GATEWAY_POLICY_CONCURRENCY_LIMIT_HPP_
 
@@ -20,49 +21,54 @@
 struct Endpoint;
 struct MachineType;
 
-// The part of an endpoint's state that the concurrency limit owns.
+// The state of the concurrency limit for one endpoint.
 struct ConcurrencyState {
   LatencyEstimate latency;
   double utilization = 0;  // reported, smoothed
-  double limit = 1;        // below 1 the endpoint pauses between attempts
+  double limit = 1;        // attempts; below 1: pauses between attempts
   double slots = 1;        // the limit, randomly rounded up or down; at least 1
   Millis backing_off_until = kNever;
   int consecutive_rejections = 0;
 };
 
+// Learns and applies the concurrency limits of all endpoints.
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(const Settings& settings);
 
-  // `gateways_per_endpoint` in the following: gateways that share each endpoint, at least 1.
+  // In the methods below, `gateways_per_endpoint` is the number of gateways that share each endpoint, at
+  // least 1.
 
-  // Starts anew for a new process of the endpoint.
+  // Resets the state for a new process of the endpoint.
   void Reset(ConcurrencyState& state, double gateways_per_endpoint) const;
 
-  // Whether the endpoint has a free slot. Requests beyond their tenant's quota leave a part of a busy
-  // endpoint free.
+  // Returns whether the endpoint has a free slot. Requests beyond their tenant's quota may use only a share
+  // of the slots of a busy endpoint.
   bool HasSlot(const Endpoint& endpoint, bool within_quota, Millis now) const;
 
-  // `load`: values by Settings::load_report_fields; one without a valid utilisation is ignored.
+  // Records a load report with values in the order of Settings::load_report_fields. A report without a valid
+  // utilization is ignored.
   void RecordLoadReport(Endpoint& endpoint, const std::vector<double>& load) const;
 
-  // Lets an endpoint that rejected an attempt back off, so that it can work off its queue.
+  // Records that the endpoint rejected an attempt. No attempts are sent to it during an exponential backoff,
+  // so that it can process its queue.
   void RecordRejection(ConcurrencyState& state, Millis now) const;
 
+  // The latency of an attempt that has ended.
   struct Sample {
     Millis latency = 0;
-    double relative_latency = 1;  // of the request's class
+    double relative_latency = 1;  // of the request's class, as a factor of the mean latency
     bool served = false;
   };
-  // Learns from the end of an attempt. The limit is rounded to slots at random.
+  // Updates latency and limit after the end of an attempt. Slots are the limit, rounded up or down at random.
   void RecordLatency(Endpoint& endpoint, const Sample& sample, double gateways_per_endpoint,
                      RandomSource& random, Millis now) const;
 
-  // Multiplies the limit when the gateway's part of the load changes.
+  // Multiplies the limit by `factor`, for a change of this gateway's share of the load.
   void Scale(ConcurrencyState& state, double factor, double gateways_per_endpoint) const;
 
-  // Moves the limit towards one learned earlier; `kept` in [0, 1] is its weight.
-  static void Restore(ConcurrencyState& state, double learned_limit, double kept);
+  // Moves the limit towards a limit learned earlier, whose weight is `remaining_weight` in [0, 1].
+  static void Restore(ConcurrencyState& state, double learned_limit, double remaining_weight);
 
  private:
   double LatencyTolerance() const;
@@ -72,7 +78,7 @@
 
   const bool endpoints_cache_keys_;
   const double gateway_count_;
-  const std::size_t utilization_index_;  // in a load report; past its end if it is not reported
+  const std::size_t utilization_index_;  // in a load report; past its end if not reported
   const bool reports_utilization_;
 };
 
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,4 +1,4 @@
-// What a Policy knows of an upstream endpoint. Each mechanism defines its own part of the state.
+// The state of an upstream endpoint in a Policy. Each mechanism defines its own part of the state.
 #ifndef GATEWAY_POLICY_ENDPOINT_HPP_
 #define GATEWAY_POLICY_ENDPOINT_HPP_
 
@@ -11,25 +11,26 @@
 
 namespace gateway::policy {
 
-// What endpoints of one machine type have in common.
+// Estimates that the endpoints of one machine type share.
 struct MachineType {
   LatencyEstimate latency;
   double utilization = 0;  // reported, smoothed
   Throughput throughput;
 };
 
+// An upstream endpoint.
 struct Endpoint {
   EndpointInfo info;
   MachineType* machine_type = nullptr;
   Zone* zone = nullptr;
-  std::uint64_t hash = 0;  // of the id
+  std::uint64_t hash = 0;  // hash of the id
 
-  bool up = false;                      // listed as such
+  bool up = false;                      // listed with the state kUp
   bool in_subset = false;               // used by this gateway
-  std::uint64_t listed_generation = 0;  // number of the last list event that named it
+  std::uint64_t listed_generation = 0;  // generation of the last list event that contained it
 
-  int references = 0;  // attempts of active requests that name it
-  int in_flight = 0;   // own attempts that await a response
+  int references = 0;  // attempts of active requests that point to it
+  int in_flight = 0;   // attempts of this gateway without a response so far
 
   SlowStartState slow_start;
   OutlierState outlier;
--- a/src/policy/endpoint_ring.cpp
+++ b/src/policy/endpoint_ring.cpp
@@ -13,13 +13,14 @@
 namespace gateway::policy {
 namespace {
 
-constexpr int kHashBits = 53;  // used of a hash: as many as a double holds exactly
+constexpr int kHashBits = 53;  // bits used of a hash; a double represents them exactly
 
 std::uint64_t OrderingHash(const Endpoint& endpoint) { return endpoint.hash >> (64 - kHashBits); }
 
 }  // namespace
 
-// Endpoints by hash; the id decides between equal ones, so that all gateways agree.
+// The endpoints of one machine type, ordered by hash. Equal hashes are ordered by id, so that the order is
+// the same in all gateways.
 struct EndpointRing::Order {
   struct ByHash {
     bool operator()(const Endpoint* a, const Endpoint* b) const {
@@ -36,13 +37,13 @@
   double Position(std::size_t rank) const {
     return static_cast<double>(rank) / static_cast<double>(endpoints.size());
   }
-  // The number of these endpoints before `position`.
+  // Returns the number of these endpoints before `position`.
   std::size_t CountBefore(double position) const {
-    const std::size_t all = endpoints.size();
-    const double wanted = std::ceil(position * static_cast<double>(all));
-    auto count = static_cast<std::size_t>(std::clamp(wanted, 0.0, static_cast<double>(all)));
-    while (count > 0 && Position(count - 1) >= position) --count;  // `wanted` is rounded
-    while (count < all && Position(count) < position) ++count;
+    const std::size_t total = endpoints.size();
+    const double estimate = std::ceil(position * static_cast<double>(total));
+    auto count = static_cast<std::size_t>(std::clamp(estimate, 0.0, static_cast<double>(total)));
+    while (count > 0 && Position(count - 1) >= position) --count;  // `estimate` is rounded
+    while (count < total && Position(count) < position) ++count;
     return count;
   }
 };
@@ -67,55 +68,57 @@
 
 struct EndpointRing::Walk::Cursor {
   const Order* order;
-  Order::Endpoints::const_iterator at;
+  Order::Endpoints::const_iterator iterator;
   std::size_t rank;
-  int lap = 0;  // completed rounds of the walk
+  int lap = 0;  // completed rounds of the ring
 
   void Advance() {
-    ++at;
+    ++iterator;
     ++rank;
     Wrap();
   }
   void Wrap() {
     if (rank < order->endpoints.size()) return;
-    at = order->endpoints.begin();
+    iterator = order->endpoints.begin();
     rank = 0;
     ++lap;
   }
-  // Whether `other` comes first. Types whose endpoints share a position take turns by hash.
+  // Whether `other` comes first, as std::push_heap needs for a min-heap. Endpoints of different types with
+  // the same position are ordered by hash.
   bool operator<(const Cursor& other) const { return Key() > other.Key(); }
 
  private:
   std::tuple<int, double, std::uint64_t> Key() const {
-    return {lap, order->Position(rank), OrderingHash(**at)};
+    return {lap, order->Position(rank), OrderingHash(**iterator)};
   }
 };
 
 EndpointRing::Walk::Walk(const EndpointRing& ring, std::size_t first) : ring_(ring) {
-  // Before a position each type has less than one endpoint beyond its even part; one more for rounding.
+  // Before a position, each type has less than one endpoint more than its proportional share. The additional
+  // 1 allows for rounding.
   const double types = static_cast<double>(ring.orders_.size());
-  const double all = static_cast<double>(ring.size_);
-  std::size_t passed = BeginAt((static_cast<double>(first) - types - 1) / all);
-  for (; passed < first; ++passed) Next();
+  const double total = static_cast<double>(ring.size_);
+  std::size_t skipped = BeginAt((static_cast<double>(first) - types - 1) / total);
+  for (; skipped < first; ++skipped) Next();
 }
 
 EndpointRing::Walk::~Walk() = default;
 
 std::size_t EndpointRing::Walk::BeginAt(double position) {
-  std::size_t passed = 0;
+  std::size_t skipped = 0;
   for (const auto& [type, order] : ring_.orders_) {
     const std::size_t rank = order->CountBefore(position);
-    passed += rank;
+    skipped += rank;
     heap_.push_back({order.get(), order->endpoints.nth(rank), rank});
     heap_.back().Wrap();
   }
   std::make_heap(heap_.begin(), heap_.end());
-  return passed;
+  return skipped;
 }
 
 Endpoint& EndpointRing::Walk::Next() {
   std::pop_heap(heap_.begin(), heap_.end());
-  Endpoint& endpoint = **heap_.back().at;
+  Endpoint& endpoint = **heap_.back().iterator;
   heap_.back().Advance();
   std::push_heap(heap_.begin(), heap_.end());
   return endpoint;
--- a/src/policy/endpoint_ring.hpp
+++ b/src/policy/endpoint_ring.hpp
@@ -1,9 +1,9 @@
-// The order in which gateways draw endpoints into their subsets: a ring on which the endpoints of each
-// machine type lie evenly, in an order that all gateways share.
+// The order in which gateways select endpoints for their subsets: a ring on which the endpoints of each
+// machine type are evenly spaced. All gateways use the same order.
 //
-// The position of an endpoint is its rank by hash among the endpoints of its type, over their number.
-// Positions are not stored: insertion and removal cost O(log n), finding a position on the ring O(k log n)
-// for k machine types, and each further endpoint O(log k).
+// The position of an endpoint is its rank by hash among the endpoints of its type, divided by their number.
+// Positions are not stored. Insertion and removal take O(log n), finding a position on the ring takes O(k log
+// n) for k machine types, and each further endpoint O(log k).
 #ifndef GATEWAY_POLICY_ENDPOINT_RING_HPP_
 #define GATEWAY_POLICY_ENDPOINT_RING_HPP_
 
@@ -17,7 +17,7 @@
 struct Endpoint;
 struct MachineType;
 
-// Holds pointers to endpoints of the caller, who erases each before it ends.
+// Stores pointers to endpoints, which the caller must erase from the ring before it destroys them.
 class EndpointRing {
  public:
   EndpointRing();
@@ -25,30 +25,33 @@
   EndpointRing(EndpointRing&&) noexcept;
   EndpointRing& operator=(EndpointRing&&) noexcept;
 
-  // The endpoint must not be on the ring already. Its machine type and hash must not change while it is.
+  // Adds an endpoint that is not on the ring. Its machine type and hash must not change while it is on the
+  // ring.
   void Insert(Endpoint& endpoint);
+  // Removes the endpoint. Does nothing if it is not on the ring.
   void Erase(Endpoint& endpoint);
   std::size_t size() const { return size_; }
 
-  // Goes round and round the ring from a position on it. Invalid once the ring changes; an empty ring has no
-  // next endpoint.
+  // Iterates over the ring from a given position, without an end: the first endpoint follows the last one. A
+  // walk is invalidated by changes of the ring. Next() must not be called on an empty ring.
   class Walk {
    public:
-    // `first`: number of endpoints in the ring's order before the first one; below the ring's size.
+    // `first`: index, in the order of the ring, of the endpoint to start with; less than the ring's size.
     Walk(const EndpointRing& ring, std::size_t first);
     ~Walk();
     Endpoint& Next();
 
    private:
     struct Cursor;
-    std::size_t BeginAt(double position);  // returns the number of endpoints before it
+    // Sets the start of the walk. Returns the number of endpoints before it.
+    std::size_t BeginAt(double position);
 
     const EndpointRing& ring_;
-    std::vector<Cursor> heap_;  // the next endpoint of each machine type, the first of the ring on top
+    std::vector<Cursor> heap_;  // min-heap of the next endpoint of each machine type
   };
 
  private:
-  struct Order;  // of the endpoints of one machine type
+  struct Order;  // ordered endpoints of one machine type
   std::map<const MachineType*, std::unique_ptr<Order>> orders_;
   std::size_t size_ = 0;
 };
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// The endpoints that service discovery has listed, with their machine types and zones.
+// The table of endpoints listed by service discovery, with their machine types and zones.
 #ifndef GATEWAY_POLICY_ENDPOINT_TABLE_HPP_
 #define GATEWAY_POLICY_ENDPOINT_TABLE_HPP_
 
@@ -16,24 +16,26 @@
 
 namespace gateway::policy {
 
-// Pointers to an endpoint stay valid until RemoveUnreferenced() erases it.
+// All known endpoints by id. Pointers to an endpoint stay valid until RemoveUnreferenced() erases it.
 class EndpointTable {
  public:
   explicit EndpointTable(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  // A list event is applied by BeginListUpdate(), Update() for each endpoint it names, RemoveUnlisted() if it
-  // is a snapshot, and RemoveUnreferenced() once no subset names the removed endpoints any more.
+  // To apply a list event, call BeginListUpdate(), Update() for each of its endpoints, RemoveUnlisted() if
+  // the event is a snapshot, and RemoveUnreferenced() once no subset contains the removed endpoints.
   void BeginListUpdate() { ++list_generation_; }
 
   struct UpdateResult {
     Endpoint& endpoint;
-    bool started;  // it is new, or a new process
+    bool started;  // it is new or has a new process
   };
   UpdateResult Update(const EndpointInfo& info);
+  // Marks the endpoints that the current list does not contain as not up.
   void RemoveUnlisted();
-  // Erases the endpoints that are not up and that no active request names.
+  // Erases the endpoints that are not up and that no active request refers to.
   void RemoveUnreferenced();
 
+  // Returns the endpoint with this id, or null.
   Endpoint* Find(const std::string& id);
   bool IsInOwnZone(const Endpoint& endpoint) const { return endpoint.info.zone == own_zone_; }
 
@@ -43,7 +45,7 @@
   int own_zone_up_count() const { return own_zone_up_count_; }
   std::size_t zone_count() const { return zones_.size(); }
 
-  // Ordered by name and id, so that iteration is the same in every run.
+  // Ordered by id and name, so that iteration is deterministic.
   using Endpoints = std::map<std::string, Endpoint>;
   using MachineTypes = std::map<std::string, MachineType>;
   Endpoints& endpoints() { return endpoints_; }
@@ -51,9 +53,9 @@
   MachineTypes& machine_types() { return machine_types_; }
   const MachineTypes& machine_types() const { return machine_types_; }
 
-  // Marks an endpoint whose latency was measured.
+  // Marks an endpoint as having a latency sample.
   void MarkMeasured(Endpoint& endpoint) { measured_.insert(&endpoint); }
-  // Median of the latencies of the endpoints that are up and measured; 0 if there is none.
+  // Returns the median latency of the endpoints that are up and measured; 0 if there are none.
   Millis MedianLatency() const;
 
  private:
@@ -66,8 +68,8 @@
   std::map<std::string, Zone> zones_;
   EndpointRing ring_;
   std::set<Endpoint*> measured_;
-  std::set<Endpoint*> removal_candidates_;  // a superset, checked by RemoveUnreferenced()
-  mutable std::vector<Millis> latencies_;   // kept for its memory
+  std::set<Endpoint*> removal_candidates_;  // endpoints not up; may contain some that are up again
+  mutable std::vector<Millis> latencies_;   // reused buffer of MedianLatency()
   int own_zone_up_count_ = 0;
   std::uint64_t list_generation_ = 0;
 };
--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -1,4 +1,4 @@
-// What the handler of one event is given besides the event: the time, and where its actions go.
+// The context in which an event is handled: the current time and the list of actions to append to.
 #ifndef GATEWAY_POLICY_EVENT_CONTEXT_HPP_
 #define GATEWAY_POLICY_EVENT_CONTEXT_HPP_
 
@@ -10,11 +10,12 @@
 
 namespace gateway::policy {
 
+// Passed to the handlers of an event.
 struct EventContext {
   Millis now;
   std::vector<Action>& actions;
 
-  // Appends an action of one of the types of Action.
+  // Appends an action. `ActionType` is one of the alternatives of Action.
   template <typename ActionType>
   void Emit(ActionType action) {
     actions.emplace_back(std::move(action));
--- a/src/policy/hash.hpp
+++ b/src/policy/hash.hpp
@@ -1,4 +1,4 @@
-// Hashes that are the same in every gateway and every build.
+// Hash functions with the same results in every gateway and every build.
 #ifndef GATEWAY_POLICY_HASH_HPP_
 #define GATEWAY_POLICY_HASH_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace gateway::policy {
 
-// FNV-1a with a final mix. All gateways must rank endpoints alike, which std::hash does not promise.
+// FNV-1a with a finalizer. std::hash does not guarantee that all gateways order endpoints identically.
 inline std::uint64_t Hash(std::string_view text, std::uint64_t hash = 1469598103934665603ULL) {
   for (const unsigned char character : text) hash = (hash ^ character) * 1099511628211ULL;
   hash = (hash ^ (hash >> 33)) * 0xff51afd7ed558ccdULL;
--- a/src/policy/latency_estimate.hpp
+++ b/src/policy/latency_estimate.hpp
@@ -1,4 +1,4 @@
-// Latency of an endpoint or a machine type, relative to that of the traffic class.
+// Latency estimates of an endpoint or a machine type.
 #ifndef GATEWAY_POLICY_LATENCY_ESTIMATE_HPP_
 #define GATEWAY_POLICY_LATENCY_ESTIMATE_HPP_
 
@@ -6,8 +6,9 @@
 
 namespace gateway::policy {
 
+// Latencies are divided by the relative latency of the request's traffic class.
 struct LatencyEstimate {
-  Millis current = 0;    // smoothed; 0 = not measured
+  Millis current = 0;    // smoothed; 0 = no sample yet
   Millis long_term = 0;  // smoothed over more samples
   Millis base = 0;       // estimate of the latency without queueing: follows the lowest long-term values
   int samples = 0;
--- a/src/policy/list_polling.cpp
+++ b/src/policy/list_polling.cpp
@@ -7,23 +7,23 @@
 namespace {
 
 constexpr Millis kMinimumBackoffMs = 100;
-constexpr Millis kSpreadPerGatewayMs = 40;       // for each other gateway that may call meanwhile
-constexpr double kMaximumSpreadShare = 0.4;      // of the maximum poll interval
+constexpr Millis kSpreadPerGatewayMs = 40;       // for each other gateway, which may call too
+constexpr double kMaximumSpreadShare = 0.4;      // share of the maximum poll interval
 constexpr Millis kMaximumInitialDelayMs = 1000;  // from the start to the first call
-constexpr Millis kMaximumCallIntervalMs = 4500;  // from the beginning of a failed call to the next one
-constexpr double kMaximumBackoffShare = 0.25;    // of the maximum poll interval
+constexpr Millis kMaximumCallIntervalMs = 4500;  // from the start of a failed call to the next call
+constexpr double kMaximumBackoffShare = 0.25;    // share of the maximum poll interval
 
 constexpr Millis kNotScheduled = std::numeric_limits<Millis>::infinity();
 
 }  // namespace
 
 ListPolling::ListPolling(const Settings& settings, double ring_position)
-    : polls_(settings.poll_endpoint_list),
+    : polling_enabled_(settings.poll_endpoint_list),
       maximum_interval_(settings.maximum_poll_interval),
       gateway_count_(settings.gateway_count),
       ring_position_(ring_position) {}
 
-Millis ListPolling::Spread() const {
+Millis ListPolling::CallSpread() const {
   return std::min({kSpreadPerGatewayMs * (gateway_count_ - 1), kMaximumSpreadShare * maximum_interval_,
                    kMaximumCallIntervalMs});
 }
@@ -31,16 +31,16 @@
 void ListPolling::RecordFailure(Millis call_duration, Millis now, RandomSource& random) {
   const bool repeated = backoff_ > 0;
   const double jitter = repeated ? 0.75 + random.Uniform() / 4 : random.Uniform();
-  const Millis maximum_backoff = std::max(maximum_interval_ * kMaximumBackoffShare, 2 * Spread());
-  backoff_ = std::min(std::max({kMinimumBackoffMs, Spread(), backoff_ * 2}), maximum_backoff);
-  const Millis limit = polls_ ? backoff_ : kMinimumBackoffMs;
+  const Millis maximum_backoff = std::max(maximum_interval_ * kMaximumBackoffShare, 2 * CallSpread());
+  backoff_ = std::min(std::max({kMinimumBackoffMs, CallSpread(), backoff_ * 2}), maximum_backoff);
+  const Millis limit = polling_enabled_ ? backoff_ : kMinimumBackoffMs;
   next_call_at_ = now + std::clamp(kMaximumCallIntervalMs - call_duration, 0.0, limit) * jitter;
 }
 
 bool ListPolling::StartCallIfDue(bool list_known, Millis now) {
   if (next_call_at_ == kNever) {
-    const Millis spread = list_known ? std::min(Spread(), kMaximumInitialDelayMs) : 0;
-    next_call_at_ = polls_ ? now + spread * ring_position_ : kNotScheduled;
+    const Millis spread = list_known ? std::min(CallSpread(), kMaximumInitialDelayMs) : 0;
+    next_call_at_ = polling_enabled_ ? now + spread * ring_position_ : kNotScheduled;
   }
   if (now < next_call_at_) return false;
   next_call_at_ = kNotScheduled;
--- a/src/policy/list_polling.hpp
+++ b/src/policy/list_polling.hpp
@@ -1,8 +1,8 @@
-// List polling: when the endpoint list is asked for at the start and after a failed call.
+// List polling: schedules the calls for the endpoint list at the start and after failed calls.
 //
-// The list service may be overloaded: where the list is polled, each failure in a row doubles the backoff,
-// with jitter. But a change of the list must arrive in time whatever failed before, so the backoff is
-// bounded. A list that is pushed is watched again within the minimum backoff.
+// If the list is polled, each consecutive failure doubles the backoff, with jitter, since the list service
+// may be overloaded. The backoff is bounded, since changes of the list must arrive in time even after many
+// failures. If the list is pushed, a failed watch is restarted within the minimum backoff.
 #ifndef GATEWAY_POLICY_LIST_POLLING_HPP_
 #define GATEWAY_POLICY_LIST_POLLING_HPP_
 
@@ -13,28 +13,31 @@
 
 namespace gateway::policy {
 
+// Schedules the calls for the endpoint list.
 class ListPolling {
  public:
-  // `ring_position` in [0, 1) spreads the first calls of gateways that start together.
+  // `ring_position` in [0, 1): spreads the first calls of gateways that start at the same time.
   ListPolling(const Settings& settings, double ring_position);
 
+  // Records that a call was answered, which resets the backoff.
   void RecordSuccess() { backoff_ = 0; }
-  // `call_duration`: since the failed call began.
+  // Records a failed call and schedules the next one. `call_duration`: from the start of the failed call.
   void RecordFailure(Millis call_duration, Millis now, RandomSource& random);
 
-  // Whether a call is due; it is then taken as made. `list_known`: some endpoint is up.
+  // Returns whether a call is due. If so, the caller must make it at once, and it is no longer due.
+  // `list_known`: whether any endpoint is up.
   bool StartCallIfDue(bool list_known, Millis now);
 
  private:
-  // Time over which the calls of all gateways are spread.
-  Millis Spread() const;
+  // Returns the period over which the calls of all gateways are spread.
+  Millis CallSpread() const;
 
-  const bool polls_;  // else the list is pushed
+  const bool polling_enabled_;  // false: the list is pushed
   const Millis maximum_interval_;
   const int gateway_count_;
   const double ring_position_;
   Millis next_call_at_ = kNever;
-  Millis backoff_ = 0;  // 0: the last call was answered
+  Millis backoff_ = 0;  // 0: the last call succeeded
 };
 
 }  // namespace gateway::policy
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -9,10 +9,10 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kOtherZoneCost = 1.3;           // times that in the own zone: crossing zones has a price
-constexpr double kMachineTypeWeightSamples = 2;  // that the latency of the machine type counts for
-constexpr double kMaximumOwnWeightSamples = 10;  // that the endpoint's own latency counts for
-constexpr std::size_t kCandidateCount = 2;
+constexpr double kOtherZoneCost = 1.3;           // factor on the cost, for cross-zone traffic
+constexpr double kMachineTypeWeightSamples = 2;  // weight of the machine type's latency
+constexpr double kMaximumOwnWeightSamples = 10;  // of the endpoint's own latency
+constexpr std::size_t kCandidateCount = 2;       // endpoints whose costs are compared
 
 void MoveRandomToFront(std::vector<Endpoint*>& candidates, RandomSource& random) {
   const std::size_t count = candidates.size();
@@ -26,8 +26,8 @@
                           const EndpointTable& table) {
   const LatencyEstimate& own = endpoint.concurrency.latency;
   const LatencyEstimate& type = endpoint.machine_type->latency;
-  const bool lean_on_type = many_gateways_per_endpoint && type.current > 0;
-  const double type_weight = lean_on_type ? kMachineTypeWeightSamples : 0;
+  const bool use_type_latency = many_gateways_per_endpoint && type.current > 0;
+  const double type_weight = use_type_latency ? kMachineTypeWeightSamples : 0;
   const double own_weight = std::min(1.0 * own.samples, kMaximumOwnWeightSamples);
   const double weight = own_weight + type_weight;
   const double mean = (own_weight * own.current + type_weight * type.current) / std::max(1.0, weight);
@@ -35,7 +35,7 @@
   return (table.IsInOwnZone(endpoint) ? 1 : kOtherZoneCost) * (endpoint.in_flight + 1) * latency;
 }
 
-// Weighted rendezvous hashing: an endpoint that comes or goes moves only the keys it has.
+// Weighted rendezvous hashing: adding or removing an endpoint reassigns only the keys of that endpoint.
 void LoadBalancer::MoveBestForKeyToFront(std::vector<Endpoint*>& candidates, std::uint64_t key_hash) {
   ranked_.clear();
   for (Endpoint* const endpoint : candidates) {
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -9,24 +9,24 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kOutcomeWeight = 0.2;  // of a new outcome in the failure rate
-constexpr double kBrokenConnectionWeight = 0.05;
-constexpr double kEjectionThreshold = 0.3;     // failure rate
-constexpr double kReadmissionThreshold = 0.1;  // failure rate, after successful probes
+constexpr double kOutcomeWeight = 0.2;            // weight of an outcome in the failure rate
+constexpr double kBrokenConnectionWeight = 0.05;  // the same for a reset while others are served
+constexpr double kEjectionThreshold = 0.3;        // failure rate
+constexpr double kReadmissionThreshold = 0.1;     // failure rate after successful probes
 
 constexpr Millis kInitialProbeBackoffMs = 300;
 constexpr Millis kMaximumProbeBackoffMs = 4000;
-constexpr double kProbesPerRequest = 0.05;  // where many gateways share an endpoint
-constexpr double kMaximumProbeBudget = 2;
-constexpr double kProbeTimeShare = 0.5;  // of the time left to the latency objective
+constexpr double kProbesPerRequest = 0.05;  // if many gateways share an endpoint
+constexpr double kMaximumProbeBudget = 2;   // probes
+constexpr double kProbeTimeShare = 0.5;     // share of the time left until the latency objective
 
 constexpr Millis kInitialClassErrorBackoffMs = 300;
 constexpr Millis kMaximumClassErrorBackoffMs = 4000;
 constexpr int kMaximumBackoffDoublings = 30;
 
-constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // unresponsive since the last response from the zone
-constexpr Millis kRestartDetectionPeriodMs =
-    1000;  // without a response, after which failed connections mean a restart
+constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // since the last response from the zone
+// Time without a response after which failed connections suggest a restart.
+constexpr Millis kRestartDetectionPeriodMs = 1000;
 
 // Spreads a backoff over 75 to 125%.
 Millis WithJitter(Millis backoff, RandomSource& random) { return backoff * (0.75 + 0.5 * random.Uniform()); }
@@ -47,18 +47,20 @@
   const bool served = outcome.result == AttemptResult::kServed;
   state.last_outcome_at = now;
   RecordClassError(state, outcome, now);
-  // An overloaded endpoint fails connections too: only one that has served nothing for long may have
-  // restarted.
-  const bool dropped =
+  // An overloaded endpoint fails connections too. Therefore a restart is suspected only if the endpoint has
+  // served no attempt recently.
+  const bool connection_failed =
       outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
-  const bool silent = now - state.last_served_at > kRestartDetectionPeriodMs;
-  if (dropped && silent && state.failure_rate >= kOutcomeWeight) state.restart_suspected = true;
-  // A time-out while other attempts were served shows a slow request, not a failing endpoint.
+  const bool no_recent_response = now - state.last_served_at > kRestartDetectionPeriodMs;
+  if (connection_failed && no_recent_response && state.failure_rate >= kOutcomeWeight) {
+    state.restart_suspected = true;
+  }
+  // A timeout while other attempts were served indicates a slow request, not a failing endpoint.
   const bool isolated_timeout =
       outcome.result == AttemptResult::kTimedOut && state.last_served_at > now - outcome.latency;
-  // A connection that breaks while the endpoint serves others shows a fault of the network.
-  const bool served_lately = state.last_served_at > now - kRestartDetectionPeriodMs;
-  const bool broken_connection = outcome.result == AttemptResult::kReset && served_lately;
+  // A connection that breaks while the endpoint serves other attempts indicates a network fault.
+  const bool served_recently = state.last_served_at > now - kRestartDetectionPeriodMs;
+  const bool broken_connection = outcome.result == AttemptResult::kReset && served_recently;
   if (served) state.last_served_at = now;
   RecordZone(endpoint, outcome, now);
   if (!isolated_timeout) {
@@ -100,7 +102,7 @@
   if (unresponsive && sent_at > zone.last_response_at) zone.unresponsive.insert(endpoint.info.id);
 }
 
-// Ejects the endpoint, or lengthens the backoff of one whose probe failed. Returns whether it was not
+// Ejects the endpoint, or increases the probe backoff if it is already ejected. Returns whether it is newly
 // ejected.
 bool OutlierDetection::Eject(OutlierState& state, Millis now, RandomSource& random) const {
   const bool newly_ejected = !std::exchange(state.ejected, true);
@@ -142,12 +144,12 @@
 }
 
 void OutlierDetection::Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned,
-                               double kept, Millis now, RandomSource& random) const {
-  state.failure_rate = kept * learned.failure_rate;
+                               double remaining_weight, Millis now, RandomSource& random) const {
+  state.failure_rate = remaining_weight * learned.failure_rate;
   state.ejected = learned.ejected && state.failure_rate >= kReadmissionThreshold;
   state.restart_suspected = learned.restart_suspected;
   state.last_outcome_at = learned.last_outcome_at;
-  if (state.ejected) state.next_probe_at = now + WithJitter(kept * state.probe_backoff, random);
+  if (state.ejected) state.next_probe_at = now + WithJitter(remaining_weight * state.probe_backoff, random);
 }
 
 }  // namespace gateway::policy
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,9 +1,9 @@
 // Outlier detection: ejects endpoints whose attempts fail, and readmits them after successful probes.
 //
-// An endpoint is ejected when its smoothed failure rate exceeds a threshold. While ejected it is half-open:
-// it is sent one request at a time as a probe, with a backoff that doubles with each failed probe. An
-// endpoint that fails requests of one class only is avoided for that class. A zone several of whose endpoints
-// are unresponsive is treated as if all its endpoints were ejected.
+// An endpoint is ejected when its smoothed failure rate exceeds a threshold. An ejected endpoint is
+// half-open: it receives one request at a time as a probe, with a backoff that doubles after each failed
+// probe. An endpoint that fails only requests of one class is avoided for that class. If several endpoints of
+// a zone are unresponsive, all endpoints of the zone are treated as ejected.
 #ifndef GATEWAY_POLICY_OUTLIER_DETECTION_HPP_
 #define GATEWAY_POLICY_OUTLIER_DETECTION_HPP_
 
@@ -21,12 +21,13 @@
 
 struct Endpoint;
 
+// The state of a zone.
 struct Zone {
   Millis last_response_at = kNever;
-  std::set<std::string> unresponsive;  // ids of endpoints with a time-out or failed connection since then
+  std::set<std::string> unresponsive;  // ids of endpoints with a timeout or failed connection since then
 };
 
-// The part of an endpoint's state that outlier detection owns.
+// The state of outlier detection for one endpoint.
 struct OutlierState {
   struct ClassErrors {
     int consecutive = 0;
@@ -34,66 +35,72 @@
   };
   double failure_rate = 0;  // smoothed share of failed attempts
   bool ejected = false;
-  bool restart_suspected = false;  // connections failed: it may return as a new process
+  bool restart_suspected = false;  // connections failed, so the process may have restarted
   Millis next_probe_at = 0;
   Millis probe_backoff = 0;
   Millis last_served_at = kNever;
   Millis last_outcome_at = kNever;
-  std::vector<ClassErrors> class_errors;  // by class
+  std::vector<ClassErrors> class_errors;  // by class index
 };
 
+// Ejects and readmits endpoints, and limits the probes that they receive.
 class OutlierDetection {
  public:
   explicit OutlierDetection(std::size_t class_count) : class_count_(class_count) {}
 
-  // Starts anew for a new process of the endpoint.
+  // Resets the state for a new process of the endpoint.
   void Reset(OutlierState& state) const;
 
+  // The outcome of an attempt.
   struct Outcome {
     AttemptResult result = AttemptResult::kServed;  // not kRejected
     Millis latency = 0;
     std::size_t class_index = 0;
   };
+  // A change of an endpoint's state.
   enum class Change {
     kNone,
     kEjected,
     kReadmitted,
     kRestarted,  // readmitted, as a new process
   };
+  // The conclusions from an outcome.
   struct Assessment {
     Change change = Change::kNone;
-    bool is_latency_sample =
-        true;  // false: the duration of the attempt says nothing about the endpoint's queue
+    bool is_latency_sample = true;  // false: the duration is no evidence of queueing
   };
-  // Records how an attempt at the endpoint ended, and ejects or readmits it. `random` spreads the probes of
-  // many gateways.
+  // Records the outcome of an attempt at the endpoint, and ejects or readmits the endpoint if necessary.
+  // `random` spreads the probes of many gateways.
   Assessment RecordOutcome(Endpoint& endpoint, const Outcome& outcome, Millis now,
                            RandomSource& random) const;
 
-  // Records that the endpoint rejected an attempt. That is no failure, unless the attempt was a probe.
+  // Records that the endpoint rejected an attempt. A rejection counts as a failure only for a probe.
   void RecordRejection(Endpoint& endpoint, Millis now, RandomSource& random) const;
 
+  // Returns whether the endpoint is avoided for requests of the class because of recent errors.
   bool IsAvoidedForClass(const OutlierState& state, std::size_t class_index, Millis now) const;
 
-  // Whether so many endpoints of the zone are unresponsive that it counts as lost. Not with a single zone.
+  // Returns whether several endpoints of the zone are unresponsive. Always false if there is only one zone.
   bool IsZoneUnresponsive(const Zone& zone, std::size_t zone_count) const;
 
-  // Whether an endpoint that is ejected or in a lost zone may be sent a probe.
+  // Returns whether a probe is due for an endpoint that is ejected or in an unresponsive zone.
   bool IsProbeDue(const Endpoint& endpoint, Millis now) const;
 
-  // Probes use clients' requests, and those of all gateways add up at an endpoint. Each request earns a part
-  // of a probe where many gateways share the endpoints, and a whole one elsewhere.
+  // Client requests serve as probes, and the probes of all gateways add up at an endpoint. Therefore each
+  // request adds only a fraction of a probe to the budget if many gateways share the endpoints, and one probe
+  // otherwise.
   void AddProbeBudget(bool many_gateways_per_endpoint);
   bool HasProbeBudget() const { return probe_budget_ >= 1; }
   void SpendProbeBudget();
 
-  // The time by which a probe has to be answered, so that the request can still be retried elsewhere.
+  // Returns the time by which a probe must be answered, so that the request can still be retried at another
+  // endpoint.
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const;
 
-  // Restores what was learned by another process; `kept` in [0, 1] is what its age leaves of it. The older an
-  // ejection, the sooner it is probed; it lapses in the end.
-  void Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned, double kept, Millis now,
-               RandomSource& random) const;
+  // Restores state learned by another process. `remaining_weight` in [0, 1]: weight of the state after decay
+  // by its age. An old ejection is probed sooner than a recent one, and a very old ejection is dropped.
+  void Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned, double remaining_weight,
+               Millis now, RandomSource& random) const;
 
  private:
   void RecordZone(Endpoint& endpoint, const Outcome& outcome, Millis now) const;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Dispatches the events of a Policy to the admission side and the upstream side.
+// Dispatches the events of a Policy to the request controller and the upstream controller.
 #include "gateway/policy.hpp"
 
 #include <algorithm>
@@ -63,11 +63,11 @@
 
   void Import(Millis now, const LearnedState& state) {
     Advance(now);
-    const double kept = RemainingWeight(state.exported_at, now_, kRateHalfLifeMs);
-    const double share = ShareOfExportedTotal(state.gateway_count, settings_.gateway_count);
-    requests_.Import(state, kept, share);
+    const double remaining_weight = RemainingWeight(state.exported_at, now_, kRateHalfLifeMs);
+    const double load_share = ShareOfExportedTotal(state.gateway_count, settings_.gateway_count);
+    requests_.Import(state, remaining_weight, load_share);
     traffic_.Import(state);
-    upstream_.Import(state, kept, share, now_);
+    upstream_.Import(state, remaining_weight, load_share, now_);
   }
 
   void Scale(double factor) {
@@ -76,16 +76,16 @@
   }
 
  private:
-  // Moves the clock, which neither runs backwards nor takes over a value that is no number.
+  // Advances the clock. Ignores times before the current one and values that are not numbers.
   void Advance(Millis now) {
-    const Millis passed = started_ ? std::max(0.0, now - now_) : 0;
+    const Millis elapsed = started_ ? std::max(0.0, now - now_) : 0;
     if (started_) {
       now_ = std::max(now_, now);
     } else {
       now_ = std::isfinite(now) ? now : 0;
     }
-    requests_.Advance(passed);
-    traffic_.Advance(passed);
+    requests_.Advance(elapsed);
+    traffic_.Advance(elapsed);
   }
 
   void Dispatch(EventContext& context, const EndpointListEvent& event) {
@@ -103,7 +103,7 @@
     requests_.Handle(context, event);
   }
 
-  // Periodic work. Sets the timer for the next time.
+  // Performs periodic work and restarts the sweep timer.
   void Sweep(EventContext& context) {
     context.Emit(SetTimer{kSweepIntervalMs, kSweepTimer});
     const bool list_known = upstream_.up_count() > 0;
--- a/src/policy/policy_log.cpp
+++ b/src/policy/policy_log.cpp
@@ -9,9 +9,9 @@
 
 constexpr Millis kStatusIntervalMs = 5000;
 constexpr Millis kMinimumEventIntervalMs = 200;
-constexpr std::size_t kMaximumLineBytes = 512;  // bytes
+constexpr std::size_t kMaximumLineBytes = 512;
 
-std::string Format(const PolicyStatus& status, const PolicyCounters& counters) {
+std::string FormatStatus(const PolicyStatus& status, const PolicyCounters& counters) {
   const auto outcomes = [&counters](AttemptResult result) {
     return counters.outcomes[static_cast<std::size_t>(result)];
   };
@@ -46,7 +46,7 @@
 }
 
 void PolicyLog::WriteStatus(EventContext& context, const PolicyStatus& status) {
-  context.Emit(LogLine{Format(status, std::exchange(counters_, {})), /*is_status=*/true});
+  context.Emit(LogLine{FormatStatus(status, std::exchange(counters_, {})), /*is_status=*/true});
 }
 
 }  // namespace gateway::policy
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -1,4 +1,4 @@
-// What a Policy logs: a periodic status line, and lines on events, limited in their rate.
+// The log of a Policy: a periodic status line and rate-limited lines about events.
 #ifndef GATEWAY_POLICY_POLICY_LOG_HPP_
 #define GATEWAY_POLICY_POLICY_LOG_HPP_
 
@@ -13,23 +13,23 @@
 
 namespace gateway::policy {
 
-// Events since the last status line. No decision depends on them.
+// Counts of events since the last status line. They influence no decision.
 struct PolicyCounters {
   int arrived = 0;
   int sent_directly = 0;
-  int released = 0;                                 // from a queue
-  Millis time_in_queue = 0;                         // of the released requests, summed up
-  int rejected_queue_full = 0;                      // the queue of the class was full
-  int rejected_queue_timeout = 0;                   // the queue deadline passed
-  int rejected_too_late = 0;                        // no time or value left on arrival
-  int failed_attempts = 0;                          // requests answered because their attempts failed
+  int released = 0;                                 // requests sent from a queue
+  Millis time_in_queue = 0;                         // total over the released requests
+  int rejected_queue_full = 0;                      // requests that found the queue of their class full
+  int rejected_queue_timeout = 0;                   // requests whose queue deadline passed
+  int rejected_too_late = 0;                        // requests that arrived with no time or no weight left
+  int failed_attempts = 0;                          // requests answered after failed attempts without a retry
   int served_late = 0;                              // attempts served after the latency objective
-  std::array<int, kAttemptResultCount> outcomes{};  // of attempts, by AttemptResult
+  std::array<int, kAttemptResultCount> outcomes{};  // attempts by AttemptResult
 
   void Count(AttemptResult result) { ++outcomes[static_cast<std::size_t>(result)]; }
 };
 
-// The state that the status line tells besides the counters.
+// The state that the status line reports in addition to the counters.
 struct PolicyStatus {
   double rate = 0;       // tokens per second
   double sent_rate = 0;  // attempts per second, smoothed
@@ -39,20 +39,22 @@
   int endpoints_up = 0;
   int endpoints_ejected = 0;
   int attempts_in_flight = 0;
-  double slots = 0;  // of the endpoints that are up and not ejected
+  double slots = 0;  // total of the endpoints that are up and not ejected
   Millis latency = 0;
 };
 
+// Writes the log lines and owns the counters.
 class PolicyLog {
  public:
   PolicyCounters& counters() { return counters_; }
 
-  // Emits a line on an event, unless another one was emitted a moment ago.
+  // Emits a line about an event. Drops the line if the previous one was emitted shortly before.
   void WriteEvent(EventContext& context, std::string text);
 
-  // Whether a status line is due: one a period, the first a period after the first call.
+  // Returns whether a status line is due. One line is due in each status interval; the first call only starts
+  // the first interval.
   bool IsStatusDue(Millis now);
-  // Emits the status line and starts the counters anew.
+  // Emits the status line and resets the counters.
   void WriteStatus(EventContext& context, const PolicyStatus& status);
 
  private:
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,4 +1,4 @@
-// The random numbers of one Policy: the same seed gives the same sequence on every platform.
+// The random number generator of a Policy. A seed gives the same sequence on every platform.
 #ifndef GATEWAY_POLICY_RANDOM_SOURCE_HPP_
 #define GATEWAY_POLICY_RANDOM_SOURCE_HPP_
 
@@ -8,14 +8,15 @@
 
 namespace gateway::policy {
 
+// A seeded generator of uniformly distributed numbers.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Uniform in [0, 1).
+  // Returns a number in [0, 1).
   double Uniform() { return static_cast<double>(engine_() >> 11) / 9007199254740992.0; }
 
-  // Uniform in [0, count); `count` must be above 0.
+  // Returns an integer in [0, count). `count` must be positive.
   std::size_t Index(std::size_t count) { return engine_() % count; }
 
  private:
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -1,4 +1,4 @@
-// An exponentially decaying estimate of the rate of events.
+// Estimation of event rates.
 #ifndef GATEWAY_POLICY_RATE_ESTIMATOR_HPP_
 #define GATEWAY_POLICY_RATE_ESTIMATOR_HPP_
 
@@ -9,38 +9,41 @@
 
 namespace gateway::policy {
 
+// Estimates the rate of events with exponential decay.
 class RateEstimator {
  public:
-  // Lets `passed` go by; `memory` is the time constant of the decay.
-  void Advance(Millis passed, Millis memory) {
-    const double kept = std::exp(-passed / memory);
-    decayed_sum_ *= kept;
-    observed_share_ = 1 - kept * (1 - observed_share_);
+  // Decays the estimate by the `elapsed` time. `time_constant`: of the exponential decay.
+  void Advance(Millis elapsed, Millis time_constant) {
+    const double decay = std::exp(-elapsed / time_constant);
+    decayed_sum_ *= decay;
+    observed_share_ = 1 - decay * (1 - observed_share_);
   }
 
-  // Counts one event: `weight` is the time unit of Rate() over the memory.
+  // Counts one event. `weight`: the time unit of Rate() divided by the time constant.
   void Add(double weight) { decayed_sum_ += weight; }
 
-  // Events per time unit. Time before the start counts for nothing: an estimator that has observed a tenth of
-  // its memory is not diluted by the rest.
+  // Returns the events per time unit. The time before the start is excluded: after a tenth of the time
+  // constant, the estimate depends only on the events of that tenth.
   double Rate() const { return decayed_sum_ / std::max(observed_share_, kMinimumObservedShare); }
 
+  // Multiplies the estimate by `factor`.
   void Scale(double factor) { decayed_sum_ *= factor; }
 
-  // Continues an earlier estimate of which `observed_share` of the memory is left.
+  // Restores an earlier estimate that covers `observed_share` of the decay window.
   void Restore(double decayed_sum, double observed_share) {
     decayed_sum_ = decayed_sum;
     observed_share_ = observed_share;
   }
 
-  // The decayed sum of the weights, which is below Rate() until a whole memory was observed.
+  // Returns the decayed sum of the weights, which is less than Rate() until the estimator has observed the
+  // complete decay window.
   double decayed_sum() const { return decayed_sum_; }
 
  private:
-  static constexpr double kMinimumObservedShare = 0.05;  // bounds the rate that the first events suggest
+  static constexpr double kMinimumObservedShare = 0.05;  // bounds the estimate from the first events
 
   double decayed_sum_ = 0;
-  double observed_share_ = 0;  // of the memory
+  double observed_share_ = 0;  // share of the decay window, in [0, 1]
 };
 
 }  // namespace gateway::policy
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -14,13 +14,14 @@
 
 Millis ValidTimeLeft(Millis time_left) { return std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0; }
 
-// Replaces a latency that is no number or negative by the time since the attempt was sent.
+// Returns the reported latency, or the time since the attempt was sent if the report is negative or not
+// finite.
 Millis ValidLatency(Millis reported, const Attempt& attempt, Millis now) {
   const bool valid = std::isfinite(reported) && reported >= 0;
   return valid ? reported : now - attempt.sent_at;
 }
 
-// Never 0, which stands for no key.
+// Returns the hash of the routing key. The hash of a key is never 0, which stands for no key.
 std::uint64_t KeyHash(const std::string& key) { return key.empty() ? 0 : Hash(key) | 1; }
 
 }  // namespace
@@ -47,11 +48,11 @@
   ActiveRequest& active = *requests_.Add(request.id);
   Begin(active, request, found->second, context.now);
   ++log_.counters().arrived;
-  const Millis waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
-  // A client's retry whose objective has passed counts as beyond quota. Else an overload would feed on
-  // responses that come too late.
+  const Millis client_waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
+  // A client's retry after its latency objective counts as beyond quota. Otherwise an overload would sustain
+  // itself with responses that are late.
   const TrafficClassSettings& traffic_class = ClassOf(active);
-  const bool late = waited >= traffic_class.latency_objective;
+  const bool late = client_waited >= traffic_class.latency_objective;
   active.within_quota = !late && quotas_.TakeToken(request.tenant, context.now);
   retry_budget_.RecordRequest();
   upstream_.RecordRequest();
@@ -113,7 +114,7 @@
 }
 
 void RequestController::ReleaseQueued(EventContext& context) {
-  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can take now
+  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can accept now
   while (queues_.size() > 0 && rate_.HasToken()) {
     const std::optional<std::size_t> class_index = queues_.NextClass(blocked);
     if (!class_index) return;
@@ -133,15 +134,16 @@
 
 void RequestController::Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint) {
   const Millis now = context.now;
-  Millis answer_by = ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_ends_at;
+  Millis response_deadline =
+      ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_ends_at;
   const bool is_probe = request.attempts.empty() && upstream_.IsUnhealthy(endpoint);
   if (is_probe && upstream_.many_gateways_per_endpoint()) {
-    answer_by = upstream_.ProbeDeadline(now, request.objective_ends_at);
+    response_deadline = upstream_.ProbeDeadline(now, request.objective_ends_at);
   }
   rate_.TakeToken(GetFleet());
   upstream_.RecordSend(endpoint, now);
   request.attempts.push_back({&endpoint, now});
-  const Millis timeout = std::max(kMinimumAttemptTimeoutMs, answer_by - now);
+  const Millis timeout = std::max(kMinimumAttemptTimeoutMs, response_deadline - now);
   context.Emit(policy::Send{request.id, endpoint.info.id, timeout, request.repeat_deadline_at - now});
 }
 
@@ -170,14 +172,15 @@
   EraseIfEnded(*request);
 }
 
-// The response was judged when it began; one that breaks off counts against the endpoint all the same.
+// The attempt was recorded as served when its response started. If the response breaks off later, the
+// endpoint is charged with a failure in addition.
 void RequestController::RecordStreamEnd(EventContext& context, const ActiveRequest& request,
                                         const Attempt& attempt, AttemptResult result) {
   if (result != AttemptResult::kReset && result != AttemptResult::kTimedOut) return;
   upstream_.RecordOutcome(context, *attempt.endpoint, {AttemptResult::kReset, 0, request.class_index});
 }
 
-// Records what the end of an attempt shows of the class, of the admission rate and of the endpoint.
+// Updates the statistics of the class, the admission rate and the endpoint after the end of an attempt.
 void RequestController::RecordAttemptEnd(EventContext& context, const ActiveRequest& request,
                                          const Attempt& attempt, const AttemptOutcome& outcome) {
   const bool served = outcome.result == AttemptResult::kServed;
@@ -188,15 +191,16 @@
   const bool ended_by_gateway =
       outcome.result == AttemptResult::kCancelled || outcome.result == AttemptResult::kNotSent;
   if (ended_by_gateway) return;
-  // Must run before RecordOutcome, which may eject the endpoint: the rate counts only outcomes of endpoints
-  // that were healthy when the attempt ended.
+  // Must run before RecordOutcome, which may eject the endpoint: the admission rate depends only on outcomes
+  // of endpoints that were healthy when the attempt ended.
   UpdateAdmissionRate(context, request, attempt, outcome.result);
   upstream_.RecordLoadReport(*attempt.endpoint, outcome.load);
   upstream_.RecordOutcome(context, *attempt.endpoint, {outcome.result, latency, request.class_index});
 }
 
-// Failures that one endpoint explains eject it, and a broken connection shows no overload: neither moves the
-// admission rate.
+// Updates the admission rate after the end of an attempt. Outcomes of unhealthy endpoints are ignored, since
+// failures of a single endpoint lead to its ejection. Broken connections are ignored, since they do not
+// indicate overload.
 void RequestController::UpdateAdmissionRate(EventContext& context, const ActiveRequest& request,
                                             const Attempt& attempt, AttemptResult result) {
   if (upstream_.IsUnhealthy(*attempt.endpoint) || result == AttemptResult::kReset) return;
@@ -234,16 +238,16 @@
   EraseIfEnded(request);
 }
 
-// The time in which the queued requests are sent.
+// Returns the estimated time until the queued requests are sent, which is the delay recommended to clients.
 Millis RequestController::RetryAfter() const {
   if (!settings_.send_retry_after) return 0;
-  const Millis time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
-  return std::min(settings_.maximum_retry_after, time);
+  const Millis drain_time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
+  return std::min(settings_.maximum_retry_after, drain_time);
 }
 
 void RequestController::EraseIfEnded(ActiveRequest& request) {
   if (!request.answered || request.queued || request.HasAttemptInFlight()) return;
-  for (const Attempt& attempt : request.attempts) upstream_.Release(*attempt.endpoint);
+  for (const Attempt& attempt : request.attempts) upstream_.ReleaseReference(*attempt.endpoint);
   requests_.Erase(request.id);
 }
 
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -1,7 +1,7 @@
-// The admission side of a Policy: each request from its arrival to its final answer.
+// The request controller: handles each request of a Policy from its arrival to its final answer.
 //
-// A request is sent at once if nothing is queued and a token and an endpoint are free; else it waits in the
-// queue of its class. Failed attempts are retried within the rules of retry_policy.hpp.
+// A request is sent immediately if no request is queued and a token and an endpoint are available. Otherwise
+// it is added to the queue of its class. Failed attempts are retried according to retry_policy.hpp.
 #ifndef GATEWAY_POLICY_REQUEST_CONTROLLER_HPP_
 #define GATEWAY_POLICY_REQUEST_CONTROLLER_HPP_
 
@@ -25,14 +25,15 @@
 
 namespace gateway::policy {
 
+// Admits, queues, sends, retries and answers requests.
 class RequestController {
  public:
-  // Keeps references to all of its arguments.
+  // Stores references to all arguments, which must outlive the controller.
   RequestController(const Settings& settings, TrafficStatistics& traffic, UpstreamController& upstream,
                     PolicyLog& log);
 
-  // Refills the token bucket.
-  void Advance(Millis passed) { rate_.Advance(passed, GetFleet()); }
+  // Refills the token bucket for the elapsed time.
+  void Advance(Millis elapsed) { rate_.Advance(elapsed, GetFleet()); }
 
   void Handle(EventContext& context, const Request& request);
   void Handle(EventContext& context, const RequestComplete& complete);
@@ -42,15 +43,15 @@
 
   // Answers the queued requests whose queue deadline has passed.
   void ExpireQueued(EventContext& context);
-  // Spends tokens on queued requests, by Most Credit First.
+  // Sends queued requests while tokens are available, in the order of ClassQueues.
   void ReleaseQueued(EventContext& context);
 
   void FillStatus(PolicyStatus& status) const;
 
   void Export(LearnedState& state) const { rate_.Export(state); }
-  // `kept` and `share` as in AdmissionRate::Import.
-  void Import(const LearnedState& state, double kept, double share) {
-    rate_.Import(state, kept, share, GetFleet());
+  // For `remaining_weight` and `load_share`, see AdmissionRate::Import.
+  void Import(const LearnedState& state, double remaining_weight, double load_share) {
+    rate_.Import(state, remaining_weight, load_share, GetFleet());
   }
   void Scale(double factor) { rate_.Scale(factor, GetFleet()); }
 
@@ -72,20 +73,21 @@
   void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
   void Answer(EventContext& context, ActiveRequest& request);
   Millis RetryAfter() const;
-  // Forgets the request if it is answered and none of its attempts is in flight; it may be gone afterwards.
+  // Erases the request if it is answered and none of its attempts is in flight. The reference may be invalid
+  // afterwards.
   void EraseIfEnded(ActiveRequest& request);
 
   const Settings& settings_;
   TrafficStatistics& traffic_;
   UpstreamController& upstream_;
   PolicyLog& log_;
-  std::unordered_map<std::string, std::size_t> class_indices_;  // looked up, never iterated
+  std::unordered_map<std::string, std::size_t> class_indices_;  // by name; never iterated
   ActiveRequests requests_;
   AdmissionRate rate_;
   TenantQuotas quotas_;
   ClassQueues queues_;
   RetryBudget retry_budget_;
-  std::vector<ActiveRequest*> expired_;  // kept for its memory
+  std::vector<ActiveRequest*> expired_;  // reused buffer of ExpireQueued()
 };
 
 }  // namespace gateway::policy
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Retries: whether a request may be attempted again, where, and within which budget.
+// Retry policy: whether a request may be retried, at which endpoints, and the retry budget.
 #ifndef GATEWAY_POLICY_RETRY_POLICY_HPP_
 #define GATEWAY_POLICY_RETRY_POLICY_HPP_
 
@@ -9,9 +9,10 @@
 
 namespace gateway::policy {
 
-// Retries are limited to a share of the requests, so that failures do not multiply the load.
+// Limits retries to a share of the requests, so that failures do not multiply the load.
 class RetryBudget {
  public:
+  // Adds the share of a token that a request earns.
   void RecordRequest();
   bool HasToken() const { return tokens_ >= 1; }
   void TakeToken() { tokens_ -= 1; }
@@ -20,21 +21,23 @@
   double tokens_ = 1;
 };
 
-// Whether executing the request once more cannot do harm, by the attempts made so far.
+// Returns whether the request can safely be executed again after its attempts so far.
 bool IsSafeToRepeat(const ActiveRequest& request, const TrafficClassSettings& traffic_class);
 
-// Whether a client that is told to retry can do so without harm: its retry may reach any endpoint.
+// Returns whether the client can safely retry the request. A client's retry may reach any endpoint.
 bool IsSafeForClientToRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class);
 
-// Whether the request may be sent to the endpoint. With an idempotency key, a request that may have been
-// executed has to stay in the deduplication scope of that attempt, within the deduplication window.
+// Returns whether the request may be sent to the endpoint. After an attempt that may have been executed, a
+// request with an idempotency key may be sent only within the deduplication scope of that attempt and before
+// the end of the deduplication window.
 bool MaySendTo(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                const EndpointInfo& endpoint, Millis now);
 
-// The time by which a repeat must begin, after an attempt sent at `sent_at` that may have been executed.
+// Returns the latest start of a repeat after an attempt that was sent at `sent_at` and may have been
+// executed.
 Millis RepeatDeadline(const TrafficClassSettings& traffic_class, Millis sent_at);
 
-// What the retry of a failed attempt depends on, besides the request itself.
+// The conditions for a retry that do not depend on the request itself.
 struct RetryConditions {
   AttemptResult last_result = AttemptResult::kError;
   bool last_endpoint_ejected = false;
@@ -43,10 +46,10 @@
   bool budget_left = false;
 };
 
-// Whether a request none of whose attempts is in flight is attempted again: the repeat must be safe, the
-// gateway must still hold the request, and the response must be likely within the latency objective. A
-// time-out at a healthy endpoint is not retried, since the request itself is then likely to be slow. A retry
-// waits in the queue of its class, with the queue deadline of the request (see QueueDeadline).
+// Returns whether a request without an attempt in flight is retried. A retry must be safe, the gateway must
+// still store the complete request, attempts and budget must be left, and the response must be expected
+// within the latency objective. A timeout at a healthy endpoint is not retried, since the request itself is
+// probably slow. A retry is queued in its class, with the queue deadline of the request (see QueueDeadline).
 bool ShouldRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                  const RetryConditions& conditions, Millis now);
 
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -14,7 +14,7 @@
 }
 
 void RequirePositive(double value, const char* field) {
-  Require(std::isfinite(value) && value > 0, field, "must be above 0");
+  Require(std::isfinite(value) && value > 0, field, "must be positive");
 }
 
 void ValidateClass(const TrafficClassSettings& traffic_class) {
@@ -36,8 +36,8 @@
 }  // namespace
 
 void ValidateSettings(const Settings& settings) {
-  Require(!settings.classes.empty(), "classes", "there is none");
-  Require(settings.classes.size() <= kMaximumClasses, "classes", "more than 64");
+  Require(!settings.classes.empty(), "classes", "must contain at least one class");
+  Require(settings.classes.size() <= kMaximumClasses, "classes", "must contain at most 64 classes");
   Require(settings.gateway_count >= 1, "gateway_count", "must be at least 1");
   Require(settings.max_attempts >= 1, "max_attempts", "must be at least 1");
   ValidateWarmUp(settings);
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,4 +1,4 @@
-// Validation of the settings, and what follows from them alone.
+// Validation of the settings, and values that are derived only from them.
 #ifndef GATEWAY_POLICY_SETTINGS_HPP_
 #define GATEWAY_POLICY_SETTINGS_HPP_
 
@@ -9,12 +9,12 @@
 
 namespace gateway::policy {
 
-constexpr std::size_t kMaximumClasses = 64;  // Most Credit First keeps a set of classes in a 64-bit mask
+constexpr std::size_t kMaximumClasses = 64;  // ClassQueues::ClassMask has 64 bits
 
-// Throws SettingsError for the first field that cannot work.
+// Throws SettingsError for the first invalid field.
 void ValidateSettings(const Settings& settings);
 
-// The share of each class in the sum of the priority weights; equal shares if the sum is 0.
+// Returns the share of each class in the sum of the priority weights, or equal shares if the sum is 0.
 std::vector<double> RelativeWeights(const std::vector<TrafficClassSettings>& classes);
 
 }  // namespace gateway::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,11 +8,11 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kSafeOverloadShare = 0.7;    // of the overload factor that an endpoint is sent
-constexpr double kMaximumCreditAttempts = 1;  // attempts
+constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor that is used
+constexpr double kMaximumCreditAttempts = 1;
 constexpr Millis kThroughputTimeConstantMs = 10000;
-constexpr Millis kArrivalPriorMs = 500;        // endpoint time for which arrivals stand in for responses
-constexpr Millis kMachineTypePriorMs = 20000;  // endpoint time for which the mean of all stands in
+constexpr Millis kArrivalPriorMs = 500;        // weight, as endpoint time, of the arrival rate
+constexpr Millis kMachineTypePriorMs = 20000;  // weight, as endpoint time, of the mean rate
 
 }  // namespace
 
@@ -52,21 +52,21 @@
   if (IsWarm(endpoint.slow_start, now)) endpoint.machine_type->throughput.served += 1;
 }
 
-// Only the subset counts: with the responses of all gateways that use an endpoint, the parts granted to one
-// that warms up would add up to more than the whole.
+// Counts only endpoints of the subset. Otherwise the credits that all gateways grant to a warming endpoint
+// would add up to more than its total.
 void SlowStart::UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset,
-                                   Millis passed, double arrivals_per_ms, Millis now) {
-  const double kept = std::exp(-passed / kThroughputTimeConstantMs);
+                                   Millis elapsed, double arrivals_per_ms, Millis now) {
+  const double decay = std::exp(-elapsed / kThroughputTimeConstantMs);
   for (auto& [name, machine_type] : machine_types) {
-    machine_type.throughput.served *= kept;
-    machine_type.throughput.endpoint_time *= kept;
+    machine_type.throughput.served *= decay;
+    machine_type.throughput.endpoint_time *= decay;
   }
   double weight = 0;
   for (const Endpoint* const endpoint : subset) {
     if (endpoint->outlier.ejected) continue;
     weight += endpoint->info.weight;
     if (!IsWarm(endpoint->slow_start, now)) continue;
-    endpoint->machine_type->throughput.endpoint_time += passed * endpoint->info.weight;
+    endpoint->machine_type->throughput.endpoint_time += elapsed * endpoint->info.weight;
   }
   Throughput sum;
   for (const auto& [name, machine_type] : machine_types) {
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -10,12 +10,12 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kGatewaysPerEndpoint = 12;      // that the subsets of all gateways come to
-constexpr double kMinimumSubsetEndpoints = 6;    // endpoints: some may fail together
-constexpr double kEndpointsPerRequest = 3;       // for each own request being served
-constexpr double kGrowthThresholdFactor = 1.25;  // times the size in use
-constexpr double kMultiplexedShare = 0.5;        // of the size, where connections are kept open
-constexpr double kOtherZoneShare = 0.4;          // of the endpoints of other zones
+constexpr double kGatewaysPerEndpoint = 12;      // intended mean number of subsets with an endpoint
+constexpr double kMinimumSubsetEndpoints = 6;    // several may fail together
+constexpr double kEndpointsPerRequest = 3;       // for each concurrent request of this gateway
+constexpr double kGrowthThresholdFactor = 1.25;  // multiple of the current size
+constexpr double kMultiplexedShare = 0.5;        // share of the size if connections stay open
+constexpr double kOtherZoneShare = 0.4;          // share of the endpoints in other zones
 constexpr double kManyGatewaysThreshold = 8;
 constexpr double kGoldenRatio = 0.6180339887498949;  // fractional part
 
@@ -50,7 +50,7 @@
   gateways_per_endpoint_ = std::max(1.0, gateway_count_ * used_share);
   double healthy = 0;
   EndpointRing::Walk walk(table.ring(), static_cast<std::size_t>(ring_position_ * up_count));
-  // The second round takes the endpoints that the first one passed over.
+  // The second round adds endpoints that the first round skipped.
   for (std::size_t i = 0; i < 2 * table.ring().size() && healthy < target_size_; ++i) {
     Endpoint& endpoint = walk.Next();
     const bool first_round = i < table.ring().size();
@@ -63,7 +63,8 @@
   std::ranges::sort(endpoints_, {}, id);
 }
 
-// Endpoints of other zones are used by some gateways only, as long as there are any in the own zone.
+// Returns whether this gateway skips an endpoint of another zone. Each such endpoint is used by a share of
+// the gateways only, as long as any endpoint of their own zone is up.
 bool Subsetting::IsSkipped(const Endpoint& endpoint, const EndpointTable& table) const {
   if (table.own_zone_up_count() <= 0 || table.IsInOwnZone(endpoint)) return false;
   return HashToFraction(endpoint.hash ^ salt_) > kOtherZoneShare;
--- a/src/policy/subsetting.hpp
+++ b/src/policy/subsetting.hpp
@@ -1,8 +1,9 @@
-// Subsetting: which endpoints this gateway uses. See docs/design/subset.md.
+// Subsetting: selects the endpoints that this gateway uses. See docs/design/subset.md.
 //
-// Where many gateways share the endpoints, each keeps to a few: a few requests per second spread over all of
-// them would tell nothing about any, and connections would fill their tables. Gateways begin at evenly spread
-// positions of a ring that all agree on. An ejected endpoint is replaced by the next one on the ring.
+// If many gateways share the endpoints, each gateway uses only a few of them: a low request rate spread over
+// all endpoints would give too few samples for each, and the endpoints would have too many connections. The
+// gateways start at evenly spaced positions of a common ring. An ejected endpoint is replaced by the next one
+// on the ring.
 #ifndef GATEWAY_POLICY_SUBSETTING_HPP_
 #define GATEWAY_POLICY_SUBSETTING_HPP_
 
@@ -15,26 +16,27 @@
 
 namespace gateway::policy {
 
-// Position of this gateway on the ring, in [0, 1): by its index, or random if that is unknown. Any run of
-// consecutive indices is spread evenly.
+// Returns the position of this gateway on the ring, in [0, 1). It is derived from the gateway's index, or
+// random if the index is unknown. The positions of any range of consecutive indices are evenly spaced.
 double RingPosition(const Settings& settings, RandomSource& random);
 
+// Selects the subset and assesses whether it is large enough.
 class Subsetting {
  public:
   Subsetting(const Settings& settings, double ring_position);
 
-  // Chooses the subset anew. `concurrent_requests`: own requests being served at a time.
+  // Selects a new subset. `concurrent_requests`: mean number of concurrent requests of this gateway.
   void Choose(EndpointTable& table, double concurrent_requests);
 
-  // Whether the requests need considerably more endpoints than the subset was chosen for.
+  // Returns whether the requests need considerably more endpoints than the subset was selected for.
   bool IsTooSmall(double concurrent_requests) const;
 
-  // The subset, ordered by id. Valid until an endpoint of it is erased.
+  // Returns the subset, ordered by id. The pointers are valid until an endpoint of the subset is erased.
   const std::vector<Endpoint*>& endpoints() const { return endpoints_; }
 
-  // Gateways that share each endpoint, at least 1.
+  // Returns the mean number of gateways that share each endpoint, at least 1.
   double gateways_per_endpoint() const { return gateways_per_endpoint_; }
-  // Whether those are so many that no gateway sees much of an endpoint's traffic.
+  // Returns whether so many gateways share each endpoint that each gateway sees little of its traffic.
   bool many_gateways_per_endpoint() const;
 
  private:
@@ -44,7 +46,7 @@
   const int gateway_count_;
   const bool multiplexes_connections_;
   const double ring_position_;
-  const std::uint64_t salt_;  // of this gateway, by which it draws endpoints of other zones
+  const std::uint64_t salt_;  // of this gateway, for the selection of endpoints in other zones
   std::vector<Endpoint*> endpoints_;
   double gateways_per_endpoint_ = 1;
   double target_size_ = 0;  // endpoints
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,9 +5,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumBurstTokens =
-    3;  // tokens that every bucket can hold: a gateway's part may be a fraction
-constexpr Millis kBurstPeriodMs = 1000;  // a bucket holds the tokens of this time, if that is more
+// Minimum capacity of a bucket. The share of a quota that one gateway grants may be less than 1 per second.
+constexpr double kMinimumBurstTokens = 3;
+constexpr Millis kBurstPeriodMs = 1000;  // a bucket holds the tokens of this period, if more
 
 }  // namespace
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,4 +1,4 @@
-// Tenant quotas: one token bucket a tenant tells requests within its share from those beyond.
+// Tenant quotas: a token bucket for each tenant separates requests within its quota from those beyond it.
 #ifndef GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 #define GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 
@@ -10,13 +10,14 @@
 
 namespace gateway::policy {
 
+// The token buckets of all tenants.
 class TenantQuotas {
  public:
-  // Each of `gateway_count` gateways grants an equal part of every quota.
+  // Each of the `gateway_count` gateways grants an equal share of each quota.
   explicit TenantQuotas(const Settings& settings);
 
-  // Whether a request of the tenant is within its share; if so, takes a token. Without tenants in the
-  // settings every request is; an unknown tenant has no share.
+  // Returns whether a request of the tenant is within its quota, and consumes a token if so. If the settings
+  // contain no tenants, all requests are within quota. Otherwise unknown tenants have no quota.
   bool TakeToken(const std::string& tenant, Millis now);
 
  private:
@@ -25,7 +26,7 @@
     double tokens = 0;
     Millis refilled_at = 0;
   };
-  std::unordered_map<std::string, Bucket> buckets_;  // looked up, never iterated
+  std::unordered_map<std::string, Bucket> buckets_;  // never iterated, since the order is unspecified
 };
 
 }  // namespace gateway::policy
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -5,8 +5,8 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumLatencySampleWeight = 0.01;  // least weight of a new sample
-constexpr double kFirstTryTimeLeftShare = 0.95;       // share of the longest time left that marks a first try
+constexpr double kMinimumLatencySampleWeight = 0.01;  // of a sample in a mean latency
+constexpr double kFirstTryTimeLeftShare = 0.95;       // of the longest time left; below: a client's retry
 constexpr Millis kArrivalTimeConstantMs = 10000;
 
 }  // namespace
@@ -19,15 +19,15 @@
   }
 }
 
-void TrafficStatistics::Advance(Millis passed) { arrivals_.Advance(passed, kArrivalTimeConstantMs); }
+void TrafficStatistics::Advance(Millis elapsed) { arrivals_.Advance(elapsed, kArrivalTimeConstantMs); }
 
 Millis TrafficStatistics::RecordArrival(std::size_t class_index, Millis time_left) {
   Class& traffic_class = classes_[class_index];
   traffic_class.longest_time_left = std::max(traffic_class.longest_time_left, time_left);
   const bool is_retry = time_left < kFirstTryTimeLeftShare * traffic_class.longest_time_left;
-  const Millis waited = is_retry ? std::max(0.0, traffic_class.deadline - time_left) : 0;
-  if (waited <= 0) arrivals_.Add(1 / kArrivalTimeConstantMs);
-  return waited;
+  const Millis client_waited = is_retry ? std::max(0.0, traffic_class.deadline - time_left) : 0;
+  if (client_waited <= 0) arrivals_.Add(1 / kArrivalTimeConstantMs);
+  return client_waited;
 }
 
 void TrafficStatistics::RecordLatency(std::size_t class_index, Millis latency) {
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -1,4 +1,4 @@
-// What is learned of the traffic itself: the latency of each class and the rate of arriving requests.
+// Traffic statistics: the latency of each class and the rate of arriving requests.
 #ifndef GATEWAY_POLICY_TRAFFIC_STATISTICS_HPP_
 #define GATEWAY_POLICY_TRAFFIC_STATISTICS_HPP_
 
@@ -12,30 +12,32 @@
 
 namespace gateway::policy {
 
+// Estimates latencies and the arrival rate.
 class TrafficStatistics {
  public:
   explicit TrafficStatistics(const std::vector<TrafficClassSettings>& classes);
 
-  void Advance(Millis passed);
+  // Decays the arrival rate by the elapsed time.
+  void Advance(Millis elapsed);
 
-  // Records the arrival of a request and returns how long its client has waited in earlier tries: 0 for a
-  // first try, which is recognised by having nearly the longest time left of its class.
+  // Records the arrival of a request. Returns how long its client has waited in earlier tries; 0 for a first
+  // try. A first try is recognized by a `time_left` close to the longest one of its class.
   Millis RecordArrival(std::size_t class_index, Millis time_left);
 
   // Records the latency of a served attempt.
   void RecordLatency(std::size_t class_index, Millis latency);
 
-  // Smoothed; 0 until one was recorded.
+  // Return smoothed latencies in ms; 0 until a latency is recorded.
   double ClassLatency(std::size_t class_index) const { return classes_[class_index].latency; }
   double MeanLatency() const { return mean_latency_; }
 
-  // Latency of the class over the mean of all; 1 until both are known.
+  // Returns the latency of the class divided by the mean of all classes; 1 until both are known.
   double RelativeLatency(std::size_t class_index) const;
 
-  // First tries that arrive per ms.
+  // Returns the rate of arriving first tries per ms.
   double ArrivalsPerMs() const { return arrivals_.Rate(); }
 
-  // Requests being served at a time, by Little's law.
+  // Returns the mean number of concurrent requests, by Little's law.
   double MeanConcurrency() const { return ArrivalsPerMs() * mean_latency_; }
 
   void Export(LearnedState& state) const;
@@ -46,7 +48,7 @@
     Millis deadline = 0;
   };
   std::vector<Class> classes_;
-  double mean_latency_ = 0;  // over all classes
+  double mean_latency_ = 0;  // ms, over all classes
   int samples_ = 0;
   RateEstimator arrivals_;
 };
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -10,7 +10,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process counts for no more
+constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process is cut to this
 
 }  // namespace
 
@@ -32,16 +32,16 @@
   for (const EndpointInfo& info : event.endpoints) {
     const auto [endpoint, started] = table_.Update(info);
     const Millis started_at = info.started_at > 0 ? info.started_at : kNever;
-    if (started) Restart(endpoint, started_at, now);
+    if (started) ResetEndpoint(endpoint, started_at, now);
   }
   if (event.kind == EndpointListEvent::Kind::kSnapshot) table_.RemoveUnlisted();
   up_count_ = table_.up_count();
-  ChooseSubset();  // the subset until now may name endpoints that are erased next
+  ChooseSubset();  // the previous subset may contain endpoints that are erased next
   table_.RemoveUnreferenced();
 }
 
-// A new process: what is known of the former one does not hold for it.
-void UpstreamController::Restart(Endpoint& endpoint, Millis started_at, Millis now) {
+// Resets the learned state of an endpoint that has a new process.
+void UpstreamController::ResetEndpoint(Endpoint& endpoint, Millis started_at, Millis now) {
   slow_start_.Begin(endpoint.slow_start, started_at, random_.Uniform(), now);
   limits_.Reset(endpoint.concurrency, subset_.gateways_per_endpoint());
   outliers_.Reset(endpoint.outlier);
@@ -58,8 +58,8 @@
   return has_slot && slow_start_.HasCredit(endpoint, now);
 }
 
-// Sorts the endpoints of the subset that may take the request. Probes use first attempts of idempotent
-// requests only, and the endpoint of the last attempt is left out.
+// Sorts the endpoints that may serve the request into candidates, avoided endpoints and due probes. Only
+// first attempts of idempotent requests are used as probes. The endpoint of the last attempt is excluded.
 void UpstreamController::CollectCandidates(const ActiveRequest& request, bool admit_beyond_quota,
                                            Millis now) {
   candidates_.clear();
@@ -80,7 +80,7 @@
     const bool avoided = outliers_.IsAvoidedForClass(endpoint->outlier, request.class_index, now);
     (avoided ? avoided_ : candidates_).push_back(endpoint);
   }
-  // Where all endpoints fail the class, one of them may have recovered.
+  // If all endpoints are avoided for the class, they are used nevertheless, since one may have recovered.
   if (candidates_.empty()) candidates_.swap(avoided_);
 }
 
@@ -129,7 +129,7 @@
                                       OutlierDetection::Change change) {
   using Change = OutlierDetection::Change;
   if (change == Change::kNone) return;
-  if (change == Change::kRestarted) Restart(endpoint, context.now, context.now);
+  if (change == Change::kRestarted) ResetEndpoint(endpoint, context.now, context.now);
   const bool ejected = change == Change::kEjected;
   log_.WriteEvent(context, "endpoint " + endpoint.info.id + (ejected ? " ejected: failing" : " readmitted"));
   ChooseSubset();
@@ -137,8 +137,8 @@
 
 void UpstreamController::Sweep(Millis now) {
   const Millis last = std::exchange(swept_at_, now);
-  const Millis passed = last == kNever ? 0 : std::min(kMaximumSweepIntervalMs, now - last);
-  slow_start_.UpdateServiceRates(table_.machine_types(), subset_.endpoints(), passed,
+  const Millis elapsed = last == kNever ? 0 : std::min(kMaximumSweepIntervalMs, now - last);
+  slow_start_.UpdateServiceRates(table_.machine_types(), subset_.endpoints(), elapsed,
                                  traffic_.ArrivalsPerMs(), now);
   if (subset_.IsTooSmall(traffic_.MeanConcurrency())) ChooseSubset();
 }
--- a/src/policy/upstream_controller.hpp
+++ b/src/policy/upstream_controller.hpp
@@ -1,7 +1,7 @@
-// The upstream side of a Policy: what is known of the endpoints, and which one an attempt goes to.
+// The upstream controller: maintains the state of the endpoints and selects the endpoint of each attempt.
 //
-// Dispatches list events, attempts and outcomes to the mechanisms that own a part of each endpoint's state:
-// endpoint table, subsetting, slow start, concurrency limit, outlier detection and load balancer.
+// Dispatches list events, attempts and outcomes to the mechanisms that each own a part of an endpoint's
+// state: endpoint table, subsetting, slow start, concurrency limit, outlier detection and load balancer.
 #ifndef GATEWAY_POLICY_UPSTREAM_CONTROLLER_HPP_
 #define GATEWAY_POLICY_UPSTREAM_CONTROLLER_HPP_
 
@@ -25,44 +25,49 @@
 
 namespace gateway::policy {
 
+// Coordinates the mechanisms that depend on endpoints.
 class UpstreamController {
  public:
-  // Keeps references to all of its arguments but `ring_position`.
+  // Stores references to all arguments except `ring_position`. They must outlive the controller.
   UpstreamController(const Settings& settings, double ring_position, const TrafficStatistics& traffic,
                      RandomSource& random, PolicyLog& log);
 
   // Applies a snapshot or a delta.
   void ApplyList(const EndpointListEvent& event, Millis now);
 
-  // Chooses the endpoint of the request's next attempt; null if none may take it now. `admit_beyond_quota`:
-  // whether requests beyond their tenant's quota are sent where many gateways share an endpoint.
+  // Selects the endpoint of the request's next attempt. Returns null if no endpoint can accept it now.
+  // `admit_beyond_quota`: whether requests beyond their tenant's quota are sent if many gateways share an
+  // endpoint.
   Endpoint* Select(const ActiveRequest& request, bool admit_beyond_quota, Millis now);
 
+  // Records an attempt that is sent to the endpoint.
   void RecordSend(Endpoint& endpoint, Millis now);
-  // The attempt awaits no response any more; it may still be streamed.
+  // Records that an attempt has received its response or has ended. The response may still be streamed.
   void RecordResponse(Endpoint& endpoint) { --endpoint.in_flight; }
-  // The request that named the endpoint has ended.
-  void Release(Endpoint& endpoint) { --endpoint.references; }
+  // Releases the reference that an attempt of a finished request holds.
+  void ReleaseReference(Endpoint& endpoint) { --endpoint.references; }
 
+  // The outcome of an attempt.
   struct Outcome {
     AttemptResult result = AttemptResult::kServed;
     Millis latency = 0;
     std::size_t class_index = 0;
   };
-  // Records what the end of an attempt shows of the endpoint.
+  // Updates the state of the endpoint after the end of an attempt.
   void RecordOutcome(EventContext& context, Endpoint& endpoint, const Outcome& outcome);
   void RecordLoadReport(Endpoint& endpoint, const std::vector<double>& load);
 
-  // Whether the endpoint is ejected or in a lost zone, so that it gets probes only.
+  // Returns whether the endpoint is ejected or in an unresponsive zone. Such an endpoint receives only
+  // probes.
   bool IsUnhealthy(const Endpoint& endpoint) const;
-  // The time by which a first attempt at an unhealthy endpoint has to be answered.
+  // Returns the time by which a probe of an unhealthy endpoint must be answered.
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const {
     return outliers_.ProbeDeadline(now, objective_ends_at);
   }
-  // Counts an arrived request for the budget of probes.
+  // Adds an arrived request to the probe budget.
   void RecordRequest() { outliers_.AddProbeBudget(many_gateways_per_endpoint()); }
 
-  // Periodic work: service rates, and the size of the subset.
+  // Performs periodic work: updates the service rates and enlarges the subset if necessary.
   void Sweep(Millis now);
 
   bool many_gateways_per_endpoint() const { return subset_.many_gateways_per_endpoint(); }
@@ -72,13 +77,13 @@
   void FillStatus(PolicyStatus& status) const;
 
   void Export(LearnedState& state) const;
-  // `kept` and `share` as in AdmissionRate::Import.
-  void Import(const LearnedState& state, double kept, double share, Millis now);
+  // For `remaining_weight` and `load_share`, see AdmissionRate::Import.
+  void Import(const LearnedState& state, double remaining_weight, double load_share, Millis now);
   // Multiplies limits and service rates when this gateway's share of the load changes.
   void Scale(double factor);
 
  private:
-  void Restart(Endpoint& endpoint, Millis started_at, Millis now);
+  void ResetEndpoint(Endpoint& endpoint, Millis started_at, Millis now);
   void ChooseSubset() { subset_.Choose(table_, traffic_.MeanConcurrency()); }
   void CollectCandidates(const ActiveRequest& request, bool admit_beyond_quota, Millis now);
   bool HasCapacity(Endpoint& endpoint, bool within_quota, bool admit_beyond_quota, Millis now) const;
@@ -96,11 +101,11 @@
   ConcurrencyLimit limits_;
   OutlierDetection outliers_;
   LoadBalancer load_balancer_;
-  int up_count_ = 0;  // by the last list event
+  int up_count_ = 0;  // as of the last list event
   Millis swept_at_ = kNever;
   std::vector<Endpoint*> candidates_;
-  std::vector<Endpoint*> avoided_;  // they fail requests of the class
-  std::vector<Endpoint*> probes_;   // due for a probe
+  std::vector<Endpoint*> avoided_;  // endpoints that recently failed requests of the class
+  std::vector<Endpoint*> probes_;   // endpoints that are due for a probe
 };
 
 }  // namespace gateway::policy
--- a/src/policy/upstream_learned_state.cpp
+++ b/src/policy/upstream_learned_state.cpp
@@ -1,4 +1,4 @@
-// Export, import and scaling of what an UpstreamController has learned.
+// Export, import and scaling of the learned state of an UpstreamController.
 #include <algorithm>
 #include <map>
 
@@ -25,9 +25,9 @@
   return learned;
 }
 
-LatencyEstimate AgedLatency(const LearnedState::Endpoint& learned, double kept) {
+LatencyEstimate AgedLatency(const LearnedState::Endpoint& learned, double remaining_weight) {
   LatencyEstimate latency;
-  latency.samples = static_cast<int>(kept * learned.samples + 0.5);
+  latency.samples = static_cast<int>(remaining_weight * learned.samples + 0.5);
   if (latency.samples == 0) return {};
   latency.current = learned.latency;
   latency.long_term = learned.long_term_latency;
@@ -35,7 +35,8 @@
   return latency;
 }
 
-// The latency of a machine type is the mean of its endpoints, of which this is number `count`.
+// Adds the latency of the `count`-th endpoint to that of its machine type, which is the mean of its
+// endpoints.
 void AddToMean(LatencyEstimate& type, const LatencyEstimate& own, int count) {
   const double weight = 1.0 / count;
   type.current += weight * (own.current - type.current);
@@ -55,11 +56,12 @@
   }
 }
 
-void UpstreamController::Import(const LearnedState& state, double kept, double share, Millis now) {
+void UpstreamController::Import(const LearnedState& state, double remaining_weight, double load_share,
+                                Millis now) {
   for (const LearnedState::MachineType& learned : state.machine_types) {
     Throughput& throughput = table_.machine_types()[learned.name].throughput;
-    throughput.served = learned.served * kept * share;
-    throughput.endpoint_time = learned.endpoint_time * kept;
+    throughput.served = learned.served * remaining_weight * load_share;
+    throughput.endpoint_time = learned.endpoint_time * remaining_weight;
   }
   swept_at_ = now;
   slow_start_.UpdateServiceRates(table_.machine_types(), subset_.endpoints(), 0, traffic_.ArrivalsPerMs(),
@@ -75,20 +77,20 @@
   ChooseSubset();
 }
 
-// Returns whether a latency was taken over.
+// Returns whether a latency was imported.
 bool UpstreamController::ImportEndpoint(Endpoint& endpoint, const LearnedState::Endpoint& learned,
                                         Millis exported_at, Millis now) {
-  endpoint.slow_start.credit = 0;  // initial credit was granted by the former process already
+  endpoint.slow_start.credit = 0;  // the previous process has already granted the initial credit
   if (learned.samples <= 0 || exported_at > now) return false;
   const Millis started_at = endpoint.info.started_at;
-  const bool restarted_since = started_at > 0 && started_at > learned.started_at;
-  if (restarted_since) return false;
-  const double kept_latency = RemainingWeight(learned.last_outcome_at, now, kLatencyHalfLifeMs);
-  const double kept_failures = RemainingWeight(learned.last_outcome_at, now, kFailureHalfLifeMs);
+  const bool restarted_since_export = started_at > 0 && started_at > learned.started_at;
+  if (restarted_since_export) return false;
+  const double latency_weight = RemainingWeight(learned.last_outcome_at, now, kLatencyHalfLifeMs);
+  const double failure_weight = RemainingWeight(learned.last_outcome_at, now, kFailureHalfLifeMs);
   endpoint.slow_start.started_at = learned.started_at;
-  ConcurrencyLimit::Restore(endpoint.concurrency, learned.concurrency_limit, kept_latency);
-  endpoint.concurrency.latency = AgedLatency(learned, kept_latency);
-  outliers_.Restore(endpoint.outlier, learned, kept_failures, now, random_);
+  ConcurrencyLimit::Restore(endpoint.concurrency, learned.concurrency_limit, latency_weight);
+  endpoint.concurrency.latency = AgedLatency(learned, latency_weight);
+  outliers_.Restore(endpoint.outlier, learned, failure_weight, now, random_);
   if (endpoint.concurrency.latency.samples <= 0) return false;
   table_.MarkMeasured(endpoint);
   return true;
