--- a/tests/policy/admission_rate_test.cpp
+++ b/tests/policy/admission_rate_test.cpp
@@ -1,4 +1,4 @@
-// When the admission rate is decreased, and by how much.
+// Tests of increases and decreases of the admission rate.
 #include "policy/admission_rate.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(AdmissionRateTest, FailuresAcrossEndpointsDecreaseIt) {
+TEST(AdmissionRateTest, DecreasesWhenAllEndpointsFail) {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
   gateway.ServeRequests(100);
@@ -33,42 +33,43 @@
   EXPECT_TRUE(decreased);
 }
 
-// For 100 ms half of all requests get no response, at all endpoints alike. They time out one by one after 200
-// to 800 ms. The first of them decreases the rate; the others were sent before that.
-TEST(AdmissionRateTest, AttemptsSentBeforeADecreaseDoNotDecreaseItAgain) {
+// For 100 ms, half of the requests to all endpoints get no response and time out after 200 to 800 ms. The
+// first timeouts decrease the rate. The later ones must not decrease it again, since those attempts were sent
+// before.
+TEST(AdmissionRateTest, IgnoresFailuresOfAttemptsSentBeforeADecrease) {
   FakeGateway gateway;
   gateway.AddEndpoints(8);
   gateway.ServeRequests(200, 20);
   int decreases = 0;
   int requests = 0;
-  // By the time at which they finish.
+  // Request, endpoint and latency by the time at which the attempt finishes.
   std::map<Millis, std::vector<std::tuple<std::string, std::string, Millis>>> in_flight;
   for (int step = 0; step < 120; ++step) {
     for (int i = 0; i < 4 && step < 20; ++i) {
       const std::string id = "r" + std::to_string(requests++);
-      const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
-      const bool unanswered = step >= 10 && step < 20 && requests % 2 == 0;
-      const Millis latency = unanswered ? 200 + requests * 37 % 600 : 20;
-      if (!to.empty()) in_flight[gateway.now + latency].emplace_back(id, to, latency);
+      const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+      const bool times_out = step >= 10 && step < 20 && requests % 2 == 0;
+      const Millis latency = times_out ? 200 + requests * 37 % 600 : 20;
+      if (!endpoint.empty()) in_flight[gateway.now + latency].emplace_back(id, endpoint, latency);
     }
     decreases += FakeGateway::DecreasedRate(gateway.AdvanceTime(10));
     for (; !in_flight.empty() && in_flight.begin()->first <= gateway.now;
          in_flight.erase(in_flight.begin())) {
-      for (const auto& [id, to, latency] : in_flight.begin()->second) {
+      for (const auto& [id, endpoint, latency] : in_flight.begin()->second) {
         const AttemptResult result = latency > 20 ? AttemptResult::kTimedOut : AttemptResult::kServed;
-        decreases += FakeGateway::DecreasedRate(gateway.FinishAttempt(id, to, result, latency));
+        decreases += FakeGateway::DecreasedRate(gateway.FinishAttempt(id, endpoint, result, latency));
       }
     }
   }
   EXPECT_EQ(decreases, 1);
 }
 
-// With a few responses a second, one timeout in eight cannot be told from chance. A decrease would leave
-// endpoints idle while clients wait for tokens.
-TEST(AdmissionRateTest, OneTimeoutInEightDoesNotDecreaseALowRate) {
+// With few responses per second, one timeout in eight attempts is not significant. A decrease would leave
+// endpoints idle while requests wait for tokens.
+TEST(AdmissionRateTest, KeepsLowRateWhenOneAttemptInEightTimesOut) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
-  const auto count_decreases = [&](int one_in) {
+  const auto count_decreases = [&](int failure_interval) {
     FakeGateway gateway(settings);
     gateway.ReplaceEndpoints(MakeEndpoints(60));
     int decreases = 0;
@@ -78,7 +79,7 @@
       gateway.now += 66;
       if (endpoint.empty()) continue;
       const auto actions = gateway.FinishAttempt(
-          id, endpoint, i % one_in ? AttemptResult::kServed : AttemptResult::kTimedOut, 66);
+          id, endpoint, i % failure_interval ? AttemptResult::kServed : AttemptResult::kTimedOut, 66);
       decreases += FakeGateway::DecreasedRate(actions);
     }
     return decreases;
@@ -87,14 +88,14 @@
   EXPECT_GT(count_decreases(2), 1);
 }
 
-// A decrease in the first second of a process leaves the rate near that of the attempts sent, though they
-// were not sent for long.
-TEST(AdmissionRateTest, DecreaseInTheFirstSecondStaysNearTheSentRate) {
+// The rate of sent attempts is the basis of a decrease. In the first second of a process it must not be
+// underestimated because attempts have been sent for a short time only.
+TEST(AdmissionRateTest, DecreasesToNearTheSentRateInTheFirstSecond) {
   FakeGateway gateway;
   gateway.AddEndpoints(9);
   std::deque<std::pair<std::string, std::string>> in_flight;
   bool decreased = false;
-  for (int i = 0; i < 100 && !decreased; ++i) {  // 200 per second, each timed out
+  for (int i = 0; i < 100 && !decreased; ++i) {  // 200 per second; all time out
     const std::string id = "r" + std::to_string(i);
     in_flight.push_back({id, FakeGateway::SentEndpoint(gateway.SendRequest(id))});
     ASSERT_FALSE(in_flight.back().second.empty());
@@ -111,36 +112,36 @@
   EXPECT_LT(gateway.policy.ExportState().rate, 220);
 }
 
-TEST(AdmissionRateTest, DecreasesOnceARoundTripAndIncreasesByEachResponse) {
+TEST(AdmissionRateTest, DecreasesOncePerRoundTripAndIncreasesWithEachResponse) {
   constexpr AdmissionRate::Fleet kFleet = {.endpoints_up = 10};
   AdmissionRate rate;
   rate.Advance(100, kFleet);
   for (int i = 0; i < 50; ++i) rate.TakeToken(kFleet);
-  const auto fails = [&](Millis sent_at, Millis now) {
+  const auto record_failure = [&](Millis sent_at, Millis now) {
     return rate.RecordOutcome(/*within_objective=*/false, sent_at, now, kFleet);
   };
-  for (int i = 0; i < 4; ++i) EXPECT_FALSE(fails(900, 1000));
-  EXPECT_TRUE(fails(900, 1000)) << "failure rate " << rate.failure_rate();
+  for (int i = 0; i < 4; ++i) EXPECT_FALSE(record_failure(900, 1000));
+  EXPECT_TRUE(record_failure(900, 1000)) << "failure rate " << rate.failure_rate();
   rate.Decrease(1000, /*round_trip=*/200, kFleet);
   EXPECT_DOUBLE_EQ(rate.rate(), 0.85 * rate.SentPerSecond());
-  EXPECT_FALSE(fails(1000, 1199));
-  EXPECT_FALSE(fails(999, 1200)) << "sent before the decrease";
-  EXPECT_TRUE(fails(1000, 1200));
+  EXPECT_FALSE(record_failure(1000, 1199));
+  EXPECT_FALSE(record_failure(999, 1200)) << "the attempt was sent before the decrease";
+  EXPECT_TRUE(record_failure(1000, 1200));
   const double decreased = rate.rate();
   rate.RecordOutcome(/*within_objective=*/true, 1000, 1200, kFleet);
   EXPECT_DOUBLE_EQ(rate.rate(), decreased + 0.3);
   rate.Advance(1e6, kFleet);  // nothing is sent
   rate.Decrease(1e6, 200, kFleet);
-  EXPECT_EQ(rate.rate(), 10) << "one per second and endpoint is the floor";
+  EXPECT_EQ(rate.rate(), 10) << "the minimum is one per second and endpoint";
 }
 
-TEST(RateEstimatorTest, IgnoresTheTimeBeforeItsStartAndDecays) {
+TEST(RateEstimatorTest, ExcludesTimeBeforeItsStartAndDecays) {
   RateEstimator estimator;
-  estimator.Advance(100, /*memory=*/1000);
+  estimator.Advance(100, /*time_constant=*/1000);
   estimator.Add(10);
   EXPECT_NEAR(estimator.Rate(), 100, 6);
   estimator.Restore(100, /*observed_share=*/1);
-  estimator.Advance(1000, /*memory=*/1000);
+  estimator.Advance(1000, /*time_constant=*/1000);
   EXPECT_DOUBLE_EQ(estimator.Rate(), 100 * std::exp(-1.0));
 }
 
--- a/tests/policy/class_queues_test.cpp
+++ b/tests/policy/class_queues_test.cpp
@@ -1,4 +1,4 @@
-// The queues of the traffic classes: bounds, expiry, order and Most Credit First.
+// Tests of the class queues: capacity, expiry, order and weighted scheduling.
 #include "policy/class_queues.hpp"
 
 #include <gtest/gtest.h>
@@ -16,16 +16,16 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(ClassQueuesTest, RejectsRequestOfUnmeasuredClassBeforeItsClientGivesUp) {
+TEST(ClassQueuesTest, RejectsRequestBeforeClientTimeoutWhenClassHasNoLatencySample) {
   for (const Millis time_left : {0.0, 1.0, 9.0, 21.0, 33.0, 456.6}) {
-    FakeGateway gateway;  // without an endpoint, so that nothing can be sent
+    FakeGateway gateway;  // has no endpoint, so that nothing can be sent
     int rejected = FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "view", time_left));
     if (time_left > 0) rejected += FakeGateway::CountActions<Reject>(gateway.AdvanceTime(time_left));
     EXPECT_EQ(rejected, 1) << time_left;
   }
 }
 
-TEST(ClassQueuesTest, RejectsRequestWithLessTimeBehindOthersInTime) {
+TEST(ClassQueuesTest, RejectsRequestInTimeWhenQueuedAfterOneWithALaterDeadline) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
@@ -43,20 +43,20 @@
   EXPECT_GT(rejected, 4000);
 }
 
-TEST(ClassQueuesTest, QueuesNoRequestLongerThanAQuarterOfItsObjective) {
-  FakeGateway gateway;  // no endpoint yet; latency objective 1000
+TEST(ClassQueuesTest, RejectsRequestQueuedLongerThanAQuarterOfItsObjective) {
+  FakeGateway gateway;  // has no endpoint; the latency objective is 1000 ms
   gateway.SendRequest("a");
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(200)), 0);
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(70)), 1);
 }
 
-TEST(ClassQueuesTest, QueuesClientRetryPastItsObjectiveLast) {
-  Settings settings = MakeSettings();  // latency objective 1000, deadline 2000
+TEST(ClassQueuesTest, ReleasesClientRetryAfterItsObjectiveLast) {
+  Settings settings = MakeSettings();  // latency objective 1000 ms, deadline 2000 ms
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
   gateway.SendRequest("first", "view", 2000);
-  gateway.SendRequest("late", "view", 900);    // its client first tried 1100 ms ago
-  gateway.SendRequest("again", "view", 1500);  // still within its latency objective
+  gateway.SendRequest("late", "view", 900);    // the client's first try was 1100 ms ago
+  gateway.SendRequest("again", "view", 1500);  // within the latency objective
   gateway.SendRequest("new", "view", 2000);
   gateway.AddEndpoints(1);
   gateway.AdvanceTime(10);
@@ -72,11 +72,11 @@
   EXPECT_EQ(gateway.sent[3].request, "late");
 }
 
-TEST(ClassQueuesTest, DoesNotTakeShortFirstAttemptsForClientRetries) {
+TEST(ClassQueuesTest, TreatsRequestsAsFirstTriesWhenAllClientsHaveShortTimeouts) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
-  gateway.SendRequest("short", "view", 900);  // all clients of this gateway give up early
+  gateway.SendRequest("short", "view", 900);  // all clients of this gateway have short timeouts
   gateway.SendRequest("longer", "view", 902);
   gateway.SendRequest("late", "view", 500);
   gateway.SendRequest("last", "view", 898);
@@ -91,8 +91,8 @@
   EXPECT_EQ(gateway.sent[3].request, "late");
 }
 
-// Fills one endpoint to its limit, then finishes attempt by attempt. Returns how many requests of each class
-// are released, by the first three letters of their ids.
+// Fills one endpoint to its limit, queues requests of both classes and finishes one attempt at a time.
+// Returns the number of released requests by the first three letters of their ids.
 std::map<std::string, int> ReleasedByClass(Settings settings, int releases) {
   FakeGateway gateway(std::move(settings));
   gateway.AddEndpoints(1);
@@ -119,20 +119,20 @@
   return released;
 }
 
-TEST(ClassSchedulingTest, ReleasesBackloggedClassesByWeight) {
+TEST(ClassSchedulingTest, ReleasesBackloggedClassesInProportionToWeight) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 3)};
-  // The requests that fill the endpoint are of class view too and stand before its others.
+  // The requests that fill the endpoint are of class view too and are queued before its other requests.
   const auto released = ReleasedByClass(settings, 24);
   int view = 0;
   int pay = 0;
-  for (const auto& [name, n] : released) (name == "pay" ? pay : view) += n;
+  for (const auto& [name, count] : released) (name == "pay" ? pay : view) += count;
   EXPECT_GE(view + pay, 20);
   EXPECT_NEAR(static_cast<double>(pay) / (view + pay), 0.75, 0.1);
 }
 
-TEST(ClassSchedulingTest, ReleasesSingleBackloggedClassWithNegativeCredit) {
+TEST(ClassSchedulingTest, ReleasesOnlyBackloggedClassDespiteNegativeCredit) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 99)};
@@ -156,9 +156,9 @@
   EXPECT_GT(served, 30);
 }
 
-TEST(ClassQueuesTest, OrdersRetriesThenRequestsWithinThenBeyondQuota) {
+TEST(ClassQueuesTest, ReleasesRetriesThenRequestsWithinThenBeyondQuota) {
   ClassQueues queues({MakeClass("view")});
-  std::array<ActiveRequest, 4> requests;  // in the order expected
+  std::array<ActiveRequest, 4> requests;  // in the expected order
   for (const std::size_t i : {0, 2, 3}) requests[i].within_quota = false;
   for (const std::size_t i : {2, 3, 1}) queues.Push(requests[i]);
   queues.PushRetry(requests[0]);
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(ClassSchedulingTest, PicksWaitingClassesInTheRatioOfTheirWeights) {
+TEST(ClassSchedulingTest, SelectsBackloggedClassesInTheRatioOfTheirWeights) {
   ClassQueues queues({MakeClass("view"), MakeClass("pay", Idempotency::kIdempotent, 3)});
   std::array<ActiveRequest, 2> requests;
   requests[1].class_index = 1;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many attempts an endpoint is sent at a time.
+// Tests of the number of concurrent attempts that are sent to an endpoint.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(ConcurrencyLimitTest, QueuesRequestsBeyondTheLimit) {
+TEST(ConcurrencyLimitTest, QueuesRequestsAboveTheLimit) {
   FakeGateway gateway;
   gateway.AddEndpoints(1);
   gateway.ServeRequests(40);
@@ -22,7 +22,7 @@
   EXPECT_LT(sent, 60);
 }
 
-TEST(ConcurrencyLimitTest, KeepsTrafficBeyondQuotaFromBusyEndpoints) {
+TEST(ConcurrencyLimitTest, LimitsTrafficBeyondQuotaWhenEndpointIsBusy) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 1000}, {"big", 0.001}};
   settings.load_report_fields = {"util"};
@@ -36,7 +36,7 @@
       gateway.Handle(AttemptOutcome{id, 0, "s0", AttemptResult::kServed, true, 20, {utilization}});
     }
     int sent = 0;
-    gateway.SendRequest("own", "view", 2000, "big");  // uses up the quota of big, if any
+    gateway.SendRequest("own", "view", 2000, "big");  // consumes the initial token of tenant big, if any
     gateway.FinishAttempt("own", "s0", AttemptResult::kServed, 20);
     for (int i = 0; i < 30; ++i) {
       sent +=
@@ -49,9 +49,9 @@
   EXPECT_EQ(sent_at_once("big", 0.3), sent_at_once("small", 0.3));
 }
 
-// Serves requests one after the other with a load report of `utilization` each, the first one of `first`.
-// Returns how many requests are sent at once after that.
-int SentAfterLoadReports(double utilization, double first = 0.5) {
+// Serves requests one after the other. The first response reports the utilization `first_utilization`, the
+// others `utilization`. Returns how many of the requests that arrive at once afterwards are sent.
+int SentAfterLoadReports(double utilization, double first_utilization = 0.5) {
   constexpr int kReports = 60;
   Settings settings = MakeSettings();
   settings.load_report_fields = {"inflight", "util"};
@@ -64,7 +64,7 @@
     gateway.AdvanceTime(50);
     if (!sent) continue;
     gateway.Handle(AttemptOutcome{
-        id, 0, "s0", AttemptResult::kServed, true, 50, {3, reports == 0 ? first : utilization}});
+        id, 0, "s0", AttemptResult::kServed, true, 50, {3, reports == 0 ? first_utilization : utilization}});
     ++reports;
   }
   gateway.AdvanceTime(5000);
@@ -75,16 +75,17 @@
   return in_flight;
 }
 
-TEST(ConcurrencyLimitTest, LowersLimitOfEndpointReportingHighUtilization) {
-  const int calm = SentAfterLoadReports(0.5);
-  const int busy = SentAfterLoadReports(1.0);
-  EXPECT_GE(calm, 2);
-  EXPECT_EQ(busy, 1);  // not 0: an endpoint without attempts could not show that it has recovered
+TEST(ConcurrencyLimitTest, LowersLimitWhenEndpointReportsHighUtilization) {
+  const int sent_at_half_load = SentAfterLoadReports(0.5);
+  const int sent_at_full_load = SentAfterLoadReports(1.0);
+  EXPECT_GE(sent_at_half_load, 2);
+  EXPECT_EQ(sent_at_full_load, 1);  // not 0: without attempts the recovery of an endpoint would go unnoticed
 }
 
-TEST(ConcurrencyLimitTest, KeepsMoreCapacityFreeWithManyGateways) {
-  // A utilization of 0.85 is acceptable with few gateways, and too high where eight decide independently.
-  const auto sends = [](double utilization) {
+TEST(ConcurrencyLimitTest, ReservesMoreCapacityWithManyGateways) {
+  // A utilization of 0.85 is acceptable with few gateways, but too high if eight gateways decide
+  // independently.
+  const auto count_sends = [](double utilization) {
     Settings settings = MakeSettings();
     settings.gateway_count = 8;
     settings.load_report_fields = {"util"};
@@ -101,10 +102,10 @@
     }
     return finished;
   };
-  EXPECT_GT(sends(0.6), 2 * sends(0.85)) << sends(0.85);
+  EXPECT_GT(count_sends(0.6), 2 * count_sends(0.85)) << count_sends(0.85);
 }
 
-TEST(ConcurrencyLimitTest, SkipsShortOrInvalidLoadReports) {
+TEST(ConcurrencyLimitTest, IgnoresIncompleteOrInvalidLoadReports) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   EXPECT_EQ(SentAfterLoadReports(1.0, nan), 1);  // later reports still count
   EXPECT_EQ(SentAfterLoadReports(1.0, -1e9), 1);
--- a/tests/policy/endpoint_ring_test.cpp
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -1,4 +1,4 @@
-// The ring of endpoints against a reference implementation that sorts all of them.
+// Compares the endpoint ring with a reference implementation that sorts all endpoints.
 #include "policy/endpoint_ring.hpp"
 
 #include <gtest/gtest.h>
@@ -19,23 +19,24 @@
 namespace gateway::policy {
 namespace {
 
-// All endpoints in the order of their positions as EndpointRing defines them, from the complete list.
+// Returns all endpoints in the order of their positions, as defined by EndpointRing, by sorting the complete
+// list.
 std::vector<const Endpoint*> SortedByPosition(const std::vector<Endpoint*>& endpoints) {
   std::map<const MachineType*, std::vector<const Endpoint*>> types;
   for (const Endpoint* endpoint : endpoints) types[endpoint->machine_type].push_back(endpoint);
-  std::vector<std::tuple<double, std::uint64_t, const Endpoint*>> placed;
+  std::vector<std::tuple<double, std::uint64_t, const Endpoint*>> by_position;
   for (auto& [type, members] : types) {
     std::ranges::sort(members, {},
                       [](const Endpoint* member) { return std::pair(member->hash >> 11, member->info.id); });
     for (std::size_t rank = 0; rank < members.size(); ++rank) {
       const double position = static_cast<double>(rank) / static_cast<double>(members.size());
-      placed.emplace_back(position, members[rank]->hash >> 11, members[rank]);
+      by_position.emplace_back(position, members[rank]->hash >> 11, members[rank]);
     }
   }
-  std::ranges::sort(placed);
+  std::ranges::sort(by_position);
   std::vector<const Endpoint*> sorted;
-  sorted.reserve(placed.size());
-  for (const auto& [position, hash, endpoint] : placed) sorted.push_back(endpoint);
+  sorted.reserve(by_position.size());
+  for (const auto& [position, hash, endpoint] : by_position) sorted.push_back(endpoint);
   return sorted;
 }
 
@@ -49,8 +50,7 @@
     endpoint.machine_type = &type;
     return endpoint;
   }
-  void ExpectWalksAsSorted(const EndpointRing& ring, const std::vector<Endpoint*>& on_ring,
-                           std::size_t first) {
+  void ExpectSortedWalk(const EndpointRing& ring, const std::vector<Endpoint*>& on_ring, std::size_t first) {
     const std::vector<const Endpoint*> sorted = SortedByPosition(on_ring);
     ASSERT_EQ(ring.size(), sorted.size());
     EndpointRing::Walk walk(ring, first);
@@ -73,17 +73,17 @@
     std::vector<Endpoint*> on_ring;
     EndpointRing ring;
     endpoints_.clear();
-    const int all = 1 + static_cast<int>(random() % kMaximumEndpoints);
-    for (int number = 0; number < all; ++number) {
+    const int endpoint_count = 1 + static_cast<int>(random() % kMaximumEndpoints);
+    for (int number = 0; number < endpoint_count; ++number) {
       Endpoint& endpoint = Add(number, types[random() % types.size()]);
       ring.Insert(endpoint);
       on_ring.push_back(&endpoint);
       if (random() % 3 > 0) continue;
-      const std::size_t leaving = random() % on_ring.size();
-      ring.Erase(*on_ring[leaving]);
-      on_ring.erase(on_ring.begin() + static_cast<std::ptrdiff_t>(leaving));
+      const std::size_t erased = random() % on_ring.size();
+      ring.Erase(*on_ring[erased]);
+      on_ring.erase(on_ring.begin() + static_cast<std::ptrdiff_t>(erased));
     }
-    for (std::size_t first = 0; first < on_ring.size(); ++first) ExpectWalksAsSorted(ring, on_ring, first);
+    for (std::size_t first = 0; first < on_ring.size(); ++first) ExpectSortedWalk(ring, on_ring, first);
     if (HasFatalFailure()) return;
   }
 }
@@ -94,12 +94,12 @@
   Endpoint& endpoint = Add(1, type);
   ring.Insert(endpoint);
   ring.Erase(endpoint);
-  ring.Erase(endpoint);  // not on the ring, so that nothing changes
+  ring.Erase(endpoint);  // not on the ring any more: has no effect
   EXPECT_EQ(ring.size(), 0u);
-  const EndpointRing::Walk walk(ring, 0);  // may be constructed, but has no next endpoint
+  const EndpointRing::Walk walk(ring, 0);  // can be constructed, but has no next endpoint
 }
 
-TEST_F(EndpointRingTest, OrdersManyMachineTypesOfOneEndpointEachByHash) {
+TEST_F(EndpointRingTest, OrdersEndpointsByHashWhenEachHasItsOwnMachineType) {
   std::vector<MachineType> types(910);
   std::vector<Endpoint*> on_ring;
   EndpointRing ring;
@@ -107,8 +107,8 @@
     on_ring.push_back(&Add(static_cast<int>(i), types[i]));
     ring.Insert(*on_ring.back());
   }
-  ExpectWalksAsSorted(ring, on_ring, 0);
-  ExpectWalksAsSorted(ring, on_ring, 500);
+  ExpectSortedWalk(ring, on_ring, 0);
+  ExpectSortedWalk(ring, on_ring, 500);
 }
 
 }  // namespace
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that service discovery drains, removes or lists no more.
+// Tests of endpoints that are draining, removed or no longer listed.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(EndpointTableTest, SendsNothingToDrainingOrRemovedOrUnlistedEndpoints) {
+TEST(EndpointTableTest, SendsNothingToDrainingOrUnlistedEndpoints) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   EndpointInfo draining = MakeEndpoint("s0");
@@ -19,8 +19,8 @@
   }
   gateway.ReplaceEndpoints({MakeEndpoint("s2")});
   for (int i = 0; i < 4; ++i) {
-    const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest("b" + std::to_string(i)));
-    EXPECT_TRUE(to.empty() || to == "s2");
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest("b" + std::to_string(i)));
+    EXPECT_TRUE(endpoint.empty() || endpoint == "s2");
   }
 }
 
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -1,4 +1,4 @@
-// A gateway for tests: hands events to a Policy, holds the clock and records the attempts that are sent.
+// A gateway for tests: passes events to a Policy, owns the clock and records the sent attempts.
 #ifndef GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 #define GATEWAY_TESTS_POLICY_FAKE_GATEWAY_HPP_
 
@@ -17,18 +17,19 @@
 
 inline TrafficClassSettings MakeClass(std::string name, Idempotency idempotency = Idempotency::kIdempotent,
                                       double priority_weight = 1) {
-  TrafficClassSettings made;
-  made.name = std::move(name);
-  made.latency_objective = 1000;
-  made.deadline = 2000;
-  made.priority_weight = priority_weight;
-  made.idempotency = idempotency;
-  made.deduplication_scope = DeduplicationScope::kCell;
-  made.deduplication_window = 5000;
-  return made;
+  TrafficClassSettings traffic_class;
+  traffic_class.name = std::move(name);
+  traffic_class.latency_objective = 1000;
+  traffic_class.deadline = 2000;
+  traffic_class.priority_weight = priority_weight;
+  traffic_class.idempotency = idempotency;
+  traffic_class.deduplication_scope = DeduplicationScope::kCell;
+  traffic_class.deduplication_window = 5000;
+  return traffic_class;
 }
 
-// The classes "view" (idempotent), "key" (with an idempotency key) and "pay" (not idempotent).
+// Returns settings with the classes "view" (idempotent), "key" (with idempotency key) and "pay" (not
+// idempotent).
 inline Settings MakeSettings() {
   Settings settings;
   settings.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
@@ -50,7 +51,7 @@
   return endpoint;
 }
 
-// Endpoints named s0, s1 ... that started long ago.
+// Returns endpoints named s0, s1 ... that started long ago.
 inline std::vector<EndpointInfo> MakeEndpoints(int count) {
   std::vector<EndpointInfo> endpoints;
   endpoints.reserve(static_cast<std::size_t>(count));
@@ -58,11 +59,12 @@
   return endpoints;
 }
 
+// Drives a Policy with events and a simulated clock.
 struct FakeGateway {
   explicit FakeGateway(Settings settings = MakeSettings(), std::uint64_t seed = 1)
       : policy(std::move(settings), seed) {}
 
-  // Hands the event to the policy at the time `now` and returns its actions.
+  // Passes the event to the policy at time `now` and returns the resulting actions.
   std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     policy.Handle(now, event, actions);
@@ -77,7 +79,7 @@
     Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, std::move(endpoints)});
   }
 
-  // Reports a list of `count` endpoints named s0, s1 ... that started long ago.
+  // Reports a snapshot of `count` endpoints named s0, s1 ... that started long ago.
   void AddEndpoints(int count) { ReplaceEndpoints(MakeEndpoints(count)); }
 
   // Reports the arrival of a client's request.
@@ -98,19 +100,19 @@
     return Handle(AttemptOutcome{request, attempt, endpoint, result, served, latency, {}});
   }
 
-  // Advances the clock and fires the sweep timer each 10 ms.
+  // Advances the clock and fires the sweep timer every 10 ms. Returns all resulting actions.
   std::vector<Action> AdvanceTime(Millis duration) {
     constexpr Millis kSweepIntervalMs = 10;
     std::vector<Action> all;
-    for (const Millis until = now + duration; now < until;) {
-      now = std::min(until, now + kSweepIntervalMs);
+    for (const Millis end = now + duration; now < end;) {
+      now = std::min(end, now + kSweepIntervalMs);
       for (Action& action : Handle(TimerFired{"sweep"})) all.push_back(std::move(action));
     }
     return all;
   }
 
-  // Serves `count` requests one after the other, each in `latency` ms, so that estimates settle. Returns how
-  // many each endpoint was sent; requests that were not sent at once count under "".
+  // Serves `count` requests one after the other, each in `latency` ms, so that the estimates converge.
+  // Returns the number of requests by endpoint. Requests that were not sent at once are counted under "".
   std::map<std::string, int> ServeRequests(int count, Millis latency = 50,
                                            const std::string& class_name = "view") {
     std::map<std::string, int> sent_by_endpoint;
@@ -125,7 +127,7 @@
     return sent_by_endpoint;
   }
 
-  // The endpoint of the first attempt among the actions; empty if there is none.
+  // Returns the endpoint of the first attempt among the actions; empty if there is none.
   static std::string SentEndpoint(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) return send->endpoint;
@@ -133,7 +135,7 @@
     return "";
   }
 
-  // Whether the actions log a line that contains `text`.
+  // Returns whether the actions contain a log line that contains `text`.
   static bool HasLogLine(const std::vector<Action>& actions, const std::string& text) {
     return std::any_of(actions.begin(), actions.end(), [&](const Action& action) {
       const auto* log = std::get_if<LogLine>(&action);
@@ -141,12 +143,12 @@
     });
   }
 
-  // Whether the actions log a decrease of the admission rate.
+  // Returns whether the actions contain a log line about a decrease of the admission rate.
   static bool DecreasedRate(const std::vector<Action>& actions) {
     return HasLogLine(actions, "admission rate decreased");
   }
 
-  // The number of actions of the type.
+  // Returns the number of actions of the given type.
   template <typename ActionType>
   static int CountActions(const std::vector<Action>& actions) {
     const auto count = std::count_if(actions.begin(), actions.end(), [](const Action& action) {
@@ -157,7 +159,7 @@
 
   Policy policy;
   Millis now = 1000;
-  int served_requests = 0;  // by ServeRequests
+  int served_requests = 0;  // requests sent by ServeRequests, for unique ids
   std::vector<Send> sent;
 };
 
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// What the successor of a process continues with, and how learned state ages.
+// Tests of the export and import of learned state and of its decay with age.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -11,23 +11,23 @@
 namespace gateway::policy::testing {
 namespace {
 
-// A successor avoids the endpoints that the former process ejected, uses its measurements, and while both run
-// each admits half the rate.
-TEST(LearnedStateTest, SuccessorContinuesWithLearnedState) {
-  FakeGateway former;
-  former.AddEndpoints(3);
-  former.ServeRequests(200, 50);
-  for (int i = 0; i < 40 && former.policy.EjectedEndpointCount() == 0; ++i) {
+// A successor process must avoid the endpoints that its predecessor ejected and use the learned latencies and
+// rates. While both processes run, each admits half of the rate.
+TEST(LearnedStateTest, SuccessorUsesStateOfItsPredecessor) {
+  FakeGateway predecessor;
+  predecessor.AddEndpoints(3);
+  predecessor.ServeRequests(200, 50);
+  for (int i = 0; i < 40 && predecessor.policy.EjectedEndpointCount() == 0; ++i) {
     const std::string id = "f" + std::to_string(i);
-    const std::string endpoint = FakeGateway::SentEndpoint(former.SendRequest(id));
-    former.now += 1;
-    former.FinishAttempt(id, endpoint,
-                         endpoint == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 50);
+    const std::string endpoint = FakeGateway::SentEndpoint(predecessor.SendRequest(id));
+    predecessor.now += 1;
+    predecessor.FinishAttempt(id, endpoint,
+                              endpoint == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed, 50);
   }
-  ASSERT_EQ(former.policy.EjectedEndpointCount(), 1u);
-  const LearnedState learned = former.policy.ExportState();
+  ASSERT_EQ(predecessor.policy.EjectedEndpointCount(), 1u);
+  const LearnedState learned = predecessor.policy.ExportState();
   FakeGateway successor;
-  successor.now = former.now;
+  successor.now = predecessor.now;
   successor.AddEndpoints(3);
   successor.policy.ImportState(successor.now, learned);
   EXPECT_EQ(successor.policy.EjectedEndpointCount(), 1u);
@@ -48,98 +48,101 @@
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().rate, learned.rate);
 }
 
-// The random initial credit of a warming endpoint was used by the former process and is not granted twice. An
-// endpoint that has restarted since inherits nothing of its former process.
-TEST(LearnedStateTest, SuccessorGrantsWarmingEndpointsNoCreditTwice) {
-  FakeGateway former;
-  former.AddEndpoints(1);
-  former.ServeRequests(100, 50);
-  const LearnedState learned = former.policy.ExportState();
+// The predecessor has already granted the initial credit of a warming endpoint. If the successor granted it
+// again, warming endpoints would get too many attempts. State of an endpoint that has restarted since is not
+// imported.
+TEST(LearnedStateTest, SuccessorGrantsNoInitialCreditToWarmingEndpoints) {
+  FakeGateway predecessor;
+  predecessor.AddEndpoints(1);
+  predecessor.ServeRequests(100, 50);
+  const LearnedState learned = predecessor.policy.ExportState();
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     FakeGateway successor(MakeSettings(), seed);
-    successor.now = former.now;
+    successor.now = predecessor.now;
     successor.ReplaceEndpoints({MakeEndpoint("s0", "0", successor.now - 1)});  // warming up
     successor.policy.ImportState(successor.now, learned);
-    // Nothing is left of its former process.
+    // The latency of the previous process of the endpoint is not imported.
     EXPECT_EQ(successor.policy.ExportState().endpoints[0].latency, 0);
     sent += !FakeGateway::SentEndpoint(successor.SendRequest("r")).empty();
   }
   EXPECT_EQ(sent, 0);
 }
 
-// What a gateway learns of five endpoints, of which s1 fails and s2 takes four times as long.
-LearnedState LearnFromFiveEndpoints(FakeGateway& former) {
-  former.AddEndpoints(5);
+// Returns the state learned from five endpoints, of which s1 fails and s2 has four times the latency.
+LearnedState LearnFromFiveEndpoints(FakeGateway& predecessor) {
+  predecessor.AddEndpoints(5);
   for (int i = 0; i < 400; ++i) {
     const std::string id = "f" + std::to_string(i);
-    const std::string endpoint = FakeGateway::SentEndpoint(former.SendRequest(id));
-    former.AdvanceTime(10);
+    const std::string endpoint = FakeGateway::SentEndpoint(predecessor.SendRequest(id));
+    predecessor.AdvanceTime(10);
     if (endpoint.empty()) continue;
-    former.FinishAttempt(id, endpoint,
-                         endpoint == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed,
-                         endpoint == "s2" ? 200 : 50);
+    predecessor.FinishAttempt(id, endpoint,
+                              endpoint == "s1" ? AttemptResult::kConnectFailed : AttemptResult::kServed,
+                              endpoint == "s2" ? 200 : 50);
   }
-  return former.policy.ExportState();
+  return predecessor.policy.ExportState();
 }
 
-// What is restored from a disk holds fully after a moment, less the older it is, and not at all from a clock
-// that was set back.
-TEST(LearnedStateTest, EjectionsLatenciesAndRatesAge) {
-  FakeGateway former;
-  const LearnedState learned = LearnFromFiveEndpoints(former);
+// State restored from disk keeps its weight after a short time, loses it with age, and is ignored if the
+// clock was set back.
+TEST(LearnedStateTest, EjectionsLatenciesAndRatesDecayWithAge) {
+  FakeGateway predecessor;
+  const LearnedState learned = LearnFromFiveEndpoints(predecessor);
   ASSERT_TRUE(learned.endpoints[1].ejected);
-  struct Row {
-    Millis down;
+  struct Case {
+    Millis downtime;
     bool ejected;
     bool measured;
-    double minimum_rate;  // times the exported one
+    double minimum_rate_factor;  // of the exported rate
   };
-  for (const Row& row : {Row{1000, true, true, 1}, Row{30000, true, true, 2.5}, Row{120000, false, true, 5},
-                         Row{600000, false, false, 5}, Row{-1000, false, false, 5}}) {
+  for (const Case& test_case :
+       {Case{1000, true, true, 1}, Case{30000, true, true, 2.5}, Case{120000, false, true, 5},
+        Case{600000, false, false, 5}, Case{-1000, false, false, 5}}) {
     LearnedState state = learned;
     state.rate = 10;  // after a decrease
     FakeGateway successor;
-    successor.now = former.now + row.down;
+    successor.now = predecessor.now + test_case.downtime;
     successor.AddEndpoints(5);
     successor.policy.ImportState(successor.now, state);
     const LearnedState imported = successor.policy.ExportState();
-    EXPECT_EQ(successor.policy.EjectedEndpointCount(), row.ejected ? 1u : 0u) << row.down;
-    EXPECT_EQ(imported.endpoints[0].latency > 0, row.measured) << row.down;
-    EXPECT_GE(imported.rate, 10 * row.minimum_rate) << row.down;
+    EXPECT_EQ(successor.policy.EjectedEndpointCount(), test_case.ejected ? 1u : 0u) << test_case.downtime;
+    EXPECT_EQ(imported.endpoints[0].latency > 0, test_case.measured) << test_case.downtime;
+    EXPECT_GE(imported.rate, 10 * test_case.minimum_rate_factor) << test_case.downtime;
     for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(imported.endpoints[i].samples, state.endpoints[i].samples);
   }
 }
 
-// Each gateway takes its part of the total rate where the number of gateways changes.
-TEST(LearnedStateTest, DividesTheRateAmongTheCurrentGateways) {
-  FakeGateway former;
-  LearnedState learned = LearnFromFiveEndpoints(former);
+// When the number of gateways changes, each gateway must use its share of the total rate.
+TEST(LearnedStateTest, DividesRateWhenNumberOfGatewaysChanges) {
+  FakeGateway predecessor;
+  LearnedState learned = LearnFromFiveEndpoints(predecessor);
   learned.rate = 60;
   learned.gateway_count = 2;
   Settings settings = MakeSettings();
   settings.gateway_count = 6;
   FakeGateway successor(settings);
-  successor.now = former.now;
+  successor.now = predecessor.now;
   successor.AddEndpoints(5);
   successor.policy.ImportState(successor.now, learned);
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().rate, 20);
 }
 
-// While the gateway is down s1 and s2 recover. Counts how many of the next 300 requests these two are sent,
-// of 120 that are their part: with the true ages, and with the state taken as new.
-TEST(LearnedStateTest, AgedStateFindsRecoveredEndpoints) {
-  FakeGateway former;
-  const LearnedState learned = LearnFromFiveEndpoints(former);
-  for (const Millis down : {1000.0, 30000.0, 600000.0}) {
+// s1 and s2 recover while the gateway is down. If the age of the state were ignored, the gateway would keep
+// avoiding them. Counts how many of the next 300 requests they receive, of 120 in an even distribution, with
+// the state aged and with the state treated as new.
+TEST(LearnedStateTest, UsesRecoveredEndpointsWhenStateIsOld) {
+  FakeGateway predecessor;
+  const LearnedState learned = LearnFromFiveEndpoints(predecessor);
+  for (const Millis downtime : {1000.0, 30000.0, 600000.0}) {
     int received[2] = {};
     for (const bool aged : {false, true}) {
       LearnedState state = learned;
-      for (auto& endpoint : state.endpoints) endpoint.last_outcome_at += aged ? 0 : down;
-      state.exported_at += aged ? 0 : down;
+      for (auto& endpoint : state.endpoints) endpoint.last_outcome_at += aged ? 0 : downtime;
+      state.exported_at += aged ? 0 : downtime;
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         FakeGateway successor(MakeSettings(), seed);
-        successor.now = former.now + down;
+        successor.now = predecessor.now + downtime;
         successor.AddEndpoints(5);
         successor.policy.ImportState(successor.now, state);
         for (int i = 0; i < 300; ++i) {
@@ -151,13 +154,13 @@
         }
       }
     }
-    const std::string name = "down_" + std::to_string(static_cast<int>(down / 1000)) + "s";
+    const std::string name = "down_" + std::to_string(static_cast<int>(downtime / 1000)) + "s";
     RecordProperty(name, std::to_string(received[0] / 20) + " with ages ignored, " +
                              std::to_string(received[1] / 20) + " aged");
     std::printf("%s: s1 and s2 are sent %d of 300 with ages ignored, %d with ages\n", name.c_str(),
                 received[0] / 20, received[1] / 20);
     EXPECT_GE(received[1], received[0]) << name;
-    EXPECT_GT(received[1], down < 600000 ? 0 : 20 * 100) << name;
+    EXPECT_GT(received[1], downtime < 600000 ? 0 : 20 * 100) << name;
   }
 }
 
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -1,4 +1,4 @@
-// When a gateway calls for the endpoint list, at the start and after failed calls.
+// Tests of the times at which a gateway calls for the endpoint list, at the start and after failed calls.
 #include "policy/list_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(ListPollingTest, RepeatsFailedCallOnce) {
+TEST(ListPollingTest, RepeatsEachFailedCallOnce) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   FakeGateway gateway(settings);
@@ -28,10 +28,10 @@
   }
 }
 
-// Pushed lists come from an agent beside the gateway, whose changes bind the gateway at once. A failed watch
-// is begun again within 100 ms, however often it failed and however many gateways there are, but not by all
-// of them in one moment.
-TEST(ListPollingTest, RepeatsFailedWatchOfPushedListSoonAndSpreadOut) {
+// A pushed list comes from an agent on the gateway's machine, and its changes must take effect immediately. A
+// failed watch must be restarted within 100 ms, regardless of the number of failures and gateways, but not by
+// all gateways at the same moment.
+TEST(ListPollingTest, RestartsFailedWatchOfPushedListWithin100MsAtSpreadTimes) {
   Settings settings = MakeSettings();
   settings.gateway_count = 300;
   std::set<int> delays;
@@ -52,10 +52,9 @@
   EXPECT_GT(delays.size(), 7u);
 }
 
-// A change of a polled list binds the gateway 6 s after discovery has it, whatever calls fail. The next call
-// begins within 4.5 s of the begin of the failed one, at the first failure as at the eighth, with few
-// gateways as with many.
-TEST(ListPollingTest, RepeatsFailedCallWithinTheBoundHoweverItFailed) {
+// Changes of a polled list must take effect within 6 s, even if calls fail. Therefore the next call must
+// start within 4.5 s of the start of the failed one, regardless of the number of failures and gateways.
+TEST(ListPollingTest, RepeatsFailedCallWithinMaximumInterval) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   for (const Millis maximum_poll_interval : {5000.0, 10000.0, 60000.0}) {
@@ -78,14 +77,15 @@
   }
 }
 
-// The calls of a hundred gateways fail at one moment, at a service that serves some twenty calls a second.
-// Gateways that start at one moment spread their calls as evenly, but within a second: the list that they are
-// given may be older than their processes, and its changes bind them 6 s after they were made.
+// The calls of a hundred gateways fail at the same moment, and the list service can serve about twenty calls
+// per second. The repeated calls must be spread evenly. The first calls of gateways that start at the same
+// moment are spread too, but within one second: the initial list may be older than the processes, and its
+// changes must take effect within 6 s.
 TEST(ListPollingTest, SpreadsCallsOfGatewaysThatStartTogether) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   settings.gateway_count = 100;
-  // Calls in each 100 ms.
+  // Calls in each interval of 100 ms.
   std::vector<int> started(10);
   std::vector<int> repeated(100);
   int immediate = 0;
@@ -103,28 +103,29 @@
     }
   }
   EXPECT_LT(immediate, 5);
-  // Each calls once within a second.
+  // Each gateway calls once within a second.
   EXPECT_EQ(immediate + std::accumulate(started.begin(), started.end(), 0), 100);
   EXPECT_LE(*std::max_element(started.begin(), started.end()), 12);
-  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);  // each once, within 10 s
+  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);  // each gateway once within 10 s
   EXPECT_LT(*std::max_element(repeated.begin(), repeated.end()), 10);
-  FakeGateway unlisted(settings);  // without endpoints it calls at once
+  FakeGateway without_endpoints(settings);  // calls immediately
   EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
-                unlisted.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
+                without_endpoints.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
             1);
   settings.gateway_count = 1;
-  FakeGateway alone(settings);
-  EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
-                alone.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("s0")}})),
+  FakeGateway single_gateway(settings);
+  EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(single_gateway.Handle(
+                EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("s0")}})),
             1);
 }
 
-// A zone is down for 5 s. Its endpoints leave the list 1 s into that; its gateways restart at the end with
-// the former list, and the removal binds them 6.5 s after it was made, grace period included.
-TEST(ListPollingTest, CallsInTimeAfterADowntime) {
+// A zone is down for 5 s, and its endpoints are removed from the list after 1 s. The gateways of the zone
+// restart at the end with the old list. The removal must take effect 6.5 s after it was made, including the
+// grace period.
+TEST(ListPollingTest, CallsInTimeAfterDowntime) {
   constexpr Millis kDowntimeMs = 5000;
   constexpr Millis kRemovedAtMs = 1000;
-  constexpr Millis kBindingDelayMs = 6000;
+  constexpr Millis kMaximumPropagationMs = 6000;
   constexpr Millis kGracePeriodMs = 500;
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
@@ -135,12 +136,12 @@
     int calls = FakeGateway::CountActions<WatchEndpointList>(
         gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("lost")}}));
     calls += FakeGateway::CountActions<WatchEndpointList>(
-        gateway.AdvanceTime(kRemovedAtMs + kBindingDelayMs + kGracePeriodMs - kDowntimeMs));
+        gateway.AdvanceTime(kRemovedAtMs + kMaximumPropagationMs + kGracePeriodMs - kDowntimeMs));
     EXPECT_EQ(calls, 1) << "gateway " << settings.gateway_index;
   }
 }
 
-TEST(ListPollingTest, BackoffDoublesUpToItsBound) {
+TEST(ListPollingTest, DoublesBackoffUpToItsMaximum) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   RandomSource random(1);
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint an attempt is sent to.
+// Tests of the choice of the endpoint of an attempt.
 #include "policy/load_balancer.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(LoadBalancerTest, PrefersTheFasterEndpoint) {
+TEST(LoadBalancerTest, PrefersFasterEndpoint) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   std::map<std::string, int> received;
@@ -30,7 +30,7 @@
   EXPECT_GT(received["s0"], 5 * received["s1"]);
 }
 
-TEST(LoadBalancerTest, DoesNotPreferAnEndpointWithFastErrors) {
+TEST(LoadBalancerTest, AvoidsEndpointThatFailsFast) {
   Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
@@ -47,7 +47,7 @@
   EXPECT_LT(sent_to_failing, 10);
 }
 
-TEST(LoadBalancerTest, LeansOnMachineTypeLatencyWhereManyGatewaysShareAnEndpoint) {
+TEST(LoadBalancerTest, UsesMachineTypeLatencyWhenManyGatewaysShareAnEndpoint) {
   const auto received = [](int gateway_count) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -58,10 +58,12 @@
       endpoints[4].machine_type = "slow";
       gateway.ReplaceEndpoints(endpoints);
       const auto serve_request = [&](const std::string& id) {
-        std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+        std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
         gateway.AdvanceTime(100);
-        if (!to.empty()) gateway.FinishAttempt(id, to, AttemptResult::kServed, to < "s4" ? 20 : 100);
-        return to;
+        if (!endpoint.empty()) {
+          gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, endpoint < "s4" ? 20 : 100);
+        }
+        return endpoint;
       };
       for (int i = 0; i < 40; ++i) serve_request("w" + std::to_string(i));
       endpoints.push_back(MakeEndpoint("s5"));
@@ -71,7 +73,7 @@
     }
     return sent;
   };
-  EXPECT_GT(received(1), 15);  // as fast as the median until it shows otherwise
+  EXPECT_GT(received(1), 15);  // the median latency is assumed until s5 has samples
   EXPECT_LT(received(20), 12);
 }
 
@@ -93,7 +95,7 @@
   for (const auto& [key, endpoints] : endpoints_by_key) EXPECT_LE(endpoints.size(), 2u) << key;
 }
 
-TEST(LoadBalancerTest, CostIsLatencyTimesAttemptsInFlightAndHigherInOtherZones) {
+TEST(LoadBalancerTest, CostIsLatencyTimesAttemptsAndHigherInOtherZones) {
   EndpointTable table("z0");
   Endpoint& measured = table.Update(MakeEndpoint("a", "0")).endpoint;
   Endpoint& unmeasured = table.Update(MakeEndpoint("b", "1")).endpoint;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Which failures eject an endpoint, and how ejected endpoints are probed and readmitted.
+// Tests of the ejection, probing and readmission of endpoints.
 #include "policy/outlier_detection.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,9 @@
 namespace gateway::policy::testing {
 namespace {
 
-// Sends eight requests each 20 ms to `endpoint_count` endpoints. s0 stops responding: its attempts time out
-// after 100 ms. Returns how many it is sent in the last second, and whether the admission rate is decreased.
+// Sends eight requests every 20 ms to `endpoint_count` endpoints. s0 stops responding, so its attempts time
+// out after 100 ms. Returns the number of attempts sent to s0 in the last second, and whether the admission
+// rate was decreased.
 std::pair<int, bool> SendToUnresponsiveEndpoint(int endpoint_count) {
   FakeGateway gateway;
   gateway.AddEndpoints(endpoint_count);
@@ -34,17 +35,19 @@
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(round) + "." + std::to_string(i);
-      if (const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay")); !to.empty()) {
-        sent[id] = to;
+      if (const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+          !endpoint.empty()) {
+        sent[id] = endpoint;
       }
     }
     decreased |= FakeGateway::DecreasedRate(gateway.AdvanceTime(20));
-    for (const auto& [id, to] : sent) {
-      if (to == "s0") {
+    for (const auto& [id, endpoint] : sent) {
+      if (endpoint == "s0") {
         unanswered.emplace_back(gateway.now + 80, id);
         sent_in_last_second += round >= 100;
       } else {
-        decreased |= FakeGateway::DecreasedRate(gateway.FinishAttempt(id, to, AttemptResult::kServed, 20));
+        decreased |=
+            FakeGateway::DecreasedRate(gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 20));
       }
     }
     for (; !unanswered.empty() && unanswered.front().first <= gateway.now; unanswered.pop_front()) {
@@ -59,13 +62,13 @@
   EXPECT_LE(SendToUnresponsiveEndpoint(3).first, 2);
 }
 
-TEST(OutlierDetectionTest, UnresponsiveEndpointDoesNotDecreaseAdmissionRate) {
+TEST(OutlierDetectionTest, KeepsAdmissionRateWhenOneEndpointIsUnresponsive) {
   EXPECT_FALSE(SendToUnresponsiveEndpoint(4).second);
 }
 
-// Sends three requests each 10 ms to three endpoints. All are served in 10 ms but for one in thirty, which
-// times out after 250 ms at any endpoint.
-TEST(OutlierDetectionTest, IsolatedTimeoutsDoNotQueueOtherRequests) {
+// Three requests are sent every 10 ms to three endpoints. Most are served in 10 ms; one in about thirty times
+// out after 250 ms at any endpoint. Such slow requests must neither eject endpoints nor lower their limits.
+TEST(OutlierDetectionTest, SendsOtherRequestsDirectlyDespiteIsolatedTimeouts) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   gateway.ServeRequests(100, 10);
@@ -76,17 +79,17 @@
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 3; ++i) {
       const std::string id = "r" + std::to_string(++requests);
-      const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
-      if (to.empty()) continue;
+      const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+      if (endpoint.empty()) continue;
       ++sent_directly;
       if (requests % 31 == 0) {
-        unanswered.emplace_back(gateway.now + 250, id, to);
+        unanswered.emplace_back(gateway.now + 250, id, endpoint);
       } else {
-        sent[id] = to;
+        sent[id] = endpoint;
       }
     }
     gateway.AdvanceTime(10);
-    for (const auto& [id, to] : sent) gateway.FinishAttempt(id, to, AttemptResult::kServed, 10);
+    for (const auto& [id, endpoint] : sent) gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 10);
     for (; !unanswered.empty() && std::get<0>(unanswered.front()) <= gateway.now; unanswered.pop_front()) {
       gateway.FinishAttempt(std::get<1>(unanswered.front()), std::get<2>(unanswered.front()),
                             AttemptResult::kTimedOut, 250);
@@ -95,30 +98,30 @@
   EXPECT_GE(sent_directly, requests * 99 / 100);
 }
 
-TEST(OutlierDetectionTest, RejectedProbeBacksOff) {
+TEST(OutlierDetectionTest, IncreasesBackoffWhenProbeIsRejected) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   gateway.ServeRequests(60);
   int sent_to_unresponsive = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
     gateway.AdvanceTime(10);
-    if (to == "s0") {  // times out at first, then rejects
+    if (endpoint == "s0") {  // s0 times out at first and rejects later
       const bool times_out = ++sent_to_unresponsive < 4;
       if (times_out) gateway.now += 200;
-      gateway.FinishAttempt(id, to, times_out ? AttemptResult::kTimedOut : AttemptResult::kRejected,
+      gateway.FinishAttempt(id, endpoint, times_out ? AttemptResult::kTimedOut : AttemptResult::kRejected,
                             times_out ? 200 : 1);
-    } else if (!to.empty()) {
-      gateway.FinishAttempt(id, to, AttemptResult::kServed, 10);
+    } else if (!endpoint.empty()) {
+      gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 10);
     }
   }
   EXPECT_LT(sent_to_unresponsive, 15);
 }
 
-// Sends sixteen requests each 20 ms to four endpoints. The given percentages of the connections to s0 and to
-// the others break before the response. Returns the lines logged, and how many requests s0 is sent in the
-// last second.
+// Sends sixteen requests every 20 ms to four endpoints. The given percentages of the connections to s0 and to
+// the other endpoints break before the response. Returns the log lines about events, and the number of
+// requests sent to s0 in the last second.
 std::pair<std::vector<std::string>, int> SendOverBreakingConnections(unsigned s0_percent,
                                                                      unsigned others_percent) {
   FakeGateway gateway;
@@ -138,22 +141,23 @@
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 16; ++i) {
       const std::string id = "r" + std::to_string(round) + "." + std::to_string(i);
-      if (const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay")); !to.empty()) {
-        sent[id] = to;
+      if (const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+          !endpoint.empty()) {
+        sent[id] = endpoint;
       }
     }
     collect_log_lines(gateway.AdvanceTime(20));
-    for (const auto& [id, to] : sent) {
-      sent_in_last_second += round >= 350 && to == "s0";
-      const bool broken = random() % 100 < (to == "s0" ? s0_percent : others_percent);
+    for (const auto& [id, endpoint] : sent) {
+      sent_in_last_second += round >= 350 && endpoint == "s0";
+      const bool broken = random() % 100 < (endpoint == "s0" ? s0_percent : others_percent);
       collect_log_lines(
-          gateway.FinishAttempt(id, to, broken ? AttemptResult::kReset : AttemptResult::kServed, 20));
+          gateway.FinishAttempt(id, endpoint, broken ? AttemptResult::kReset : AttemptResult::kServed, 20));
     }
   }
   return {lines, sent_in_last_second};
 }
 
-TEST(OutlierDetectionTest, BrokenConnectionsEverywhereNeitherDecreaseRateNorEject) {
+TEST(OutlierDetectionTest, NeitherEjectsNorDecreasesRateWhenConnectionsBreakEverywhere) {
   EXPECT_EQ(SendOverBreakingConnections(12, 12).first, std::vector<std::string>());
 }
 
@@ -165,16 +169,16 @@
   EXPECT_LE(SendOverBreakingConnections(80, 0).second, 20);
 }
 
-// The number of attempts that the gateway has sent for the request.
+// Returns the number of attempts that the gateway has sent for the request.
 int SentAttempts(const FakeGateway& gateway, const std::string& request) {
   const auto count = std::count_if(gateway.sent.begin(), gateway.sent.end(),
                                    [&](const Send& send) { return send.request == request; });
   return static_cast<int>(count);
 }
 
-// Sends eight requests each 20 ms to eight endpoints. s0 drains before the list says so: it rejects all
-// attempts at once.
-TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllWithoutDecreasingRate) {
+// s0 starts to drain before the list reports it, so it rejects all attempts immediately. Such rejections must
+// not decrease the admission rate. Eight requests are sent every 20 ms to eight endpoints.
+TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllAttemptsWithoutDecreasingRate) {
   FakeGateway gateway;
   gateway.AddEndpoints(8);
   gateway.ServeRequests(200, 20);
@@ -184,76 +188,79 @@
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(round) + "." + std::to_string(i);
-      std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id));
-      for (int attempt = 0; to == "s0"; ++attempt) {
+      std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
+      for (int attempt = 0; endpoint == "s0"; ++attempt) {
         ++rejected;
-        const auto actions = gateway.FinishAttempt(id, to, AttemptResult::kRejected, 1, attempt);
+        const auto actions = gateway.FinishAttempt(id, endpoint, AttemptResult::kRejected, 1, attempt);
         decreased |= FakeGateway::DecreasedRate(actions);
-        to = FakeGateway::SentEndpoint(actions);
+        endpoint = FakeGateway::SentEndpoint(actions);
       }
-      if (!to.empty()) sent[id] = to;
+      if (!endpoint.empty()) sent[id] = endpoint;
     }
     gateway.AdvanceTime(20);
-    for (const auto& [id, to] : sent) {
-      gateway.FinishAttempt(id, to, AttemptResult::kServed, 20, SentAttempts(gateway, id) - 1);
+    for (const auto& [id, endpoint] : sent) {
+      gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 20, SentAttempts(gateway, id) - 1);
     }
   }
   EXPECT_LE(rejected, 20);  // 3 s
   EXPECT_FALSE(decreased);
 }
 
-// Sends ten requests each 20 ms to four endpoints, one of them not idempotent. For 8 s s0 and s1 answer those
-// with an error. Returns how many fail, and how many reach s0 in the 8 s after that.
+// Sends ten requests every 20 ms to four endpoints, one of them of the class "pay". For the first 8 s, s0 and
+// s1 fail the requests of this class. Returns the number of failed requests, and the number of requests of
+// the class that are sent to s0 in the following 8 s.
 std::pair<int, int> SendWithErrorsOfOneClass() {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
   gateway.ServeRequests(200, 10);
   int failed = 0;
-  int later = 0;
+  int sent_after_recovery = 0;
   for (int round = 0; round < 800; ++round) {
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 10; ++i) {
       const std::string id = (i == 0 ? "pay" : "view") + std::to_string(round) + "." + std::to_string(i);
-      if (const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, i == 0 ? "pay" : "view"));
-          !to.empty()) {
-        sent[id] = to;
+      if (const std::string endpoint =
+              FakeGateway::SentEndpoint(gateway.SendRequest(id, i == 0 ? "pay" : "view"));
+          !endpoint.empty()) {
+        sent[id] = endpoint;
       }
     }
     gateway.AdvanceTime(20);
-    for (const auto& [id, to] : sent) {
+    for (const auto& [id, endpoint] : sent) {
       const bool is_payment = id[0] == 'p';
-      const bool fails = is_payment && round < 400 && to < "s2";
+      const bool fails = is_payment && round < 400 && endpoint < "s2";
       failed += fails;
-      later += is_payment && round >= 400 && to == "s0";
-      gateway.FinishAttempt(id, to, fails ? AttemptResult::kError : AttemptResult::kServed, 20);
+      sent_after_recovery += is_payment && round >= 400 && endpoint == "s0";
+      gateway.FinishAttempt(id, endpoint, fails ? AttemptResult::kError : AttemptResult::kServed, 20);
     }
   }
-  return {failed, later};
+  return {failed, sent_after_recovery};
 }
 
-TEST(OutlierDetectionTest, AvoidsEndpointsForTheClassTheyFailUntilTheyRecover) {
-  const auto [failed, later] = SendWithErrorsOfOneClass();
+TEST(OutlierDetectionTest, AvoidsEndpointsOnlyForTheClassThatFailsUntilTheyRecover) {
+  const auto [failed, sent_after_recovery] = SendWithErrorsOfOneClass();
   EXPECT_LE(failed, 20);  // of 400
-  EXPECT_GE(later, 40);
+  EXPECT_GE(sent_after_recovery, 40);
 }
 
-TEST(OutlierDetectionTest, SendsClassThatAllEndpointsFail) {
+TEST(OutlierDetectionTest, SendsRequestsOfClassThatFailsAtAllEndpoints) {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
   std::set<std::string> failed;
   for (int i = 0; i < 5; ++i) {
-    gateway.ServeRequests(30, 1);  // responses of the other class in between keep all endpoints from ejection
+    gateway.ServeRequests(30, 1);  // responses of another class prevent ejections
     const std::string id = "pay" + std::to_string(i);
-    const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
-    ASSERT_NE(to, "") << i;
-    EXPECT_EQ(failed.insert(to).second, i < 4) << i;  // each once, within the 300 ms for which it is avoided
-    gateway.FinishAttempt(id, to, AttemptResult::kError, 1);
+    const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
+    ASSERT_NE(endpoint, "") << i;
+    EXPECT_EQ(failed.insert(endpoint).second, i < 4) << i;  // each endpoint once within the backoff of 300 ms
+    gateway.FinishAttempt(id, endpoint, AttemptResult::kError, 1);
   }
 }
 
-// Probes of an endpoint that keeps failing use clients' requests: few of all, with a timeout that leaves time
-// for another endpoint. A single ejected endpoint is still probed until it recovers.
-TEST(OutlierDetectionTest, ProbesTakeASmallShareOfRequestsAndOfTheirTime) {
+// Client requests serve as probes of failing endpoints. Probes must use few requests and a timeout that
+// leaves time for a retry at another endpoint. If the only endpoint is ejected, it must still be probed until
+// it recovers.
+TEST(OutlierDetectionTest, ProbesUseFewRequestsAndLeaveTimeForARetry) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   FakeGateway gateway(settings);
@@ -271,7 +278,7 @@
     if (i >= 300) {
       ++sent;
       probed += fails;
-      long_probes += fails && gateway.sent.back().timeout > 500;  // of the 1000 of its latency objective
+      long_probes += fails && gateway.sent.back().timeout > 500;  // of a latency objective of 1000 ms
     }
     gateway.FinishAttempt(id, endpoint, fails && i % 4 ? AttemptResult::kError : AttemptResult::kServed, 66);
   }
@@ -279,32 +286,33 @@
   EXPECT_LT(probed, 0.08 * sent);
   EXPECT_LT(long_probes, probed / 2);
 
-  // One endpoint, which fails four times and then recovers.
+  // A single endpoint fails four times and then recovers.
   settings.max_attempts = 1;
   settings.gateway_count = 1;
-  FakeGateway alone(settings);
-  alone.AddEndpoints(1);
+  FakeGateway single_endpoint_gateway(settings);
+  single_endpoint_gateway.AddEndpoints(1);
   std::size_t finished = 0;
   for (int i = 0; i < 64; ++i) {
-    alone.SendRequest("r" + std::to_string(i));
-    alone.AdvanceTime(300);
-    for (; finished < alone.sent.size(); ++finished) {
-      alone.FinishAttempt(alone.sent[finished].request, "s0",
-                          finished < 4 ? AttemptResult::kError : AttemptResult::kServed, 100);
+    single_endpoint_gateway.SendRequest("r" + std::to_string(i));
+    single_endpoint_gateway.AdvanceTime(300);
+    for (; finished < single_endpoint_gateway.sent.size(); ++finished) {
+      single_endpoint_gateway.FinishAttempt(single_endpoint_gateway.sent[finished].request, "s0",
+                                            finished < 4 ? AttemptResult::kError : AttemptResult::kServed,
+                                            100);
     }
   }
   EXPECT_GT(finished, 45);
 }
 
-// Three unresponsive endpoints mark their zone as lost before each of the others has failed. One response
-// ends that.
-TEST(OutlierDetectionTest, AvoidsLostZoneUntilAProbeIsServed) {
+// If a zone fails, its endpoints must be avoided before attempts at each of them have failed. Three
+// unresponsive endpoints suffice to avoid the zone, until a probe is served.
+TEST(OutlierDetectionTest, AvoidsUnresponsiveZoneUntilAProbeIsServed) {
   Settings settings = MakeSettings();
   settings.gateway_count = 30;
   settings.max_attempts = 1;
   auto endpoints = MakeEndpoints(60);
   for (int i = 0; i < 60; ++i) endpoints[i].zone = "z" + std::to_string(i % 3);
-  // Attempts sent to zone 1.
+  // Attempts sent to zone 1 before, during and after its outage.
   int before = 0;
   int during = 0;
   int after = 0;
@@ -326,11 +334,13 @@
     }
   }
   EXPECT_GT(before, 10 * 10);
-  EXPECT_LT(during, 10 * 9);  // 3 failures and 5 probes; ejecting each of 8 endpoints alone would take 16
-  EXPECT_GT(after, 10 * 15);  // readmitted by a probe
+  // 3 failures and 5 probes; ejecting each of 8 endpoints separately would take 16 failures.
+  EXPECT_LT(during, 10 * 9);
+  EXPECT_GT(after, 10 * 15);  // readmitted after a probe
 }
 
-// Responses that break off while they are streamed count against their endpoint.
+// A response that breaks off while it is streamed was recorded as served at its start. It must still count as
+// a failure of the endpoint.
 TEST(OutlierDetectionTest, EjectsEndpointWhoseResponsesBreakOff) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
@@ -340,13 +350,13 @@
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
     gateway.AdvanceTime(50);
     gateway.Handle(ResponseStarted{id, 0});
-    gateway.AdvanceTime(1500);  // no other attempt is served meanwhile
+    gateway.AdvanceTime(1500);  // no other attempt is served in the meantime
     gateway.Handle(AttemptOutcome{id, 0, endpoint, AttemptResult::kReset, true, 1550, {}});
   }
   EXPECT_GT(gateway.policy.EjectedEndpointCount(), 0u);
 }
 
-TEST(OutlierDetectionTest, EjectsAboveAFailureRateOf30PercentAndDoublesTheProbeBackoff) {
+TEST(OutlierDetectionTest, EjectsAboveFailureRateOf30PercentAndDoublesProbeBackoff) {
   const OutlierDetection detection(/*class_count=*/1);
   RandomSource random(1);
   Zone zone;
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -1,6 +1,6 @@
-// The invariants of a Policy under random events, checked by code that shares nothing with it: one final
-// answer in time, no attempt that could execute a request twice, no attempt at an endpoint that is not up,
-// and no more attempts than the settings allow.
+// Checks the invariants of a Policy under random events, independently of its code: each request gets one
+// final answer in time, no request can be executed twice, attempts are sent only to endpoints that are up,
+// and the number of attempts is within the settings.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,18 +18,20 @@
 namespace gateway::policy::testing {
 namespace {
 
-constexpr Millis kAnswerToleranceMs = 20;  // after the client gives up
+constexpr Millis kAnswerToleranceMs = 20;  // after the client's timeout
 
+// An attempt as recorded by the test.
 struct SentAttempt {
   std::string endpoint;
   Millis sent_at = 0;
   Millis times_out_at = 0;
   bool in_flight = true;
-  bool not_executed = false;  // proven
+  bool not_executed = false;  // as proven by its outcome
 
   bool IsProvenNotExecuted() const { return !in_flight && not_executed; }
 };
 
+// A request as recorded by the test.
 struct ClientRequest {
   const TrafficClassSettings* traffic_class = nullptr;
   Millis deadline_at = 0;
@@ -41,7 +43,7 @@
   }
 };
 
-// Checks every action of the policy against the requests and the endpoint list as reported to it.
+// Checks each action of the policy against the requests and endpoints that were reported to it.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Settings& settings) : settings_(settings) {}
@@ -85,7 +87,8 @@
     for (const SentAttempt& attempt : request.attempts) {
       ASSERT_TRUE(!attempt.in_flight) << "two attempts at once";
       if (request.traffic_class->idempotency == Idempotency::kNotIdempotent) {
-        ASSERT_TRUE(attempt.IsProvenNotExecuted()) << "not idempotent and sent twice";
+        ASSERT_TRUE(attempt.IsProvenNotExecuted())
+            << "sent a request again that is not idempotent and may have been executed";
       }
     }
     if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey) CheckRepeat(now, request, send);
@@ -97,7 +100,7 @@
     for (const SentAttempt& attempt : request.attempts) {
       if (attempt.not_executed) continue;
       ASSERT_EQ(endpoints_.at(attempt.endpoint).cell, endpoints_.at(send.endpoint).cell)
-          << "left its deduplication scope";
+          << "repeat outside the deduplication scope";
       ASSERT_LT(now - attempt.sent_at, request.traffic_class->deduplication_window)
           << "repeat after the deduplication window";
     }
@@ -126,7 +129,7 @@
   return settings;
 }
 
-// A gateway under random requests, outcomes and endpoint changes.
+// Runs a gateway with random requests, outcomes and endpoint changes.
 class RandomRun {
  public:
   RandomRun(std::uint64_t seed, bool poll_endpoint_list)
@@ -154,7 +157,7 @@
       checker_.CheckAnsweredInTime(gateway_.now);
     }
     EXPECT_GT(request_count_, 1000);
-    EXPECT_TRUE(checker_.requests.empty()) << checker_.requests.size() << " requests left over";
+    EXPECT_TRUE(checker_.requests.empty()) << checker_.requests.size() << " requests are not finished";
   }
 
  private:
@@ -200,7 +203,7 @@
     ReportEndpoint(endpoint);
   }
 
-  // Draws the attempts that finish and the clients that give up in this step.
+  // Draws the attempts that finish and the clients that disconnect in this step.
   std::vector<Event> DrawEvents() {
     std::vector<Event> events;
     for (auto& [id, request] : checker_.requests) {
@@ -213,7 +216,7 @@
     return events;
   }
 
-  // Appends the outcome if the attempt finishes in this step, which it returns.
+  // Draws whether the attempt finishes in this step. If so, appends its outcome and returns true.
   bool FinishAttemptByChance(const std::string& id, ClientRequest& request, std::size_t index,
                              std::vector<Event>& events) {
     SentAttempt& attempt = request.attempts[index];
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// A Policy under invalid, duplicate and stale events, and its determinism.
+// Tests of a Policy with invalid, duplicate and stale events, and of its determinism.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(PolicyTest, KeepsNonFiniteNumbersOutOfEstimates) {
+TEST(PolicyTest, IgnoresNonFiniteNumbersInEvents) {
   FakeGateway gateway;
   EndpointInfo invalid = MakeEndpoint("s0");
   invalid.weight = std::numeric_limits<double>::quiet_NaN();
@@ -43,11 +43,11 @@
   EXPECT_TRUE(gateway.Handle(ResponseStarted{"b", 0}).empty());
 }
 
-TEST(PolicyTest, InvalidTimesNeitherStopTheClockNorLoseARequest) {
+TEST(PolicyTest, InvalidTimesNeitherStopTheClockNorLoseRequests) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double invalid : {nan, -1e12}) {
     FakeGateway gateway;
-    gateway.now = invalid;  // already at the first event
+    gateway.now = invalid;  // for the first event too
     gateway.AddEndpoints(2);
     gateway.now = 5000;
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest("a"));
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(PolicyTest, StoppedClockNeitherCrashesNorFloods) {
+TEST(PolicyTest, AnswersEachRequestOnceWhenClockIsStopped) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   int sent = 0;
--- a/tests/policy/request_controller_test.cpp
+++ b/tests/policy/request_controller_test.cpp
@@ -1,4 +1,4 @@
-// How the request controller answers, sends and rejects requests.
+// Tests of how the request controller sends, queues and rejects requests.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -30,8 +30,8 @@
   EXPECT_TRUE(gateway.Handle(ClientDisconnected{"ghost"}).empty());
 }
 
-TEST(RequestControllerTest, RejectsClientRetryThatCanEarnNothing) {
-  Settings settings = MakeSettings();  // latency objective 1000, deadline 2000, no late weight
+TEST(RequestControllerTest, RejectsClientRetryAfterItsObjectiveWithoutLateWeight) {
+  Settings settings = MakeSettings();  // latency objective 1000 ms, deadline 2000 ms, no late weight
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
   gateway.ServeRequests(5);
@@ -44,8 +44,8 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(with_late_weight.SendRequest("late", "view", 900)), 1);
 }
 
-// The time of a request begins with its last byte, and a response counts as served by its first byte: a slow
-// client lowers neither the admission rate nor the estimate of its endpoint.
+// A slow client must not change the admission rate or the latency of its endpoint. Therefore the latency of a
+// request starts with its last byte and ends with the first byte of the response.
 TEST(RequestControllerTest, ExcludesBodyTransferFromLatency) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are retried, where, and how many.
+// Tests of which requests are retried, at which endpoints, and how many.
 #include "policy/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_NE(first, second);
 }
 
-TEST(RetryPolicyTest, FailsNonIdempotentRequestThatMayHaveExecuted) {
+TEST(RetryPolicyTest, FailsNonIdempotentRequestThatMayHaveBeenExecuted) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   const std::string first = FakeGateway::SentEndpoint(gateway.SendRequest("a", "pay"));
@@ -66,7 +66,7 @@
     gateway.FinishAttempt("r", first, AttemptResult::kError, 20);
     if (gateway.sent.size() < 2) continue;
     ++retried;
-    EXPECT_EQ(gateway.sent[1].endpoint[0], first[0]) << "endpoints of another zone do not drop the repeat";
+    EXPECT_EQ(gateway.sent[1].endpoint[0], first[0]) << "endpoints of another zone do not drop repeats";
     EXPECT_NE(gateway.sent[1].endpoint, first);
   }
   EXPECT_GT(retried, 10);
@@ -99,8 +99,8 @@
   EXPECT_LT(retries, 0.1 * (first_attempts + 200) + 2);
 }
 
-// A request with an idempotency key that may have been executed is retried only while the repeat arrives
-// within the deduplication window: neither the retry nor the start of its writing comes too late for that.
+// A request with an idempotency key would be executed twice if its repeat arrived after the deduplication
+// window. Therefore neither the retry nor the start of its writing may be too late.
 TEST(RetryPolicyTest, RetryWithIdempotencyKeyArrivesWithinTheDeduplicationWindow) {
   for (const Millis window : {50.0, 400.0, 5000.0}) {
     Settings settings = MakeSettings();
@@ -134,12 +134,12 @@
     const auto actions = gateway.Handle(
         AttemptOutcome{"r", 0, endpoint, AttemptResult::kConnectFailed, false, 0, {}, buffered});
     EXPECT_EQ(FakeGateway::CountActions<Send>(actions), buffered ? 1 : 0);
-    // It was not executed, so it is rejected rather than failed.
+    // The request was not executed, so it is rejected instead of failed.
     EXPECT_EQ(FakeGateway::CountActions<Reject>(actions), buffered ? 0 : 1);
   }
 }
 
-TEST(RetryBudgetTest, EarnsOneRetryForTenRequestsAndSavesTwenty) {
+TEST(RetryBudgetTest, EarnsOneRetryPerTenRequestsUpToTwenty) {
   RetryBudget budget;
   budget.TakeToken();
   for (int i = 0; i < 9; ++i) budget.RecordRequest();
@@ -151,7 +151,7 @@
   EXPECT_FALSE(budget.HasToken());
 }
 
-// A request whose only attempt, at an endpoint of cell 0, has ended.
+// Provides a request whose only attempt, at an endpoint of cell 0, has ended.
 class RetryRulesTest : public ::testing::Test {
  protected:
   RetryRulesTest() {
@@ -167,7 +167,7 @@
   TrafficClassSettings with_key_ = MakeClass("key", Idempotency::kIdempotencyKey);
 };
 
-TEST_F(RetryRulesTest, ShouldRetryOnlyUnderAllConditions) {
+TEST_F(RetryRulesTest, ShouldRetryOnlyWhenAllConditionsAreMet) {
   const RetryConditions met = {AttemptResult::kError, false, 3, 50, true};
   EXPECT_TRUE(ShouldRetry(request_, idempotent_, met, 949));
   EXPECT_FALSE(ShouldRetry(request_, idempotent_, met, 950)) << "the response would be late";
@@ -180,7 +180,7 @@
   EXPECT_FALSE(ShouldRetry(request_, idempotent_, met, 0));
 }
 
-TEST_F(RetryRulesTest, MaySendToDeduplicationScopeWithinItsWindow) {
+TEST_F(RetryRulesTest, MaySendWithinDeduplicationScopeAndWindow) {
   EndpointInfo other_cell = MakeEndpoint("b", "1");
   other_cell.zone = endpoint_.info.zone;
   EXPECT_TRUE(MaySendTo(request_, with_key_, endpoint_.info, 499));
@@ -191,11 +191,11 @@
   EXPECT_FALSE(MaySendTo(request_, with_key_, MakeEndpoint("c", "1"), 0));
 }
 
-TEST_F(RetryRulesTest, IsSafeForClientToRetryAtAnyEndpoint) {
+TEST_F(RetryRulesTest, IsSafeForClientToRetryWhenAnyEndpointMayReceiveTheRetry) {
   const TrafficClassSettings not_idempotent = MakeClass("pay", Idempotency::kNotIdempotent);
   EXPECT_TRUE(IsSafeForClientToRetry(request_, idempotent_));
   EXPECT_FALSE(IsSafeForClientToRetry(request_, not_idempotent));
-  EXPECT_FALSE(IsSafeForClientToRetry(request_, with_key_)) << "deduplicated in one cell only";
+  EXPECT_FALSE(IsSafeForClientToRetry(request_, with_key_)) << "deduplicated within one cell only";
   request_.attempts[0].may_have_executed = false;
   EXPECT_TRUE(IsSafeForClientToRetry(request_, not_idempotent));
 }
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -1,4 +1,4 @@
-// Validation of the settings.
+// Tests of the validation of settings.
 #include "policy/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -39,13 +39,13 @@
   EXPECT_EQ(error_text([](Settings&) {}), "");
 }
 
-TEST(SettingsTest, ErrorHasTheFieldOfEachInvalidValue) {
+TEST(SettingsTest, ErrorFieldIsThatOfTheInvalidValue) {
   const auto expect_field = [](const std::string& field, void (*invalidate)(Settings&)) {
     Settings settings = MakeSettings();
     invalidate(settings);
     try {
       ValidateSettings(settings);
-      ADD_FAILURE() << "accepts an invalid value of " << field;
+      ADD_FAILURE() << "no error for an invalid value of " << field;
     } catch (const SettingsError& error) {
       EXPECT_EQ(error.field(), field);
     }
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,5 +1,6 @@
-// The warm-up of started endpoints bounds the sum of what all gateways send, however many they are and
-// however unevenly clients use them: in simulated time, with every attempt counted at the endpoint.
+// Simulates many gateways that share endpoints, some of which restart. Slow start must bound the total number
+// of attempts that all gateways send to a warming endpoint, regardless of the number of gateways and the
+// distribution of clients.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,25 +21,28 @@
 namespace {
 
 constexpr Millis kStepMs = 10;
-constexpr double kCapacityPerMs = 0.04;  // requests that a warm endpoint serves
+constexpr double kCapacityPerMs = 0.04;  // requests per ms that a warm endpoint serves
 constexpr Millis kLatencyMs = 60;
 constexpr int kEndpointCount = 12;
-constexpr int kRestartedCount = 4;  // of them, all at one moment
+constexpr int kRestartedCount = 4;  // number of endpoints that restart, all at the same time
 constexpr Millis kFirstListAtMs = 1000;
 constexpr Millis kRestartAtMs = 30000;
 constexpr Millis kEndAtMs = kRestartAtMs + 12000;
 
+// The parameters of a simulation.
 struct Scenario {
   int gateways = 1;
-  std::vector<double> share;              // of all traffic, by gateway
-  double load = 0.7;                      // of the capacity of all endpoints
-  Millis maximum_notification_delay = 0;  // from the restart until a gateway's list shows it
-  bool gateways_run_before = true;        // else all gateways start together with the restarted endpoints
-  bool traffic_shifts = false;            // to other gateways at the restart
+  std::vector<double> share;              // share of the traffic by gateway
+  double load = 0.7;                      // as a multiple of the capacity of all endpoints
+  Millis maximum_notification_delay = 0;  // from the restart to the list update
+  bool gateways_run_before = true;        // false: all gateways start at the restart
+  bool traffic_shifts = false;            // traffic moves to other gateways at the restart
 };
 
+// The result of a simulation.
 struct Measurement {
-  // Attempts in a window over N + 2 sqrt(N) + 2, where N is the budget of the window; at most 1 is allowed.
+  // Maximum over all windows of the attempts divided by N + 2 sqrt(N) + 2, where N is the budget of the
+  // window. Must not exceed 1.
   double worst_ratio = 0;
   int sent_to_restarted = 0;
 };
@@ -62,7 +66,7 @@
   return endpoints;
 }
 
-// Gateways that share the endpoints, with their clients.
+// Simulates gateways that share the endpoints, and their clients.
 class FleetSimulation {
  public:
   FleetSimulation(const Scenario& scenario, std::uint64_t seed)
@@ -89,9 +93,9 @@
  private:
   struct Member {
     std::unique_ptr<FakeGateway> gateway;
-    Millis notified_at = 0;  // of the restart
+    Millis notified_at = 0;  // when its list shows the restart
     bool notified = false;
-    std::map<std::string, int> attempts;  // by request
+    std::map<std::string, int> attempts;  // number of attempts by request
   };
   struct AttemptInFlight {
     Millis finishes_at;
@@ -128,7 +132,7 @@
     std::poisson_distribution<int> arrivals(scenario_.load * kEndpointCount * kCapacityPerMs * kStepMs *
                                             share);
     Member& member = members_[index];
-    for (int n = arrivals(random_); n > 0; --n) {
+    for (int remaining = arrivals(random_); remaining > 0; --remaining) {
       RecordSends(member, member.gateway->SendRequest("r" + std::to_string(request_count_++)));
     }
   }
@@ -168,7 +172,7 @@
     return worst;
   }
 
-  // The attempts that the settings allow in the window, with the warm-up fraction of its middle.
+  // Returns the attempts that the settings allow in the window, using the warm-up fraction at its middle.
   double Budget(Millis begin, Millis end) const {
     const Millis age = (begin + end) / 2 - kRestartAtMs;
     const double fraction = settings_.warm_up_initial_fraction +
@@ -179,10 +183,10 @@
   const Scenario scenario_;
   Settings settings_;
   std::mt19937_64 random_;
-  std::deque<Member> members_;  // addresses stay valid
+  std::deque<Member> members_;  // a deque keeps the addresses valid
   Millis now_ = 0;
   int request_count_ = 0;
-  std::deque<AttemptInFlight> in_flight_;  // in the order of their ends: each takes as long
+  std::deque<AttemptInFlight> in_flight_;  // ordered by end, since all have the same latency
   std::vector<std::vector<Millis>> sent_at_ = std::vector<std::vector<Millis>>(kRestartedCount);
 };
 
@@ -190,7 +194,7 @@
   return FleetSimulation(scenario, seed).Run();
 }
 
-// Equal shares, or the second gateway half of the first one's, the third a third ...
+// Returns equal shares, or shares proportional to 1, 1/2, 1/3 ...
 std::vector<double> TrafficShares(int gateways, bool even) {
   std::vector<double> shares;
   double sum = 0;
@@ -202,7 +206,7 @@
   return shares;
 }
 
-TEST(SlowStartFleetTest, BoundsTheSumOfAllGateways) {
+TEST(SlowStartFleetTest, BoundsTotalAttemptsOfAllGateways) {
   for (const int gateways : {1, 5, 20, 30}) {
     for (const bool even : {true, false}) {
       for (const double load : {0.4, 0.7, 1.2}) {
@@ -221,8 +225,9 @@
   }
 }
 
-// The same while clients move to other gateways, which know the endpoints by other traffic.
-TEST(SlowStartFleetTest, BoundsTheSumWhileTrafficShifts) {
+// If clients move to other gateways, those have learned the endpoints' rates from different traffic. The
+// total must stay bounded nevertheless.
+TEST(SlowStartFleetTest, BoundsTotalAttemptsWhileTrafficShifts) {
   for (const int gateways : {5, 20, 30}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       const Scenario scenario = {gateways,
@@ -236,8 +241,9 @@
   }
 }
 
-// The same where all gateways start with the endpoints, and have learned nothing of any.
-TEST(SlowStartFleetTest, BoundsTheSumForGatewaysThatStartWithTheEndpoints) {
+// Gateways that start together with the endpoints have learned nothing about them. The total must stay
+// bounded nevertheless.
+TEST(SlowStartFleetTest, BoundsTotalAttemptsWhenGatewaysStartWithTheEndpoints) {
   for (const int gateways : {1, 5, 20, 30}) {
     for (const bool even : {true, false}) {
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What an endpoint is sent while it warms up.
+// Tests of the attempts that are sent to an endpoint while it warms up.
 #include "policy/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -19,11 +19,11 @@
   gateway.ReplaceEndpoints({MakeEndpoint("s0"), MakeEndpoint("s1"), MakeEndpoint("new", "0", gateway.now)});
   auto received = gateway.ServeRequests(200, 10);  // 2 s
   EXPECT_GE(received["new"], 1);
-  // Its warm-up fraction is 0.36 by now; a warm endpoint is sent about half of all.
+  // The warm-up fraction is 0.36 at this time. A warm endpoint receives about half of all requests.
   EXPECT_LT(received["new"], 0.36 * received["s0"] + 1);
 }
 
-TEST(SlowStartTest, WarmsUpUnreachableEndpointOnceItServesAgain) {
+TEST(SlowStartTest, WarmsUpUnreachableEndpointWhenItServesAgain) {
   FakeGateway gateway;
   gateway.now = 100000;
   gateway.AddEndpoints(3);
@@ -41,10 +41,10 @@
   gateway.now += 1000;
   auto received = gateway.ServeRequests(300, 10);
   EXPECT_GE(received["s0"], 1);
-  EXPECT_LT(received["s0"], 75);  // a quarter of all: a warm endpoint is sent a third
+  EXPECT_LT(received["s0"], 75);  // a quarter of all requests; a warm endpoint receives a third
 }
 
-TEST(SlowStartTest, FailedConnectionsOfARecentlyServingEndpointStartNoWarmUp) {
+TEST(SlowStartTest, StartsNoWarmUpWhenConnectionsOfServingEndpointFail) {
   FakeGateway gateway;
   gateway.now = 100000;
   gateway.AddEndpoints(3);
@@ -69,12 +69,12 @@
   EXPECT_GT(received, 75);
 }
 
-TEST(SlowStartTest, ManyGatewaysTogetherDoNotOverloadAWarmingEndpoint) {
-  Settings settings = MakeSettings();  // warm-up fraction 0.2 at first, 1 after 10 s
+TEST(SlowStartTest, LimitsTotalAttemptsOfManyGatewaysToWarmingEndpoint) {
+  Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 200;
   int warming = 0;
   int all = 0;
-  int later = 0;
+  int warming_later = 0;
   for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
        ++settings.gateway_index) {
     FakeGateway gateway(settings, settings.gateway_index);
@@ -84,21 +84,22 @@
     gateway.ServeRequests(50, 200);
     endpoints.push_back(MakeEndpoint("new", "0", gateway.now));
     gateway.ReplaceEndpoints(endpoints);
-    const auto first = gateway.ServeRequests(10, 200);  // the 2 s after its start; 6 s more follow
-    for (const auto& [id, n] : first) (id == "new" ? warming : all) += n;
+    const auto first = gateway.ServeRequests(10, 200);  // the first 2 s after its start; 6 s follow
+    for (const auto& [id, count] : first) (id == "new" ? warming : all) += count;
     const auto following = gateway.ServeRequests(30, 200);
-    if (following.contains("new")) later += following.at("new");
+    if (following.contains("new")) warming_later += following.at("new");
   }
-  // One attempt of each gateway would be 60 and more; a warm endpoint is sent about 100 in that time.
-  EXPECT_LT(warming, 0.5 * all / 20);  // 0.84 of a warm one would overload it
-  EXPECT_GT(later, warming);
+  // One attempt from each gateway would be 60 and more. A warm endpoint receives about 100 attempts in this
+  // time.
+  EXPECT_LT(warming, 0.5 * all / 20);  // 0.84 times the load of a warm endpoint would overload it
+  EXPECT_GT(warming_later, warming);
 }
 
-// Where each gateway uses a subset of the endpoints, those that use a warming one together send it its
-// warm-up fraction. A gateway that knows the warm ones only for a moment goes by the rate of arriving
-// requests.
-TEST(SlowStartTest, GatewaysWithSubsetsTogetherSendTheWarmUpFraction) {
-  Settings settings = MakeSettings();  // warm-up fraction 0.2 at first, 1 after 10 s
+// Each gateway uses a subset of the endpoints. The gateways that use a warming endpoint must together send
+// its warm-up fraction, otherwise they overload it or leave it idle. A gateway without samples of the warm
+// endpoints uses the rate of arriving requests instead.
+TEST(SlowStartTest, GatewaysWithSubsetsSendTheWarmUpFractionInTotal) {
+  Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 100;
   double warming = 0;
   double warm = 0;
@@ -114,28 +115,28 @@
       if (!just_started) gateway.ServeRequests(300, 50);
       for (int i = 0; i < 30; ++i) endpoints[i].started_at = gateway.now;
       gateway.ReplaceEndpoints(endpoints);
-      for (const auto& [id, n] : gateway.ServeRequests(60, 50)) {
+      for (const auto& [id, count] : gateway.ServeRequests(60, 50)) {
         if (id.empty()) continue;
-        (std::stoi(id.substr(1)) < 30 ? warming : warm) += n;
+        (std::stoi(id.substr(1)) < 30 ? warming : warm) += count;
       }
     }
-    // In 3 s an endpoint warms up to 0.32 of its capacity, and is sent some of that: 2.5 or 3 times as much
-    // would overload it.
+    // In 3 s, an endpoint warms up to 0.32 of its capacity and receives a part of that. 2.5 to 3 times its
+    // capacity would overload it.
     EXPECT_GT(warming, 0.08 * warm) << just_started;
     EXPECT_LT(warming, 0.6 * warm) << just_started;
   }
 }
 
-// An endpoint of a machine type that serves a third of what another type serves is sent so much less while it
-// warms up.
-TEST(SlowStartTest, SendsWarmingEndpointByTheSpeedOfItsMachineType) {
+// The machine type "slow" has three times the latency of "fast". A warming endpoint of the slow type must
+// receive accordingly fewer requests, since it would be overloaded otherwise.
+TEST(SlowStartTest, LimitsWarmingEndpointByTheServiceRateOfItsMachineType) {
   FakeGateway gateway;
   gateway.now = 100000;
   auto endpoints = MakeEndpoints(12);
   for (std::size_t i = 0; i < endpoints.size(); ++i) endpoints[i].machine_type = i % 2 ? "slow" : "fast";
   std::map<std::string, int> received;
-  const auto serve_requests = [&](int n) {
-    for (int i = 0; i < n; ++i) {
+  const auto serve_requests = [&](int count) {
+    for (int i = 0; i < count; ++i) {
       const std::string id = "r" + std::to_string(gateway.served_requests++);
       const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
       gateway.now += 10;
@@ -161,7 +162,7 @@
 }
 
 TEST(SlowStartTest, WarmUpFractionGrowsLinearly) {
-  const SlowStart slow_start(MakeSettings());  // from 0.2 to 1 in 10 s
+  const SlowStart slow_start(MakeSettings());  // from 0.2 to 1 within 10 s
   const SlowStartState state = {.started_at = 1000};
   EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 6000), 0.6);
   EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 11000), 1);
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints each of many gateways uses.
+// Tests of the subsets of endpoints that gateways use.
 #include "policy/subsetting.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(SubsettingTest, SpreadsManyGatewaysEvenlyOverFewEndpointsEach) {
+TEST(SubsettingTest, UsesFewEndpointsPerGatewayAndSpreadsGatewaysEvenly) {
   std::map<std::string, int> gateways_by_endpoint;
   std::size_t largest_subset = 0;
   Settings settings = MakeSettings();
@@ -25,16 +25,19 @@
     FakeGateway gateway(settings, settings.gateway_index);
     gateway.ReplaceEndpoints(MakeEndpoints(60));
     const auto sent_by_endpoint = gateway.ServeRequests(60, 200);
-    for (const auto& [id, n] : sent_by_endpoint) ++gateways_by_endpoint[id];
+    for (const auto& [id, count] : sent_by_endpoint) ++gateways_by_endpoint[id];
     largest_subset = std::max(largest_subset, sent_by_endpoint.size());
   }
   EXPECT_LE(largest_subset, 9u);
   ASSERT_EQ(gateways_by_endpoint.size(), 60u);
-  for (const auto& [id, n] : gateways_by_endpoint) EXPECT_TRUE(n >= 20 && n <= 50) << id << " " << n;
+  for (const auto& [id, count] : gateways_by_endpoint) {
+    EXPECT_TRUE(count >= 20 && count <= 50) << id << " " << count;
+  }
 }
 
-// A small subset is learned from few requests; a gateway that most clients use must not crowd it.
-TEST(SubsettingTest, GrowsWithRequestsInFlight) {
+// Subsets are small so that few requests suffice to learn the endpoints. A gateway that receives most
+// requests must use a larger subset, since it would overload a small one.
+TEST(SubsettingTest, GrowsWhenMoreRequestsAreInFlight) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   FakeGateway gateway(settings);
@@ -55,8 +58,8 @@
   EXPECT_GT(used.size(), 30u);
 }
 
-// Requests across zones have a price, but the zone of an endpoint must leave it to neither few gateways nor
-// too many.
+// Cross-zone requests are more expensive, so gateways prefer their own zone. The preference must not cause
+// uneven loads of the endpoints.
 TEST(SubsettingTest, PrefersOwnZoneAndLoadsEndpointsEvenly) {
   Settings settings = MakeSettings();
   settings.gateway_count = 99;
@@ -70,10 +73,10 @@
     settings.zone = "z" + std::to_string(settings.gateway_index % 3);
     FakeGateway gateway(settings, settings.gateway_index);
     gateway.ReplaceEndpoints(endpoints);
-    for (const auto& [id, n] : gateway.ServeRequests(100, 50)) {
-      received[id] += n;
-      all += n;
-      own_zone += std::stoi(id.substr(1)) / 20 == settings.gateway_index % 3 ? n : 0;
+    for (const auto& [id, count] : gateway.ServeRequests(100, 50)) {
+      received[id] += count;
+      all += count;
+      own_zone += std::stoi(id.substr(1)) / 20 == settings.gateway_index % 3 ? count : 0;
     }
   }
   EXPECT_GT(own_zone, 0.7 * all);
@@ -96,16 +99,16 @@
   EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
 }
 
-TEST(SubsettingTest, SizeIsAnEvenShareOrByConcurrentRequests) {
+TEST(SubsettingTest, SizeIsTheLargerOfEvenShareAndConcurrentRequests) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   EndpointTable table("");
   for (const EndpointInfo& endpoint : MakeEndpoints(60)) table.Update(endpoint);
   Subsetting subsetting(settings, /*ring_position=*/0.5);
   subsetting.Choose(table, /*concurrent_requests=*/10);
-  EXPECT_EQ(subsetting.endpoints().size(), 30u);  // 3 for each request
+  EXPECT_EQ(subsetting.endpoints().size(), 30u);  // 3 per request
   subsetting.Choose(table, 0);
-  EXPECT_EQ(subsetting.endpoints().size(), 8u);  // 12 gateways per endpoint make 7.2
+  EXPECT_EQ(subsetting.endpoints().size(), 8u);  // 12 gateways per endpoint give 7.2
 }
 
 }  // namespace
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,4 +1,4 @@
-// Requests within and beyond their tenant's quota.
+// Tests of requests within and beyond their tenant's quota.
 #include "policy/tenant_quotas.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
   gateway.now += 150;
   gateway.SendRequest("small", "view", 2000, "small");
   gateway.AddEndpoints(1);
-  // The part of big within its quota is in front; small comes before the part of big beyond it.
+  // The requests of big within its quota are sent first, then that of small, then those of big beyond its
+  // quota.
   ASSERT_FALSE(gateway.sent.empty());
   std::vector<std::string> order;
   for (std::size_t i = 0; i < gateway.sent.size(); ++i) {
@@ -45,19 +46,19 @@
   EXPECT_EQ(gateway.sent[0].request, "guest");
 }
 
-TEST(TenantQuotasTest, SmallPartOfAQuotaAllowsABurst) {
+TEST(TenantQuotasTest, AllowsBurstWhenShareOfQuotaIsSmall) {
   Settings settings = MakeSettings();
   settings.gateway_count = 300;
   settings.tenants = {{"t", 30}};  // 0.1 per second for this gateway
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
-  // Failures of another tenant hold back all traffic beyond its quota.
+  // Failures of requests of another tenant stop all traffic beyond quota.
   for (int i = 0; i < 20; ++i) {
     const std::string id = "f" + std::to_string(i);
-    if (const std::string to = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay", 2000, "other"));
-        !to.empty()) {
+    if (const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay", 2000, "other"));
+        !endpoint.empty()) {
       gateway.now += 50;
-      gateway.FinishAttempt(id, to, AttemptResult::kError, 50);
+      gateway.FinishAttempt(id, endpoint, AttemptResult::kError, 50);
     }
   }
   gateway.now += 20000;
@@ -66,12 +67,12 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("spare", "view", 2000, "other")), 0);
 }
 
-TEST(TenantQuotasTest, GrantsThisGatewaysPartOfAQuota) {
+TEST(TenantQuotasTest, GrantsShareOfQuotaToEachGateway) {
   Settings settings = MakeSettings();
   settings.gateway_count = 2;
   settings.tenants = {{"limited", 10}, {"unlimited", 0}};
   TenantQuotas quotas(settings);
-  for (int i = 0; i < 5; ++i) EXPECT_TRUE(quotas.TakeToken("limited", 100000)) << "of the last second";
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(quotas.TakeToken("limited", 100000)) << "tokens of the last second";
   EXPECT_FALSE(quotas.TakeToken("limited", 100199));
   EXPECT_TRUE(quotas.TakeToken("limited", 100201));
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(quotas.TakeToken("unlimited", 0));
