--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Dispatches the events of a Policy to the admission side and the upstream side.
+// Dispatches the events of a Policy to the request controller and the upstream controller.
 #include "gateway/policy.hpp"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kSweepInterval = 10;
+constexpr Millis kSweepIntervalMs = 10;
 const char* const kSweepTimer = "sweep";
 
 Settings Validated(Settings settings) {
@@ -49,7 +49,7 @@
     requests_.ReleaseQueued(context);
   }
 
-  std::size_t EjectedEndpoints() const { return upstream_.EjectedCount(); }
+  std::size_t EjectedEndpointCount() const { return upstream_.EjectedCount(); }
 
   LearnedState Export() const {
     LearnedState state;
@@ -63,11 +63,11 @@
 
   void Import(Millis now, const LearnedState& state) {
     Advance(now);
-    const double kept = RemainingWeight(state.exported_at, now_, kRateHalfLife);
-    const double share = ShareOfFormerTotal(state.gateway_count, settings_.gateway_count);
-    requests_.Import(state, kept, share);
+    const double remaining_weight = RemainingWeight(state.exported_at, now_, kRateHalfLifeMs);
+    const double load_share = ShareOfExportedTotal(state.gateway_count, settings_.gateway_count);
+    requests_.Import(state, remaining_weight, load_share);
     traffic_.Import(state);
-    upstream_.Import(state, kept, share, now_);
+    upstream_.Import(state, remaining_weight, load_share, now_);
   }
 
   void Scale(double factor) {
@@ -76,23 +76,23 @@
   }
 
  private:
-  // Moves the clock, which neither runs backwards nor takes over a value that is no number.
+  // Advances the clock. Ignores times before the current one and values that are not numbers.
   void Advance(Millis now) {
-    const Millis passed = started_ ? std::max(0.0, now - now_) : 0;
+    const Millis elapsed = started_ ? std::max(0.0, now - now_) : 0;
     if (started_) {
       now_ = std::max(now_, now);
     } else {
       now_ = std::isfinite(now) ? now : 0;
     }
-    requests_.Advance(passed);
-    traffic_.Advance(passed);
+    requests_.Advance(elapsed);
+    traffic_.Advance(elapsed);
   }
 
   void Dispatch(EventContext& context, const EndpointListEvent& event) {
     if (event.kind == EndpointListEvent::Kind::kFailure) {
       return list_polling_.RecordFailure(event.call_duration, context.now, random_);
     }
-    list_polling_.RecordList();
+    list_polling_.RecordSuccess();
     upstream_.ApplyList(event, context.now);
   }
 
@@ -103,11 +103,11 @@
     requests_.Handle(context, event);
   }
 
-  // Periodic work. Sets the timer for the next time.
+  // Performs periodic work and restarts the sweep timer.
   void Sweep(EventContext& context) {
-    context.Emit(SetTimer{kSweepInterval, kSweepTimer});
+    context.Emit(SetTimer{kSweepIntervalMs, kSweepTimer});
     const bool list_known = upstream_.up_count() > 0;
-    if (list_polling_.TakeDueCall(list_known, context.now)) context.Emit(WatchEndpointList{});
+    if (list_polling_.StartCallIfDue(list_known, context.now)) context.Emit(WatchEndpointList{});
     upstream_.Sweep(context.now);
     requests_.ExpireQueued(context);
     if (log_.IsStatusDue(context.now)) log_.WriteStatus(context, GetStatus());
@@ -143,12 +143,12 @@
   impl_->Handle(now, event, actions);
 }
 
-std::size_t Policy::EjectedEndpoints() const { return impl_->EjectedEndpoints(); }
+std::size_t Policy::EjectedEndpointCount() const { return impl_->EjectedEndpointCount(); }
 
 LearnedState Policy::ExportState() const { return impl_->Export(); }
 
 void Policy::ImportState(Millis now, const LearnedState& state) { impl_->Import(now, state); }
 
-void Policy::ScaleToShare(double factor) { impl_->Scale(factor); }
+void Policy::ScaleLimits(double factor) { impl_->Scale(factor); }
 
 }  // namespace gateway::policy
