--- a/src/proxy/client/client_listener.cpp
+++ b/src/proxy/client/client_listener.cpp
@@ -58,7 +58,7 @@
 }
 
 void ClientListener::ResumeAfter(Millis delay_ms) {
-  retry_timer_.expires_after(Span(delay_ms));
+  retry_timer_.expires_after(TimerDuration(delay_ms));
   retry_timer_.async_wait([this](error_code error) {
     if (!error) Resume();
   });
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -74,7 +74,7 @@
 
 void ClientServer::CheckTimeouts() {
   for (const auto& connection : table_.Snapshot()) connection->CheckTimeouts(Now());
-  timeout_timer_.expires_after(Span(kTimeoutCheckIntervalMs));
+  timeout_timer_.expires_after(TimerDuration(kTimeoutCheckIntervalMs));
   timeout_timer_.async_wait([this](error_code error) {
     if (!error) CheckTimeouts();
   });
--- a/src/proxy/clock.hpp
+++ b/src/proxy/clock.hpp
@@ -1,4 +1,4 @@
-// The names under which the gateway reads its clock, see base/clock.hpp.
+// The clock of the gateway process: shorter names for functions of base/clock.hpp.
 #ifndef GATEWAY_PROXY_CLOCK_HPP_
 #define GATEWAY_PROXY_CLOCK_HPP_
 
@@ -7,6 +7,7 @@
 namespace gateway::proxy {
 
 using base::Millis;
+using base::TimerDuration;
 
 inline Millis Now() { return base::UnixAlignedNow(); }
 inline std::chrono::microseconds Span(Millis duration) { return base::TimerDuration(duration); }
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -127,7 +127,7 @@
 
 void UpstreamConnection::SetTimer(Millis due) {
   timer_due_ = due;
-  timer_.expires_after(Span(due - Now()));
+  timer_.expires_after(TimerDuration(due - Now()));
   timer_.async_wait([self = shared_from_this()](error_code error) {
     if (!error && self->open_) self->OnTimer();
   });
