--- a/src/proxy/discovery/call_log.cpp
+++ b/src/proxy/discovery/call_log.cpp
@@ -5,12 +5,12 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kMinLineInterval = 500;
+constexpr Millis kMinLineIntervalMs = 500;
 
 }  // namespace
 
 void CallLog::LogList(const EndpointList& list, Millis duration) {
-  const char* const scope = list.complete ? " hosts, the whole list" : " hosts changed";
+  const char* const scope = list.complete ? " hosts, complete list" : " hosts changed";
   Write(base::Level::kInfo, "told",
         "revision " + std::to_string(list.revision) + ", " + std::to_string(list.endpoints.size()) + scope,
         duration);
@@ -23,7 +23,7 @@
 void CallLog::Write(base::Level level, const char* event, const std::string& text, Millis duration) {
   const Millis now = Now();
   if (now < silent_until_) return;
-  silent_until_ = now + kMinLineInterval;
+  silent_until_ = now + kMinLineIntervalMs;
   const Millis rounded = std::round(duration);
   base::Log(level, "discovery", event,
             "discovery: " + text + ", after " + std::to_string(static_cast<int>(rounded)) + " ms",
--- a/src/proxy/discovery/call_log.hpp
+++ b/src/proxy/discovery/call_log.hpp
@@ -1,4 +1,4 @@
-// The log lines on calls to list services, limited in their rate.
+// Rate-limited log lines about calls to list services.
 #ifndef GATEWAY_PROXY_DISCOVERY_CALL_LOG_HPP_
 #define GATEWAY_PROXY_DISCOVERY_CALL_LOG_HPP_
 
@@ -11,11 +11,12 @@
 
 namespace gateway::proxy {
 
-// Writes at most two lines a second, of whichever kind comes first; the others are dropped. One thread.
+// Writes at most two lines a second, of either kind, and drops the others. Not thread-safe.
 class CallLog {
  public:
-  // A call that lasted `duration` brought a list that was accepted.
+  // Logs a list that was accepted from a call of `duration`.
   void LogList(const EndpointList& list, Millis duration);
+  // Logs a call that failed after `duration`.
   void LogFailure(const ListError& error, Millis duration);
 
  private:
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -13,21 +13,23 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A silent watch shows only by a call without a response in time, and a change counts as received 6 s after
-// discovery had it. So a call is given up after 3.5 s, and the policy begins the next one by 4.5 s.
-constexpr Millis kResponseTimeout = 3500;
-constexpr Millis kConnectTimeout = 1000;
-constexpr Millis kMaxWait = 2500;       // of a long poll on an open connection
-constexpr Millis kMaxFirstWait = 1000;  // on a new connection, which has to be opened in the same time
-// Part of a wait that is random, so that watches that fell silent together do not come back together.
-constexpr double kWaitJitter = 0.2;
-// From the start of one call to that of the next: a service that answers at once, as an agent with pushed
-// lists does, is not called in a tight loop. A watch lapses after 200 ms without a call.
-constexpr Millis kMinCallInterval = 100;
-constexpr Millis kMaxFailoverDelay = 200;
-constexpr Millis kFormerCallTimeout = 1500;  // discovery closes the connections at its old address by then
-constexpr Millis kProbeTimeout = 1000;
-constexpr double kProbeJitter = 0.25;  // part of the probe interval, to either side
+// A dead watch can be detected only by a call that receives no response in time, and a change counts as
+// received 6 s after discovery had it. So a call times out after 3.5 s, and the policy begins the next one
+// within 4.5 s.
+constexpr Millis kResponseTimeoutMs = 3500;
+constexpr Millis kConnectTimeoutMs = 1000;
+constexpr Millis kMaxWaitMs = 2500;  // of a long poll on an open connection
+constexpr Millis kMaxFirstWaitMs =
+    1000;  // of the first long poll on a connection, which must be opened first
+// Random share of a wait, so that gateways whose watches failed at the same time do not retry together.
+constexpr double kWaitJitterShare = 0.2;
+// From the start of one call to the start of the next. Keeps the client from calling a service that responds
+// at once, as an agent with pushed lists does, in a tight loop. A watch lapses after 200 ms without a call.
+constexpr Millis kMinCallIntervalMs = 100;
+constexpr Millis kMaxFailoverDelayMs = 200;
+constexpr Millis kFormerCallTimeoutMs = 1500;  // discovery closes connections at its former address by then
+constexpr Millis kProbeTimeoutMs = 1000;
+constexpr double kProbeJitterShare = 0.25;  // of the probe interval, in either direction
 
 }  // namespace
 
@@ -74,23 +76,23 @@
 
 std::shared_ptr<ListCall> DiscoveryClient::MakeCall(const ListCall::Options& options,
                                                     ListCall::Connection connection) {
-  ListCall::Observer& observer = *this;  // a private base, which make_shared can't see
+  ListCall::Observer& observer = *this;  // make_shared can't convert to the private base
   return std::make_shared<ListCall>(io_, options, std::move(connection), observer);
 }
 
 void DiscoveryClient::StartCall() {
-  const Millis max_wait = connection_ ? kMaxWait : kMaxFirstWait;
+  const Millis max_wait = connection_ ? kMaxWaitMs : kMaxFirstWaitMs;
   ListCall::Options options;
   options.service = options_.services[failover_.current()];
-  options.target = FormatListTarget(position_, max_wait * (1 - kWaitJitter * Uniform(0, 1)));
-  options.connect_timeout = kConnectTimeout;
-  options.response_timeout = kResponseTimeout;
+  options.target = FormatListTarget(position_, max_wait * (1 - kWaitJitterShare * RandomBetween(0, 1)));
+  options.connect_timeout = kConnectTimeoutMs;
+  options.response_timeout = kResponseTimeoutMs;
   call_ = MakeCall(options, std::move(connection_));
   call_->Start();
 }
 
 void DiscoveryClient::StartCallAfter(Millis delay) {
-  next_call_.expires_after(Span(delay));
+  next_call_.expires_after(TimerDuration(delay));
   next_call_.async_wait([this](error_code ec) {
     if (!ec && !call_) StartCall();
   });
@@ -99,22 +101,22 @@
 void DiscoveryClient::WatchCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), position_is_current_);
   if (const auto* const error = std::get_if<ListError>(&result)) return WatchCallFailed(*error);
-  DropFormerCall();  // the list from the new address is the later one
+  DropFormerCall();  // a list from the new address supersedes one from the former address
   position_is_current_ = true;
   failover_.RecordSuccess();
   const std::shared_ptr<ListCall> call = std::exchange(call_, nullptr);
   connection_ = call->TakeConnection();
   AcceptList(*call, std::get<EndpointList>(std::move(result)));
-  StartCallAfter(kMinCallInterval - (Now() - call->started_at()));
+  StartCallAfter(kMinCallIntervalMs - (Now() - call->started_at()));
 }
 
-// Each service is tried once, after a short random delay, so that gateways do not all move in the same
-// moment. Once all have failed the observer decides when to watch again.
+// Tries each service once. A short random delay keeps the gateways of a fleet from switching all at once.
+// After all services have failed the observer decides when to watch again.
 void DiscoveryClient::WatchCallFailed(const ListError& error) {
   const Millis started_at = call_->started_at();
   log_.LogFailure(error, Now() - started_at);
   DropCall();
-  if (!failover_.RecordFailure(Now())) return StartCallAfter(Uniform(0, kMaxFailoverDelay));
+  if (!failover_.RecordFailure(Now())) return StartCallAfter(RandomBetween(0, kMaxFailoverDelayMs));
   watching_ = false;
   observer_.OnWatchFailed(Now() - started_at);
 }
@@ -143,13 +145,14 @@
   connection_.reset();
 }
 
-// A list that discovery has written is in force, whether or not it was read when the address changed.
+// Keeps the call open because discovery treats a list that it has written as received, even if the gateway
+// had not read it when the address changed.
 void DiscoveryClient::KeepFormerCall() {
   DropFormerCall();
-  if (!call_ || !call_->connected()) return DropCall();  // nothing was requested, so nothing can arrive
+  if (!call_ || !call_->connected()) return DropCall();  // no request was sent, so no list can arrive
   former_call_ = std::exchange(call_, nullptr);
   former_position_is_current_ = position_is_current_;
-  former_call_->SetTimeout(kFormerCallTimeout);
+  former_call_->SetTimeout(kFormerCallTimeoutMs);
 }
 
 void DiscoveryClient::FormerCallEnded(ListCall::Result result) {
@@ -166,7 +169,8 @@
 }
 
 void DiscoveryClient::ScheduleProbe() {
-  next_probe_.expires_after(Span(options_.probe_interval * Uniform(1 - kProbeJitter, 1 + kProbeJitter)));
+  next_probe_.expires_after(
+      TimerDuration(options_.probe_interval * RandomBetween(1 - kProbeJitterShare, 1 + kProbeJitterShare)));
   next_probe_.async_wait([this](error_code ec) {
     if (ec) return;
     if (!probe_) StartProbe();
@@ -180,8 +184,8 @@
   options.service = options_.services[probed_service_];
   options.target = FormatListTarget(position_, /*max_wait=*/0);
   options.keep_alive = false;
-  options.connect_timeout = kProbeTimeout;
-  options.response_timeout = kProbeTimeout;
+  options.connect_timeout = kProbeTimeoutMs;
+  options.response_timeout = kProbeTimeoutMs;
   probe_ = MakeCall(options, nullptr);
   probe_->Start();
 }
@@ -192,26 +196,26 @@
   if (list == nullptr) return;
   switch (failover_.EvaluateProbe(probed_service_, *list, position_, Now())) {
     case ProbeDecision::kStay: return;
-    case ProbeDecision::kReturnToFirst: return SwitchTo(0, "it answers again");
+    case ProbeDecision::kReturnToFirst: return SwitchTo(0, "it responds again");
     case ProbeDecision::kSwitchUnlessCaughtUp: return ScheduleSwitch(probed_service_, list->revision);
   }
 }
 
 void DiscoveryClient::ScheduleSwitch(std::size_t service, std::int64_t revision) {
   if (std::exchange(switch_scheduled_, true)) return;
-  switch_timer_.expires_after(Span(options_.catch_up_within));
+  switch_timer_.expires_after(TimerDuration(options_.catch_up_within));
   switch_timer_.async_wait([this, service, revision](error_code ec) {
     if (ec) return;
     switch_scheduled_ = false;
     const bool caught_up = position_.revision >= revision;
     if (caught_up || service == failover_.current()) return;
-    SwitchTo(service, "it has news that this one does not get");
+    SwitchTo(service, "it has a newer revision, which the current service has not received");
   });
 }
 
 void DiscoveryClient::SwitchTo(std::size_t service, const std::string& reason) {
   base::Log(base::Level::kInfo, "discovery", "switched",
-            "discovery: to service " + std::to_string(service) + " of " +
+            "discovery: switched to service " + std::to_string(service) + " of " +
                 std::to_string(options_.services.size()) + ": " + reason);
   failover_.SwitchTo(service, Now());
   DropCall();
@@ -220,7 +224,7 @@
   StartCall();
 }
 
-double DiscoveryClient::Uniform(double low, double high) {
+double DiscoveryClient::RandomBetween(double low, double high) {
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -1,8 +1,8 @@
 // The client of the list services: keeps a watch of the endpoint list open on one of them.
 //
-// A watch is a sequence of long-poll calls (ListCall), each of which requests what follows the last list that
-// was accepted (WatchPosition). With several services of the same list ServiceFailover decides which one is
-// watched, and probes, calls that wait for nothing, show whether another one is ahead or answers again.
+// A watch is a sequence of long-poll calls (ListCall). Each call requests the changes after the last accepted
+// list (WatchPosition). If several services publish the same list, ServiceFailover selects the one to watch.
+// Probes, which are calls without a long poll, find out whether another service is ahead or responds again.
 #ifndef GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
 #define GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
 
@@ -26,7 +26,7 @@
 
 namespace gateway::proxy {
 
-// One thread: the event loop's.
+// To be used in the event loop's thread only.
 class DiscoveryClient final : private ListCall::Observer {
  public:
   // All methods are called from the event loop. Each may call Watch() and the accessors.
@@ -35,44 +35,45 @@
     virtual ~Observer() = default;
     // A list from a service was accepted; the position of the watch is that of `list` already.
     virtual void OnEndpointList(EndpointList list) = 0;
-    // The watch has ended: every service has failed in turn. `call_duration`: since the last call began.
-    // Nothing more is called until Watch() begins a new one, which this may do.
+    // The watch has ended because every service failed in turn. `call_duration`: time since the last call
+    // began. No method is called again until Watch() begins a new watch, which this method may do.
     virtual void OnWatchFailed(Millis call_duration) = 0;
-    // Returns why a list must not be accepted, for the log; empty: it may be. A rejected list counts as a
-    // failed call. May apply the drains of a list that it rejects.
+    // Returns the reason, for the log, why `list` must be rejected; empty if it may be accepted. A rejected
+    // list counts as a failed call. May apply the drains of a list that it rejects.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
   };
 
   struct Options {
     // Services of the same list, in the order in which they are tried; at least one.
     std::vector<boost::asio::ip::tcp::endpoint> services;
-    WatchPosition position;  // where the first call begins
-    // Whether the position came from these services. Otherwise, as after a start from disk, they may count
-    // their revisions anew, so the first list is accepted whatever its revision is.
+    WatchPosition position;  // from which the first call continues
+    // Whether the position is known to come from these services. If it is not, as after a start from disk,
+    // the services may have restarted their revision count, so the first list is accepted whatever its
+    // revision is.
     bool position_is_current = true;
     std::uint64_t seed = 0;  // of the jitter
-    // The following concern several services only.
+    // The following apply to several services only.
     Millis probe_interval = 5000;   // mean time from one probe to the next
-    Millis catch_up_within = 2000;  // for a watched service that a probe found to be behind
+    Millis catch_up_within = 2000;  // time for a watched service that lags behind a probed one
     Millis return_after = 30000;    // see ServiceFailover
   };
 
-  // `observer` must outlive the client. Nothing is called before Watch(), but probes begin.
+  // `observer` must outlive the client and is not called before Watch(). Probes begin at once.
   DiscoveryClient(boost::asio::io_context& io, Options options, Observer& observer);
   // Abandons all calls.
   ~DiscoveryClient() override;
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Begins a watch from the current position; does nothing while there is one.
+  // Begins a watch from the current position; does nothing while one is open.
   void Watch();
 
-  // Changes the first service's address and watches there at once, from the current position. A call in
-  // progress at the former address is not cut off: a list in its response is accepted if it arrives before
-  // the first one from the new address and within 1.5 s.
+  // Changes the address of the first service and at once begins a watch there from the current position. A
+  // call in progress at the former address continues: a list in its response is accepted if it arrives within
+  // 1.5 s and before the first list from the new address.
   void ChangeAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // When a list from a service was last accepted; 0: never.
+  // Time at which a list from a service was last accepted; 0: never.
   Millis last_list_at() const { return last_list_at_; }
   // Index of the service that is watched, from 0.
   std::size_t service_index() const { return failover_.current(); }
@@ -82,7 +83,7 @@
 
   std::shared_ptr<ListCall> MakeCall(const ListCall::Options& options, ListCall::Connection connection);
 
-  // The watch.
+  // Watch.
   void StartCall();
   void StartCallAfter(Millis delay);
   void WatchCallEnded(ListCall::Result result);
@@ -96,14 +97,14 @@
   void FormerCallEnded(ListCall::Result result);
   void DropFormerCall();
 
-  // Several services.
+  // Probes and failover.
   void ScheduleProbe();
   void StartProbe();
   void ProbeEnded(const ListCall::Result& result);
   void ScheduleSwitch(std::size_t service, std::int64_t revision);
   void SwitchTo(std::size_t service, const std::string& reason);
 
-  double Uniform(double low, double high);
+  double RandomBetween(double low, double high);
 
   boost::asio::io_context& io_;
   Options options_;
@@ -117,7 +118,7 @@
 
   bool watching_ = false;
   std::shared_ptr<ListCall> call_;   // null between two calls
-  ListCall::Connection connection_;  // between two calls: for the next one
+  ListCall::Connection connection_;  // kept between two calls for the next one
   boost::asio::steady_timer next_call_;
 
   std::shared_ptr<ListCall> former_call_;
--- a/src/proxy/discovery/endpoint_list.cpp
+++ b/src/proxy/discovery/endpoint_list.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxEpochLength = 64;
+constexpr std::size_t kMaxEpochBytes = 64;
 
 policy::EndpointState ParsePhase(const std::string& phase) {
   if (phase == "up") return policy::EndpointState::kUp;
@@ -62,9 +62,9 @@
   return member;
 }
 
-// The epoch becomes part of a request's target, so it must need no escaping.
+// The epoch becomes part of a request target, so it must not need escaping.
 bool IsValidEpoch(const std::string& epoch) {
-  return epoch.size() <= kMaxEpochLength &&
+  return epoch.size() <= kMaxEpochBytes &&
          std::ranges::all_of(epoch, [](unsigned char c) { return std::isalnum(c); });
 }
 
--- a/src/proxy/discovery/endpoint_list.hpp
+++ b/src/proxy/discovery/endpoint_list.hpp
@@ -1,6 +1,6 @@
-// The endpoint list: its types and its JSON form, which the list service, the configuration's `known`, a
-// transferred state and a saved state share. The words of that form ("members", "phase", "flavor", ...) are
-// translated here; the list service writes the same form in registry/registry_json.cpp.
+// The endpoint list: its types and its JSON form, which is used by the list service, the `known` field of the
+// configuration, the transferred state and the saved state. This file alone maps the keys of that form
+// ("members", "phase", "flavor", ...) to the types; the list service writes it in registry/registry_json.cpp.
 #ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_HPP_
 #define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_HPP_
 
@@ -15,27 +15,28 @@
 
 namespace gateway::proxy {
 
-// An endpoint as the list describes it.
+// An endpoint of the list.
 struct ListedEndpoint {
   policy::EndpointInfo info;
-  boost::asio::ip::tcp::endpoint address;  // default-constructed where a removed endpoint has none
+  boost::asio::ip::tcp::endpoint address;  // default-constructed for a removed endpoint without one
 };
 
-// A snapshot of the endpoint list, or a delta to an earlier one.
+// A snapshot of the endpoint list, or a delta to an earlier snapshot.
 struct EndpointList {
   std::int64_t revision = 0;
-  bool complete = true;  // a snapshot; otherwise a delta, which names only the endpoints that changed
+  bool complete = true;  // true for a snapshot, false for a delta, which names only changed endpoints
   std::vector<ListedEndpoint> endpoints;
-  // Identifies the history that `revision` counts in: revisions of two epochs can't be compared. Letters and
-  // digits; empty where the service sends none.
+  // Identifies the history to which `revision` belongs; revisions of different epochs can't be compared.
+  // Letters and digits; empty if the service sends none.
   std::string epoch;
   std::int64_t confirmed_revision = 0;  // of the last removal that an operator confirmed; 0: none
 };
 
-// Returns nothing if any part of `text` is malformed: a truncated list must not pass for a complete one.
+// Returns std::nullopt if any part of `text` is malformed, so that a truncated list is never taken for a
+// complete one.
 std::optional<EndpointList> ParseEndpointList(std::string_view text);
 
-// The same JSON form, without `confirmed_revision`.
+// Returns the JSON form of `list`, without `confirmed_revision`.
 std::string SerializeEndpointList(const EndpointList& list);
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/endpoint_list_watcher.cpp
+++ b/src/proxy/discovery/endpoint_list_watcher.cpp
@@ -53,7 +53,7 @@
 
 void EndpointListWatcher::OnWatchFailed(Millis call_duration) { callbacks_.watch_failed(call_duration); }
 
-// Applies the drains of a list that the guard rejects: a drain is safe to believe.
+// Applies the drains of a rejected list: a drain is safe even if the service has lost its data.
 std::string EndpointListWatcher::RejectionReason(const EndpointList& list) {
   if (!guard_mass_removal_) return "";
   const std::optional<MassRemoval> removal =
@@ -61,8 +61,8 @@
   if (!removal) return "";
   const EndpointList drains = ExtractDrains(list, endpoints_, revision_);
   if (!drains.endpoints.empty()) Apply(drains);
-  return "a list without " + std::to_string(removal->removed) + " of " + std::to_string(removal->known) +
-         " hosts, which no operator has confirmed";
+  return "the list removes " + std::to_string(removal->removed) + " of " + std::to_string(removal->known) +
+         " hosts, and no operator has confirmed the removal";
 }
 
 policy::EndpointListEvent ToListEvent(const EndpointList& list) {
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -1,6 +1,6 @@
-// The endpoint list in force: applies the lists that the discovery client takes, and rejects those that the
-// guard against mass removal finds. Knows nothing of requests or of connections to endpoints, so a gateway
-// without a request path can use it as it is.
+// The endpoint list in force: applies the lists that the discovery client accepts, and rejects unconfirmed
+// mass removals. Independent of requests and of connections to endpoints, so a gateway without a request path
+// can use it unchanged.
 #ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 #define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 
@@ -20,39 +20,42 @@
 
 namespace gateway::proxy {
 
-// One thread: the event loop's.
+// To be used in the event loop's thread only.
 class EndpointListWatcher final : private DiscoveryClient::Observer {
  public:
   struct Options {
     boost::asio::ip::tcp::endpoint service;
-    std::vector<boost::asio::ip::tcp::endpoint> other_services;  // of the same list, in the order of trial
-    std::uint64_t seed = 0;                                      // of the calls' jitter
-    // Where the first call begins, and whether that came from these services: see DiscoveryClient::Options.
+    std::vector<boost::asio::ip::tcp::endpoint>
+        other_services;      // of the same list, in the order in which they are tried
+    std::uint64_t seed = 0;  // of the jitter of calls
+    // The position of the first call, and whether it is known to come from these services; see
+    // DiscoveryClient::Options.
     std::int64_t revision = 0;
     std::string epoch;
     bool position_is_current = true;
-    bool guard_mass_removal = false;  // too many removals need an operator's confirmation
-    double max_removed_share = 0.5;   // of the known endpoints that a list may remove without one, 0 to 1
+    bool guard_mass_removal = false;  // whether a mass removal needs an operator's confirmation
+    double max_removed_share = 0.5;   // of the known endpoints, removable without confirmation; 0 to 1
   };
 
-  // Called from the event loop, and list_changed from within Apply() too. Each may call Watch() and the
-  // accessors.
+  // Called from the event loop; list_changed is also called from within Apply(). Each may call Watch() and
+  // the accessors.
   struct Callbacks {
     // A list from a service was accepted; list_changed follows at once.
     std::function<void()> list_received;
-    // The list in force has changed by `list`, a snapshot or a delta.
+    // `list`, a snapshot or a delta, was applied to the list in force.
     std::function<void(const EndpointList& list)> list_changed;
-    // The watch has ended, `call_duration` after its last call began; nothing more comes until Watch().
+    // The watch has ended, `call_duration` after its last call began. No callback from the watch follows
+    // until Watch().
     std::function<void(Millis call_duration)> watch_failed;
   };
 
   // All callbacks must be set, and remain valid for the watcher's lifetime.
   EndpointListWatcher(boost::asio::io_context& io, Options options, Callbacks callbacks);
 
-  // Puts a list in force that did not come from a call of this process. Not checked by the guard.
+  // Applies a list that was not received by a call of this process, without the check for mass removal.
   void Apply(const EndpointList& list);
 
-  // As in DiscoveryClient.
+  // See DiscoveryClient.
   void Watch() { client_.Watch(); }
   void ChangeAddress(const boost::asio::ip::tcp::endpoint& address) { client_.ChangeAddress(address); }
   Millis last_list_at() const { return client_.last_list_at(); }
@@ -61,7 +64,7 @@
   // The list in force: endpoints that are up or draining.
   const EndpointsById& endpoints() const { return endpoints_; }
   std::int64_t revision() const { return revision_; }
-  // The same as a list.
+  // The list in force as a snapshot.
   EndpointList Snapshot() const;
 
  private:
@@ -74,11 +77,11 @@
   const double max_removed_share_;
   EndpointsById endpoints_;
   std::int64_t revision_ = 0;
-  std::string epoch_;  // of the revision; empty where the service has none
+  std::string epoch_;  // of the revision; empty if the service sends none
   DiscoveryClient client_;
 };
 
-// The policy's event for a list that was put in force.
+// Returns the policy event for a list that was applied.
 policy::EndpointListEvent ToListEvent(const EndpointList& list);
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/list_call.cpp
+++ b/src/proxy/discovery/list_call.cpp
@@ -39,7 +39,7 @@
 }
 
 void ListCall::Connect() {
-  ExpireAfter(options_.connect_timeout, {ListError::Kind::kConnectTimeout, "no connection in time"});
+  ExpireAfter(options_.connect_timeout, {ListError::Kind::kConnectTimeout, "the connection timed out"});
   connection_->async_connect(options_.service, [self = shared_from_this()](error_code ec) {
     if (!self->observer_) return;
     if (ec) return self->End(self->TransportError(ec));
@@ -57,18 +57,17 @@
   });
 }
 
-// The header is read on its own because Boost 1.74 does not check the announced length against the body
-// limit.
+// Reads the header separately because Boost 1.74 does not check Content-Length against the body limit.
 void ListCall::ReadHeader() {
-  http::async_read_header(*connection_, buffer_, parser_,
-                          [self = shared_from_this()](error_code ec, std::size_t) {
-                            if (!self->observer_) return;
-                            if (ec) return self->End(self->TransportError(ec));
-                            if (self->parser_.content_length().value_or(0) > kMaxListBytes) {
-                              return self->End(ListError{ListError::Kind::kTooLong, "too long a list"});
-                            }
-                            self->ReadBody();
-                          });
+  http::async_read_header(
+      *connection_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
+        if (!self->observer_) return;
+        if (ec) return self->End(self->TransportError(ec));
+        if (self->parser_.content_length().value_or(0) > kMaxListBytes) {
+          return self->End(ListError{ListError::Kind::kTooLong, "the list exceeds the size limit"});
+        }
+        self->ReadBody();
+      });
 }
 
 void ListCall::ReadBody() {
@@ -80,11 +79,11 @@
 }
 
 void ListCall::SetTimeout(Millis timeout) {
-  ExpireAfter(timeout, {ListError::Kind::kResponseTimeout, "no answer in time"});
+  ExpireAfter(timeout, {ListError::Kind::kResponseTimeout, "the response timed out"});
 }
 
 void ListCall::ExpireAfter(Millis timeout, ListError error) {
-  timer_.expires_after(Span(timeout));
+  timer_.expires_after(TimerDuration(timeout));
   timer_.async_wait([self = shared_from_this(), error = std::move(error)](error_code ec) {
     if (!ec) self->End(error);
   });
@@ -97,10 +96,10 @@
 ListCall::Result ListCall::ParseResponse() const {
   const auto& response = parser_.get();
   if (response.result() != http::status::ok) {
-    return ListError{ListError::Kind::kHttpStatus, "status " + std::to_string(response.result_int())};
+    return ListError{ListError::Kind::kHttpStatus, "HTTP status " + std::to_string(response.result_int())};
   }
   std::optional<EndpointList> list = ParseEndpointList(response.body());
-  if (!list) return ListError{ListError::Kind::kMalformed, "not a list of hosts"};
+  if (!list) return ListError{ListError::Kind::kMalformed, "the response is not a valid host list"};
   return *std::move(list);
 }
 
@@ -118,7 +117,7 @@
   CloseConnection();
 }
 
-// Closes the socket but does not destroy it: an operation whose completion is pending continues on it first.
+// Closes the socket but does not destroy it, because an operation whose completion is pending still uses it.
 void ListCall::CloseConnection() {
   if (!connection_) return;
   error_code ignored;
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -21,9 +21,9 @@
 
 namespace gateway::proxy {
 
-// A GET request to a list service for the endpoint list. Ends once: with the list, with an error or by
-// Abandon(). Its asynchronous operations own it jointly with the caller, so it is always held by a
-// std::shared_ptr. One thread: the event loop's.
+// A GET request to a list service for the endpoint list. Ends exactly once: with the list, with an error or
+// by Abandon(). Its asynchronous operations share ownership with the caller, so it must be owned by a
+// std::shared_ptr. To be used in the event loop's thread only.
 class ListCall : public std::enable_shared_from_this<ListCall> {
  public:
   using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
@@ -32,25 +32,25 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    // The call has ended; it is not called again. Called from the event loop, never from within Start(). May
-    // release `call`, take its connection and start other calls.
+    // Called once, when the call has ended, from the event loop and never from within Start(). May release
+    // `call`, take its connection and start other calls.
     virtual void OnListCallEnded(ListCall& call, Result result) = 0;
   };
 
   struct Options {
     boost::asio::ip::tcp::endpoint service;
     std::string target;           // path and query
-    bool keep_alive = true;       // whether the connection may serve a later call
+    bool keep_alive = true;       // whether a later call may reuse the connection
     Millis connect_timeout = 0;   // from Start(), while a connection is opened
     Millis response_timeout = 0;  // from Start() to the last byte of the response
   };
 
-  // `connection` is an open one to the service that an earlier call has left, or null: then Start() opens
-  // one. `observer` must outlive the call or Abandon() it.
+  // `connection`: an open connection to the service from an earlier call; if null, Start() opens one.
+  // `observer` must outlive the call or Abandon() it.
   ListCall(boost::asio::io_context& io, const Options& options, Connection connection, Observer& observer);
 
   void Start();
-  // Ends the call with kResponseTimeout after `timeout` from now, whatever the options said.
+  // Ends the call with kResponseTimeout after `timeout` from now. Overrides the timeouts of the options.
   void SetTimeout(Millis timeout);
   // Ends the call without notifying the observer, and closes the connection. Does nothing once it has ended.
   void Abandon();
@@ -58,8 +58,8 @@
   Millis started_at() const { return started_at_; }
   // Whether the connection is open, so that the request has been or is being sent.
   bool connected() const { return connected_; }
-  // The connection for a later call, available once the call has ended with a list; null where it can't be
-  // used again.
+  // Returns the connection for a later call; null if it can't be reused. To be called after the call has
+  // ended with a list.
   Connection TakeConnection();
 
  private:
--- a/src/proxy/discovery/list_error.hpp
+++ b/src/proxy/discovery/list_error.hpp
@@ -1,4 +1,4 @@
-// Why a call to a list service brought no list that was accepted.
+// The reason why a call to a list service did not deliver an acceptable list.
 #ifndef GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 #define GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 
@@ -10,12 +10,12 @@
   enum class Kind {
     kConnectTimeout,
     kResponseTimeout,
-    kTransport,      // the connection could not be opened, or broke
-    kTooLong,        // the announced body exceeds the limit
-    kHttpStatus,     // any other than 200
-    kMalformed,      // the body is no endpoint list
-    kOlderRevision,  // a replica that lags behind
-    kOtherEpoch,     // a delta to a list that this gateway does not have
+    kTransport,      // the connection could not be opened, or failed
+    kTooLong,        // Content-Length exceeds the limit
+    kHttpStatus,     // any status but 200
+    kMalformed,      // the body is not a valid endpoint list
+    kOlderRevision,  // from a replica that lags behind
+    kOtherEpoch,     // a delta to a list of another epoch, which this gateway does not have
     kRejected,       // by DiscoveryClient::Observer::RejectionReason
   };
   Kind kind = Kind::kTransport;
--- a/src/proxy/discovery/mass_removal_guard.cpp
+++ b/src/proxy/discovery/mass_removal_guard.cpp
@@ -3,8 +3,8 @@
 namespace gateway::proxy {
 namespace {
 
-// Known endpoints that the list removes: those it names as removed, or, in a snapshot, all that it does not
-// name as present.
+// Counts the known endpoints that the list removes: in a delta those listed as removed, in a snapshot those
+// not listed as present.
 std::size_t CountRemoved(const EndpointList& list, const EndpointsById& known) {
   std::size_t present = 0;
   std::size_t named_removed = 0;
--- a/src/proxy/discovery/mass_removal_guard.hpp
+++ b/src/proxy/discovery/mass_removal_guard.hpp
@@ -1,4 +1,4 @@
-// The guard against mass removal: a list service that lost its data must not empty the gateway's list.
+// Detects mass removals, so that a list service that has lost its data can't empty the gateway's list.
 #ifndef GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 #define GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 
@@ -14,19 +14,20 @@
 
 using EndpointsById = std::map<std::string, ListedEndpoint>;
 
-// How many of the known endpoints a list removes.
+// The number of known endpoints that a list removes.
 struct MassRemoval {
   std::size_t removed = 0;
   std::size_t known = 0;
 };
 
-// Returns what `list` removes if that is more than one endpoint and more than `max_removed_share` (0 to 1) of
-// those `known` at `revision`, and no operator has confirmed a removal since then; otherwise nothing.
+// Returns what `list` removes if it removes more than one endpoint and more than `max_removed_share` (0 to 1)
+// of the endpoints `known` at `revision`, and no operator has confirmed a removal since that revision.
+// Otherwise returns std::nullopt.
 std::optional<MassRemoval> FindUnconfirmedMassRemoval(const EndpointList& list, const EndpointsById& known,
                                                       std::int64_t revision, double max_removed_share);
 
-// The part of a rejected list that binds all the same: a delta at `revision` with the `known` endpoints that
-// the list drains, at their known addresses. May be empty.
+// Returns the part of a rejected list that is applied nevertheless: a delta at `revision` with the `known`
+// endpoints that the list drains, at their known addresses. May be empty.
 EndpointList ExtractDrains(const EndpointList& list, const EndpointsById& known, std::int64_t revision);
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/service_failover.cpp
+++ b/src/proxy/discovery/service_failover.cpp
@@ -5,7 +5,7 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kMaxReturnAfter = 600000;
+constexpr Millis kMaxReturnAfterMs = 600000;
 
 }  // namespace
 
@@ -16,11 +16,11 @@
   if (current_ == 0) {
     left_first_at_ = now;
     const bool failed_soon_after_return = returned_at_ > 0 && now - returned_at_ < return_after_;
-    if (failed_soon_after_return) return_after_ = std::min(2 * return_after_, kMaxReturnAfter);
+    if (failed_soon_after_return) return_after_ = std::min(2 * return_after_, kMaxReturnAfterMs);
   }
   current_ = (current_ + 1) % service_count_;
-  ++failures_in_a_row_;
-  return failures_in_a_row_ % service_count_ == 0;
+  ++consecutive_failures_;
+  return consecutive_failures_ % service_count_ == 0;
 }
 
 void ServiceFailover::SwitchTo(std::size_t service, Millis now) {
--- a/src/proxy/discovery/service_failover.hpp
+++ b/src/proxy/discovery/service_failover.hpp
@@ -1,6 +1,6 @@
-// Failover between several services of one endpoint list: which of them is watched, when the watch moves to
-// another one and when it returns to the first. A state machine without I/O, clock or randomness: the caller
-// hands the time in. One thread.
+// Failover between several services of the same endpoint list: decides which service is watched, when the
+// watch moves to another one and when it returns to the first. A state machine without I/O, clock or
+// randomness: the caller passes the time. Not thread-safe.
 #ifndef GATEWAY_PROXY_DISCOVERY_SERVICE_FAILOVER_HPP_
 #define GATEWAY_PROXY_DISCOVERY_SERVICE_FAILOVER_HPP_
 
@@ -16,36 +16,37 @@
 enum class ProbeDecision {
   kStay,
   kReturnToFirst,
-  // The probed service is ahead: switch to it if the watched one has not caught up in a moment.
+  // The probed service is ahead: switch to it unless the watched one catches up within a grace period.
   kSwitchUnlessCaughtUp,
 };
 
 class ServiceFailover {
  public:
-  // `service_count` is at least 1. `return_after`: time to stay away from the first service before a return
-  // to it; doubles, up to ten minutes, each time that the first one fails again within it.
+  // `service_count` must be at least 1. `return_after`: time after a failure of the first service until the
+  // watch may return to it; doubles, up to ten minutes, each time that the first service fails again within
+  // that time of a return.
   ServiceFailover(std::size_t service_count, Millis return_after);
 
   // Index of the service to watch, from 0; the first one is preferred.
   std::size_t current() const { return current_; }
 
-  // A call to the current service has failed: the next service becomes the current one. Returns whether every
-  // service has now failed in turn, so that an immediate call to the next one would only repeat the round.
+  // Records that a call to the current service failed, and makes the next service the current one. Returns
+  // whether every service has now failed in turn, so that an immediate call would only repeat the round.
   bool RecordFailure(Millis now);
-  // A list from the current service was accepted.
-  void RecordSuccess() { failures_in_a_row_ = 0; }
+  // Records that a list from the current service was accepted.
+  void RecordSuccess() { consecutive_failures_ = 0; }
 
   // Makes `service` the current one.
   void SwitchTo(std::size_t service, Millis now);
-  // The services' addresses have changed: begins with the first.
+  // Makes the first service the current one, after an address has changed.
   void StartOver() { current_ = 0; }
 
-  // The service to probe next: the first one when a return to it is due, otherwise each of the others in
-  // turn. Requires at least two services.
+  // Returns the service to probe next: the first one if a return to it is due, otherwise each of the others
+  // in turn. Requires at least two services.
   std::size_t NextProbe(Millis now);
 
-  // Judges the list that the probe of `service` returned, compared with the position of the watch. A list of
-  // another epoch can't be compared and changes nothing.
+  // Compares the list that the probe of `service` returned with the position of the watch. A list of another
+  // epoch can't be compared, and the decision is kStay.
   ProbeDecision EvaluateProbe(std::size_t service, const EndpointList& list, const WatchPosition& position,
                               Millis now) const;
 
@@ -55,10 +56,10 @@
   const std::size_t service_count_;
   Millis return_after_;
   std::size_t current_ = 0;
-  std::size_t failures_in_a_row_ = 0;
+  std::size_t consecutive_failures_ = 0;
   std::size_t last_probe_ = 0;
   Millis left_first_at_ = 0;
-  Millis returned_at_ = 0;  // to the first; 0: never
+  Millis returned_at_ = 0;  // to the first service; 0: never
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/watch_position.cpp
+++ b/src/proxy/discovery/watch_position.cpp
@@ -13,12 +13,12 @@
                                          bool same_service) {
   const bool same_epoch = list.epoch == position.epoch;
   if (same_service && same_epoch && list.revision < position.revision) {
-    return ListError{
-        ListError::Kind::kOlderRevision,
-        "revision " + std::to_string(list.revision) + " is older than " + std::to_string(position.revision)};
+    return ListError{ListError::Kind::kOlderRevision, "revision " + std::to_string(list.revision) +
+                                                          " is older than revision " +
+                                                          std::to_string(position.revision)};
   }
   if (!list.complete && !position.epoch.empty() && !same_epoch) {
-    return ListError{ListError::Kind::kOtherEpoch, "changes of another history"};
+    return ListError{ListError::Kind::kOtherEpoch, "the delta belongs to another epoch"};
   }
   return std::nullopt;
 }
--- a/src/proxy/discovery/watch_position.hpp
+++ b/src/proxy/discovery/watch_position.hpp
@@ -1,4 +1,4 @@
-// How far a watch of the endpoint list has come, and which lists may follow. Pure functions.
+// The position of a watch in the history of the endpoint list, and which lists may follow it. Pure functions.
 #ifndef GATEWAY_PROXY_DISCOVERY_WATCH_POSITION_HPP_
 #define GATEWAY_PROXY_DISCOVERY_WATCH_POSITION_HPP_
 
@@ -12,21 +12,21 @@
 
 namespace gateway::proxy {
 
-// The list that a watch continues from.
+// The list from which a watch continues.
 struct WatchPosition {
   std::int64_t revision = 0;
-  std::string epoch;  // empty: unknown, or the service has none
+  std::string epoch;  // empty: unknown, or the service sends none
 };
 
-// Path and query of a call that requests what follows `position`. The service may hold its response back for
-// up to `max_wait` while there is nothing new; 0: it answers at once.
+// Returns the path and query of a call that requests the changes after `position`. The service may delay its
+// response by up to `max_wait` while there are no changes; with 0 it responds at once.
 std::string FormatListTarget(const WatchPosition& position, Millis max_wait);
 
-// Returns why `list` can't follow `position`; nothing if it can.
+// Returns an error if `list` can't follow `position`, otherwise std::nullopt.
 //
-// A list with a lower revision of the same epoch is from a replica that lags, and would bring removed
-// endpoints back; but only `same_service`, whose revision `position` is, can lag behind it. A delta of
-// another epoch changes a list that is not the one at `position`.
+// A list with a lower revision of the same epoch comes from a replica that lags behind, and would restore
+// removed endpoints. That applies only with `same_service`, that is, if `position` is known to come from the
+// service of `list`. A delta of another epoch does not apply to the list at `position`.
 std::optional<ListError> CheckSuccession(const EndpointList& list, const WatchPosition& position,
                                          bool same_service);
 
