--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -12,8 +12,8 @@
 
 using boost::system::error_code;
 
-constexpr Millis kMaxOverlap = 11000;         // with an unresponsive predecessor
-constexpr Millis kTransferPollInterval = 10;  // from one check whether all was sent to the next
+constexpr Millis kUnresponsiveOverlapMs = 11000;  // assumed overlap with an unresponsive predecessor
+constexpr Millis kTransferPollIntervalMs = 10;    // between checks whether all transfers were sent
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   if (predecessor_state_ != PredecessorState::kNone) BeginOverlap();
   if (predecessor_state_ == PredecessorState::kUnresponsive) EndOverlapLater();
   if (predecessor_) {
-    base::Log(base::Level::kInfo, "replacement", "replaces", "replaces a running process");
+    base::Log(base::Level::kInfo, "replacement", "replaces", "this process replaces a running process");
     predecessor_->SetObserver(*this);
     NotifyReadiness();
   }
@@ -61,7 +61,7 @@
 
 void HotRestart::WhenTransfersSent(const std::function<void()>& done) {
   if (!successor_ || successor_->all_sent()) return done();
-  transfer_timer_.expires_after(Span(kTransferPollInterval));
+  transfer_timer_.expires_after(TimerDuration(kTransferPollIntervalMs));
   transfer_timer_.async_wait([this, done](error_code ec) {
     if (!ec) WhenTransfersSent(done);
   });
@@ -77,9 +77,9 @@
 
 void HotRestart::OnClosed(HotRestartChannel& channel) {
   if (&channel == predecessor_.get()) {
-    OnPredecessorGone();
+    OnPredecessorDisconnected();
   } else {
-    OnSuccessorGone();
+    OnSuccessorDisconnected();
   }
 }
 
@@ -92,7 +92,7 @@
   }
 }
 
-void HotRestart::OnPredecessorGone() {
+void HotRestart::OnPredecessorDisconnected() {
   predecessor_state_ = PredecessorState::kNone;
   predecessor_.reset();
   EndOverlap();
@@ -114,15 +114,15 @@
   successor_->SetObserver(*this);
 }
 
-void HotRestart::OnSuccessorGone() {
-  base::Log(base::Level::kWarning, "replacement", "successor_gone", "the successor process has ended");
+void HotRestart::OnSuccessorDisconnected() {
+  base::Log(base::Level::kWarning, "replacement", "successor_gone", "the successor process has disconnected");
   successor_state_ = SuccessorState::kNone;
   successor_.reset();
   if (!callbacks_.is_stopping()) EndOverlap();
 }
 
 void HotRestart::EndOverlapLater() {
-  overlap_timer_.expires_after(Span(kMaxOverlap));
+  overlap_timer_.expires_after(TimerDuration(kUnresponsiveOverlapMs));
   overlap_timer_.async_wait([this](error_code ec) {
     if (ec) return;
     predecessor_state_ = PredecessorState::kNone;
@@ -135,8 +135,8 @@
   callbacks_.limit_connections(/*half=*/true);
 }
 
-// The rate is this process's alone as soon as the other one stops sending; the other one's connections become
-// available only once it has ended.
+// Restores the full rate, because the other process has stopped sending. The connections of the other process
+// become available only after it has disconnected.
 void HotRestart::EndOverlap() {
   if (std::exchange(rate_is_halved_, false)) callbacks_.scale_rate(2);
   if (!predecessor_ && !successor_) callbacks_.limit_connections(/*half=*/false);
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -1,19 +1,19 @@
-// Hot restart: two processes of one gateway overlap while the new one replaces the running one, without a
-// client noticing. While both run they act as one gateway: each sends at half the rate and keeps to half of
-// the connections.
+// Hot restart: a new process of a gateway replaces the running one without interrupting clients. The two
+// processes overlap for a time and then act as one gateway: each sends at half of the rate and uses at most
+// half of the connections.
 //
 //   step  successor                                   predecessor
-//   1     connects, says Hello                        transfers its listener and its state
+//   1     connects, sends Hello                       transfers its listener and its state
 //   2     halves its rate and connections             halves its rate and connections
-//   3     accepts clients, says SuccessorReady        continues to serve until SIGTERM
-//   4     back to the full rate                       on SIGTERM: says PredecessorLeaving, stops accepting,
+//   3     accepts clients, sends SuccessorReady       continues to serve until SIGTERM
+//   4     returns to the full rate                    on SIGTERM: sends PredecessorLeaving, stops accepting,
 //                                                     transfers clients that are between two requests, exits
-//   5     back to all connections
+//   5     returns to all connections
 //
-// If the predecessor disappears the successor goes on with step 5; if the successor disappears the
-// predecessor takes back the full rate and all connections. Where nobody answers the Hello but another
-// process listens at the clients' address, both share that address (SO_REUSEPORT) and the successor assumes
-// an overlap of fixed length.
+// If the predecessor exits early the successor continues with step 5; if the successor exits the predecessor
+// returns to the full rate and all connections. If no process responds to Hello but another process listens
+// on the client address, both share that address (SO_REUSEPORT) and the successor assumes an overlap of fixed
+// length.
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 
@@ -32,56 +32,60 @@
 
 namespace gateway::proxy {
 
-// Both roles of one process: it may replace another and be replaced later. One thread: the event loop's.
+// Both roles of a process: it may replace another process and later be replaced itself. To be used in the
+// event loop's thread only.
 class HotRestart final : private HotRestartChannel::Observer, private SuccessorAcceptor::Delegate {
  public:
-  // What the gateway provides. All must be set and remain valid for this object's lifetime. Called from the
-  // event loop, or from within Start() and NotifyReadiness(); they must not call back.
+  // What the gateway provides. All callbacks must be set and remain valid for this object's lifetime. They
+  // are called from the event loop, or from within Start() and NotifyReadiness(), and must not call this
+  // object.
   struct Callbacks {
-    std::function<bool()> is_ready;     // whether the gateway answers a readiness check with yes
-    std::function<bool()> is_stopping;  // whether SIGTERM has come
-    // The clients' listening socket, which stays the gateway's; -1: it is closed.
+    std::function<bool()> is_ready;     // whether the gateway passes its readiness check
+    std::function<bool()> is_stopping;  // whether the gateway has received SIGTERM
+    // The listening socket for clients, which the gateway still owns; -1: it is closed.
     std::function<int()> listener;
     std::function<TransferredState()> export_state;
-    // Multiplies the rate of requests by `factor`: 0.5 when an overlap begins, 2 when it ends.
+    // Multiplies the request rate by `factor`: 0.5 when an overlap begins, 2 when it ends.
     std::function<void(double factor)> scale_rate;
-    // Limits the connections to clients and endpoints to half of all, or to all again.
+    // Limits the connections to clients and endpoints to half of the budget, or restores all of it.
     std::function<void(bool half)> limit_connections;
-    // Takes a client's connection, between two requests, from the predecessor.
+    // Takes over from the predecessor a client connection that is between two requests.
     std::function<void(base::FileDescriptor connection)> adopt_client;
   };
 
-  // `path`: of the Unix socket on which successors connect; empty: none ever does.
+  // `path`: path of the Unix socket on which successors connect; empty: this process can't be replaced.
   // `predecessor`: the connection to the process that this one replaces; empty: there is none.
-  // `address_in_use`: at the start another process listened at the clients' address and transferred nothing.
+  // `address_in_use`: whether, at the start, another process listened on the client address but transferred
+  // nothing.
   HotRestart(boost::asio::io_context& io, const std::string& path, base::FileDescriptor predecessor,
              bool address_in_use, Callbacks callbacks);
 
-  // Begins the overlap with a predecessor, and listens for successors. To be called once, when the gateway is
-  // able to act on its callbacks.
+  // Begins the overlap with a predecessor, and listens for successors. To be called once, when the callbacks
+  // may be called.
   void Start();
-  // To be called when is_ready() may have become true, before Start() too: notifies the predecessor.
+  // Notifies the predecessor if is_ready(). To be called whenever is_ready() may have become true; may be
+  // called before Start().
   void NotifyReadiness();
 
-  // Whether a successor is connected that accepts clients.
+  // Whether a successor is connected and accepts clients.
   bool HasReadySuccessor() const;
 
   // The following require HasReadySuccessor().
-  // Tells the successor that this process leaves.
+  // Notifies the successor that this process is leaving.
   void AnnounceLeaving();
-  // Gives the successor a client's connection that is between two requests; false: there is none to take it,
-  // and the connection is closed.
+  // Transfers a client connection that is between two requests to the successor. If the successor is no
+  // longer connected, closes the connection and returns false.
   bool TransferClient(base::FileDescriptor connection);
-  // Calls `done` once all that was transferred has been sent; at once if it has been already.
+  // Calls `done` when all transfers have been sent, possibly from within this call.
   void WhenTransfersSent(const std::function<void()>& done);
 
  private:
   enum class PredecessorState {
     kNone,          // there is none, or it has ended
-    kUnresponsive,  // it listens at the clients' address but does not answer: the overlap has a fixed length
+    kUnresponsive,  // it listens on the client address but does not respond: the overlap has a fixed length
     kServing,       // connected
-    kNotified,      // connected, and knows that this process accepts clients
-    kLeaving,       // connected; it accepts no clients and is finishing
+    kNotified,      // connected, and was notified that this process accepts clients
+    kLeaving,       // connected; it no longer accepts clients and finishes its requests
   };
   enum class SuccessorState {
     kNone,      // none has connected, or it has ended
@@ -96,8 +100,8 @@
   void OnSuccessor(std::unique_ptr<HotRestartChannel> channel) override;
 
   void OnPredecessorMessage(HotRestartMessage message);
-  void OnPredecessorGone();
-  void OnSuccessorGone();
+  void OnPredecessorDisconnected();
+  void OnSuccessorDisconnected();
   void EndOverlapLater();
   void BeginOverlap();
   void EndOverlap();
--- a/src/proxy/restart/hot_restart_channel.cpp
+++ b/src/proxy/restart/hot_restart_channel.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr Millis kSendRetryInterval = 5;
+constexpr Millis kSendRetryIntervalMs = 5;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
 }
 
 void HotRestartChannel::RetrySending() {
-  retry_timer_.expires_after(Span(kSendRetryInterval));
+  retry_timer_.expires_after(TimerDuration(kSendRetryIntervalMs));
   retry_timer_.async_wait([this, alive = alive_](error_code ec) {
     if (!ec && *alive && open_) SendQueued();
   });
--- a/src/proxy/restart/hot_restart_channel.hpp
+++ b/src/proxy/restart/hot_restart_channel.hpp
@@ -1,4 +1,4 @@
-// The connection between a running process and the one that replaces it, in the event loop of either.
+// The connection between a running process and its replacement, for the event loop of either process.
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace gateway::proxy {
 
-// Sends and receives messages without blocking. One thread: the event loop's.
+// Sends and receives messages without blocking. To be used in the event loop's thread only.
 class HotRestartChannel {
  public:
   // Both methods are called from the event loop, and may destroy the channel.
@@ -22,22 +22,23 @@
    public:
     virtual ~Observer() = default;
     virtual void OnMessage(HotRestartChannel& channel, HotRestartMessage message) = 0;
-    // The other process has ended or the connection broke; nothing more is called. Never called from within
-    // Send().
+    // The other process has exited or the connection failed; no method is called afterwards. Never called
+    // from within Send().
     virtual void OnClosed(HotRestartChannel& channel) = 0;
   };
 
-  // `socket` is connected.
+  // `socket` must be connected.
   HotRestartChannel(boost::asio::io_context& io, base::FileDescriptor socket);
   ~HotRestartChannel();
   HotRestartChannel(const HotRestartChannel&) = delete;
   HotRestartChannel& operator=(const HotRestartChannel&) = delete;
 
-  // Begins to receive; a later call replaces the observer, which must outlive the channel or be replaced.
+  // Begins to receive. A later call replaces the observer. An observer must outlive the channel or be
+  // replaced.
   void SetObserver(Observer& observer);
 
-  // What the other side can't take yet is queued; a message that is too long for the socket is dropped. Does
-  // nothing once the channel is closed.
+  // Sends the message, or queues it while the socket's buffer is full. Drops a message that is too long for
+  // the socket. Does nothing after the channel has closed.
   void Send(HotRestartMessage message);
   bool open() const { return open_; }
   bool all_sent() const { return send_queue_.empty(); }
@@ -53,7 +54,7 @@
   Observer* observer_ = nullptr;
   std::deque<Packet> send_queue_;
   bool open_ = true;
-  // False once this is destroyed: pending handlers share it and then touch nothing else.
+  // Set to false by the destructor. Pending handlers share it and check it before they use `this`.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/proxy/restart/hot_restart_message.hpp
+++ b/src/proxy/restart/hot_restart_message.hpp
@@ -1,13 +1,13 @@
-// The messages between a running process and the one that replaces it, and their form on the socket. The
-// words of that form are translated here and nowhere else.
+// The messages between a running process and its replacement, and their encoding on the socket. This module
+// alone maps the words of the encoding to messages.
 //
-//   message             from         word on the socket   descriptor
+//   message             from         text on the socket   descriptor
 //   Hello               successor    "forkwick 1"         -
 //   ListenerTransfer    predecessor  "listener"           the listening socket
 //   StateTransfer       predecessor  a JSON object        -
 //   SuccessorReady      successor    "ready"              -
 //   PredecessorLeaving  predecessor  "leaving"            -
-//   ClientTransfer      predecessor  "client"             a client's connection
+//   ClientTransfer      predecessor  "client"             a client connection
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_MESSAGE_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_MESSAGE_HPP_
 
@@ -19,10 +19,11 @@
 
 namespace gateway::proxy {
 
-// Opens the protocol, and names its version: a program of another version does not know the word.
+// Begins the protocol. Its text contains the protocol version, so a program of another version does not
+// recognize it.
 struct Hello {};
 
-// Answers Hello, followed by StateTransfer.
+// The response to Hello; StateTransfer follows it.
 struct ListenerTransfer {
   base::FileDescriptor listener;
 };
@@ -31,17 +32,18 @@
   TransferredState state;
 };
 
-// The successor accepts clients.
+// Notifies the predecessor that the successor accepts clients.
 struct SuccessorReady {};
 
-// The predecessor has stopped accepting clients, and transfers those that are between two requests.
+// Notifies the successor that the predecessor has stopped accepting clients. ClientTransfer messages follow
+// for the clients that are between two requests.
 struct PredecessorLeaving {};
 
 struct ClientTransfer {
   base::FileDescriptor connection;
 };
 
-// Received only: a malformed message, or one of another version.
+// A received message that is malformed or of another protocol version; never sent.
 struct UnknownMessage {};
 
 using HotRestartMessage = std::variant<UnknownMessage, Hello, ListenerTransfer, StateTransfer, SuccessorReady,
--- a/src/proxy/restart/inherited_state.cpp
+++ b/src/proxy/restart/inherited_state.cpp
@@ -16,9 +16,9 @@
 
 using boost::asio::ip::tcp;
 
-constexpr Millis kTransferTimeout = 500;  // for the whole exchange: the predecessor may hang
+constexpr Millis kTransferTimeoutMs = 500;  // for the complete exchange: the predecessor may hang
 
-// Empty where nobody listens at `path`, or another user does.
+// Returns an empty descriptor if no process of the same user listens at `path`.
 base::FileDescriptor Connect(const std::string& path) {
   const std::optional<sockaddr_un> address = ToUnixAddress(path);
   base::FileDescriptor socket = OpenPacketSocket();
@@ -39,7 +39,7 @@
   return own == address;
 }
 
-// The next message, if it is a Message and comes in time.
+// Returns the next message if it arrives by `deadline` and is of type Message.
 template <typename Message>
 std::optional<Message> WaitFor(int socket, Millis deadline) {
   std::optional<Packet> packet = WaitForPacket(socket, deadline);
@@ -56,7 +56,7 @@
   base::FileDescriptor predecessor = Connect(path);
   if (!predecessor) return {};
   if (SendPacket(predecessor.get(), EncodeMessage(Hello{})) != SendResult::kSent) return {};
-  const Millis deadline = Now() + kTransferTimeout;
+  const Millis deadline = Now() + kTransferTimeoutMs;
   auto listener = WaitFor<ListenerTransfer>(predecessor.get(), deadline);
   if (!listener || !ListensAt(listener->listener.get(), address)) return {};
   InheritedState inherited;
--- a/src/proxy/restart/inherited_state.hpp
+++ b/src/proxy/restart/inherited_state.hpp
@@ -1,4 +1,4 @@
-// What a new process takes over, at its start, from the running one that it replaces.
+// The state that a new process inherits, at its start, from the running process that it replaces.
 #ifndef GATEWAY_PROXY_RESTART_INHERITED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_INHERITED_STATE_HPP_
 
@@ -11,15 +11,15 @@
 
 namespace gateway::proxy {
 
-// All empty where there is no running process, or it transferred nothing.
+// All members are empty if there is no running process or it transferred nothing.
 struct InheritedState {
-  base::FileDescriptor listener;                // the clients' listening socket, shared with the predecessor
-  std::optional<TransferredState> transferred;  // empty also where its form is unknown or it came too late
-  base::FileDescriptor predecessor;             // the connection to it, for a HotRestartChannel
+  base::FileDescriptor listener;  // the listening socket for clients, shared with the predecessor
+  std::optional<TransferredState> transferred;  // also empty if it is malformed or arrived too late
+  base::FileDescriptor predecessor;             // the connection to the predecessor, for a HotRestartChannel
 };
 
-// Requests the state of the process that listens on the Unix socket at `path`. Accepts a listener only from a
-// process of the same user, and only one that listens at `address`. Blocks, for half a second at most.
+// Requests the state of the process that listens on the Unix socket at `path`. Accepts only a listener that
+// listens on `address`, and only from a process of the same user. Blocks for at most half a second.
 InheritedState InheritFromPredecessor(const std::string& path, const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/learned_state_json.cpp
+++ b/src/proxy/restart/learned_state_json.cpp
@@ -15,14 +15,14 @@
 constexpr double kMaxNumber = 1e12;  // above any time or rate that a policy can have
 constexpr double kMaxCount = 1e9;
 
-// Positions in an element of "servers".
+// Index in an element of "servers".
 constexpr std::size_t kLastOutcomeIndex = 10;
 
-// The checksums of a file show damage, not that a policy wrote it.
+// Checks the range, because the checksums of a file detect damage but not values that no policy has written.
 double ParseNumber(const json& value) {
   const double number = value.get<double>();
   if (!std::isfinite(number) || number < 0 || number > kMaxNumber) {
-    throw std::out_of_range("a figure out of range");
+    throw std::out_of_range("a number is out of range");
   }
   return number;
 }
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -1,7 +1,7 @@
-// The JSON form of what a policy has learned, in a transferred state and in a saved state. The words of the
-// form stand for these fields of policy::LearnedState:
+// The JSON form of a policy's learned state, as part of the transferred state and of the saved state. Its
+// keys stand for these fields of policy::LearnedState:
 //
-//   word          field            word       field
+//   key           field            key        field
 //   rate          rate             at         exported_at, Unix time in ms
 //   spent         sent_rate        gateways   gateway_count
 //   failing       failure_rate     classes    classes, each [name, latency, samples, longest_time_left]
@@ -20,9 +20,9 @@
 
 nlohmann::json LearnedStateToJson(const policy::LearnedState& learned);
 
-// Words that earlier versions did not write (at, gateways, kinds, last_outcome_at) may be absent: their
-// fields keep their defaults. Throws std::exception where anything else is missing or of another type, or
-// where a number is negative, infinite or implausibly large; points in time are not checked.
+// Values that earlier versions did not write (at, gateways, kinds, last_outcome_at) may be absent; their
+// fields keep their defaults. Throws std::exception if any other value is missing, if a value has the wrong
+// type, or if a number is negative, infinite or implausibly large. Points in time are not checked.
 policy::LearnedState LearnedStateFromJson(const nlohmann::json& form);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/packet_socket.cpp
+++ b/src/proxy/restart/packet_socket.cpp
@@ -87,8 +87,8 @@
   message.msg_controllen = sizeof control;
   constexpr int kFlags = MSG_DONTWAIT | MSG_CMSG_CLOEXEC;
   ssize_t received = ::recvmsg(socket, &message, kFlags);
-  // If the other side closes with packets of ours unread, this error comes once, before the packets that it
-  // sent.
+  // If the other side closed its socket with unread packets, recvmsg fails once with ECONNRESET before it
+  // returns the packets that the other side had sent.
   if (received < 0 && errno == ECONNRESET) received = ::recvmsg(socket, &message, kFlags);
   if (received < 0) {
     return errno == EAGAIN || errno == EINTR ? ReceiveResult::kNothingYet : ReceiveResult::kEnded;
--- a/src/proxy/restart/packet_socket.hpp
+++ b/src/proxy/restart/packet_socket.hpp
@@ -15,37 +15,38 @@
 
 // One message on such a socket.
 struct Packet {
-  std::string text;                 // at most 256 KiB arrive; the rest is cut off
-  base::FileDescriptor descriptor;  // empty: none is carried
+  std::string text;                 // truncated to 256 KiB when received
+  base::FileDescriptor descriptor;  // empty if the packet carries none
 };
 
 enum class SendResult {
   kSent,
-  kTryLater,  // the receiver's queue, or the kernel's limit on descriptors in transit, is full
-  kTooLong,   // for one message; never sent
+  kTryLater,  // the receiver's queue is full, or the kernel's limit on descriptors in transit is reached
+  kTooLong,   // for a single packet; a retry can't succeed
   kBroken,
 };
 
 enum class ReceiveResult {
   kReceived,
   kNothingYet,
-  kEnded,  // closed by the other side, or broken
+  kEnded,  // the other side closed the connection, or it failed
 };
 
-// Opens a socket that does not block and is closed on exec; empty, with errno set, where the system refuses.
+// Opens a non-blocking socket that is closed on exec. On failure returns an empty descriptor and sets errno.
 base::FileDescriptor OpenPacketSocket();
 
-// Nothing if `path` is empty or too long for an address.
+// Returns std::nullopt if `path` is empty or too long for an address.
 std::optional<sockaddr_un> ToUnixAddress(const std::string& path);
 
 // Whether the process at the other end runs as the user of this one.
 bool IsPeerOfSameUser(int socket);
 
-// Neither blocks.
+// Sends or receives one packet without blocking.
 SendResult SendPacket(int socket, const Packet& packet);
 ReceiveResult ReceivePacket(int socket, Packet& packet);
 
-// Blocks until a packet has come or `deadline` has passed; nothing if none came or the socket has ended.
+// Blocks until a packet arrives or `deadline` has passed. Returns std::nullopt if none arrived or the
+// connection has ended.
 std::optional<Packet> WaitForPacket(int socket, Millis deadline);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/saved_state.cpp
+++ b/src/proxy/restart/saved_state.cpp
@@ -24,7 +24,7 @@
   try {
     return LearnedStateFromJson(form);
   } catch (const std::exception& error) {
-    LogNotRead(std::string("what was learned is not believed: ") + error.what());
+    LogNotRead(std::string("ignored the learned state: ") + error.what());
     return std::nullopt;
   }
 }
@@ -63,7 +63,7 @@
   if (!found.snapshot) return std::nullopt;
   std::optional<SavedState> state;
   if (found.snapshot->version <= kSavedStateVersion) state = ParseSavedState(found.snapshot->payload);
-  if (!state) LogNotRead(folder + ": a snapshot that this program can't read");
+  if (!state) LogNotRead(folder + ": this program can't read the snapshot");
   return state;
 }
 
--- a/src/proxy/restart/saved_state.hpp
+++ b/src/proxy/restart/saved_state.hpp
@@ -1,6 +1,6 @@
-// What a gateway saves on disk for the process that starts after it: its form, and how it is read at the
-// start. The form is JSON with the words "list" (the endpoint list), "draining", "kept_at_ms" (list_valid_at)
-// and "learned" (see learned_state_json.hpp).
+// The state that a gateway saves on disk for the next process: its JSON form, and loading it at the start.
+// The keys of the form are "list" (the endpoint list), "draining", "kept_at_ms" (list_valid_at) and "learned"
+// (see learned_state_json.hpp).
 #ifndef GATEWAY_PROXY_RESTART_SAVED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_SAVED_STATE_HPP_
 
@@ -14,24 +14,25 @@
 
 namespace gateway::proxy {
 
-// Version of the form. A form of a higher version is neither read nor replaced.
+// Version of the form. A state of a higher version is neither read nor replaced.
 constexpr std::uint16_t kSavedStateVersion = 1;
 
 struct SavedState {
   EndpointList list;         // a snapshot
-  bool draining = false;     // by an operator's call
+  bool draining = false;     // an operator has requested a drain
   Millis list_valid_at = 0;  // Unix time at which the list was last known to be valid
   std::optional<policy::LearnedState> learned;
 };
 
 std::string SerializeSavedState(const SavedState& state);
 
-// Returns nothing if any part but `learned` is malformed; without `learned`, and with a line in the log, if
-// only that is. Program versions before `learned` was saved wrote none.
+// Returns std::nullopt if any part except `learned` is malformed. If only `learned` is malformed, logs a
+// warning and returns the state without it. Early program versions did not write `learned`.
 std::optional<SavedState> ParseSavedState(const std::string& text);
 
-// Reads the state of `owner` from `folder`; writes nothing. Returns nothing, with a line in the log that says
-// why, if there is a state that can't be used. Blocks for the disk, so it is for the start.
+// Reads the state of `owner` from `folder` without writing to it. If there is a state that can't be used,
+// logs the reason and returns std::nullopt. Blocks on disk reads, so it is meant for the start of the
+// process.
 std::optional<SavedState> LoadSavedState(const std::string& folder, const std::string& owner);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/state_save_schedule.cpp
+++ b/src/proxy/restart/state_save_schedule.cpp
@@ -6,9 +6,9 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kInterval = 2000;  // what is learned changes all the time
-constexpr Millis kMaximumListChangeDelay = 1000;
-constexpr int kListChangeSteps = 16;  // of that delay, by gateway index
+constexpr Millis kSaveIntervalMs = 2000;  // the learned state changes continuously
+constexpr Millis kMaxListChangeDelayMs = 1000;
+constexpr int kListChangeSteps = 16;  // steps of that delay over the gateway indices
 
 }  // namespace
 
@@ -17,12 +17,12 @@
     : saver_(saver), get_state_(std::move(get_state)), timer_(io) {}
 
 Millis StateSaveSchedule::DelayAfterListChange(int gateway_index) {
-  return kMaximumListChangeDelay * (gateway_index % kListChangeSteps) / kListChangeSteps;
+  return kMaxListChangeDelayMs * (gateway_index % kListChangeSteps) / kListChangeSteps;
 }
 
 void StateSaveSchedule::SaveWithin(Millis delay) {
   const auto now = std::chrono::steady_clock::now();
-  const auto due = now + Span(delay);
+  const auto due = now + TimerDuration(delay);
   const bool due_sooner = timer_.expiry() > now && timer_.expiry() <= due;
   if (due_sooner) return;
   timer_.expires_at(due);
@@ -34,7 +34,7 @@
 void StateSaveSchedule::Save() {
   if (!saver_.ok()) return;
   saver_.Save(get_state_());
-  SaveWithin(kInterval);
+  SaveWithin(kSaveIntervalMs);
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/state_save_schedule.hpp
+++ b/src/proxy/restart/state_save_schedule.hpp
@@ -1,4 +1,4 @@
-// When the gateway's state is saved: soon after it changed, and at a fixed interval from then on.
+// Schedules the saves of the gateway's state: soon after a change, and at a fixed interval from then on.
 #ifndef GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 #define GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 
@@ -17,11 +17,11 @@
   // `get_state` returns the state to be saved.
   StateSaveSchedule(boost::asio::io_context& io, StateSaver& saver, std::function<SavedState()> get_state);
 
-  // Saves the state within `delay`. A save that is due sooner covers this one.
+  // Saves the state after `delay`, unless a save is already due by then.
   void SaveWithin(Millis delay);
 
-  // The delay after a change of the endpoint list. It differs by gateway, so that a fleet does not save at
-  // once.
+  // Returns the delay of a save after a change of the endpoint list. It depends on the gateway, so that the
+  // gateways of a fleet do not all save at the same time.
   static Millis DelayAfterListChange(int gateway_index);
 
  private:
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr auto kOpenPollInterval = std::chrono::milliseconds(50);
-constexpr int kPollsPerOpenAttempt = 20;  // so a busy folder is tried once a second
-constexpr auto kMaxLastWrite = std::chrono::milliseconds(200);
+constexpr int kPollsPerOpenAttempt = 20;  // so that opening a busy folder is tried once a second
+constexpr auto kMaxLastWriteTime = std::chrono::milliseconds(200);
 constexpr auto kLastWritePollInterval = std::chrono::milliseconds(1);
 
 void LogState(base::Level level, const char* event, const std::string& text) {
@@ -25,7 +25,7 @@
 storage::FaultyFileSystem DelaySyncs(storage::FileSystem& files, Millis delay) {
   using Faulty = storage::FaultyFileSystem;
   return Faulty(files, [delay](Faulty::Call call, const std::string&) {
-    if (call == Faulty::Call::kSync) std::this_thread::sleep_for(Span(delay));
+    if (call == Faulty::Call::kSync) std::this_thread::sleep_for(TimerDuration(delay));
     return Faulty::Fault{};
   });
 }
@@ -35,21 +35,21 @@
 struct StateSaver::Shared {
   ~Shared() { delete newest.load(); }
 
-  std::atomic<std::string*> newest{nullptr};  // owned by whoever exchanges it out
-  std::atomic<std::uint32_t> wakes{0};        // counts changes that the thread has to look at
+  std::atomic<std::string*> newest{nullptr};  // owned by the thread that exchanges it for null
+  std::atomic<std::uint32_t> wakes{0};        // counts the wake-ups of the thread: new states and the stop
   std::atomic<bool> stopping{false};
-  std::atomic<bool> done{false};  // the thread has ended
+  std::atomic<bool> done{false};  // the thread has finished
   std::atomic<bool> ok{true};
   std::atomic<std::uint64_t> writes{0};
   std::atomic<std::uint64_t> bytes{0};
 };
 
-// Runs in the thread.
+// The work of the thread.
 class StateSaver::Writer {
  public:
   Writer(std::string folder, const std::string& owner, Millis sync_delay, std::shared_ptr<Shared> shared);
 
-  // Returns when the saver stops, or can't go on writing.
+  // Returns when the saver stops or can no longer write.
   void Run();
 
  private:
@@ -58,7 +58,7 @@
   std::unique_ptr<std::string> WaitForState();
   bool OpenStore();
   OpenResult TryToOpen();
-  OpenResult Unusable(const std::string& reason);
+  OpenResult ReportUnusable(const std::string& reason);
   bool Write(const std::string& state);
 
   const std::string folder_;
@@ -67,9 +67,9 @@
   storage::FaultyFileSystem slow_disk_;
   storage::FileSystem& files_;
   storage::StoreOptions options_;
-  std::unique_ptr<storage::Store> store_;  // null until it could be opened
+  std::unique_ptr<storage::Store> store_;  // null until it has been opened
   int open_polls_ = 0;
-  std::string last_open_error_;  // logged once
+  std::string last_open_error_;  // an error is logged again only if it changes
   std::uint32_t seen_wakes_ = 0;
 };
 
@@ -82,7 +82,7 @@
       files_(sync_delay > 0 ? static_cast<storage::FileSystem&>(slow_disk_) : *disk_) {
   options_.owner = owner;
   options_.program = GATEWAY_VERSION;
-  options_.open_corrupt = true;  // a newer state follows anyway; the damaged files are set aside
+  options_.open_corrupt = true;  // the next save replaces the state; the damaged files are set aside
 }
 
 void StateSaver::Writer::Run() {
@@ -92,7 +92,7 @@
   }
 }
 
-// Null when the saver stops.
+// Returns null if the saver stops.
 std::unique_ptr<std::string> StateSaver::Writer::WaitForState() {
   for (;;) {
     std::unique_ptr<std::string> state(shared_->newest.exchange(nullptr));
@@ -102,7 +102,7 @@
   }
 }
 
-// Waits until the folder can be opened; false: it is not opened, because it is unusable or the saver stops.
+// Waits until the folder can be opened. Returns false if it is unusable or the saver stops.
 bool StateSaver::Writer::OpenStore() {
   while (!store_) {
     const bool attempt_is_due = open_polls_++ % kPollsPerOpenAttempt == 0;
@@ -117,18 +117,18 @@
 StateSaver::Writer::OpenResult StateSaver::Writer::TryToOpen() {
   storage::Examination found;
   const storage::Status status = storage::Store::Open(files_, folder_, options_, store_, found);
-  if (found.is_foreign()) return Unusable(status.Text() + "; it is left as it is");
+  if (found.is_foreign()) return ReportUnusable(status.Text() + "; the folder is left unchanged");
   if (status.ok() && found.snapshot && found.snapshot->version > kSavedStateVersion) {
-    return Unusable(folder_ + ": saved by a newer program; it is left as it is");
+    return ReportUnusable(folder_ + ": saved by a newer program; the folder is left unchanged");
   }
   if (status.ok()) return OpenResult::kOpened;
   if (std::exchange(last_open_error_, status.Text()) != status.Text()) {
-    LogState(base::Level::kWarning, "waits", status.Text() + "; tried again every second");
+    LogState(base::Level::kWarning, "waits", status.Text() + "; retrying every second");
   }
   return OpenResult::kBusy;
 }
 
-StateSaver::Writer::OpenResult StateSaver::Writer::Unusable(const std::string& reason) {
+StateSaver::Writer::OpenResult StateSaver::Writer::ReportUnusable(const std::string& reason) {
   LogState(base::Level::kError, "not_written", reason);
   shared_->ok = false;
   return OpenResult::kUnusable;
@@ -137,8 +137,7 @@
 bool StateSaver::Writer::Write(const std::string& state) {
   const storage::Status status = store_->TakeSnapshot(kSavedStateVersion, state);
   if (!status.ok()) {
-    LogState(base::Level::kError, "not_written",
-             status.Text() + "; nothing more is saved until the next start");
+    LogState(base::Level::kError, "not_written", status.Text() + "; no state is saved until the next start");
     shared_->ok = false;
     return false;
   }
@@ -159,7 +158,7 @@
   shared_->stopping = true;
   shared_->wakes.fetch_add(1);
   shared_->wakes.notify_one();
-  const auto deadline = std::chrono::steady_clock::now() + kMaxLastWrite;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxLastWriteTime;
   while (!shared_->done && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kLastWritePollInterval);
   }
--- a/src/proxy/restart/state_saver.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -1,4 +1,4 @@
-// Saves a gateway's state on disk, in a thread of its own, so that the event loop never waits for a disk.
+// Saves a gateway's state on disk in a separate thread, so that the event loop never waits for the disk.
 #ifndef GATEWAY_PROXY_RESTART_STATE_SAVER_HPP_
 #define GATEWAY_PROXY_RESTART_STATE_SAVER_HPP_
 
@@ -11,32 +11,34 @@
 
 namespace gateway::proxy {
 
-// Writes the newest state it was given; one that is overtaken before it was written is dropped. While another
-// process holds the folder, as in a hot restart, opening it is retried. After a failed write or sync, and
-// where the folder belongs to another owner or a newer program, it writes nothing for the process's life, and
-// says so in the log and in ok().
+// Writes the newest state passed to Save() and drops older ones that were not written yet. While another
+// process has the folder open, as in a hot restart, it retries to open it. After a failed write or sync, or
+// if the folder belongs to another owner or a newer program, it logs an error, ok() returns false, and it
+// writes nothing until the process ends.
 class StateSaver {
  public:
-  // `sync_delay`: time that is added to each sync, for drills with a slow disk; 0 in service.
+  // `sync_delay`: delay added to each sync, to test with a slow disk; 0 in production.
   StateSaver(std::string folder, std::string owner, Millis sync_delay = 0);
-  // Waits up to 200 ms for the write in progress; the thread of a disk that hangs is left behind.
+  // Waits up to 200 ms for the thread to write the newest state. If the disk hangs, leaves the detached
+  // thread running.
   ~StateSaver();
   StateSaver(const StateSaver&) = delete;
   StateSaver& operator=(const StateSaver&) = delete;
 
-  // Serializes the state and hands it to the thread. Takes no lock and makes no system call but a wake-up.
+  // Serializes the state and passes it to the thread. Takes no lock, and its only system call wakes the
+  // thread.
   void Save(const SavedState& state);
 
-  // All may be called from any thread.
+  // The following may be called from any thread.
   bool ok() const;
-  std::uint64_t writes() const;  // states written
-  std::uint64_t bytes() const;   // of the last one
+  std::uint64_t writes() const;  // number of states written
+  std::uint64_t bytes() const;   // size of the last one
 
  private:
   struct Shared;
   class Writer;
 
-  const std::shared_ptr<Shared> shared_;  // with the thread, which may outlive this
+  const std::shared_ptr<Shared> shared_;  // shared with the thread, which may outlive this
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/successor_acceptor.cpp
+++ b/src/proxy/restart/successor_acceptor.cpp
@@ -24,13 +24,13 @@
 
 constexpr int kBacklog = 4;
 
-// A socket at the path belonged to the predecessor, whose channel is open already or which has ended.
+// Removes the socket file of the predecessor, which has exited or whose channel is already open.
 void RemoveSocket(const std::string& path) {
   struct stat status {};
   if (::lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode)) ::unlink(path.c_str());
 }
 
-// Empty, with errno set, where it can't listen.
+// On failure returns an empty descriptor and sets errno.
 base::FileDescriptor ListenAt(const std::string& path) {
   base::FileDescriptor socket = OpenPacketSocket();
   if (!socket) return {};
@@ -55,7 +55,7 @@
   }
   if (ec || !socket) {
     base::Log(base::Level::kWarning, "replacement", "no_handover",
-              "hot restart is not possible at " + path + ": " + ec.message(), {{"path", path}});
+              "can't listen for a hot restart at " + path + ": " + ec.message(), {{"path", path}});
     return;
   }
   socket.Release();
@@ -67,37 +67,37 @@
 void SuccessorAcceptor::Accept() {
   listener_.async_wait(asio::posix::stream_descriptor::wait_read, [this, alive = alive_](error_code ec) {
     if (ec || !*alive) return;
-    base::FileDescriptor caller(
+    base::FileDescriptor connection(
         ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
-    if (caller && IsPeerOfSameUser(caller.get())) {
-      caller_ = std::make_unique<HotRestartChannel>(io_, std::move(caller));
-      caller_->SetObserver(*this);
+    if (connection && IsPeerOfSameUser(connection.get())) {
+      candidate_ = std::make_unique<HotRestartChannel>(io_, std::move(connection));
+      candidate_->SetObserver(*this);
     }
     Accept();
   });
 }
 
 void SuccessorAcceptor::OnMessage(HotRestartChannel&, HotRestartMessage message) {
-  ReleaseCaller(std::holds_alternative<Hello>(message) && SendTransfer());
+  ReleaseCandidate(std::holds_alternative<Hello>(message) && SendTransfer());
 }
 
-void SuccessorAcceptor::OnClosed(HotRestartChannel&) { caller_.reset(); }
+void SuccessorAcceptor::OnClosed(HotRestartChannel&) { candidate_.reset(); }
 
 bool SuccessorAcceptor::SendTransfer() {
   const int listener = delegate_.ListenerForSuccessor();
   if (listener < 0) return false;
   base::FileDescriptor copy(::fcntl(listener, F_DUPFD_CLOEXEC, 0));
   if (!copy) return false;
-  caller_->Send(ListenerTransfer{std::move(copy)});
-  caller_->Send(StateTransfer{delegate_.StateForSuccessor()});
+  candidate_->Send(ListenerTransfer{std::move(copy)});
+  candidate_->Send(StateTransfer{delegate_.StateForSuccessor()});
   return true;
 }
 
-// Posted, because a method of the channel is running.
-void SuccessorAcceptor::ReleaseCaller(bool is_successor) {
-  asio::post(io_, [this, alive = alive_, is_successor, released = caller_.get()] {
-    if (!*alive || caller_.get() != released) return;
-    std::unique_ptr<HotRestartChannel> channel = std::move(caller_);
+// Posts the release, because a method of the channel is still running.
+void SuccessorAcceptor::ReleaseCandidate(bool is_successor) {
+  asio::post(io_, [this, alive = alive_, is_successor, released = candidate_.get()] {
+    if (!*alive || candidate_.get() != released) return;
+    std::unique_ptr<HotRestartChannel> channel = std::move(candidate_);
     if (is_successor && channel->open()) delegate_.OnSuccessor(std::move(channel));
   });
 }
--- a/src/proxy/restart/successor_acceptor.hpp
+++ b/src/proxy/restart/successor_acceptor.hpp
@@ -1,4 +1,4 @@
-// The running process waits here for the one that will replace it.
+// Accepts the process that replaces the running one.
 #ifndef GATEWAY_PROXY_RESTART_SUCCESSOR_ACCEPTOR_HPP_
 #define GATEWAY_PROXY_RESTART_SUCCESSOR_ACCEPTOR_HPP_
 
@@ -14,25 +14,26 @@
 
 namespace gateway::proxy {
 
-// Listens on a Unix socket. Gives the listener and the state to each process of the same user that says Hello
-// while there is a listener to give, and then the channel to the delegate. One caller at a time: a later one
-// takes the place of one that has not said Hello. One thread: the event loop's.
+// Listens on a Unix socket. While the client listener is open, transfers the listener and the state to each
+// process of the same user that sends Hello, and then passes the channel to the delegate. Handles one
+// connection at a time: a new connection replaces one that has not sent Hello. To be used in the event loop's
+// thread only.
 class SuccessorAcceptor final : private HotRestartChannel::Observer {
  public:
   // All methods are called from the event loop, none from within the constructor.
   class Delegate {
    public:
     virtual ~Delegate() = default;
-    // The clients' listening socket, which stays the delegate's; -1: there is none to give.
+    // Returns the listening socket for clients, which the delegate still owns; -1: no transfer is possible.
     virtual int ListenerForSuccessor() = 0;
-    // The state to transfer; called right after ListenerForSuccessor().
+    // Returns the state to transfer; called right after ListenerForSuccessor().
     virtual TransferredState StateForSuccessor() = 0;
-    // A successor has been sent both. May destroy the acceptor.
+    // The listener and the state were sent to a successor. May destroy the acceptor.
     virtual void OnSuccessor(std::unique_ptr<HotRestartChannel> channel) = 0;
   };
 
-  // Replaces a socket that stands at `path`, but no other kind of file. Where it can't listen it logs a
-  // warning, and no successor ever comes. `delegate` must outlive this.
+  // Replaces a socket file at `path`, but no other kind of file. If it can't listen it logs a warning, and no
+  // successor can connect. `delegate` must outlive this.
   SuccessorAcceptor(boost::asio::io_context& io, const std::string& path, Delegate& delegate);
   ~SuccessorAcceptor() override;
   SuccessorAcceptor(const SuccessorAcceptor&) = delete;
@@ -44,13 +45,13 @@
 
   void Accept();
   bool SendTransfer();
-  void ReleaseCaller(bool is_successor);
+  void ReleaseCandidate(bool is_successor);
 
   boost::asio::io_context& io_;
   Delegate& delegate_;
   boost::asio::posix::stream_descriptor listener_;
-  std::unique_ptr<HotRestartChannel> caller_;
-  // False once this is destroyed: pending handlers share it and then touch nothing else.
+  std::unique_ptr<HotRestartChannel> candidate_;  // a connection that has not sent Hello yet
+  // Set to false by the destructor. Pending handlers share it and check it before they use `this`.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/proxy/restart/transferred_state.hpp
+++ b/src/proxy/restart/transferred_state.hpp
@@ -1,5 +1,5 @@
-// The state that a running process transfers to the one that replaces it, and its JSON form on the socket
-// between both.
+// The state that a running process transfers to its replacement, and the JSON form of that state on the
+// socket between them.
 #ifndef GATEWAY_PROXY_RESTART_TRANSFERRED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_TRANSFERRED_STATE_HPP_
 
@@ -18,8 +18,8 @@
 
 std::string SerializeTransferredState(const TransferredState& state);
 
-// Returns nothing if any part of `text` is malformed. All times of what was learned are set to now: the
-// process that sent it was running until this moment, so it missed nothing and nothing has aged.
+// Returns std::nullopt if any part of `text` is malformed. Sets all times of the learned state to now: the
+// sender has been running until this moment, so the state has not aged.
 std::optional<TransferredState> ParseTransferredState(const std::string& text);
 
 }  // namespace gateway::proxy
