--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -19,7 +19,7 @@
 proxy::EndpointListWatcher::Options WatcherOptions(const proxy::Config& config) {
   proxy::EndpointListWatcher::Options options;
   options.service = config.discovery;
-  options.other_services = config.other_discoveries;
+  options.other_services = config.other_list_services;
   options.seed = config.seed;
   options.revision = config.known.revision;
   options.guard_mass_removal = config.guard_mass_removal;
--- a/src/proxy/admin/gateway_status.hpp
+++ b/src/proxy/admin/gateway_status.hpp
@@ -11,28 +11,28 @@
 namespace gateway::proxy {
 
 struct GatewayStatus {
-  bool ready = false;     // takes clients
-  bool stopping = false;  // SIGTERM has come
-  bool draining = false;  // by an operator
+  bool ready = false;     // accepts clients
+  bool stopping = false;  // has received SIGTERM
+  bool draining = false;  // an operator has requested a drain
 
   std::size_t active_requests = 0;
   std::size_t client_connections = 0;
-  std::uint64_t disconnected_clients = 0;  // that had no answer yet, since the start
+  std::uint64_t disconnected_clients = 0;  // before their response, since the start
 
   std::size_t upstream_connections = 0;
   UpstreamCounts upstream_counts;  // since the start
 
-  std::size_t endpoints = 0;          // in the list, draining ones too
+  std::size_t endpoints = 0;          // in the list, including draining ones
   std::size_t ejected_endpoints = 0;  // by outlier detection
   std::int64_t list_revision = 0;
-  std::size_t list_service = 0;  // index of the list service that is watched
-  Millis list_age = 0;           // since the list was last known to hold
-  bool list_stale = false;       // no list service has answered for too long
-  bool list_from_state = false;  // the list in force was loaded from the disk
-
-  bool saves_state = false;  // a state folder is configured
-  bool state_ok = true;      // no write has failed
-  std::uint64_t state_writes = 0;
+  std::size_t list_service = 0;  // index of the list service that is watched, from 0
+  Millis list_age = 0;           // since the list was last known to be current
+  bool list_stale = false;       // no list service has responded for `list_stale_after`
+  bool list_from_state = false;  // the list in force was loaded from disk
+
+  bool saves_state = false;        // whether a state folder is configured
+  bool state_ok = true;            // false once a write has failed
+  std::uint64_t state_writes = 0;  // since the start
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -17,133 +17,147 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostLine = 256;
-constexpr Millis kPatience = 10000;  // for a whole line: an operator may type it
-constexpr Millis kTaken = 2000;      // an answer must have been taken in by then
-constexpr Millis kLeast = 50;        // what a caller gets for its line whatever the crowd
-constexpr Millis kAcceptAgain = 20;  // after an accept that failed, or while all places are that young
+constexpr std::size_t kMaxLineBytes = 256;
+constexpr Millis kCommandTimeoutMs = 10000;  // for the complete line: an operator may type it
+constexpr Millis kResponseTimeoutMs = 2000;  // for the client to read the response and close
+constexpr Millis kMinLifetimeMs = 50;        // before a connection may be closed to make room for another
+// After a failed accept, or while every connection is younger than kMinLifetimeMs.
+constexpr Millis kAcceptRetryDelayMs = 20;
 
 }  // namespace
 
-class ManagementServer::Caller : public std::enable_shared_from_this<Caller> {
+class ManagementServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(ManagementServer& server, tcp::socket socket)
+  Connection(ManagementServer& server, tcp::socket socket)
       : server_(server), socket_(std::move(socket)), timer_(server.io_) {}
 
-  void Begin() {
+  // Handles a command that has already arrived before the server accepts another connection.
+  void Start() {
     error_code ec;
     socket_.non_blocking(true, ec);
-    Arm(kPatience);
-    Read();  // what has come already is answered before anyone else is heard
+    StartTimer(kCommandTimeoutMs);
+    ReadCommand();
   }
 
-  Millis since() const { return since_; }
-  bool answered() const { return answered_; }
+  Millis accepted_at() const { return accepted_at_; }
+  bool has_response() const { return has_response_; }
 
   void Close() {
     if (!std::exchange(open_, false)) return;
     error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
-    server_.callers_.remove(shared_from_this());
+    server_.connections_.remove(shared_from_this());
   }
 
  private:
-  void Arm(Millis time) {
-    timer_.expires_after(Span(time));
+  void StartTimer(Millis timeout) {
+    timer_.expires_after(TimerDuration(timeout));
     timer_.async_wait([self = shared_from_this()](error_code ec) {
       if (ec || !self->open_) return;
-      self->answered_ ? self->Close() : self->Say("FAILURE no whole line in time\n");
+      self->has_response_ ? self->Close() : self->Respond("FAILURE no whole line in time\n");
     });
   }
 
-  void Read() {
+  void ReadCommand() {
     while (open_) {
       error_code ec;
-      char* const at = line_.data() + got_;
-      const std::size_t got = socket_.read_some(asio::buffer(at, line_.size() - got_), ec);
+      char* const start = buffer_.data() + received_bytes_;
+      const std::size_t received =
+          socket_.read_some(asio::buffer(start, buffer_.size() - received_bytes_), ec);
       if (ec == asio::error::would_block) break;
-      if (ec) return got_ > 0 && ec == asio::error::eof ? Say("FAILURE the line has no end\n") : Close();
-      if (const char* const end = std::find(at, at + got, '\n'); end != at + got) {
-        std::string call(line_.data(), static_cast<std::size_t>(end - line_.data()));
-        if (call.ends_with('\r')) call.pop_back();
-        return Say(server_.answer_(call));
+      if (ec) {
+        return received_bytes_ > 0 && ec == asio::error::eof ? Respond("FAILURE the line has no end\n")
+                                                             : Close();
       }
-      got_ += got;
-      if (got_ == line_.size()) return Say("FAILURE the line is too long\n");
+      if (const char* const end = std::find(start, start + received, '\n'); end != start + received) {
+        std::string command(buffer_.data(), static_cast<std::size_t>(end - buffer_.data()));
+        if (command.ends_with('\r')) command.pop_back();
+        return Respond(server_.handle_command_(command));
+      }
+      received_bytes_ += received;
+      if (received_bytes_ == buffer_.size()) return Respond("FAILURE the line is too long\n");
     }
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
-      if (self->open_ && !self->answered_) ec ? self->Close() : self->Read();
+      if (self->open_ && !self->has_response_) ec ? self->Close() : self->ReadCommand();
     });
   }
 
-  void Say(std::string text) {
-    answered_ = true;
-    text_ = std::move(text);
-    Arm(kTaken);
-    asio::async_write(socket_, asio::buffer(text_), [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->open_) return;
-      if (!ec) self->socket_.shutdown(tcp::socket::shutdown_send, ec);
-      ec ? self->Close() : self->Discard();
-    });
+  void Respond(std::string response) {
+    has_response_ = true;
+    response_ = std::move(response);
+    StartTimer(kResponseTimeoutMs);
+    asio::async_write(socket_, asio::buffer(response_),
+                      [self = shared_from_this()](error_code ec, std::size_t) {
+                        if (!self->open_) return;
+                        if (!ec) self->socket_.shutdown(tcp::socket::shutdown_send, ec);
+                        ec ? self->Close() : self->DiscardInput();
+                      });
   }
 
-  // Closing with bytes unread would reset the connection, and could take the answer from the caller.
-  void Discard() {
+  // Reads until the client closes. Closing a socket with unread bytes would reset the connection, and the
+  // client could lose the response.
+  void DiscardInput() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
       if (!self->open_) return;
-      const std::size_t got = ec ? 0 : self->socket_.read_some(asio::buffer(self->line_), ec);
-      if (got == 0 && ec != asio::error::would_block) return self->Close();
-      self->Discard();
+      const std::size_t received = ec ? 0 : self->socket_.read_some(asio::buffer(self->buffer_), ec);
+      if (received == 0 && ec != asio::error::would_block) return self->Close();
+      self->DiscardInput();
     });
   }
 
   ManagementServer& server_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  std::array<char, kMostLine> line_;
-  std::size_t got_ = 0;
-  std::string text_;
-  const Millis since_ = Now();
+  std::array<char, kMaxLineBytes> buffer_;  // the command, then what DiscardInput() reads
+  std::size_t received_bytes_ = 0;
+  std::string response_;
+  const Millis accepted_at_ = Now();
   bool open_ = true;
-  bool answered_ = false;
+  bool has_response_ = false;
 };
 
 ManagementServer::ManagementServer(asio::io_context& io, const tcp::endpoint& address,
-                                   std::size_t most_callers, Answer answer)
-    : io_(io), acceptor_(io), accept_again_(io), most_callers_(most_callers), answer_(std::move(answer)) {
+                                   std::size_t max_connections, CommandHandler handle_command)
+    : io_(io),
+      acceptor_(io),
+      accept_retry_timer_(io),
+      max_connections_(max_connections),
+      handle_command_(std::move(handle_command)) {
   OpenListener(acceptor_, address, "NODE_MGMT");
   Accept();
 }
 
 ManagementServer::~ManagementServer() {
-  while (!callers_.empty()) callers_.front()->Close();
+  while (!connections_.empty()) connections_.front()->Close();
 }
 
 void ManagementServer::Accept() {
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
     if (ec) return AcceptLater();
-    const auto caller = callers_.emplace_back(std::make_shared<Caller>(*this, std::move(socket)));
-    caller->Begin();
-    callers_.size() < most_callers_ || MakeRoom() ? Accept() : AcceptLater();
+    const auto connection = connections_.emplace_back(std::make_shared<Connection>(*this, std::move(socket)));
+    connection->Start();
+    connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : AcceptLater();
   });
 }
 
 void ManagementServer::AcceptLater() {
-  accept_again_.expires_after(Span(kAcceptAgain));
-  accept_again_.async_wait([this](error_code ec) {
-    if (!ec) callers_.size() < most_callers_ || MakeRoom() ? Accept() : AcceptLater();
+  accept_retry_timer_.expires_after(TimerDuration(kAcceptRetryDelayMs));
+  accept_retry_timer_.async_wait([this](error_code ec) {
+    if (!ec) connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : AcceptLater();
   });
 }
 
-// Ends the oldest caller that has not sent its line, or else the oldest that has had time to take its answer.
-bool ManagementServer::MakeRoom() {
+// Closes the oldest connection whose command is incomplete or, if there is none, the oldest one that has a
+// response; never one that is younger than kMinLifetimeMs. Returns whether it closed one.
+bool ManagementServer::CloseOldestConnection() {
   const Millis now = Now();
-  for (const bool answered : {false, true}) {
-    for (const auto& caller : callers_) {
-      if (caller->answered() != answered || now - caller->since() < kLeast) continue;
-      const auto oldest = caller;
+  for (const bool has_response : {false, true}) {
+    for (const auto& connection : connections_) {
+      if (connection->has_response() != has_response || now - connection->accepted_at() < kMinLifetimeMs)
+        continue;
+      const auto oldest = connection;
       oldest->Close();
       return true;
     }
--- a/src/proxy/admin/management.hpp
+++ b/src/proxy/admin/management.hpp
@@ -1,4 +1,4 @@
-// The address for operators: one line to a connection, one answer, and the connection ends.
+// The management port for operators: each connection carries one command line and one response.
 #ifndef GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
 #define GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
 
@@ -13,32 +13,32 @@
 
 namespace gateway::proxy {
 
-// Slow callers never block others: each has a place of its own, and when all places are taken the oldest
-// caller without a whole line gives way.
+// A slow client never blocks the others: at the limit of connections the server closes the oldest one whose
+// command is still incomplete.
 class ManagementServer {
  public:
-  // Gives the whole answer to a call, with its line ends.
-  using Answer = std::function<std::string(const std::string& call)>;
+  // Returns the complete response to a command, with its line ends.
+  using CommandHandler = std::function<std::string(const std::string& command)>;
 
-  // Listens at once. Throws ConfigError if it can't.
+  // Starts to listen. Throws ConfigError if that fails.
   ManagementServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-                   std::size_t most_callers, Answer answer);
+                   std::size_t max_connections, CommandHandler handle_command);
   ~ManagementServer();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Caller;
+  class Connection;
   void Accept();
   void AcceptLater();
-  bool MakeRoom();
+  bool CloseOldestConnection();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer accept_again_;
-  const std::size_t most_callers_;
-  const Answer answer_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
+  boost::asio::steady_timer accept_retry_timer_;
+  const std::size_t max_connections_;
+  const CommandHandler handle_command_;
+  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/management_commands.cpp
+++ b/src/proxy/admin/management_commands.cpp
@@ -7,62 +7,67 @@
 namespace gateway::proxy {
 namespace {
 
-const char* const kEndOfText = "EOT\n";
+const char* const kEndOfResponse = "EOT\n";
 
-double Number(std::size_t value) { return static_cast<double>(value); }
-double Flag(bool value) { return value ? 1 : 0; }
+double CountValue(std::size_t value) { return static_cast<double>(value); }
+double FlagValue(bool value) { return value ? 1 : 0; }
 
 std::vector<Metrics::Sample> ConnectionSamples(const GatewayStatus& status) {
   const UpstreamCounts& counts = status.upstream_counts;
   return {
-      {"client_connections", "gauge", "Connections from clients", Number(status.client_connections)},
-      {"host_connections", "gauge", "Connections to hosts", Number(status.upstream_connections)},
-      {"dials_total", "counter", "Connections dialled to hosts", Number(counts.connects)},
-      {"reuses_total", "counter", "Attempts on a connection that was open", Number(counts.reuses)},
-      {"stale_total", "counter", "Connections found closed when they were to be reused",
-       Number(counts.stale)},
-      {"resets_total", "counter", "Connections that broke under an attempt",
-       Number(counts.resets_new + counts.resets_reused)},
-      {"clients_left_total", "counter", "Clients that left unanswered", Number(status.disconnected_clients)},
+      {"client_connections", "gauge", "Connections from clients", CountValue(status.client_connections)},
+      {"host_connections", "gauge", "Connections to hosts", CountValue(status.upstream_connections)},
+      {"dials_total", "counter", "Connections opened to hosts", CountValue(counts.connects)},
+      {"reuses_total", "counter", "Attempts sent on an idle connection", CountValue(counts.reuses)},
+      {"stale_total", "counter", "Idle connections that turned out to be closed when reused",
+       CountValue(counts.stale)},
+      {"resets_total", "counter", "Connections that failed during an attempt",
+       CountValue(counts.resets_new + counts.resets_reused)},
+      {"clients_left_total", "counter", "Clients that disconnected before their response",
+       CountValue(status.disconnected_clients)},
   };
 }
 
 std::vector<Metrics::Sample> ListSamples(const GatewayStatus& status) {
   return {
-      {"list_age_seconds", "gauge", "Since the list was last known to hold", status.list_age / 1000},
-      {"list_old", "gauge", "1 while no list service has answered for too long", Flag(status.list_stale)},
-      {"list_service", "gauge", "Which of the list services is watched, from 0", Number(status.list_service)},
-      {"list_from_state", "gauge", "1 while the list in force is from the disk",
-       Flag(status.list_from_state)},
+      {"list_age_seconds", "gauge", "Time since the host list was last known to be current",
+       status.list_age / 1000},
+      {"list_old", "gauge", "1 if no list service has responded within the time limit",
+       FlagValue(status.list_stale)},
+      {"list_service", "gauge", "Index of the list service that is watched, from 0",
+       CountValue(status.list_service)},
+      {"list_from_state", "gauge", "1 if the host list in force was loaded from disk",
+       FlagValue(status.list_from_state)},
   };
 }
 
-// In the order of the metrics page.
+// Returns the samples in the order in which the metrics are documented.
 std::vector<Metrics::Sample> Samples(const GatewayStatus& status) {
   std::vector<Metrics::Sample> samples = {
-      {"active_requests", "gauge", "Requests taken and not ended", Number(status.active_requests)},
-      {"hosts_listed", "gauge", "Hosts in the list", Number(status.endpoints)},
-      {"hosts_avoided", "gauge", "Listed hosts that get no more than trials",
-       Number(status.ejected_endpoints)},
-      {"list_revision", "gauge", "Revision of the list in force", static_cast<double>(status.list_revision)},
-      {"ready", "gauge", "1 while this process takes clients", Flag(status.ready)},
+      {"active_requests", "gauge", "Requests in progress", CountValue(status.active_requests)},
+      {"hosts_listed", "gauge", "Hosts in the list, including draining ones", CountValue(status.endpoints)},
+      {"hosts_avoided", "gauge", "Listed hosts that are ejected and receive only trial requests",
+       CountValue(status.ejected_endpoints)},
+      {"list_revision", "gauge", "Revision of the host list in force",
+       static_cast<double>(status.list_revision)},
+      {"ready", "gauge", "1 if this process accepts clients", FlagValue(status.ready)},
   };
   for (const Metrics::Sample& sample : ConnectionSamples(status)) samples.push_back(sample);
   for (const Metrics::Sample& sample : ListSamples(status)) samples.push_back(sample);
-  samples.push_back({"state_ok", "gauge", "0 once keeping state has failed", Flag(status.state_ok)});
+  samples.push_back({"state_ok", "gauge", "0 once saving the state has failed", FlagValue(status.state_ok)});
   samples.push_back(
-      {"state_writes_total", "counter", "States written to the disk", Number(status.state_writes)});
+      {"state_writes_total", "counter", "States written to disk", CountValue(status.state_writes)});
   return samples;
 }
 
 }  // namespace
 
-std::string ManagementCommands::Run(const std::string& call) {
-  if (call == "vars") return Vars();
-  if (call == "metrics") return PrometheusMetrics();
-  if (call == "check") return Check();
-  if (call == "drain-on") return SetDraining(call, true);
-  if (call == "drain-off") return SetDraining(call, false);
+std::string ManagementCommands::Run(const std::string& command) {
+  if (command == "vars") return Vars();
+  if (command == "metrics") return PrometheusMetrics();
+  if (command == "check") return Check();
+  if (command == "drain-on") return SetDraining(command, true);
+  if (command == "drain-off") return SetDraining(command, false);
   return "FAILURE unknown call\n";
 }
 
@@ -81,17 +86,18 @@
     const char* const source = status.list_from_state ? "state" : "discovery";
     json.insert(json.size() - 1, std::string(",\"list_from\":\"") + source + "\"");
   }
-  return json + "\n" + kEndOfText;
+  return json + "\n" + kEndOfResponse;
 }
 
 std::string ManagementCommands::PrometheusMetrics() const {
-  return metrics_.ToPrometheus(Samples(gateway_.Status())) + kEndOfText;
+  return metrics_.ToPrometheus(Samples(gateway_.Status())) + kEndOfResponse;
 }
 
-std::string ManagementCommands::SetDraining(const std::string& call, bool draining) {
+std::string ManagementCommands::SetDraining(const std::string& command, bool draining) {
   if (gateway_.Status().stopping) return draining ? "SUCCESS stopping anyway\n" : "FAILURE stopping\n";
   gateway_.SetDraining(draining);
-  base::Log(base::Level::kInfo, "operators", "drain", call + " by the operators' call", {{"call", call}});
+  base::Log(base::Level::kInfo, "operators", "drain", command + " requested by an operator",
+            {{"call", command}});
   return draining ? "SUCCESS draining\n" : "SUCCESS takes clients\n";
 }
 
--- a/src/proxy/admin/management_commands.hpp
+++ b/src/proxy/admin/management_commands.hpp
@@ -1,4 +1,4 @@
-// The calls of operators: check, vars, metrics, drain-on and drain-off.
+// The commands of the management port: check, vars, metrics, drain-on and drain-off.
 #ifndef GATEWAY_PROXY_ADMIN_MANAGEMENT_COMMANDS_HPP_
 #define GATEWAY_PROXY_ADMIN_MANAGEMENT_COMMANDS_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace gateway::proxy {
 
-// What the calls act on.
+// The gateway that the commands inspect and control.
 class ManagedGateway {
  public:
   virtual ~ManagedGateway() = default;
@@ -24,14 +24,14 @@
   ManagementCommands(ManagedGateway& gateway, const Metrics& metrics)
       : gateway_(gateway), metrics_(metrics) {}
 
-  // Carries out a call and returns its whole answer, with line ends.
-  std::string Run(const std::string& call);
+  // Executes a command and returns its complete response, with line ends.
+  std::string Run(const std::string& command);
 
  private:
   std::string Check() const;
   std::string Vars() const;
   std::string PrometheusMetrics() const;
-  std::string SetDraining(const std::string& call, bool draining);
+  std::string SetDraining(const std::string& command, bool draining);
 
   ManagedGateway& gateway_;
   const Metrics& metrics_;
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -10,27 +10,30 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr std::uint64_t kBounds[] = {1000,   2500,   5000,   10000,   25000,   50000,
-                                     100000, 250000, 500000, 1000000, 2500000, 5000000};  // microseconds
+constexpr std::uint64_t kBucketBoundsMicros[] = {1000,   2500,   5000,   10000,   25000,   50000,
+                                                 100000, 250000, 500000, 1000000, 2500000, 5000000};
+constexpr double kMicrosPerMilli = 1000;
+constexpr double kMicrosPerSecond = 1e6;
 
-struct SpanName {
+struct IntervalDescription {
   const char* name;
   const char* help;
 };
-constexpr SpanName kSpanNames[] = {
-    {"first_attempt", "From a request's last byte to its first attempt"},
-    {"queued", "Held by the decisions until its first attempt or its refusal, of those not sent at once"},
-    {"at_host", "From an attempt's sending to a host's answer"},
-    {"request", "From a request's last byte to its answer"}};
+// In the order of Metrics::Interval.
+constexpr IntervalDescription kIntervalDescriptions[] = {
+    {"first_attempt", "Time from the last byte of a request to its first attempt"},
+    {"queued", "Time that a request not sent at once waits for its first attempt or its rejection"},
+    {"at_host", "Time from sending an attempt to the response of the host"},
+    {"request", "Time from the last byte of a request to its response"}};
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.9g", value);
   return text;
 }
 
-// A label's value, with what the form wants escaped.
-std::string Quoted(std::string_view value) {
+// Quotes and escapes the value of a label.
+std::string QuoteLabelValue(std::string_view value) {
   std::string text = "\"";
   for (const char c : value) {
     if (c == '\n') {
@@ -43,76 +46,78 @@
   return text + '"';
 }
 
-void Head(std::string& text, const std::string& name, const char* type, const char* help) {
+void AppendMetricHeader(std::string& text, const std::string& name, const char* type, const char* help) {
   text += "# HELP " + name + ' ' + help + "\n# TYPE " + name + ' ' + type + '\n';
 }
 
 }  // namespace
 
 Metrics::Metrics(const policy::Settings& settings) {
-  for (const policy::TrafficClassSettings& c : settings.classes) classes_[c.name];
+  for (const policy::TrafficClassSettings& traffic_class : settings.classes) classes_[traffic_class.name];
 }
 
-void Metrics::Answered(const std::string& class_name, unsigned status, bool whole) {
+void Metrics::RecordResponse(const std::string& class_name, unsigned status, bool complete) {
   const auto found = classes_.find(class_name);
   if (found == classes_.end()) return;
-  Counts& counts = found->second;
-  ++(!whole                           ? counts.errors
-     : status == 200                  ? counts.ok
-     : status == 429 || status == 503 ? counts.shed
-                                      : counts.errors);
+  ClassMetrics& metrics = found->second;
+  ++(!complete                        ? metrics.errors
+     : status == 200                  ? metrics.ok
+     : status == 429 || status == 503 ? metrics.shed
+                                      : metrics.errors);
 }
 
-std::string Metrics::ToJson(std::size_t active, std::size_t pool_size, std::size_t pool_ejected) const {
-  nlohmann::ordered_json all;
-  nlohmann::ordered_json& responses = all["responses"] = nlohmann::ordered_json::object();
-  for (const auto& [name, c] : classes_) {
-    responses[name] = {{"ok", c.ok}, {"shed", c.shed}, {"errors", c.errors}};
+std::string Metrics::ToJson(std::size_t active_requests, std::size_t endpoints,
+                            std::size_t ejected_endpoints) const {
+  nlohmann::ordered_json json;
+  nlohmann::ordered_json& responses = json["responses"] = nlohmann::ordered_json::object();
+  for (const auto& [name, metrics] : classes_) {
+    responses[name] = {{"ok", metrics.ok}, {"shed", metrics.shed}, {"errors", metrics.errors}};
   }
-  all["tries"] = tries_;
-  all["active"] = active;
-  all["pool_size"] = pool_size;
-  all["pool_ejected"] = pool_ejected;
-  return all.dump();
+  json["tries"] = attempts_;
+  json["active"] = active_requests;
+  json["pool_size"] = endpoints;
+  json["pool_ejected"] = ejected_endpoints;
+  return json.dump();
 }
 
-void Metrics::Took(const std::string& class_name, Span span, Millis time) {
+void Metrics::RecordDuration(const std::string& class_name, Interval interval, Millis duration) {
   const auto found = classes_.find(class_name);
   if (found == classes_.end()) return;
-  found->second.spans[static_cast<std::size_t>(span)].Add(
-      static_cast<std::uint64_t>(std::max(0.0, time * 1000)));
+  found->second.intervals[static_cast<std::size_t>(interval)].Add(
+      static_cast<std::uint64_t>(std::max(0.0, duration * kMicrosPerMilli)));
 }
 
 std::string Metrics::ToPrometheus(const std::vector<Sample>& samples) const {
   std::string text;
   const std::string responses = "elderhead_responses_total";
-  Head(text, responses, "counter", "Answers written, by class and result");
-  for (const auto& [name, c] : classes_) {
+  AppendMetricHeader(text, responses, "counter", "Responses written, by class and result");
+  for (const auto& [name, metrics] : classes_) {
     for (const auto& [result, count] :
-         {std::pair{"served", c.ok}, {"refused", c.shed}, {"failed", c.errors}}) {
-      text += responses + "{class=" + Quoted(name) + ",result=\"" + result + "\"} " + std::to_string(count) +
-              '\n';
+         {std::pair{"served", metrics.ok}, {"refused", metrics.shed}, {"failed", metrics.errors}}) {
+      text += responses + "{class=" + QuoteLabelValue(name) + ",result=\"" + result + "\"} " +
+              std::to_string(count) + '\n';
     }
   }
-  Head(text, "elderhead_attempts_total", "counter", "Attempts written whole to hosts");
-  text += "elderhead_attempts_total " + std::to_string(tries_) + '\n';
+  AppendMetricHeader(text, "elderhead_attempts_total", "counter", "Attempts written completely to hosts");
+  text += "elderhead_attempts_total " + std::to_string(attempts_) + '\n';
   for (const Sample& sample : samples) {
     const std::string name = std::string("elderhead_") + sample.name;
-    Head(text, name, sample.type, sample.help);
-    text += name + ' ' + Number(sample.value) + '\n';
+    AppendMetricHeader(text, name, sample.type, sample.help);
+    text += name + ' ' + FormatNumber(sample.value) + '\n';
   }
-  for (std::size_t span = 0; span < kSpans; ++span) {
-    const std::string name = std::string("elderhead_") + kSpanNames[span].name + "_seconds";
-    Head(text, name, "histogram", kSpanNames[span].help);
-    for (const auto& [class_name, c] : classes_) {
-      const auto& histogram = c.spans[span];
-      const std::string label = "{class=" + Quoted(class_name);
-      for (const std::uint64_t bound : kBounds) {
-        text += name + "_bucket" + label + ",le=\"" + Number(static_cast<double>(bound) / 1e6) + "\"} " +
+  for (std::size_t interval = 0; interval < kIntervals; ++interval) {
+    const std::string name = std::string("elderhead_") + kIntervalDescriptions[interval].name + "_seconds";
+    AppendMetricHeader(text, name, "histogram", kIntervalDescriptions[interval].help);
+    for (const auto& [class_name, metrics] : classes_) {
+      const auto& histogram = metrics.intervals[interval];
+      const std::string label = "{class=" + QuoteLabelValue(class_name);
+      for (const std::uint64_t bound : kBucketBoundsMicros) {
+        text += name + "_bucket" + label + ",le=\"" +
+                FormatNumber(static_cast<double>(bound) / kMicrosPerSecond) + "\"} " +
                 std::to_string(histogram.AtMost(bound)) + '\n';
       }
       text += name + "_bucket" + label + ",le=\"+Inf\"} " + std::to_string(histogram.count()) + '\n';
-      text += name + "_sum" + label + "} " + Number(histogram.sum() / 1e6) + '\n';
+      text += name + "_sum" + label + "} " + FormatNumber(histogram.sum() / kMicrosPerSecond) + '\n';
       text += name + "_count" + label + "} " + std::to_string(histogram.count()) + '\n';
     }
   }
--- a/src/proxy/admin/metrics.hpp
+++ b/src/proxy/admin/metrics.hpp
@@ -1,5 +1,5 @@
-// What operators read: counters and histograms, raised where the thing happens. Each process counts from 0.
-// Bounded memory: four histograms of 9 KB a class.
+// The metrics of one gateway process, for operators: counters and latency histograms, which start at 0 with
+// the process. Memory is bounded: four histograms of 9 KB for each traffic class.
 #ifndef GATEWAY_PROXY_ADMIN_METRICS_HPP_
 #define GATEWAY_PROXY_ADMIN_METRICS_HPP_
 
@@ -21,23 +21,27 @@
  public:
   explicit Metrics(const policy::Settings& settings);
 
-  // A request of the class has ended with an answer of this status, whose last byte was written; a broken one
-  // has failed whatever its status.
-  void Answered(const std::string& class_name, unsigned status, bool whole = true);
-  // An attempt's last byte was written to a host.
-  void Tried() { ++tries_; }
-
-  // Spans of a request of the class, in ms.
-  enum class Span { kFirstAttempt, kQueued, kAtHost, kAll };
-  void Took(const std::string& class_name, Span span, Millis time);
+  // Counts the response to a request of the class. `complete`: its last byte was written; an incomplete
+  // response counts as an error whatever its status.
+  void RecordResponse(const std::string& class_name, unsigned status, bool complete = true);
+  // Counts an attempt whose last byte was written to an endpoint.
+  void RecordAttempt() { ++attempts_; }
+
+  // The intervals of a request that are measured.
+  enum class Interval {
+    kFirstAttempt,  // from the end of the request to its first attempt
+    kQueued,        // the same, or to the rejection, for a request that the policy queued
+    kUpstream,      // from sending an attempt to the response of the endpoint
+    kTotal,         // from the end of the request to its response
+  };
+  void RecordDuration(const std::string& class_name, Interval interval, Millis duration);
 
-  // One line of JSON. What is no counter is handed in: requests under way, hosts listed, hosts avoided.
-  std::string ToJson(std::size_t active, std::size_t pool_size, std::size_t pool_ejected) const;
+  // Returns one line of JSON without its line feed: the counters, and the gauges that the caller passes.
+  std::string ToJson(std::size_t active_requests, std::size_t endpoints, std::size_t ejected_endpoints) const;
 
-  // All of it in Prometheus' text form (version 0.0.4), lines ended. More gauges and counters are handed in
-  // by name.
+  // Returns all metrics and the caller's `samples` in the Prometheus text format, version 0.0.4.
   struct Sample {
-    const char* name;
+    const char* name;  // without the prefix "elderhead_"
     const char* type;  // gauge or counter
     const char* help;
     double value;
@@ -45,13 +49,13 @@
   std::string ToPrometheus(const std::vector<Sample>& samples) const;
 
  private:
-  static constexpr std::size_t kSpans = 4;
-  struct Counts {
+  static constexpr std::size_t kIntervals = 4;
+  struct ClassMetrics {
     std::uint64_t ok = 0, shed = 0, errors = 0;
-    std::array<base::Histogram, kSpans> spans;  // microseconds
+    std::array<base::Histogram, kIntervals> intervals;  // durations in microseconds
   };
-  std::map<std::string, Counts> classes_;  // every class of the settings, from the start
-  std::uint64_t tries_ = 0;
+  std::map<std::string, ClassMetrics> classes_;  // has every class of the settings from the start
+  std::uint64_t attempts_ = 0;
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/start_log.cpp
+++ b/src/proxy/admin/start_log.cpp
@@ -33,19 +33,19 @@
 }
 
 void LogRestoredList(std::int64_t revision, std::size_t endpoints, Millis age) {
-  base::Log(
-      base::Level::kInfo, "state", "list_restored",
-      Format("saved state: list of revision %lld with %zu endpoints in force until discovery answers, saved "
-             "%.0f s ago",
-             static_cast<long long>(revision), endpoints, age / 1000),
-      {{"revision", revision}, {"hosts", endpoints}, {"age_ms", age}});
+  base::Log(base::Level::kInfo, "state", "list_restored",
+            Format("saved state: list of revision %lld with %zu endpoints, saved %.0f s ago, is in force "
+                   "until discovery responds",
+                   static_cast<long long>(revision), endpoints, age / 1000),
+            {{"revision", revision}, {"hosts", endpoints}, {"age_ms", age}});
 }
 
 void LogRestoredLearnedState(std::size_t endpoints, Millis age) {
-  base::Log(base::Level::kInfo, "state", "learned_restored",
-            Format("saved state: learned state of %zu endpoints, %.1f s old, is weighted by its age",
-                   endpoints, age / 1000),
-            {{"hosts", endpoints}, {"age_ms", age}});
+  base::Log(
+      base::Level::kInfo, "state", "learned_restored",
+      Format("saved state: restored the learned state of %zu endpoints, %.1f s old and weighted by its age",
+             endpoints, age / 1000),
+      {{"hosts", endpoints}, {"age_ms", age}});
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/start_log.hpp
+++ b/src/proxy/admin/start_log.hpp
@@ -1,4 +1,4 @@
-// The log lines at the start of a gateway: the settings in force, and what was restored from the disk.
+// The log lines at the start of a gateway: the settings in force, and the state restored from disk.
 #ifndef GATEWAY_PROXY_ADMIN_START_LOG_HPP_
 #define GATEWAY_PROXY_ADMIN_START_LOG_HPP_
 
--- a/src/proxy/admin/status_log.cpp
+++ b/src/proxy/admin/status_log.cpp
@@ -8,9 +8,9 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kInterval = 5000;
+constexpr Millis kLogIntervalMs = 5000;
 
-unsigned long long Since(std::uint64_t now, std::uint64_t before) { return now - before; }
+unsigned long long Increase(std::uint64_t now, std::uint64_t before) { return now - before; }
 
 }  // namespace
 
@@ -19,7 +19,7 @@
     : timer_(io), list_stale_after_(list_stale_after), status_(std::move(status)) {}
 
 void StatusLog::Start() {
-  timer_.expires_after(Span(kInterval));
+  timer_.expires_after(TimerDuration(kLogIntervalMs));
   timer_.async_wait([this](boost::system::error_code ec) {
     if (!ec) Write();
   });
@@ -36,9 +36,10 @@
   if (std::exchange(list_stale_, status.list_stale) == status.list_stale) return;
   if (list_stale_) {
     base::Log(base::Level::kWarning, "discovery", "list_old",
-              Format("discovery: no list for %.0f s; the last one stays in force", list_stale_after_ / 1000));
+              Format("discovery: no list received for %.0f s; the last one stays in force",
+                     list_stale_after_ / 1000));
   } else {
-    base::Log(base::Level::kInfo, "discovery", "list_fresh", "discovery: the list is fresh again");
+    base::Log(base::Level::kInfo, "discovery", "list_fresh", "discovery: the list is current again");
   }
 }
 
@@ -51,10 +52,10 @@
       Format("connections: upstream %zu clients %zu disconnected %llu | connects %llu reuses %llu stale %llu "
              "not_started %llu resets new %llu reused %llu",
              status.upstream_connections, status.client_connections,
-             Since(status.disconnected_clients, disconnected_before), Since(now.connects, before.connects),
-             Since(now.reuses, before.reuses), Since(now.stale, before.stale),
-             Since(now.not_started, before.not_started), Since(now.resets_new, before.resets_new),
-             Since(now.resets_reused, before.resets_reused)));
+             Increase(status.disconnected_clients, disconnected_before),
+             Increase(now.connects, before.connects), Increase(now.reuses, before.reuses),
+             Increase(now.stale, before.stale), Increase(now.not_started, before.not_started),
+             Increase(now.resets_new, before.resets_new), Increase(now.resets_reused, before.resets_reused)));
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/status_log.hpp
+++ b/src/proxy/admin/status_log.hpp
@@ -1,4 +1,4 @@
-// Logs, at a fixed interval, what became of the connections, and when the endpoint list becomes stale.
+// Logs the connection counts at a fixed interval, and when the endpoint list becomes stale or current again.
 #ifndef GATEWAY_PROXY_ADMIN_STATUS_LOG_HPP_
 #define GATEWAY_PROXY_ADMIN_STATUS_LOG_HPP_
 
@@ -14,7 +14,8 @@
 
 class StatusLog {
  public:
-  // `list_stale_after`: the time without an answer of a list service that GatewayStatus::list_stale tells.
+  // `list_stale_after`: the time without a response of a list service after which GatewayStatus::list_stale
+  // is set.
   StatusLog(boost::asio::io_context& io, Millis list_stale_after, std::function<GatewayStatus()> status);
 
   void Start();
@@ -27,8 +28,9 @@
   boost::asio::steady_timer timer_;
   const Millis list_stale_after_;
   const std::function<GatewayStatus()> status_;
-  bool list_stale_ = false;  // as last logged
-  UpstreamCounts counts_;    // the same
+  // As last logged.
+  bool list_stale_ = false;
+  UpstreamCounts counts_;
   std::uint64_t disconnected_clients_ = 0;
 };
 
--- a/src/proxy/clock.hpp
+++ b/src/proxy/clock.hpp
@@ -10,7 +10,6 @@
 using base::TimerDuration;
 
 inline Millis Now() { return base::UnixAlignedNow(); }
-inline std::chrono::microseconds Span(Millis duration) { return base::TimerDuration(duration); }
 
 }  // namespace gateway::proxy
 
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -15,10 +15,13 @@
 
 using nlohmann::json;
 
-std::string Scalar(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
+// Returns a string without quotes, any other value as JSON.
+std::string ScalarToText(const json& value) {
+  return value.is_string() ? value.get<std::string>() : value.dump();
+}
 
-// Turns the settings into the path=value pairs of the simulator's first message, which have the same names
-// and units: one reader serves both, so a setting can't mean two things.
+// Converts the settings to the path=value pairs of the simulator's first message, which use the same names
+// and units. Both are read by the same parser, so that a setting has one meaning.
 void Flatten(const json& node, const std::string& path, std::vector<std::string>& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
   if (node.is_object()) {
@@ -27,10 +30,10 @@
     for (std::size_t i = 0; i < node.size(); ++i) Flatten(node[i], prefix + std::to_string(i), pairs);
   } else if (node.is_array()) {
     std::string joined;
-    for (const json& item : node) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const json& item : node) joined += (joined.empty() ? "" : ",") + ScalarToText(item);
     pairs.push_back(path + "=" + joined);
   } else if (!node.is_null()) {
-    pairs.push_back(path + "=" + Scalar(node));
+    pairs.push_back(path + "=" + ScalarToText(node));
   }
 }
 
@@ -42,22 +45,23 @@
   Flatten(file["settings"], "", pairs);
   try {
     return simulator::ParseSettings({pairs.begin(), pairs.end()});
-  } catch (const std::exception& error) {  // its text names the field
+  } catch (const std::exception& error) {  // the message names the field
     throw ConfigError(std::string("settings: ") + error.what());
   }
 }
 
-// A number at a JSON pointer, above 0; the default where it is absent.
-double PositiveOr(const json& file, const std::string& path, double otherwise) {
-  const json::json_pointer at(path);
-  if (!file.contains(at) || file[at].is_null()) return otherwise;
-  if (!file[at].is_number() || !(file[at].get<double>() > 0)) {
+// Reads the number at the JSON pointer `path`, which must be above 0. Returns `default_value` if it is
+// absent.
+double ReadPositiveNumber(const json& file, const std::string& path, double default_value) {
+  const json::json_pointer pointer(path);
+  if (!file.contains(pointer) || file[pointer].is_null()) return default_value;
+  if (!file[pointer].is_number() || !(file[pointer].get<double>() > 0)) {
     throw ConfigError(path.substr(1) + ": must be a number above 0");
   }
-  return file[at].get<double>();
+  return file[pointer].get<double>();
 }
 
-// The variable wins over the file's field of the same meaning.
+// Reads an address from `variable` if it is set, otherwise from `field` of the file. Errors call it `name`.
 boost::asio::ip::tcp::endpoint ReadAddress(const char* variable, const std::string& name, const json& file,
                                            const std::string& field) {
   std::string text;
@@ -79,7 +83,7 @@
   std::ifstream stream(path);
   if (!stream) throw ConfigError(std::string("NODE_CONFIG: can't read '") + path + "'");
   json file = json::parse(stream, nullptr, /*allow_exceptions=*/false);
-  if (!file.is_object()) throw ConfigError(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
+  if (!file.is_object()) throw ConfigError(std::string("NODE_CONFIG: '") + path + "' is not a JSON object");
   return file;
 }
 
@@ -89,22 +93,25 @@
 
 void ReadListServices(const json& file, Config& config) {
   if (HasValue(file, "discovery_endpoints")) {
-    const json& all = file["discovery_endpoints"];
-    if (!all.is_array() || all.empty()) throw ConfigError("discovery_endpoints: must be a list of addresses");
-    for (const json& one : all) {
-      const auto address = base::ParseSocketAddress(one.is_string() ? one.get<std::string>() : "");
-      if (!address) throw ConfigError("discovery_endpoints: " + one.dump() + " is not an address and port");
-      config.other_discoveries.push_back(*address);
+    const json& services = file["discovery_endpoints"];
+    if (!services.is_array() || services.empty())
+      throw ConfigError("discovery_endpoints: must be a list of addresses");
+    for (const json& service : services) {
+      const auto address = base::ParseSocketAddress(service.is_string() ? service.get<std::string>() : "");
+      if (!address)
+        throw ConfigError("discovery_endpoints: " + service.dump() + " is not an address and port");
+      config.other_list_services.push_back(*address);
     }
     config.guard_mass_removal = true;
-    config.discovery = config.other_discoveries.front();
-    config.other_discoveries.erase(config.other_discoveries.begin());
+    config.discovery = config.other_list_services.front();
+    config.other_list_services.erase(config.other_list_services.begin());
   }
-  config.max_removed_share = PositiveOr(file, "/list/most_removed", config.max_removed_share);
-  config.list_stale_after = 1000 * PositiveOr(file, "/list/old_after_s", config.list_stale_after / 1000);
+  config.max_removed_share = ReadPositiveNumber(file, "/list/most_removed", config.max_removed_share);
+  config.list_stale_after =
+      1000 * ReadPositiveNumber(file, "/list/old_after_s", config.list_stale_after / 1000);
 }
 
-// Hot restart is possible where operators can see when the new process is ready.
+// Hot restart requires the management port, which shows operators when the new process is ready.
 void ReadManagement(const json& file, const Variables& variable, Config& config) {
   const char* const management = variable("NODE_MGMT");
   if (management == nullptr && !HasValue(file, "mgmt")) return;
@@ -117,7 +124,7 @@
 
 void ReadSeed(const json& file, Config& config) {
   if (!file.contains("seed")) return;
-  const std::string text = Scalar(file["seed"]);
+  const std::string text = ScalarToText(file["seed"]);
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
   if (error != std::errc() || end != text.data() + text.size()) {
     throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
@@ -125,24 +132,24 @@
 }
 
 void ReadLimits(const json& file, Config& config) {
-  config.sockets = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
-  config.memory = static_cast<std::size_t>(PositiveOr(file, "/limits/memory_mb", 64) * (1 << 20));
+  config.sockets = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/sockets", 1024));
+  config.memory = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/memory_mb", 64) * (1 << 20));
   config.settings = ReadSettings(file);
-  config.connect_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
-  config.idle_timeout = PositiveOr(file, "/settings/limits/connIdleMs", config.idle_timeout);
+  config.connect_timeout = ReadPositiveNumber(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
+  config.idle_timeout = ReadPositiveNumber(file, "/settings/limits/connIdleMs", config.idle_timeout);
 }
 
 void ReadStateFolder(const json& file, const Variables& variable, Config& config) {
-  constexpr double kMaximumSyncDelay = 60000;
+  constexpr double kMaxSyncDelayMs = 60000;
   if (!HasValue(file, "state_dir")) return;
   const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
   if (folder.empty()) throw ConfigError("state_dir: must be the path of a folder");
   const char* const name = variable("NODE_NAME");
-  const std::string own_name = name != nullptr ? name : Scalar(file.value("name", json("")));
+  const std::string own_name = name != nullptr ? name : ScalarToText(file.value("name", json("")));
   config.state_folder = folder;
   config.load_state = variable("ELDERHEAD_WITHOUT_STATE") == nullptr;
   if (const char* const delay = variable("ELDERHEAD_SLOW_SYNC_MS")) {
-    config.state_sync_delay = std::clamp(std::atof(delay), 0.0, kMaximumSyncDelay);
+    config.state_sync_delay = std::clamp(std::atof(delay), 0.0, kMaxSyncDelayMs);
   }
   config.state_owner =
       own_name + " at " + config.listen.address().to_string() + ":" + std::to_string(config.listen.port());
@@ -150,9 +157,9 @@
 }
 
 void ReadLogForm(const json& file, Config& config) {
-  const json::json_pointer at("/log/form");
-  if (!file.contains(at)) return;
-  const json& form = file[at];
+  const json::json_pointer pointer("/log/form");
+  if (!file.contains(pointer)) return;
+  const json& form = file[pointer];
   if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
   if (form == "json") config.log = base::LogForm::kJson;
 }
@@ -160,7 +167,7 @@
 void ReadKnownList(const json& file, Config& config) {
   if (!HasValue(file, "known")) return;
   const auto known = ParseEndpointList(file["known"].dump());
-  if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
+  if (!known) throw ConfigError("known: not a valid host list in the form of discovery");
   config.known = *known;
 }
 
@@ -181,8 +188,9 @@
   return config;
 }
 
-boost::asio::ip::tcp::endpoint LoadDiscovery(const std::function<const char*(const char*)>& variable) {
-  return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");  // the variable is of the start
+boost::asio::ip::tcp::endpoint LoadDiscoveryAddress(const std::function<const char*(const char*)>& variable) {
+  // Ignores NODE_DISCOVERY, which is the address at the start of the process.
+  return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -1,4 +1,4 @@
-// What the platform tells a gateway: the NODE_* variables and the JSON file that they name.
+// The configuration of a gateway: the NODE_* environment variables and the JSON file that they name.
 #ifndef GATEWAY_PROXY_CONFIG_HPP_
 #define GATEWAY_PROXY_CONFIG_HPP_
 
@@ -21,35 +21,35 @@
 
 using base::ConfigError;
 
-// What the NODE_* variables and the configuration file say.
+// The values of the NODE_* variables and of the configuration file.
 struct Config {
-  boost::asio::ip::tcp::endpoint listen;                          // address of the clients
-  boost::asio::ip::tcp::endpoint discovery;                       // address of the list service
-  std::vector<boost::asio::ip::tcp::endpoint> other_discoveries;  // further services of the same list
-  bool guard_mass_removal = false;                                // see EndpointListWatcher::Options
+  boost::asio::ip::tcp::endpoint listen;                            // address on which clients connect
+  boost::asio::ip::tcp::endpoint discovery;                         // address of the list service
+  std::vector<boost::asio::ip::tcp::endpoint> other_list_services;  // more services of the same list
+  bool guard_mass_removal = false;                                  // see EndpointListWatcher::Options
   double max_removed_share = 0.5;
-  Millis list_stale_after = 30000;  // time without an answer of a list service until the list counts as stale
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // address for operators; empty: no such listener
-  std::string hot_restart_path;   // of the Unix socket on which a successor connects; empty: none ever does
-  std::uint64_t seed = 0;         // of the policy and of jitter
+  Millis list_stale_after = 30000;                           // time without a response of a list service
+  std::optional<boost::asio::ip::tcp::endpoint> management;  // management address; empty: no management port
+  std::string hot_restart_path;   // path of the Unix socket for hot restarts; empty: none is possible
+  std::uint64_t seed = 0;         // for the random choices of the policy and for jitter
   std::size_t sockets = 1024;     // file descriptors that the process may hold
-  std::size_t memory = 64 << 20;  // bytes that the process may use
+  std::size_t memory = 64 << 20;  // memory that the process may use, in bytes
   policy::Settings settings;
   Millis connect_timeout = 250;
   Millis idle_timeout = 15000;  // after which an endpoint closes an idle connection
-  EndpointList known;           // the list to begin with; may be out of date
-  std::string state_folder;     // where the gateway saves its state; empty: nowhere
-  bool load_state = true;       // else this start ignores the saved state and replaces it
-  Millis state_sync_delay = 0;  // added to each sync of the state, for drills with a slow disk
-  std::string state_owner;      // name and clients' address of the gateway that the state belongs to
+  EndpointList known;           // the initial list; may be out of date
+  std::string state_folder;     // where the gateway saves its state; empty: it saves none
+  bool load_state = true;       // false: this start ignores the saved state and overwrites it
+  Millis state_sync_delay = 0;  // added to each sync of the state, to test with a slow disk
+  std::string state_owner;      // name and client address of the gateway that owns the state
   base::LogForm log = base::LogForm::kText;
 };
 
-// `variable` looks up an environment variable: null if it is not set. Throws ConfigError.
+// `variable` returns the value of an environment variable, or null if it is not set. Throws ConfigError.
 Config LoadConfig(const std::function<const char*(const char*)>& variable);
 
-// The address of discovery that the file names now: what a reload may change. Throws ConfigError.
-boost::asio::ip::tcp::endpoint LoadDiscovery(const std::function<const char*(const char*)>& variable);
+// Reads the address of discovery from the configuration file, for a reload. Throws ConfigError.
+boost::asio::ip::tcp::endpoint LoadDiscoveryAddress(const std::function<const char*(const char*)>& variable);
 
 }  // namespace gateway::proxy
 
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -7,9 +7,11 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr std::size_t kReserved = 40;  // listeners, operators, discovery, the event loop, and some to spare
+// For listeners, the management port, discovery and the event loop, with a margin.
+constexpr std::size_t kReservedDescriptors = 40;
 
-std::size_t AllowedBySystem(std::size_t configured) {
+// Returns `configured`, or the process's limit if that is lower.
+std::size_t LimitToProcess(std::size_t configured) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
   return std::min<std::size_t>(configured, limit.rlim_cur);
@@ -18,8 +20,9 @@
 }  // namespace
 
 DescriptorBudget MakeDescriptorBudget(std::size_t configured) {
-  const std::size_t allowed = AllowedBySystem(configured);
-  const std::size_t usable = allowed > 2 * kReserved ? allowed - kReserved : allowed / 2;
+  const std::size_t allowed = LimitToProcess(configured);
+  const std::size_t usable =
+      allowed > 2 * kReservedDescriptors ? allowed - kReservedDescriptors : allowed / 2;
   DescriptorBudget budget;
   budget.client_connections = std::max<std::size_t>(1, usable * 2 / 3);
   budget.upstream_connections = std::max<std::size_t>(1, usable / 3);
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -1,4 +1,4 @@
-// How the file descriptors of the process are shared out between clients and endpoints.
+// The budget of file descriptors for connections to clients and to endpoints.
 #ifndef GATEWAY_PROXY_DESCRIPTOR_BUDGET_HPP_
 #define GATEWAY_PROXY_DESCRIPTOR_BUDGET_HPP_
 
@@ -10,12 +10,12 @@
   std::size_t client_connections = 1;
   std::size_t upstream_connections = 1;
 
-  // Half of it, while another process runs as the same gateway.
+  // Returns half of the budget, for the time that another process runs as the same gateway.
   DescriptorBudget Half() const;
 };
 
-// Shares out `configured` descriptors, or fewer if the system allows the process fewer. Some are left for
-// listeners, discovery and operators.
+// Divides `configured` descriptors, or the process's limit if it is lower, between clients and endpoints.
+// Reserves some for listeners, discovery and the management port.
 DescriptorBudget MakeDescriptorBudget(std::size_t configured);
 
 }  // namespace gateway::proxy
--- a/src/proxy/format.hpp
+++ b/src/proxy/format.hpp
@@ -1,4 +1,4 @@
-// Text formatted as by printf, for log lines.
+// printf-style formatting for log lines.
 #ifndef GATEWAY_PROXY_FORMAT_HPP_
 #define GATEWAY_PROXY_FORMAT_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace gateway::proxy {
 
-// Longer texts are cut to 511 bytes.
+// Returns the formatted text, truncated to 511 bytes.
 template <typename... Values>
 std::string Format(const char* format, Values... values) {
-  constexpr std::size_t kMaximumLength = 512;
-  char text[kMaximumLength];
+  constexpr std::size_t kBufferBytes = 512;
+  char text[kBufferBytes];
   std::snprintf(text, sizeof text, format, values...);
   return text;
 }
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -16,11 +16,15 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr Millis kAcceptAfterStop = 500;   // the front sends new connections for up to 400 ms after SIGTERM
-constexpr Millis kAnswerAllWithin = 3300;  // after SIGTERM: SIGKILL comes at 3,700 ms or later
-constexpr Millis kFlushTime = 200;         // for the last answers to leave
-constexpr std::size_t kBodyBudgetDivisor = 4;        // of the memory, for bodies of each side
-constexpr std::size_t kMaximumManagementCalls = 16;  // at a time
+// The front proxy sends new connections for up to 400 ms after SIGTERM.
+constexpr Millis kAcceptAfterStopMs = 500;
+constexpr Millis kRespondWithinMs = 3300;  // after SIGTERM; SIGKILL follows at 3,700 ms or later
+constexpr Millis kFlushTimeMs = 200;       // for sending the last responses
+// Each side, clients and endpoints, may buffer this fraction of the memory for bodies.
+constexpr std::size_t kBodyBudgetDivisor = 4;
+constexpr std::size_t kMinManagementConnections = 2;
+constexpr std::size_t kMaxManagementConnections = 16;
+constexpr std::size_t kDescriptorsPerManagementConnection = 16;
 
 InheritedState InheritFromRunningProcess(const Config& config) {
   if (config.hot_restart_path.empty()) return {};
@@ -32,13 +36,13 @@
   return LoadSavedState(config.state_folder, config.state_owner);
 }
 
-// The watch begins at the newest revision known. The revision of a list from the disk is unsure: the service
-// may have started to count anew.
+// The watch begins at the newest known revision. The revision of a list loaded from disk is not trusted,
+// because the service may have restarted its revision count.
 EndpointListWatcher::Options WatcherOptions(const Config& config, const InheritedState& inherited,
                                             const std::optional<SavedState>& saved) {
   EndpointListWatcher::Options options;
   options.service = config.discovery;
-  options.other_services = config.other_discoveries;
+  options.other_services = config.other_list_services;
   options.seed = config.seed;
   options.guard_mass_removal = config.guard_mass_removal;
   options.max_removed_share = config.max_removed_share;
@@ -73,8 +77,8 @@
   return options;
 }
 
-// Whether another process listens there that handed nothing over.
-bool IsAddressTaken(const Config& config, const InheritedState& inherited) {
+// Whether another process listens on the client address but transferred nothing.
+bool IsListenAddressShared(const Config& config, const InheritedState& inherited) {
   return !config.hot_restart_path.empty() && !inherited.listener && IsAddressInUse(config.listen);
 }
 
@@ -94,7 +98,7 @@
       metrics_(config.settings),
       requests_(io, settings_, driver_, upstream_, metrics_),
       hot_restart_(io, config.hot_restart_path, std::move(inherited.predecessor),
-                   IsAddressTaken(config, inherited), MakeHotRestartCallbacks()),
+                   IsListenAddressShared(config, inherited), MakeHotRestartCallbacks()),
       list_stale_after_(config.list_stale_after),
       started_at_(Now()),
       stop_timer_(io),
@@ -132,7 +136,7 @@
   callbacks.listener = [this] { return clients_.listener(); };
   callbacks.export_state = [this] { return StateForSuccessor(); };
   callbacks.scale_rate = [this](double factor) { driver_.policy().ScaleToShare(factor); };
-  callbacks.limit_connections = [this](bool half) { UseHalfOfConnections(half); };
+  callbacks.limit_connections = [this](bool half) { LimitConnections(half); };
   callbacks.adopt_client = [this](base::FileDescriptor client) {
     clients_.AcceptTransferredConnection(std::move(client));
   };
@@ -141,27 +145,28 @@
 
 ClientCallbacks Gateway::MakeClientCallbacks() {
   ClientCallbacks callbacks;
-  callbacks.is_ready = [this] { return AnswersReady(); };
+  callbacks.is_ready = [this] { return PassesReadinessCheck(); };
   callbacks.on_request = [this](ClientRequest request) { requests_.OnRequest(std::move(request)); };
   callbacks.on_request_complete = [this](const std::string& id, Millis received_at) {
     requests_.OnRequestComplete(id, received_at);
   };
   callbacks.on_disconnect = [this](const std::string& id) { requests_.OnClientDisconnected(id); };
   callbacks.on_response_end = [this](const std::string& class_name, unsigned status, bool complete) {
-    metrics_.Answered(class_name, status, complete);
+    metrics_.RecordResponse(class_name, status, complete);
   };
   return callbacks;
 }
 
 void Gateway::StartManagement(const Config& config) {
   if (!config.management) return;
-  const std::size_t calls = std::min(kMaximumManagementCalls, config.sockets / 16);
-  management_.emplace(io_, *config.management, std::max<std::size_t>(2, calls),
-                      [this](const std::string& call) { return commands_.Run(call); });
+  const std::size_t connections =
+      std::min(kMaxManagementConnections, config.sockets / kDescriptorsPerManagementConnection);
+  management_.emplace(io_, *config.management, std::max(kMinManagementConnections, connections),
+                      [this](const std::string& command) { return commands_.Run(command); });
 }
 
-// The list of a predecessor goes before that on the disk, which goes before the configuration's where it is
-// newer. An operator's drain is restored from the disk only: a successor begins undrained.
+// Prefers the list of a predecessor, then the newer one of the saved and the configured list. An operator's
+// drain is restored from disk only: a successor starts undrained.
 void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
   list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
@@ -182,8 +187,8 @@
   LogRestoredLearnedState(learned.endpoints.size(), Now() - learned.exported_at);
 }
 
-// Runs after RestoreList, so that a list from the configuration does not replace a newer one on the disk
-// before discovery has answered.
+// To be called after RestoreList, so that a list from the configuration does not overwrite a newer one on
+// disk before discovery has responded.
 void Gateway::StartSaving(const Config& config) {
   if (config.state_folder.empty()) return;
   state_saver_.emplace(config.state_folder, config.state_owner, config.state_sync_delay);
@@ -193,8 +198,8 @@
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
-  upstream_.ApplyEndpointList(list);  // before the policy: from now on nothing is sent by the former list
-  listed_ = listed_ || !list.endpoints.empty();
+  upstream_.ApplyEndpointList(list);  // before the policy, which then sends nothing by the former list
+  has_listed_endpoints_ = has_listed_endpoints_ || !list.endpoints.empty();
   driver_.Report(ToListEvent(list));
   hot_restart_.NotifyReadiness();
   if (list_.endpoints().empty()) return;
@@ -209,9 +214,9 @@
   return Now() - std::max(list_.last_list_at(), started_at_) > list_stale_after_;
 }
 
-void Gateway::MoveDiscovery(const asio::ip::tcp::endpoint& address) {
+void Gateway::ChangeDiscoveryAddress(const asio::ip::tcp::endpoint& address) {
   const std::string text = address.address().to_string() + ":" + std::to_string(address.port());
-  base::Log(base::Level::kInfo, "discovery", "moved", "discovery is at " + text + " now",
+  base::Log(base::Level::kInfo, "discovery", "moved", "discovery address changed to " + text,
             {{"address", text}});
   list_.ChangeAddress(address);
 }
@@ -221,8 +226,9 @@
   return management_->address();
 }
 
-// While it stops, a process that was replaced leaves the answer to its successor, which shares the listener.
-bool Gateway::AnswersReady() const {
+// A stopping process that has a ready successor passes the check, because the successor shares its listener
+// and accepts clients.
+bool Gateway::PassesReadinessCheck() const {
   return IsReady() || (stopping_ && !draining_ && hot_restart_.HasReadySuccessor());
 }
 
@@ -257,7 +263,7 @@
   SaveWithin(0);
 }
 
-void Gateway::UseHalfOfConnections(bool half) {
+void Gateway::LimitConnections(bool half) {
   const DescriptorBudget budget = half ? budget_.Half() : budget_;
   clients_.SetConnectionLimit(budget.client_connections);
   upstream_.SetConnectionLimit(budget.upstream_connections);
@@ -267,28 +273,28 @@
   if (std::exchange(stopping_, true)) return;
   if (hot_restart_.HasReadySuccessor()) return StopForSuccessor(done);
   clients_.SetDraining(true);
-  stop_timer_.expires_after(Span(kAcceptAfterStop));
+  stop_timer_.expires_after(TimerDuration(kAcceptAfterStopMs));
   stop_timer_.async_wait([this, done = std::move(done)](error_code) {
     clients_.StopListening(done);
-    FinishWithin(kAnswerAllWithin - kAcceptAfterStop, done);
+    FinishWithin(kRespondWithinMs - kAcceptAfterStopMs, done);
   });
 }
 
-// The successor accepts from the same listener and is given the connections between requests; the requests
-// that are active are finished here.
+// The successor accepts from the same listener and receives the connections that are between two requests.
+// This process completes its active requests.
 void Gateway::StopForSuccessor(const std::function<void()>& done) {
   hot_restart_.AnnounceLeaving();
   clients_.TransferConnections(
       [this](base::FileDescriptor client) { return hot_restart_.TransferClient(std::move(client)); },
       [this, done] { hot_restart_.WhenTransfersSent(done); });
-  FinishWithin(kAnswerAllWithin, done);
+  FinishWithin(kRespondWithinMs, done);
 }
 
-void Gateway::FinishWithin(Millis time, const std::function<void()>& done) {
-  stop_timer_.expires_after(Span(time));
+void Gateway::FinishWithin(Millis timeout, const std::function<void()>& done) {
+  stop_timer_.expires_after(TimerDuration(timeout));
   stop_timer_.async_wait([this, done](error_code) {
     requests_.TimeOutAll();
-    stop_timer_.expires_after(Span(kFlushTime));
+    stop_timer_.expires_after(TimerDuration(kFlushTimeMs));
     stop_timer_.async_wait([done](error_code) { done(); });
   });
 }
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -1,7 +1,7 @@
 // One gateway: composes the client side, the upstream side, discovery, the policy and hot restart.
 //
-// Owns the lifecycle (start, drain, stop, replacement by another process) and the endpoint list in force;
-// makes no decision on requests. One thread: that of the event loop.
+// Owns the lifecycle (start, drain, stop, replacement by another process) and the endpoint list in force; the
+// policy decides on requests. To be used in the event loop's thread only.
 #ifndef GATEWAY_PROXY_GATEWAY_HPP_
 #define GATEWAY_PROXY_GATEWAY_HPP_
 
@@ -33,21 +33,22 @@
 
 class Gateway final : private ManagedGateway {
  public:
-  // Listens and watches the endpoint list at once. Takes over from a running process of the same gateway, or
-  // else from the state folder, what they have. Throws std::exception if the settings or an address cannot
-  // work.
+  // Begins to listen and to watch the endpoint list. Takes over the state of a running process of the same
+  // gateway or, if there is none, loads the state folder. Throws std::exception if the settings are invalid
+  // or an address can't be used.
   Gateway(boost::asio::io_context& io, const Config& config);
 
-  // Where clients connect.
+  // The address on which clients connect.
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
-  // Where operators call, if that is configured.
+  // The address of the management port, if one is configured.
   std::optional<boost::asio::ip::tcp::endpoint> management() const;
 
-  // From now on the endpoint list is watched at `address`.
-  void MoveDiscovery(const boost::asio::ip::tcp::endpoint& address);
+  // Watches the endpoint list at `address` from now on.
+  void ChangeDiscoveryAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // Stops in order: accepts a moment longer, answers all requests, then calls `done`. A process that has
-  // replaced this one is given the idle connections.
+  // Stops gracefully: accepts connections for a short time, responds to all requests, then calls `done`. If
+  // another process has replaced this one, it transfers the idle connections to that process instead of
+  // accepting.
   void Stop(std::function<void()> done);
 
  private:
@@ -58,7 +59,7 @@
   EndpointListWatcher::Callbacks MakeListCallbacks();
   ClientCallbacks MakeClientCallbacks();
 
-  // Start.
+  // Startup.
   void RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                    const std::optional<SavedState>& saved);
   void RestoreLearnedState(const std::optional<TransferredState>& transferred,
@@ -71,19 +72,19 @@
   bool IsListStale() const;
 
   // Lifecycle.
-  bool IsReady() const { return listed_ && !stopping_ && !draining_; }
-  bool AnswersReady() const;
+  bool IsReady() const { return has_listed_endpoints_ && !stopping_ && !draining_; }
+  bool PassesReadinessCheck() const;
   GatewayStatus Status() const override;
   void SetDraining(bool draining) override;
   void SaveWithin(Millis delay);
-  void UseHalfOfConnections(bool half);
+  void LimitConnections(bool half);
   TransferredState StateForSuccessor() const { return {list_.Snapshot(), driver_.policy().ExportState()}; }
   void StopForSuccessor(const std::function<void()>& done);
-  void FinishWithin(Millis time, const std::function<void()>& done);
+  void FinishWithin(Millis timeout, const std::function<void()>& done);
 
   boost::asio::io_context& io_;
   const policy::Settings settings_;
-  const DescriptorBudget budget_;  // while this process is the whole gateway
+  const DescriptorBudget budget_;  // while no other process runs as the same gateway
   PolicyDriver driver_;
   UpstreamPool upstream_;
   EndpointListWatcher list_;
@@ -94,11 +95,11 @@
   std::optional<StateSaveSchedule> save_schedule_;
   const Millis list_stale_after_;
   const Millis started_at_;
-  Millis list_confirmed_at_ = 0;  // when the list was last known to hold
-  bool list_from_state_ = false;  // discovery has not answered since the list was loaded from the disk
-  bool listed_ = false;           // some endpoint was listed
+  Millis list_confirmed_at_ = 0;       // time at which the list was last known to be current
+  bool list_from_state_ = false;       // discovery has not responded since the list was loaded from disk
+  bool has_listed_endpoints_ = false;  // a list with an endpoint has been applied
   bool stopping_ = false;
-  bool draining_ = false;  // by an operator
+  bool draining_ = false;  // an operator has requested a drain
   boost::asio::steady_timer stop_timer_;
   ClientServer clients_;
   ManagementCommands commands_;
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -1,4 +1,5 @@
-// gateway: one gateway on real sockets. Runs in the foreground until SIGTERM; SIGHUP reloads.
+// The gateway program: runs one gateway in the foreground until SIGTERM or SIGINT. SIGHUP reloads the
+// configuration file.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -17,8 +18,8 @@
   try {
     const auto variable = [](const char* name) -> const char* { return std::getenv(name); };
     const proxy::Config config = proxy::LoadConfig(variable);
-    std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error of the write, and no reason to end
-    std::signal(SIGPIPE, SIG_IGN);  // so is a log that nobody reads any more
+    std::signal(SIGXFSZ, SIG_IGN);  // reaching the file size limit must fail the write, not end the process
+    std::signal(SIGPIPE, SIG_IGN);  // the same for writing to a closed log pipe
     base::SetLogForm(config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -26,14 +27,15 @@
     signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (!ec) gateway.Stop([&] { io.stop(); });
     });
-    // Discovery may move: its new address stands in the file that the platform has put in place.
+    // The address of discovery may change: the platform then replaces the configuration file and sends
+    // SIGHUP.
     boost::asio::signal_set reloads(io, SIGHUP);
     const std::function<void(const boost::system::error_code&, int)> reload =
         [&](const boost::system::error_code& ec, int) {
           if (ec) return;
           try {
-            gateway.MoveDiscovery(proxy::LoadDiscovery(variable));
-          } catch (const proxy::ConfigError& error) {  // the old one stays in force
+            gateway.ChangeDiscoveryAddress(proxy::LoadDiscoveryAddress(variable));
+          } catch (const proxy::ConfigError& error) {  // the former address stays in force
             base::Log(base::Level::kError, "config", "not_reloaded",
                       std::string("not reloaded: ") + error.what());
           }
--- a/src/proxy/policy_driver.cpp
+++ b/src/proxy/policy_driver.cpp
@@ -11,8 +11,8 @@
 namespace gateway::proxy {
 namespace {
 
-// The request that an event is about; empty if it is about none.
-std::string RequestOf(const policy::Event& event) {
+// Returns the id of the request that the event concerns; empty if it concerns none.
+std::string RequestIdOf(const policy::Event& event) {
   if (const auto* request = std::get_if<policy::Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<policy::AttemptOutcome>(&event)) return outcome->request;
   if (const auto* disconnected = std::get_if<policy::ClientDisconnected>(&event))
@@ -39,20 +39,20 @@
 }
 
 void PolicyDriver::Handle(policy::Event event) {
-  const std::string request = RequestOf(event);
+  const std::string request_id = RequestIdOf(event);
   if (auto* const outcome = std::get_if<policy::AttemptOutcome>(&event)) {
-    outcome->request_finished = requests_.IsFinished(request);
+    outcome->request_finished = requests_.IsFinished(request_id);
   }
   actions_.clear();
   policy_.Handle(Now(), event, actions_);
   for (const policy::Action& action : actions_) {
     std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
-  requests_.OnEventHandled(request);
+  requests_.OnEventHandled(request_id);
 }
 
 void PolicyDriver::Execute(const policy::SetTimer& timer) {
-  const auto wait = std::make_shared<boost::asio::steady_timer>(io_, Span(timer.delay));
+  const auto wait = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(timer.delay));
   wait->async_wait([this, wait, name = timer.name](boost::system::error_code ec) {
     if (!ec) Report(policy::TimerFired{name});
   });
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -1,6 +1,6 @@
-// Runs the policy: hands it events one after the other and carries out the actions that it returns.
+// Runs the policy: passes events to it one at a time and executes the actions that it returns.
 //
-// One thread: that of the event loop.
+// To be used in the event loop's thread only.
 #ifndef GATEWAY_PROXY_POLICY_DRIVER_HPP_
 #define GATEWAY_PROXY_POLICY_DRIVER_HPP_
 
@@ -15,7 +15,7 @@
 
 namespace gateway::proxy {
 
-// Carries out the actions that concern requests.
+// Executes the actions that concern requests.
 class RequestActions {
  public:
   virtual ~RequestActions() = default;
@@ -25,22 +25,22 @@
   virtual void Execute(const policy::Fail& fail) = 0;
   virtual void Execute(const policy::Cancel& cancel) = 0;
 
-  // Whether the request has its answer, so that its client needs no other one.
+  // Whether the client needs no response any more: the request has one, or is no longer active.
   virtual bool IsFinished(const std::string& request) const = 0;
 
-  // Called after the actions of an event that was about the request.
+  // Called after the actions of an event that concerns the request.
   virtual void OnEventHandled(const std::string& request) = 0;
 };
 
 class PolicyDriver {
  public:
-  // `requests` and `io` must outlive the driver's last call. `watch_list` begins a watch of the endpoint
-  // list.
+  // `requests` and `io` must remain valid until the last call of the driver. `watch_list` begins a watch of
+  // the endpoint list.
   PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
                RequestActions& requests, std::function<void()> watch_list);
 
-  // Hands the event to the policy and carries out its actions. An event that an action causes at once is
-  // handled after the remaining actions, before the outermost call returns.
+  // Passes the event to the policy and executes the resulting actions. An event that is reported while an
+  // action executes is handled after the remaining actions, before the outermost call returns.
   void Report(policy::Event event);
 
   policy::Policy& policy() { return policy_; }
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -58,7 +58,7 @@
 
 void RequestForwarder::SetDeadline(const std::string& id, ActiveRequest& active, Millis client_gives_up_at) {
   active.answer_by = client_gives_up_at - kNetworkMargin;
-  active.overdue.expires_after(Span(client_gives_up_at - kOverdueMargin - Now()));
+  active.overdue.expires_after(TimerDuration(client_gives_up_at - kOverdueMargin - Now()));
   active.overdue.async_wait([this, id](boost::system::error_code ec) {
     if (!ec) TimeOut(id);
   });
@@ -93,7 +93,7 @@
   outcome.load = ParseLoadReport({load_report.data(), load_report.size()}, settings_.load_report_fields);
   outcome.request_buffered = !active->remaining_body || !active->remaining_body->started();
   if (result == policy::AttemptResult::kServed) {
-    metrics_.Took(active->class_name, Metrics::Span::kAtHost, outcome.latency);
+    metrics_.RecordDuration(active->class_name, Metrics::Interval::kUpstream, outcome.latency);
     if (!active->answered) {
       StripUpstreamFields(response);
       Answer(*active, std::move(response));
@@ -201,7 +201,7 @@
   request.on_buffered_part_sent = [this, id = send.request] {
     if (ActiveRequest* const streaming = Find(id)) streaming->http.reset();
   };
-  request.on_request_sent = [this] { metrics_.Tried(); };
+  request.on_request_sent = [this] { metrics_.RecordAttempt(); };
   return request;
 }
 
@@ -245,14 +245,15 @@
                               std::shared_ptr<BodySource> remaining_body) {
   if (std::exchange(active.answered, true)) return;
   active.overdue.cancel();
-  metrics_.Took(active.class_name, Metrics::Span::kAll, Now() - active.received_at);
+  metrics_.RecordDuration(active.class_name, Metrics::Interval::kTotal, Now() - active.received_at);
   active.responder.Respond(std::move(response), std::move(remaining_body));
 }
 
 void RequestForwarder::RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent) {
   const Millis waited = now - active.received_at;
-  if (sent) metrics_.Took(active.class_name, Metrics::Span::kFirstAttempt, waited);
-  if (!active.handled_on_arrival) metrics_.Took(active.class_name, Metrics::Span::kQueued, waited);
+  if (sent) metrics_.RecordDuration(active.class_name, Metrics::Interval::kFirstAttempt, waited);
+  if (!active.handled_on_arrival)
+    metrics_.RecordDuration(active.class_name, Metrics::Interval::kQueued, waited);
 }
 
 void RequestForwarder::EraseIfEnded(const std::string& id) {
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,5 +1,5 @@
-// The watch of the endpoint list: failover between several services, the guard against mass removal, and a
-// change of the service's address.
+// Tests of the endpoint list's watch: failover between several services, the guard against mass removal, and
+// a change of the service address.
 #include <gtest/gtest.h>
 
 #include "base/clock.hpp"
@@ -14,31 +14,32 @@
 using proxy::DiscoveryClient;
 using proxy::EndpointList;
 
-// Two services that answer what the test sets, and a client that watches them.
+// A client that watches two services, whose responses the test configures.
 struct TwoServices : DiscoveryClient::Observer {
-  struct One {
-    explicit One(asio::io_context& io) : peer(io) {}
-    Peer peer;
+  struct Service {
+    explicit Service(asio::io_context& io) : server(io) {}
+    Peer server;
     std::int64_t revision = 50;
     std::string epoch = "e1";
     int status = 200;
-    std::size_t watches = 0;  // calls that may wait
+    std::size_t watches = 0;  // long-poll calls
   };
   TwoServices() {
-    for (One* one : {&first, &second}) {
-      one->peer.serve = [one](const Peer::Taken& taken) {
-        const std::string target(taken.http.target());
-        const bool waits = target.find("wait_ms=0") == std::string::npos;
-        one->watches += waits;
-        nlohmann::json list = List(one->revision, true, {Member("h0", Loopback(80))});
-        list["epoch"] = one->epoch;
-        const auto after = target.find("after=" + std::to_string(one->revision) + "&");
-        if (waits && after != std::string::npos && one->status == 200) return;  // nothing new: it waits
-        taken.Answer(one->status, list.dump());
+    for (Service* service : {&first, &second}) {
+      service->server.serve = [service](const Peer::Taken& request) {
+        const std::string target(request.http.target());
+        const bool is_long_poll = target.find("wait_ms=0") == std::string::npos;
+        service->watches += is_long_poll;
+        nlohmann::json list = List(service->revision, true, {Member("h0", Loopback(80))});
+        list["epoch"] = service->epoch;
+        const auto after = target.find("after=" + std::to_string(service->revision) + "&");
+        const bool is_current = after != std::string::npos;
+        if (is_long_poll && is_current && service->status == 200) return;  // waits for a change
+        request.Answer(service->status, list.dump());
       };
     }
     DiscoveryClient::Options options;
-    options.services = {first.peer.address(), second.peer.address()};
+    options.services = {first.server.address(), second.server.address()};
     options.probe_interval = 40;
     options.catch_up_within = 60;
     options.return_after = 150;
@@ -48,82 +49,84 @@
   void OnEndpointList(EndpointList list) override { revisions.push_back(list.revision); }
   void OnWatchFailed(Millis) override { ++failures; }
   std::string RejectionReason(const EndpointList&) override { return rejection_reason; }
-  ::testing::AssertionResult Until(const std::function<bool()>& done) {
-    if (RunUntil(io, done)) return ::testing::AssertionSuccess();
+  ::testing::AssertionResult Until(const std::function<bool()>& condition) {
+    if (RunUntil(io, condition)) return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << "condition not met in time";
   }
 
   asio::io_context io;
-  One first{io}, second{io};
-  std::vector<std::int64_t> revisions;  // of the lists taken
+  Service first{io}, second{io};
+  std::vector<std::int64_t> revisions;  // of the accepted lists
   int failures = 0;                     // of the watch
   std::string rejection_reason;
   std::optional<DiscoveryClient> client;
 };
 
 TEST(DiscoveryClient, FailsOverToAnotherServiceAndReturns) {
-  TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.revisions == std::vector<std::int64_t>{50}; }));
-  EXPECT_EQ(w.client->service_index(), 0u);
-  w.first.status = 503;
-  for (const auto& connection : w.first.peer.connections) connection->Reset();
-  ASSERT_TRUE(w.Until([&] { return w.client->service_index() == 1 && w.second.watches > 0; }));
-  EXPECT_EQ(w.failures, 0);  // the other one was tried first
-  w.second.revision = 51;
-  w.first.status = 200;
-  w.first.revision = 51;
-  ASSERT_TRUE(w.Until([&] { return w.client->service_index() == 0 && w.revisions.back() == 51; }));
+  TwoServices fixture;
+  ASSERT_TRUE(fixture.Until([&] { return fixture.revisions == std::vector<std::int64_t>{50}; }));
+  EXPECT_EQ(fixture.client->service_index(), 0u);
+  fixture.first.status = 503;
+  for (const auto& connection : fixture.first.server.connections) connection->Reset();
+  ASSERT_TRUE(
+      fixture.Until([&] { return fixture.client->service_index() == 1 && fixture.second.watches > 0; }));
+  EXPECT_EQ(fixture.failures, 0);  // the client tried the other service first
+  fixture.second.revision = 51;
+  fixture.first.status = 200;
+  fixture.first.revision = 51;
+  ASSERT_TRUE(
+      fixture.Until([&] { return fixture.client->service_index() == 0 && fixture.revisions.back() == 51; }));
 }
 
 TEST(DiscoveryClient, CallsEachServiceOnceBeforeTheWatchFails) {
-  TwoServices w;
-  w.first.status = w.second.status = 503;
-  ASSERT_TRUE(w.Until([&] { return w.failures == 1; }));
-  EXPECT_EQ(w.first.watches + w.second.watches, 2u);
+  TwoServices fixture;
+  fixture.first.status = fixture.second.status = 503;
+  ASSERT_TRUE(fixture.Until([&] { return fixture.failures == 1; }));
+  EXPECT_EQ(fixture.first.watches + fixture.second.watches, 2u);
 }
 
 TEST(DiscoveryClient, LeavesAServiceThatLagsBehind) {
-  TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.revisions.size() == 1; }));
-  w.second.revision = 52;  // the first one stays at 50
-  ASSERT_TRUE(w.Until([&] { return w.revisions.back() == 52; }));
-  EXPECT_EQ(w.client->service_index(), 1u);
-  // No return to the first one, which lags: its list is older.
+  TwoServices fixture;
+  ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.size() == 1; }));
+  fixture.second.revision = 52;  // the first service stays at 50
+  ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.back() == 52; }));
+  EXPECT_EQ(fixture.client->service_index(), 1u);
+  // The client does not return to the first service, which lags behind: its list is older.
   const Millis until = base::MonotonicNow() + 500;
-  ASSERT_TRUE(w.Until([&] { return base::MonotonicNow() > until; }));
-  EXPECT_EQ(w.client->service_index(), 1u);
-  EXPECT_EQ(w.revisions.back(), 52);
+  ASSERT_TRUE(fixture.Until([&] { return base::MonotonicNow() > until; }));
+  EXPECT_EQ(fixture.client->service_index(), 1u);
+  EXPECT_EQ(fixture.revisions.back(), 52);
 }
 
-TEST(DiscoveryClient, TakesAnOlderRevisionOnlyOfAnotherEpoch) {
-  TwoServices w;
-  ASSERT_TRUE(w.Until([&] { return w.revisions.size() == 1; }));
-  w.second.revision = 40;
-  for (const auto& connection : w.first.peer.connections) connection->Reset();
-  w.first.status = 503;
-  ASSERT_TRUE(w.Until([&] { return w.failures > 0; }));
-  EXPECT_EQ(w.revisions, std::vector<std::int64_t>{50});
-  w.second.epoch = "e2";  // the service lost its disk
-  w.client->Watch();
-  ASSERT_TRUE(w.Until([&] {
-    if (w.failures > 1) {
-      w.failures = 0;
-      w.client->Watch();
+TEST(DiscoveryClient, AcceptsAnOlderRevisionOnlyFromAnotherEpoch) {
+  TwoServices fixture;
+  ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.size() == 1; }));
+  fixture.second.revision = 40;
+  for (const auto& connection : fixture.first.server.connections) connection->Reset();
+  fixture.first.status = 503;
+  ASSERT_TRUE(fixture.Until([&] { return fixture.failures > 0; }));
+  EXPECT_EQ(fixture.revisions, std::vector<std::int64_t>{50});
+  fixture.second.epoch = "e2";  // the service lost its disk
+  fixture.client->Watch();
+  ASSERT_TRUE(fixture.Until([&] {
+    if (fixture.failures > 1) {
+      fixture.failures = 0;
+      fixture.client->Watch();
     }
-    return w.revisions.back() == 40;
+    return fixture.revisions.back() == 40;
   }));
 }
 
-TEST(DiscoveryClient, TakesNothingFromARejectedList) {
-  TwoServices w;
-  w.rejection_reason = "too many are gone";
-  ASSERT_TRUE(w.Until([&] { return w.failures == 1; }));
-  EXPECT_TRUE(w.revisions.empty());
-  EXPECT_EQ(w.client->last_list_at(), 0);
+TEST(DiscoveryClient, IgnoresARejectedList) {
+  TwoServices fixture;
+  fixture.rejection_reason = "too many endpoints are missing";
+  ASSERT_TRUE(fixture.Until([&] { return fixture.failures == 1; }));
+  EXPECT_TRUE(fixture.revisions.empty());
+  EXPECT_EQ(fixture.client->last_list_at(), 0);
 }
 
-// Rules of failover, called directly. Times in ms.
-TEST(ServiceFailover, ReportsARoundOnlyWhenEveryServiceFailed) {
+// The tests of ServiceFailover call the state machine directly, with times in ms.
+TEST(ServiceFailover, ReportsFailureOnlyAfterEveryServiceFailed) {
   proxy::ServiceFailover failover(3, 30000);
   EXPECT_FALSE(failover.RecordFailure(1));
   EXPECT_FALSE(failover.RecordFailure(2));
@@ -135,7 +138,7 @@
   EXPECT_EQ(failover.current(), 2u);
 }
 
-TEST(ServiceFailover, StaysAwayTwiceAsLongAfterAReturnThatFailed) {
+TEST(ServiceFailover, DoublesTheReturnDelayAfterAFailedReturn) {
   proxy::ServiceFailover failover(2, 100);
   const EndpointList current{7, true, {}, "e1", 0};
   const proxy::WatchPosition position{7, "e1"};
@@ -156,9 +159,9 @@
   EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e2", 0}, position, 0), proxy::ProbeDecision::kStay);
 }
 
-// Rule of the guard, called directly: a delta counts the endpoints that it names, a snapshot those that it
-// leaves out; one endpoint alone is never a mass removal.
-TEST(MassRemovalGuard, CountsSnapshotsAndDeltas) {
+// A delta removes the endpoints that it lists as removed, a snapshot those that it does not list. The removal
+// of a single endpoint is never a mass removal.
+TEST(MassRemovalGuard, CountsRemovalsInSnapshotsAndDeltas) {
   proxy::EndpointsById known;
   for (const char* id : {"h0", "h1", "h2"}) known[id].info.id = id;
   EndpointList removal{8, false, {known["h0"], known["h1"]}, "", 0};
@@ -176,181 +179,189 @@
   EXPECT_FALSE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.5));
 }
 
-// Guards the endpoints against a service that lost them: its list is not taken without an operator's
-// confirmation, but the endpoints that it drains are drained.
-TEST(MassRemovalGuard, KeepsEndpointsWhoseMassRemovalIsUnconfirmed) {
-  World world(6);
-  world.GuardList();
+// A list service that has lost its data must not remove most endpoints: without an operator's confirmation
+// the gateway rejects its list, but applies the drains in it.
+TEST(MassRemovalGuard, KeepsEndpointsUntilAMassRemovalIsConfirmed) {
+  World harness(6);
+  harness.GuardList();
   const auto list_of = [&](std::int64_t revision, std::size_t hosts, std::int64_t confirmed) {
     std::vector<nlohmann::json> members;
     for (std::size_t i = 0; i < hosts; ++i) {
-      members.push_back(Member("h" + std::to_string(i), world.host(i).address(), i == 0 ? "draining" : "up"));
+      members.push_back(
+          Member("h" + std::to_string(i), harness.host(i).address(), i == 0 ? "draining" : "up"));
     }
     nlohmann::json list = List(revision, true, members);
     list["confirmed"] = confirmed;
     return list.dump();
   };
-  const auto answer = [&](const std::string& body) {
-    const std::size_t asked = world.discovery.requests.size();
-    ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() > asked; }));
-    world.discovery.requests.back().Answer(200, body);
+  const auto respond = [&](const std::string& body) {
+    const std::size_t earlier_calls = harness.discovery.requests.size();
+    ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() > earlier_calls; }));
+    harness.discovery.requests.back().Answer(200, body);
   };
-  answer(list_of(42, 2, 0));
-  answer(list_of(43, 2, 0));
-  EXPECT_EQ(world.Vars()["pool_size"], 6);
-  answer(list_of(44, 3, 0));  // half of them is not too many
-  ASSERT_TRUE(world.Until([&] { return world.Vars()["pool_size"] == 3; }));
-  answer(list_of(46, 1, 45));  // confirmed
-  ASSERT_TRUE(world.Until([&] { return world.Vars()["pool_size"] == 1; }));
+  respond(list_of(42, 2, 0));
+  respond(list_of(43, 2, 0));
+  EXPECT_EQ(harness.Vars()["pool_size"], 6);
+  respond(list_of(44, 3, 0));  // removing half of them is not a mass removal
+  ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 3; }));
+  respond(list_of(46, 1, 45));  // confirmed
+  ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 1; }));
 }
 
-// A change counts as received 6 s after discovery had it, whether or not it arrived. So a watch that fell
-// silent, in its first call or a later one, is reopened early enough to leave a second for the response.
+// Discovery counts a change as received after 6 s, whether or not it arrived. If a call of the watch, the
+// first or a later one, receives no response, the client must reopen the watch early enough to leave a second
+// for the next response.
 TEST(DiscoveryClient, ReopensASilentWatchInTime) {
-  for (const std::size_t silent : {0u, 1u}) {  // the call that is never answered
-    World world(2);
-    ASSERT_TRUE(world.Until([&] { return !world.discovery.requests.empty(); }));
-    const auto answer = [&](std::size_t call, const std::string& phase) {
-      world.discovery.requests[call].Answer(
+  for (const std::size_t silent : {0u, 1u}) {  // index of the call without a response
+    World harness(2);
+    ASSERT_TRUE(harness.Until([&] { return !harness.discovery.requests.empty(); }));
+    const auto respond = [&](std::size_t call, const std::string& phase) {
+      harness.discovery.requests[call].Answer(
           200, List(42 + static_cast<int>(call), true,
-                    {Member("h0", world.host(0).address(), phase), Member("h1", world.host(1).address())})
+                    {Member("h0", harness.host(0).address(), phase), Member("h1", harness.host(1).address())})
                    .dump());
     };
     if (silent == 1) {
-      answer(0, "up");
-      ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
+      respond(0, "up");
+      ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
     }
-    const Millis begun = base::MonotonicNow();
-    ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == silent + 2; }));
-    EXPECT_LT(base::MonotonicNow() - begun, 5000) << "call " << silent;
-    EXPECT_NE(world.discovery.requests[silent].on, world.discovery.requests[silent + 1].on);
-    answer(silent + 1, "draining");
+    const Millis started_at = base::MonotonicNow();
+    ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == silent + 2; }));
+    EXPECT_LT(base::MonotonicNow() - started_at, 5000) << "call " << silent;
+    EXPECT_NE(harness.discovery.requests[silent].on, harness.discovery.requests[silent + 1].on);
+    respond(silent + 1, "draining");
     const std::string metric = "list_revision " + std::to_string(43 + silent) + "\n";
-    ASSERT_TRUE(world.Until([&] { return world.Call("metrics\n").find(metric) != std::string::npos; }));
-    const auto client = world.Connect();
+    ASSERT_TRUE(harness.Until([&] { return harness.Call("metrics\n").find(metric) != std::string::npos; }));
+    const auto client = harness.Connect();
     client->Send(ApiCall("a"));
-    ASSERT_TRUE(world.Until([&] { return !world.host(1).requests.empty(); }));
-    EXPECT_TRUE(world.host(0).requests.empty());
+    ASSERT_TRUE(harness.Until([&] { return !harness.host(1).requests.empty(); }));
+    EXPECT_TRUE(harness.host(0).requests.empty());
   }
 }
 
-// A gateway whose discovery gets a new address while a call to the former one is in progress. The new address
-// answers when the test makes it.
-struct MovingWorld : World {
-  MovingWorld() : World(2) {
+// A gateway whose discovery address changes while a call to the former address is in progress. The test sends
+// the responses of both addresses.
+struct AddressChangeHarness : World {
+  AddressChangeHarness() : World(2) {
     for (const auto& host : hosts) {
-      host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+      host->serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
     }
   }
   bool FirstCallArrived() {
     return Until([&] { return discovery.requests.size() == 1; });
   }
-  // Puts bytes into the gateway's socket, where they stay unread until the event loop runs. If the gateway
-  // has closed it, the checks that follow fail.
-  void Write(const std::string& text) {
+  // Writes bytes to the connection at the former address; the gateway reads them when the event loop runs. If
+  // the gateway has closed the connection, the checks that follow fail.
+  void WriteAtFormerAddress(const std::string& text) {
     error_code ignored;
     asio::write(discovery.requests[0].on->socket, asio::buffer(text), ignored);
   }
-  void Move() { gateway->MoveDiscovery(moved.address()); }
-  // Runs the event loop for a few complete management calls: it has read what its sockets held before them.
-  void TurnLoop() {
+  void ChangeAddress() { gateway->ChangeDiscoveryAddress(new_discovery.address()); }
+  // Runs the event loop for a few management calls, after which it has read all bytes that were in its
+  // sockets.
+  void RunEventLoop() {
     for (int i = 0; i < 5; ++i) Call("check\n");
   }
-  // How many of 20 consecutive requests reach the host.
-  std::size_t Share(std::size_t of) {
-    const std::size_t before = host(of).requests.size();
+  // Sends 20 consecutive requests and returns how many of them reach the host.
+  std::size_t CountRequestsTo(std::size_t host_index) {
+    const std::size_t before = host(host_index).requests.size();
     const auto client = Connect();
     for (std::size_t i = 1; i <= 20; ++i) {
-      client->Send(ApiCall("r" + std::to_string(++asked)));
+      client->Send(ApiCall("r" + std::to_string(++sent_requests)));
       EXPECT_EQ(client->Await(i).result(), http::status::ok);
     }
-    return host(of).requests.size() - before;
+    return host(host_index).requests.size() - before;
   }
-  std::string Answer(const nlohmann::json& list) const {
+  std::string MakeResponse(const nlohmann::json& list) const {
     const std::string body = list.dump();
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  nlohmann::json Drained(int revision) {
+  nlohmann::json MakeDrain(int revision) {
     return List(revision, false, {Member("h0", host(0).address(), "draining")});
   }
 
-  Peer moved{io};
-  int asked = 0;
+  Peer new_discovery{io};
+  int sent_requests = 0;
 };
 
-// Guards a drain that discovery has written and that is unread when its address changes: it takes effect at
-// once, however long the new address takes for its first response.
-TEST(DiscoveryClient, TakesAResponseWrittenAtTheFormerAddressBeforeTheChange) {
-  MovingWorld world;
-  ASSERT_TRUE(world.FirstCallArrived());
-  EXPECT_GT(world.Share(0), 0u);
-  world.Write(world.Answer(world.Drained(42)));
-  world.Move();
-  world.TurnLoop();
-  EXPECT_EQ(world.Share(0), 0u);
-  ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
-  EXPECT_EQ(world.Share(0), 0u);
+// When the address of discovery changes, the gateway may not have read a drain that discovery has already
+// written. The drain must take effect at once, however long the new address takes for its first response.
+TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressWrittenBeforeTheChange) {
+  AddressChangeHarness harness;
+  ASSERT_TRUE(harness.FirstCallArrived());
+  EXPECT_GT(harness.CountRequestsTo(0), 0u);
+  harness.WriteAtFormerAddress(harness.MakeResponse(harness.MakeDrain(42)));
+  harness.ChangeAddress();
+  harness.RunEventLoop();
+  EXPECT_EQ(harness.CountRequestsTo(0), 0u);
+  ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
+  EXPECT_EQ(harness.CountRequestsTo(0), 0u);
   // The watch at the new address begins at the revision known at the change.
-  EXPECT_NE(std::string(world.moved.requests[0].http.target()).find("after=41&"), std::string::npos);
-  world.moved.requests[0].Answer(200, world.Drained(42).dump());
-  ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 2; }));
-  EXPECT_NE(std::string(world.moved.requests[1].http.target()).find("after=42&"), std::string::npos);
-  EXPECT_EQ(world.Share(0), 0u);
+  EXPECT_NE(std::string(harness.new_discovery.requests[0].http.target()).find("after=41&"),
+            std::string::npos);
+  harness.new_discovery.requests[0].Answer(200, harness.MakeDrain(42).dump());
+  ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 2; }));
+  EXPECT_NE(std::string(harness.new_discovery.requests[1].http.target()).find("after=42&"),
+            std::string::npos);
+  EXPECT_EQ(harness.CountRequestsTo(0), 0u);
 }
 
-// Guards the same for a response that has arrived in part, cut at each of several places, and for one that
-// discovery writes after the new address got its first call.
-TEST(DiscoveryClient, TakesAResponseWrittenAtTheFormerAddressDuringTheChange) {
-  for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes in the socket at the change
+// A drain must also take effect if its response was incomplete at the change, with several numbers of bytes
+// written, and discovery writes the rest after the first call to the new address.
+TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressCompletedAfterTheChange) {
+  for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes written before the change
     SCOPED_TRACE(part);
-    MovingWorld world;
-    ASSERT_TRUE(world.FirstCallArrived());
-    const std::string answer = world.Answer(world.Drained(42));
-    ASSERT_LT(part, answer.size());
-    world.Write(answer.substr(0, part));
-    world.Move();
-    ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
-    world.Write(answer.substr(part));
-    world.TurnLoop();
-    EXPECT_EQ(world.Share(0), 0u);
+    AddressChangeHarness harness;
+    ASSERT_TRUE(harness.FirstCallArrived());
+    const std::string response = harness.MakeResponse(harness.MakeDrain(42));
+    ASSERT_LT(part, response.size());
+    harness.WriteAtFormerAddress(response.substr(0, part));
+    harness.ChangeAddress();
+    ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
+    harness.WriteAtFormerAddress(response.substr(part));
+    harness.RunEventLoop();
+    EXPECT_EQ(harness.CountRequestsTo(0), 0u);
   }
 }
 
-// Guards the order of the two addresses: once the new one has answered, a list from the former one, whose
-// revisions may be of another epoch, is ignored. If the new one is silent, the former connection is closed
-// after the 1.5 s for which discovery keeps it.
-TEST(DiscoveryClient, IgnoresTheFormerAddressOnceTheNewOneAnswers) {
-  MovingWorld world;
-  ASSERT_TRUE(world.FirstCallArrived());
-  world.Move();
-  ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 1; }));
-  EXPECT_FALSE(world.discovery.connections[0]->ended);
-  world.moved.requests[0].Answer(200, List(7, true, {Member("h1", world.host(1).address())}).dump());
-  ASSERT_TRUE(world.Until([&] { return world.moved.requests.size() == 2; }));
-  EXPECT_NE(std::string(world.moved.requests[1].http.target()).find("after=7&"), std::string::npos);
-  world.Write(world.Answer(List(50, true, {Member("h0", world.host(0).address())})));
-  world.TurnLoop();
-  EXPECT_EQ(world.Share(0), 0u);
-  ASSERT_TRUE(world.Until([&] { return world.discovery.connections[0]->ended; }));
+// After a response of the new address, a list from the former one may belong to another epoch and must be
+// ignored. If the new address does not respond, the gateway closes the former connection after 1.5 s, the
+// time for which discovery keeps it.
+TEST(DiscoveryClient, IgnoresTheFormerAddressAfterAResponseOfTheNewOne) {
+  AddressChangeHarness harness;
+  ASSERT_TRUE(harness.FirstCallArrived());
+  harness.ChangeAddress();
+  ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
+  EXPECT_FALSE(harness.discovery.connections[0]->ended);
+  harness.new_discovery.requests[0].Answer(200,
+                                           List(7, true, {Member("h1", harness.host(1).address())}).dump());
+  ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 2; }));
+  EXPECT_NE(std::string(harness.new_discovery.requests[1].http.target()).find("after=7&"), std::string::npos);
+  harness.WriteAtFormerAddress(
+      harness.MakeResponse(List(50, true, {Member("h0", harness.host(0).address())})));
+  harness.RunEventLoop();
+  EXPECT_EQ(harness.CountRequestsTo(0), 0u);
+  ASSERT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->ended; }));
 
-  MovingWorld silent;
+  AddressChangeHarness silent;
   ASSERT_TRUE(silent.FirstCallArrived());
-  silent.Move();
-  const Millis moved_at = base::MonotonicNow();
+  silent.ChangeAddress();
+  const Millis changed_at = base::MonotonicNow();
   ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
-  EXPECT_GE(base::MonotonicNow() - moved_at, 1400);
-  ASSERT_TRUE(silent.Until([&] { return silent.moved.requests.size() == 2; }));  // the next call, by 4.5 s
+  EXPECT_GE(base::MonotonicNow() - changed_at, 1400);
+  // The next call follows within 4.5 s.
+  ASSERT_TRUE(silent.Until([&] { return silent.new_discovery.requests.size() == 2; }));
 }
 
-// Guards that lists from the former address pass the guard against mass removal too.
-TEST(DiscoveryClient, GuardsAgainstMassRemovalByTheFormerAddress) {
-  MovingWorld world;
-  world.GuardList();
-  ASSERT_TRUE(world.FirstCallArrived());
-  world.Write(world.Answer(List(42, true, nlohmann::json::array())));
-  world.Move();
-  world.TurnLoop();
-  EXPECT_EQ(world.Vars()["pool_size"], 2);
+// The guard against mass removal must also check a list from the former address.
+TEST(DiscoveryClient, RejectsAMassRemovalByTheFormerAddress) {
+  AddressChangeHarness harness;
+  harness.GuardList();
+  ASSERT_TRUE(harness.FirstCallArrived());
+  harness.WriteAtFormerAddress(harness.MakeResponse(List(42, true, nlohmann::json::array())));
+  harness.ChangeAddress();
+  harness.RunEventLoop();
+  EXPECT_EQ(harness.Vars()["pool_size"], 2);
 }
 
 }  // namespace
