--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -1,5 +1,4 @@
-// Hot restart: the replacement of the running process by another, and the messages between both. Each test
-// says what it guards.
+// Tests of hot restart: replacing the running process by a new one, and the messages between the two.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -14,15 +13,15 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// What both processes share: discovery, one host, the clients' address and the folder.
+// The environment that both processes share: discovery, one host, the client address and the folder.
 struct Platform {
   Platform() {
     folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
-    host.serve = [this](const Peer::Taken& taken) {
-      if (taken.http["Req-Id"] != "held") return taken.Answer(200, std::string(taken.http["Req-Id"]));
-      held.push_back(taken);
+    host.serve = [this](const Peer::Taken& request) {
+      if (request.http["Req-Id"] != "held") return request.Answer(200, std::string(request.http["Req-Id"]));
+      held.push_back(request);
     };
     discovery.serve = [](const Peer::Taken&) {};
   }
@@ -42,44 +41,45 @@
                                                          {"TMPDIR", folder.string()}});
     return instance;
   }
-  // The first word of the answer to a call; nothing where nobody listens.
-  std::string Call(const Instance& instance, const std::string& call) {
+  // Returns the first word of the response to a management command; empty if no process listens.
+  std::string Call(const Instance& instance, const std::string& command) {
     tcp::socket socket(io);
     error_code ec;
     socket.connect(instance.management, ec);
     if (ec) return "";
-    asio::write(socket, asio::buffer(call), ec);
-    std::string answer;
+    asio::write(socket, asio::buffer(command), ec);
+    std::string response;
     bool ended = false;
-    asio::async_read(socket, asio::dynamic_buffer(answer), [&](error_code, std::size_t) { ended = true; });
+    asio::async_read(socket, asio::dynamic_buffer(response), [&](error_code, std::size_t) { ended = true; });
     EXPECT_TRUE(RunUntil(io, [&] { return ended; }));
-    return answer.substr(0, answer.find_first_of(" \n"));
+    return response.substr(0, response.find_first_of(" \n"));
   }
-  bool Ready(const Instance& instance) {
+  bool BecomesReady(const Instance& instance) {
     return RunUntil(io, [&] { return Call(instance, "check\n") == "SUCCESS"; });
   }
-  std::string Ask(Client& client, const std::string& id, std::size_t answer = 1) {
+  // Sends a request and returns the body of the client's response number `response_number`.
+  std::string Request(Client& client, const std::string& id, std::size_t response_number = 1) {
     client.Send(ApiCall(id));
-    return client.Await(answer).body();
+    return client.Await(response_number).body();
   }
 
   asio::io_context io;
   Peer host{io}, discovery{io};
-  std::vector<Peer::Taken> held;
+  std::vector<Peer::Taken> held;  // requests "held", to which the test responds
   const tcp::endpoint listen = FreeAddress(io);
   std::filesystem::path folder;
-  const File file{nlohmann::json{
-      {"seed",
-       "1f"},  // More than one: while both run each gives a new host one place only, which "held" takes.
-      {"known",
-       List(1, true,
-            {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
-      {"settings", TestSettings()}}
+  const File file{nlohmann::json{{"seed", "1f"},
+                                 // Several endpoints, because during an overlap each process sends at most
+                                 // one concurrent request to a new endpoint, and "held" occupies that slot.
+                                 {"known", List(1, true,
+                                                {Member("h0", host.address()), Member("h1", host.address()),
+                                                 Member("h2", host.address())})},
+                                 {"settings", TestSettings()}}
                       .dump()};
 };
 
-// Guards the form on the socket between an old and a new process, which may be of different builds.
-TEST(HotRestartMessage, KeepsItsWords) {
+// The two processes may be of different builds, so the encoding on their socket must not change.
+TEST(HotRestartMessage, HasAStableEncoding) {
   EXPECT_EQ(proxy::EncodeMessage(proxy::Hello{}).text, "forkwick 1");
   EXPECT_EQ(proxy::EncodeMessage(proxy::ListenerTransfer{}).text, "listener");
   EXPECT_EQ(proxy::EncodeMessage(proxy::SuccessorReady{}).text, "ready");
@@ -92,8 +92,9 @@
             R"("mean_latency":0.0,"rate":0.0,"samples":0,"servers":[],"spent":0.0})");
 }
 
-// Guards against messages that name a descriptor and carry none, and against other versions of the protocol.
-TEST(HotRestartMessage, IsUnknownUnlessComplete) {
+// A message that must carry a descriptor but has none, or one of another protocol version, must not be
+// accepted.
+TEST(HotRestartMessage, IsUnknownIfIncompleteOrOfAnotherVersion) {
   for (const char* text : {"forkwick 2", "listener", "client", "{}", ""}) {
     const proxy::HotRestartMessage message = proxy::DecodeMessage({text, {}});
     EXPECT_TRUE(std::holds_alternative<proxy::UnknownMessage>(message)) << text;
@@ -104,23 +105,24 @@
   EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
 }
 
-// Guards a replacement as the platform does it: an idle connection of a client survives the old process, as
-// does one with a request in flight; that request is answered, and no client is rejected meanwhile.
+// During a hot restart a client could lose its connection or its request. An idle connection and one with a
+// request in flight must survive the end of the old process, that request must complete, and no client may be
+// rejected.
 TEST(HotRestart, TakesOverWithoutRejectingClients) {
   Platform platform;
   auto old = platform.Start();
-  ASSERT_TRUE(platform.Ready(old));
+  ASSERT_TRUE(platform.BecomesReady(old));
   Client idle(platform.io, platform.listen), busy(platform.io, platform.listen);
-  EXPECT_EQ(platform.Ask(idle, "one"), "one");
+  EXPECT_EQ(platform.Request(idle, "one"), "one");
   busy.Send(ApiCall("held", "pay"));
   ASSERT_TRUE(RunUntil(platform.io, [&] { return platform.held.size() == 1; }));
   auto next = platform.Start();
-  ASSERT_TRUE(platform.Ready(next));
-  EXPECT_EQ(platform.Call(old, "check\n"), "SUCCESS");  // both serve until the old one is told to end
+  ASSERT_TRUE(platform.BecomesReady(next));
+  EXPECT_EQ(platform.Call(old, "check\n"), "SUCCESS");  // both serve until the old one receives SIGTERM
   old.process->Terminate();
   for (int i = 0; i < 50; ++i) {
     Client another(platform.io, platform.listen);
-    EXPECT_EQ(platform.Ask(another, "n" + std::to_string(i)), "n" + std::to_string(i))
+    EXPECT_EQ(platform.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i))
         << another.Await() << old.process->Errors() << next.process->Errors();
   }
   platform.held[0].Answer(200, "held");
@@ -128,86 +130,87 @@
   EXPECT_TRUE(busy.Await().keep_alive());
   ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
   EXPECT_EQ(old.process->Wait(), 0);
-  EXPECT_EQ(platform.Ask(idle, "two", 2), "two");
-  EXPECT_EQ(platform.Ask(busy, "three", 2), "three");
+  EXPECT_EQ(platform.Request(idle, "two", 2), "two");
+  EXPECT_EQ(platform.Request(busy, "three", 2), "three");
   EXPECT_FALSE(idle.ended());
   EXPECT_FALSE(busy.ended());
-  auto last = platform.Start();  // and once more
-  ASSERT_TRUE(platform.Ready(last));
+  auto last = platform.Start();  // a second replacement
+  ASSERT_TRUE(platform.BecomesReady(last));
   next.process->Terminate();
   ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->Ended(); }));
-  EXPECT_EQ(platform.Ask(idle, "four", 3), "four");
+  EXPECT_EQ(platform.Request(idle, "four", 3), "four");
 }
 
-// Guards a drain of the old process during the overlap: it fails its health check for as long as it drains.
-TEST(HotRestart, PreservesADrainOfThePredecessor) {
+// A predecessor that an operator drains during the overlap must fail its health check although its successor
+// is ready.
+TEST(HotRestart, PredecessorFailsItsHealthCheckWhileDraining) {
   Platform platform;
   auto old = platform.Start();
-  ASSERT_TRUE(platform.Ready(old));
+  ASSERT_TRUE(platform.BecomesReady(old));
   Client client(platform.io, platform.listen);
-  EXPECT_EQ(platform.Ask(client, "one"), "one");  // the old process has the connection
+  EXPECT_EQ(platform.Request(client, "one"), "one");  // the old process has the connection
   auto next = platform.Start();
-  ASSERT_TRUE(platform.Ready(next));
+  ASSERT_TRUE(platform.BecomesReady(next));
   EXPECT_EQ(platform.Call(old, "drain-on\n"), "SUCCESS");
   client.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(client.Await(2).result_int(), 503u);
   EXPECT_EQ(platform.Call(next, "check\n"), "SUCCESS");
 }
 
-// Guards against the end of either process by SIGKILL during the overlap: the other one continues.
+// If either process is killed by SIGKILL during the overlap, the other one must continue to serve.
 TEST(HotRestart, SurvivesTheEndOfEitherProcess) {
   Platform platform;
   auto old = platform.Start();
-  ASSERT_TRUE(platform.Ready(old));
+  ASSERT_TRUE(platform.BecomesReady(old));
   {
     auto dies = platform.Start();
-    ASSERT_TRUE(platform.Ready(dies));
+    ASSERT_TRUE(platform.BecomesReady(dies));
     dies.process->Kill();
     dies.process->Wait();
   }
   Client client(platform.io, platform.listen);
-  EXPECT_EQ(platform.Ask(client, "one"), "one");
+  EXPECT_EQ(platform.Request(client, "one"), "one");
   auto next = platform.Start();
-  ASSERT_TRUE(platform.Ready(next));
+  ASSERT_TRUE(platform.BecomesReady(next));
   old.process->Kill();
   old.process->Wait();
   for (int i = 0; i < 10; ++i) {
     Client another(platform.io, platform.listen);
-    EXPECT_EQ(platform.Ask(another, "n" + std::to_string(i)), "n" + std::to_string(i));
+    EXPECT_EQ(platform.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i));
   }
 }
 
-// Guards the start against any file at the socket's path, and against an old process that hangs: the clients'
-// address is shared nevertheless.
+// Any file at the path of the socket, or an old process that hangs, prevents a transfer. The new process must
+// start nevertheless and share the client address.
 TEST(HotRestart, StartsWithoutATransfer) {
-  for (const std::string there : {"file", "folder", "stale socket", "hung process"}) {
-    SCOPED_TRACE(there);
+  for (const std::string obstacle : {"file", "folder", "stale socket", "hung process"}) {
+    SCOPED_TRACE(obstacle);
     Platform platform;
     const std::string path =
         (platform.folder / ("forkwick-" + std::to_string(platform.listen.port()) + ".sock")).string();
-    if (there == "file") std::ofstream(path) << "not ours";
-    if (there == "folder") std::filesystem::create_directory(path);
-    if (there == "stale socket") {
+    if (obstacle == "file") std::ofstream(path) << "not ours";
+    if (obstacle == "folder") std::filesystem::create_directory(path);
+    if (obstacle == "stale socket") {
       const int socket = ::socket(AF_UNIX, SOCK_SEQPACKET, 0);
-      sockaddr_un at{};
-      at.sun_family = AF_UNIX;
-      std::strncpy(at.sun_path, path.c_str(), sizeof at.sun_path - 1);
-      ASSERT_EQ(::bind(socket, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
+      sockaddr_un address{};
+      address.sun_family = AF_UNIX;
+      std::strncpy(address.sun_path, path.c_str(), sizeof address.sun_path - 1);
+      ASSERT_EQ(::bind(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
       ::close(socket);
     }
     auto old = platform.Start();
-    ASSERT_TRUE(platform.Ready(old));
-    if (there == "hung process") old.process->Hang();
+    ASSERT_TRUE(platform.BecomesReady(old));
+    if (obstacle == "hung process") old.process->Hang();
     auto next = platform.Start();
-    EXPECT_TRUE(platform.Ready(next));
-    if (there == "hung process") {
+    EXPECT_TRUE(platform.BecomesReady(next));
+    if (obstacle == "hung process") {
       old.process->Kill();
     } else {
       old.process->Terminate();
     }
     ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
     Client client(platform.io, platform.listen);
-    EXPECT_EQ(platform.Ask(client, "one"), "one");
+    EXPECT_EQ(platform.Request(client, "one"), "one");
   }
 }
 
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: how it starts, what it says when it can't, and how it ends.
+// Tests of the gateway program as a process: its start, its error messages and its end.
 #include "process.hpp"
 
 #include <gtest/gtest.h>
@@ -8,11 +8,11 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// Guards the operator at a broken deployment: one line that names what is wrong, and no running gateway.
-TEST(Program, NamesWhatIsWrongInItsConfiguration) {
-  const auto config = [](const std::function<void(nlohmann::json&)>& spoil) {
+// With an invalid configuration the program must exit with one line of error that names the invalid value.
+TEST(Program, ReportsAnInvalidConfiguration) {
+  const auto config = [](const std::function<void(nlohmann::json&)>& modify) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
-    spoil(file);
+    modify(file);
     return file.dump();
   };
   const std::vector<std::tuple<std::string, std::string, std::string>> cases = {
@@ -28,13 +28,13 @@
        "dialTimeoutMs"},
       {config([](auto& f) { f["known"] = "nobody"; }), "127.0.0.1:0", "known"},
   };
-  for (const auto& [text, listen, named] : cases) {
-    SCOPED_TRACE(named + ": " + text);
+  for (const auto& [text, listen, expected_name] : cases) {
+    SCOPED_TRACE(expected_name + ": " + text);
     const File file(text);
     Process process({{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
     EXPECT_EQ(process.Wait(), 1);
     const std::string errors = process.Errors();
-    EXPECT_NE(errors.find(named), std::string::npos) << errors;
+    EXPECT_NE(errors.find(expected_name), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
   Process process({{"NODE_LISTEN", "127.0.0.1:0"}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
@@ -42,8 +42,9 @@
   EXPECT_NE(process.Errors().find("NODE_CONFIG"), std::string::npos);
 }
 
-// Guards a planned restart as the platform does it: SIGTERM with work in hand, the answer, exit code 0.
-TEST(Program, AnswersItsWorkOnSigtermAndExitsCleanly) {
+// In a planned restart the platform sends SIGTERM while requests are in flight. The program must respond to
+// them and then exit with code 0.
+TEST(Program, CompletesRequestsOnSigtermAndExitsCleanly) {
   asio::io_context io;
   Peer host(io), discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
@@ -53,12 +54,13 @@
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it listens by then
+  // The gateway listens before its first call to discovery.
+  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));
   Client client(io, listen);
   client.Send(ApiCall("r1", "pay"));
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
   process.Terminate();
-  // The work is answered only once the gateway is seen to be stopping.
+  // The host responds only after the gateway has begun to stop.
   bool stopping = false;
   for (int i = 0; i < 1000 && !stopping; ++i) {
     Client probe(io, listen);
@@ -73,11 +75,11 @@
   EXPECT_EQ(process.Wait(), 0);
 }
 
-// Guards a reload as the platform does it: the file names another discovery, SIGHUP, and from then on the
-// list comes from there, whatever the variable said at the start. A file that can't be read changes nothing.
-TEST(Program, WatchesWhereTheReloadedFileSays) {
+// To change the address of discovery the platform replaces the file and sends SIGHUP. The program must then
+// watch the address in the file and ignore NODE_DISCOVERY. An invalid file must change nothing.
+TEST(Program, WatchesTheDiscoveryAddressOfTheReloadedFile) {
   asio::io_context io;
-  Peer first(io), second(io), discovery(io), moved(io);
+  Peer first(io), second(io), discovery(io), new_discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   nlohmann::json config = {{"seed", "1f"},
                            {"known", List(1, true, {Member("h0", first.address())})},
@@ -86,19 +88,20 @@
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it listens by then
+  // The gateway listens before its first call to discovery.
+  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));
 
   std::ofstream(file.path) << "{";
   process.Reload();
   ASSERT_TRUE(RunUntil(io, [&] { return process.Errors().find("not reloaded") != std::string::npos; }));
 
-  config["discovery"] = ToText(moved.address());
+  config["discovery"] = ToText(new_discovery.address());
   std::ofstream(file.path) << config;
   process.Reload();
-  ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 1; }));
-  EXPECT_NE(std::string(moved.requests[0].http.target()).find("after=1&"), std::string::npos);
-  moved.requests[0].Answer(200, List(2, true, {Member("h1", second.address())}).dump());
-  ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 2; }));  // the list was taken in
+  ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 1; }));
+  EXPECT_NE(std::string(new_discovery.requests[0].http.target()).find("after=1&"), std::string::npos);
+  new_discovery.requests[0].Answer(200, List(2, true, {Member("h1", second.address())}).dump());
+  ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 2; }));  // the list was accepted
   Client client(io, listen);
   client.Send(ApiCall("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return second.requests.size() == 1; }));
@@ -107,15 +110,15 @@
   EXPECT_FALSE(process.Ended());
 }
 
-// Guards the operators' address: where the configuration names none nothing listens, and one that can't be
-// had is named in one line.
-TEST(Program, NamesAnAddressThatItCannotHave) {
+// If another process listens on the client or management address, the program must exit with one line of
+// error that names the address.
+TEST(Program, ReportsAnAddressInUse) {
   asio::io_context io;
-  tcp::acceptor taken(io, Loopback());
+  tcp::acceptor occupied(io, Loopback());
   const nlohmann::json config = {{"seed", "1f"}, {"settings", TestSettings()}};
   const File file(config.dump());
   for (const bool management : {true, false}) {
-    const std::string busy = ToText(taken.local_endpoint()), free = "127.0.0.1:0";
+    const std::string busy = ToText(occupied.local_endpoint()), free = "127.0.0.1:0";
     std::vector<std::pair<std::string, std::string>> variables = {{"NODE_CONFIG", file.path},
                                                                   {"NODE_LISTEN", management ? free : busy},
                                                                   {"NODE_DISCOVERY", "127.0.0.1:1"}};
@@ -129,17 +132,17 @@
   }
 }
 
-// Guards the descriptors while discovery is down: idle clients, and requests under way in every place, leave
-// management, hosts and discovery theirs, and whoever finds no place is told so at once. The process's limit
-// is that of its configuration, so that none is to be had beyond it.
-TEST(Program, KeepsDescriptorsForDiscoveryHostsAndOperators) {
+// Idle clients and requests in flight on every client connection could use up the descriptors while discovery
+// is down. The management port, hosts and discovery must keep theirs, and further clients must be rejected at
+// once. The descriptor limit of the process equals its configuration, so that the process can't exceed it.
+TEST(Program, ReservesDescriptorsForDiscoveryHostsAndOperators) {
   constexpr int kSockets = 128;
-  constexpr std::size_t kPlaces = (kSockets - 40) * 2 / 3;
+  constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
   asio::io_context io;
   Peer host(io);
   const tcp::endpoint listen = FreeAddress(io), management = FreeAddress(io);
   tcp::acceptor discovery(io, tcp::v4());
-  discovery.bind(Loopback());  // and does not listen: it is down
+  discovery.bind(Loopback());  // refuses connections because it does not listen
   const nlohmann::json config = {{"seed", "1f"},
                                  {"limits", {{"sockets", kSockets}}},
                                  {"known", List(1, true, {Member("h0", host.address())})},
@@ -156,44 +159,44 @@
     socket.connect(management, ec);
     if (ec) return std::string();
     asio::write(socket, asio::buffer("check\n", 6), ec);
-    std::string answer;
-    asio::read(socket, asio::dynamic_buffer(answer), ec);
-    return answer;
+    std::string response;
+    asio::read(socket, asio::dynamic_buffer(response), ec);
+    return response;
   };
   ASSERT_TRUE(RunUntil(io, [&] { return check().starts_with("SUCCESS"); }));
-  const auto fill = [&](std::size_t n) {
+  const auto connect_clients = [&](std::size_t count) {
     std::vector<std::unique_ptr<Client>> clients;
-    for (std::size_t i = 0; i < n; ++i) clients.push_back(std::make_unique<Client>(io, listen));
+    for (std::size_t i = 0; i < count; ++i) clients.push_back(std::make_unique<Client>(io, listen));
     return clients;
   };
-  const auto idle = fill(300);
-  auto busy = fill(kPlaces);
+  const auto idle = connect_clients(300);
+  auto busy = connect_clients(kMaxClientConnections);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->Send(ApiCall("busy" + std::to_string(i), "view", "20000m"));
-  ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 2; }));  // others wait for theirs
+  ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 2; }));  // the others are queued
   EXPECT_TRUE(check().starts_with("SUCCESS"));
-  // No place is left: whoever comes is told before any request under way is over.
-  const auto at = std::chrono::steady_clock::now();
+  // All connections are in use: another client is rejected before any request in flight completes.
+  const auto sent_at = std::chrono::steady_clock::now();
   Client late(io, listen);
   late.Send(ApiCall("late"));
   EXPECT_EQ(late.Await().result(), http::status::service_unavailable);
   EXPECT_FALSE(late.Await()[http::field::retry_after].empty());
-  EXPECT_LT(std::chrono::steady_clock::now() - at, std::chrono::seconds(3));  // the queue holds for 5
+  EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(3));  // the queue timeout is 5 s
   EXPECT_TRUE(check().starts_with("SUCCESS"));
-  // Discovery comes back, and is heard while all places are taken still.
+  // Discovery recovers: the gateway connects to it while all client connections are still in use.
   discovery.listen();
   discovery.non_blocking(true);
-  std::optional<tcp::socket> asked;
-  const auto back = std::chrono::steady_clock::now();
+  std::optional<tcp::socket> discovery_connection;
+  const auto recovered_at = std::chrono::steady_clock::now();
   ASSERT_TRUE(RunUntil(io, [&] {
     error_code ec;
     tcp::socket socket = discovery.accept(ec);
-    if (!ec) asked.emplace(std::move(socket));
-    return asked.has_value();
+    if (!ec) discovery_connection.emplace(std::move(socket));
+    return discovery_connection.has_value();
   }));
-  EXPECT_LT(std::chrono::steady_clock::now() - back, std::chrono::milliseconds(5000));
-  for (const auto& taken : std::vector<Peer::Taken>(host.requests)) taken.Answer(200, "");
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  EXPECT_LT(std::chrono::steady_clock::now() - recovered_at, std::chrono::milliseconds(5000));
+  for (const auto& request : std::vector<Peer::Taken>(host.requests)) request.Answer(200, "");
+  host.serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
   for (const auto& client : busy) EXPECT_EQ(client->Await().result(), http::status::ok);
   Client after(io, listen);
   after.Send(ApiCall("after"));
@@ -201,71 +204,74 @@
   EXPECT_FALSE(process.Ended());
 }
 
-constexpr std::chrono::seconds kReadyWithin{10};
+constexpr std::chrono::seconds kReadyTimeout{10};
 
-// Whether GET /up is answered 200 within the time that a restarted process has. Before it listens a dial is
-// refused.
-bool IsUpInTime(asio::io_context& io, const tcp::endpoint& listen) {
-  const auto end = std::chrono::steady_clock::now() + kReadyWithin;
-  while (std::chrono::steady_clock::now() < end) {
+// Returns whether the response to GET /up is 200 within the time that a restarted process has to become
+// ready. Connections are refused until the process listens.
+bool BecomesReadyInTime(asio::io_context& io, const tcp::endpoint& listen) {
+  const auto deadline = std::chrono::steady_clock::now() + kReadyTimeout;
+  while (std::chrono::steady_clock::now() < deadline) {
     error_code ec;
-    tcp::socket dial(io);
-    dial.connect(listen, ec);
-    dial.close();
+    tcp::socket connection(io);
+    connection.connect(listen, ec);
+    connection.close();
     if (!ec) {
       Client probe(io, listen);
       probe.Send("GET /up HTTP/1.1\r\n\r\n");
-      if (probe.Await().result() == http::status::ok) return std::chrono::steady_clock::now() < end;
+      if (probe.Await().result() == http::status::ok) return std::chrono::steady_clock::now() < deadline;
     }
     io.run_one_for(std::chrono::milliseconds(10));
   }
   return false;
 }
 
-// What a discovery does while gateways are restarted.
-struct DiscoveryTrouble {
+// How discovery fails while gateways are restarted.
+struct DiscoveryFailure {
   std::string name;
-  bool listens;                                     // else dials are refused
-  std::function<void(const Peer::Taken&)> answers;  // none: it is silent
+  bool listens;                                     // false: connections are refused
+  std::function<void(const Peer::Taken&)> respond;  // empty: it never responds
 };
 
-std::vector<DiscoveryTrouble> DiscoveryTroubles() {
+std::vector<DiscoveryFailure> DiscoveryFailures() {
   return {{"IsDown", false, nullptr},
-          {"IsSilent", true, nullptr},
-          {"Refuses", true, [](const Peer::Taken& taken) { taken.Answer(503, ""); }},
-          {"Resets", true, [](const Peer::Taken& taken) { taken.on->Reset(); }},
-          {"BreaksOff", true,
-           [](const Peer::Taken& taken) {
-             taken.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
+          {"NeverResponds", true, nullptr},
+          {"RespondsWithError", true, [](const Peer::Taken& request) { request.Answer(503, ""); }},
+          {"ResetsConnections", true, [](const Peer::Taken& request) { request.on->Reset(); }},
+          {"StopsWithinAResponse", true,
+           [](const Peer::Taken& request) {
+             request.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
            }},
-          {"TalksNonsense", true, [](const Peer::Taken& taken) { taken.Answer(200, "{}"); }}};
+          {"SendsAnInvalidList", true, [](const Peer::Taken& request) { request.Answer(200, "{}"); }}};
 }
 
-class Restart : public ::testing::TestWithParam<DiscoveryTrouble> {};
+class Restart : public ::testing::TestWithParam<DiscoveryFailure> {};
 
-// Guards a restart while discovery is in trouble: with a list that it knows a process is ready within 10 s,
-// and serves by it, whether the one before was killed or told to end.
-TEST_P(Restart, IsReadyByTheKnownListWhateverDiscoveryDoes) {
-  const DiscoveryTrouble& trouble = GetParam();
+// Discovery may fail while a gateway is restarted. A process with a configured list must be ready within 10 s
+// and serve by that list, whether the process before it was killed or terminated.
+TEST_P(Restart, IsReadyWithTheKnownListDespiteFailuresOfDiscovery) {
+  const DiscoveryFailure& failure = GetParam();
   asio::io_context io;
   Peer host(io), discovery(io);
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "served"); };
-  discovery.serve = trouble.answers;
-  if (!trouble.listens) discovery.StopListening();
-  const tcp::endpoint listen = FreeAddress(io), at = trouble.listens ? discovery.address() : FreeAddress(io);
+  host.serve = [](const Peer::Taken& request) { request.Answer(200, "served"); };
+  discovery.serve = failure.respond;
+  if (!failure.listens) discovery.StopListening();
+  const tcp::endpoint listen = FreeAddress(io);
+  const tcp::endpoint discovery_address = failure.listens ? discovery.address() : FreeAddress(io);
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
   const File file(config.dump());
   const std::vector<std::pair<std::string, std::string>> variables = {
-      {"NODE_CONFIG", file.path}, {"NODE_LISTEN", ToText(listen)}, {"NODE_DISCOVERY", ToText(at)}};
+      {"NODE_CONFIG", file.path},
+      {"NODE_LISTEN", ToText(listen)},
+      {"NODE_DISCOVERY", ToText(discovery_address)}};
   for (const bool killed : {true, false}) {
-    SCOPED_TRACE(killed ? "killed" : "told to end");
+    SCOPED_TRACE(killed ? "killed" : "terminated");
     Process before(variables);
-    ASSERT_TRUE(IsUpInTime(io, listen));
+    ASSERT_TRUE(BecomesReadyInTime(io, listen));
     killed ? before.Kill() : before.Terminate();
     ASSERT_TRUE(RunUntil(io, [&] { return before.Ended(); }));
     Process restarted(variables);
-    ASSERT_TRUE(IsUpInTime(io, listen));
+    ASSERT_TRUE(BecomesReadyInTime(io, listen));
     Client client(io, listen);
     client.Send(ApiCall("r1"));
     EXPECT_EQ(client.Await().body(), "served");
@@ -273,16 +279,16 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Discovery, Restart, ::testing::ValuesIn(DiscoveryTroubles()),
+INSTANTIATE_TEST_SUITE_P(Discovery, Restart, ::testing::ValuesIn(DiscoveryFailures()),
                          [](const auto& param) { return param.param.name; });
 
-// Guards the other side of it: a process that knows no host takes no clients, and is ready in time once
-// discovery is back.
-TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryIsBack) {
+// A process without a list can't serve clients: it must not be ready while discovery is down, and must be
+// ready in time after discovery recovers.
+TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryRecovers) {
   asio::io_context io;
   Peer host(io);
   tcp::acceptor discovery(io, tcp::v4());
-  discovery.bind(Loopback());  // and does not listen: it is down
+  discovery.bind(Loopback());  // refuses connections because it does not listen
   const tcp::endpoint listen = FreeAddress(io);
   const File file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
   Process process({{"NODE_CONFIG", file.path},
@@ -293,15 +299,16 @@
   probe.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(probe.Await().result(), http::status::service_unavailable);
   discovery.listen();
-  std::optional<tcp::socket> asked;
+  std::optional<tcp::socket> discovery_connection;
   discovery.async_accept([&](error_code ec, tcp::socket socket) {
-    if (!ec) asked.emplace(std::move(socket));
+    if (!ec) discovery_connection.emplace(std::move(socket));
   });
-  ASSERT_TRUE(RunUntil(io, [&] { return asked.has_value(); }));
+  ASSERT_TRUE(RunUntil(io, [&] { return discovery_connection.has_value(); }));
   const std::string body = List(1, true, {Member("h0", host.address())}).dump();
-  asio::write(*asked, asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
-                                   "\r\n\r\n" + body));
-  EXPECT_TRUE(IsUpInTime(io, listen));
+  asio::write(
+      *discovery_connection,
+      asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body));
+  EXPECT_TRUE(BecomesReadyInTime(io, listen));
 }
 
 }  // namespace
--- a/tests/proxy/saved_state_compatibility_test.cpp
+++ b/tests/proxy/saved_state_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// A gateway's state folder that program 0.1.0 wrote (fixtures/gateway-state-0.1.0): this program reads it to
-// the last figure, and would write the same bytes.
+// Compatibility with the state folder that program 0.1.0 wrote (fixtures/gateway-state-0.1.0): this program
+// must read every value of it exactly, and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -25,17 +25,17 @@
   SavedState state;
 };
 
-void ExpectEndpoint(const ListedEndpoint& host, const policy::EndpointInfo& expected, int port) {
+void ExpectEndpoint(const ListedEndpoint& actual, const policy::EndpointInfo& expected, int port) {
   SCOPED_TRACE(expected.id);
-  EXPECT_EQ(host.info.id, expected.id);
-  EXPECT_EQ(host.info.zone, expected.zone);
-  EXPECT_EQ(host.info.machine_type, expected.machine_type);
-  EXPECT_EQ(host.info.cell, expected.cell);
-  EXPECT_EQ(host.info.state, expected.state);
-  EXPECT_EQ(host.info.weight, expected.weight);
-  EXPECT_EQ(host.info.started_at, expected.started_at);
-  EXPECT_EQ(host.address.address().to_string(), "127.0.0.1");
-  EXPECT_EQ(host.address.port(), port);
+  EXPECT_EQ(actual.info.id, expected.id);
+  EXPECT_EQ(actual.info.zone, expected.zone);
+  EXPECT_EQ(actual.info.machine_type, expected.machine_type);
+  EXPECT_EQ(actual.info.cell, expected.cell);
+  EXPECT_EQ(actual.info.state, expected.state);
+  EXPECT_EQ(actual.info.weight, expected.weight);
+  EXPECT_EQ(actual.info.started_at, expected.started_at);
+  EXPECT_EQ(actual.address.address().to_string(), "127.0.0.1");
+  EXPECT_EQ(actual.address.port(), port);
 }
 
 TEST_F(SavedStateCompatibility, ReadsTheListAndTheDrain) {
@@ -55,7 +55,7 @@
   ExpectEndpoint(state.list.endpoints[4], {"h4", "a", "m4", "3", policy::EndpointState::kUp, 1, 0}, 18094);
 }
 
-TEST_F(SavedStateCompatibility, ReadsWhatWasLearnedOfTheWhole) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedTotals) {
   ASSERT_TRUE(state.learned);
   const policy::LearnedState& learned = *state.learned;
   EXPECT_EQ(learned.exported_at, 1796285282945.4043);
@@ -67,7 +67,7 @@
   EXPECT_EQ(learned.samples, 115);
 }
 
-TEST_F(SavedStateCompatibility, ReadsWhatWasLearnedOfClasses) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedClasses) {
   struct Expected {
     const char* name;
     double latency;
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_F(SavedStateCompatibility, ReadsWhatWasLearnedOfMachineTypes) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedMachineTypes) {
   ASSERT_TRUE(state.learned);
   ASSERT_EQ(state.learned->machine_types.size(), 2u);
   EXPECT_EQ(state.learned->machine_types[0].name, "m2");
@@ -100,7 +100,7 @@
   EXPECT_EQ(state.learned->machine_types[1].endpoint_time, 15905.6868880562);
 }
 
-TEST_F(SavedStateCompatibility, ReadsWhatWasLearnedOfEndpoints) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedEndpoints) {
   struct Expected {
     const char* id;
     double latency, long_term_latency, base_latency, failure_rate, concurrency_limit;
@@ -135,8 +135,8 @@
   }
 }
 
-// Reading and writing again gives the bytes that the older program wrote.
-TEST_F(SavedStateCompatibility, IsWrittenInTheSameForm) {
+// Serializing the loaded state must produce the bytes that program 0.1.0 wrote.
+TEST_F(SavedStateCompatibility, WritesTheSameForm) {
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
   ASSERT_TRUE(storage::Examine(*files, kFixture, kOwner, found).ok());
