--- a/src/proxy/admin/metrics.hpp
+++ b/src/proxy/admin/metrics.hpp
@@ -39,13 +39,14 @@
   // Returns one line of JSON without its line feed: the counters, and the gauges that the caller passes.
   std::string ToJson(std::size_t active_requests, std::size_t endpoints, std::size_t ejected_endpoints) const;
 
-  // Returns all metrics and the caller's `samples` in the Prometheus text format, version 0.0.4.
+  // A gauge or counter that the caller of ToPrometheus() provides.
   struct Sample {
     const char* name;  // without the prefix "elderhead_"
     const char* type;  // gauge or counter
     const char* help;
     double value;
   };
+  // Returns all metrics and `samples` in the Prometheus text format, version 0.0.4.
   std::string ToPrometheus(const std::vector<Sample>& samples) const;
 
  private:
--- a/tests/replace_between_builds.py
+++ b/tests/replace_between_builds.py
@@ -1,8 +1,9 @@
-"""Replaces a gateway process by another under load; tests/replace_between_builds.sh says what is checked.
+"""Replaces a gateway process by another under load; tests/replace_between_builds.sh describes the checks.
 
-Three hosts and a discovery service are played here. The configuration names no host and discovery tells its list to the
-old process alone, so the new one becomes ready only with the list that was handed over. One host fails every request:
-the old process stops using it, and the new one avoids it from its first moment only if it was handed what was learned.
+The script emulates three hosts and a discovery service. The configuration names no host and discovery sends
+its list to the old process only, so the new process becomes ready only if the list was transferred. One host
+fails every request: the old process ejects it, and the new process avoids it from its start only if the
+learned state was transferred.
 """
 
 from __future__ import annotations
@@ -21,20 +22,20 @@
 
 LOAD_SECONDS = 10.0
 REPLACE_AFTER_SECONDS = 4.0
-READY_WITHIN_SECONDS = 6.0
-END_WITHIN_SECONDS = 3.7
-ANSWER_WITHIN_SECONDS = 6.0
+READY_TIMEOUT_SECONDS = 6.0
+EXIT_TIMEOUT_SECONDS = 3.7
+RESPONSE_TIMEOUT_SECONDS = 6.0
 SETTLE_SECONDS = 0.5
-CONNECTED_CLIENTS = 20  # each with one connection that it keeps
-ONE_SHOT_CLIENTS = 5  # each with a new connection for every request
+PERSISTENT_CLIENTS = 20  # each keeps one connection open
+ONE_SHOT_CLIENTS = 5  # each opens a new connection for every request
 REQUEST_INTERVAL_SECONDS = 0.1
-SLOW_EVERY = 20  # one request in so many takes SLOW_SECONDS at the host
+SLOW_EVERY = 20  # one of so many requests takes SLOW_SECONDS at the host
 SLOW_SECONDS = 0.4
 FAST_SECONDS = 0.01
 FAILING_HOST = "h2"
 HOSTS = ("h0", "h1", FAILING_HOST)
 LIST_REVISION = 42
-LISTENING = "0A"  # in /proc/net/tcp
+LISTEN_STATE = "0A"  # in /proc/net/tcp
 
 
 @dataclass
@@ -47,7 +48,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """Returns the next message; None at a close before its first byte. Raises on a close or reset within it."""
+    """Returns the next message; None if the connection closes before it. Raises if it closes within one."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
@@ -72,7 +73,7 @@
 
 
 class Host:
-    """A server behind the gateway; counts how often each request came."""
+    """An upstream server of the gateway; counts the attempts of each request."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -97,8 +98,8 @@
                 writer.write(response(200, request_id.encode()))
         writer.close()
 
-    def entry(self) -> dict[str, object]:
-        """The member of discovery's list."""
+    def list_member(self) -> dict[str, object]:
+        """Returns the host's member in the list of discovery."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -112,12 +113,12 @@
 
 
 class Discovery:
-    """Tells the list until `silent`, then leaves every call without an answer; records what calls begin from."""
+    """Sends the list until `silent`; from then on records each call and does not respond."""
 
     def __init__(self, hosts: list[Host]) -> None:
         self.hosts = hosts
         self.silent = False
-        self.asked_when_silent: list[str] = []
+        self.calls_when_silent: list[str] = []
         self.port = 0
 
     async def start(self) -> asyncio.Server:
@@ -129,15 +130,15 @@
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             while (request := await read_message(reader)) is not None:
                 if self.silent:
-                    self.asked_when_silent.append(request.first_line)
+                    self.calls_when_silent.append(request.first_line)
                 elif f"after={LIST_REVISION}" not in request.first_line:
-                    members = [host.entry() for host in self.hosts]
-                    told = {
+                    members = [host.list_member() for host in self.hosts]
+                    host_list = {
                         "revision": LIST_REVISION,
                         "complete": True,
                         "members": members,
                     }
-                    writer.write(response(200, json.dumps(told).encode()))
+                    writer.write(response(200, json.dumps(host_list).encode()))
         writer.close()
 
 
@@ -178,7 +179,7 @@
 
 
 class NotReady(Exception):
-    """A process does not take clients in time."""
+    """A process does not accept clients in time."""
 
 
 class Gateway:
@@ -201,27 +202,27 @@
                 self.program, env=self.environment, stdout=log, stderr=log
             )
 
-    async def call(self, word: str) -> str:
-        """Returns the answer to a management call; empty if there is none."""
+    async def call(self, command: str) -> str:
+        """Returns the response to a management command; empty if there is none."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.management)
-            writer.write(word.encode() + b"\n")
+            writer.write(command.encode() + b"\n")
             answer = await asyncio.wait_for(reader.read(1 << 20), 2)
             writer.close()
             return answer.decode()
         except (OSError, asyncio.TimeoutError):
             return ""
 
-    async def ready(self) -> float:
-        """Waits until the process takes clients; returns after how many seconds. Raises if it does not in time."""
-        begun = time.monotonic()
-        while time.monotonic() - begun < READY_WITHIN_SECONDS:
+    async def wait_until_ready(self) -> float:
+        """Waits until the process accepts clients; returns the seconds taken. Raises NotReady on timeout."""
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < READY_TIMEOUT_SECONDS:
             if (await self.call("check")).startswith("SUCCESS"):
-                return time.monotonic() - begun
+                return time.monotonic() - started_at
             await asyncio.sleep(0.02)
-        raise NotReady(f"{self.program} is not ready in {READY_WITHIN_SECONDS} s")
+        raise NotReady(f"{self.program} is not ready in {READY_TIMEOUT_SECONDS} s")
 
-    async def figures(self) -> dict[str, object]:
+    async def vars(self) -> dict[str, object]:
         answer = await self.call("vars")
         parsed: dict[str, object] = json.loads(answer[answer.index("{") :].split("\n")[0])
         return parsed
@@ -236,12 +237,12 @@
 
 
 def listening_inodes(port: int) -> set[str]:
-    """The sockets that listen at the port of 127.0.0.1."""
+    """Returns the inodes of the sockets that listen on the port of 127.0.0.1."""
     inodes = set()
     with open("/proc/net/tcp", encoding="ascii") as table:
         for line in table.readlines()[1:]:
             columns = line.split()
-            if columns[1] == f"0100007F:{port:04X}" and columns[3] == LISTENING:
+            if columns[1] == f"0100007F:{port:04X}" and columns[3] == LISTEN_STATE:
                 inodes.add(columns[9])
     return inodes
 
@@ -257,7 +258,7 @@
 
 @dataclass
 class Load:
-    """Clients of the gateway and what became of their requests."""
+    """The clients of the gateway and the results of their requests."""
 
     port: int
     sent: int = 0
@@ -268,27 +269,29 @@
     def next_request(self) -> tuple[str, bytes]:
         self.sent += 1
         request_id = f"r-{self.sent}"
-        pays = self.sent % 10 == 0
-        head = f"{'POST' if pays else 'GET'} /api HTTP/1.1\r\nHost: backend.local\r\n"
-        head += f"Req-Id: {request_id}\r\nReq-Kind: {'pay' if pays else 'view'}\r\nReq-Deadline: 3000m\r\n"
-        head += "Content-Length: 0\r\n\r\n" if pays else "\r\n"
+        is_payment = self.sent % 10 == 0
+        head = f"{'POST' if is_payment else 'GET'} /api HTTP/1.1\r\nHost: backend.local\r\n"
+        head += (
+            f"Req-Id: {request_id}\r\nReq-Kind: {'pay' if is_payment else 'view'}\r\nReq-Deadline: 3000m\r\n"
+        )
+        head += "Content-Length: 0\r\n\r\n" if is_payment else "\r\n"
         return request_id, head.encode()
 
     async def exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Sends a request and awaits its answer; returns whether the connection is still good."""
+        """Sends a request and awaits its response; returns whether the connection may be reused."""
         request_id, text = self.next_request()
         try:
             writer.write(text)
-            answer = await asyncio.wait_for(read_message(reader), ANSWER_WITHIN_SECONDS)
+            answer = await asyncio.wait_for(read_message(reader), RESPONSE_TIMEOUT_SECONDS)
             if answer is None:
-                raise ConnectionError("closed before the answer")
+                raise ConnectionError("closed before the response")
         except (OSError, asyncio.TimeoutError) as error:
             self.errors.append(f"{request_id}: {error!r}")
             return False
         status = int(answer.first_line.split()[1])
         self.statuses[status] += 1
         if status == 200 and answer.body != request_id.encode():
-            self.errors.append(f"{request_id}: the answer of another: {answer.body!r}")
+            self.errors.append(f"{request_id}: the response to another request: {answer.body!r}")
         return answer.fields.get("connection", "").lower() != "close"
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
@@ -298,7 +301,7 @@
             self.errors.append(f"no connection: {error!r}")
             return None
 
-    async def keep_connection(self, until: float) -> None:
+    async def reuse_connection(self, until: float) -> None:
         connection = None
         while time.monotonic() < until:
             if connection is not None and connection[0].at_eof():
@@ -314,7 +317,7 @@
         if connection is not None:
             connection[1].close()
 
-    async def connect_each_time(self, until: float) -> None:
+    async def reconnect_for_each_request(self, until: float) -> None:
         while time.monotonic() < until:
             connection = await self.connect()
             if connection is not None:
@@ -324,84 +327,84 @@
 
     async def run(self) -> None:
         until = time.monotonic() + LOAD_SECONDS
-        clients = [self.keep_connection(until) for _ in range(CONNECTED_CLIENTS)]
-        clients += [self.connect_each_time(until) for _ in range(ONE_SHOT_CLIENTS)]
+        clients = [self.reuse_connection(until) for _ in range(PERSISTENT_CLIENTS)]
+        clients += [self.reconnect_for_each_request(until) for _ in range(ONE_SHOT_CLIENTS)]
         await asyncio.gather(*clients)
 
 
-def check(wrong: list[str], good: bool, what: str) -> None:
-    print(("ok     " if good else "WRONG  ") + what)
-    if not good:
-        wrong.append(what)
+def check(failures: list[str], passed: bool, description: str) -> None:
+    print(("ok     " if passed else "WRONG  ") + description)
+    if not passed:
+        failures.append(description)
 
 
-async def replace(old: Gateway, new: Gateway, port: int, discovery: Discovery, wrong: list[str]) -> None:
-    """Starts the new process beside the old one, then ends the old one."""
-    before = await old.figures()
+async def replace(old: Gateway, new: Gateway, port: int, discovery: Discovery, failures: list[str]) -> None:
+    """Starts the new process while the old one runs, then terminates the old one."""
+    old_vars = await old.vars()
     check(
-        wrong,
-        before["pool_ejected"] == 1,
-        f"the old process avoids {before['pool_ejected']} host, the failing one",
+        failures,
+        old_vars["pool_ejected"] == 1,
+        f"the old process ejects {old_vars['pool_ejected']} host, the failing one",
     )
     discovery.silent = True
     await new.start()
-    took = await new.ready()
-    figures = await new.figures()
-    print(f"       the new process was ready after {took:.2f} s")
+    ready_after = await new.wait_until_ready()
+    new_vars = await new.vars()
+    print(f"       the new process was ready after {ready_after:.2f} s")
     sockets = listening_inodes(port)
     shared = len(sockets) == 1 and all(
         holds_socket(gateway.process.pid, inode) for gateway in (old, new) for inode in sockets
     )
-    check(wrong, shared, "the listener was handed over: both hold the only one there is")
+    check(failures, shared, "the listener was transferred: both processes share the only one")
     check(
-        wrong,
-        figures["pool_size"] == len(HOSTS),
-        f"the list was handed over: {figures['pool_size']} hosts at the new process",
+        failures,
+        new_vars["pool_size"] == len(HOSTS),
+        f"the list was transferred: {new_vars['pool_size']} hosts at the new process",
     )
     check(
-        wrong,
-        figures["pool_ejected"] == 1,
-        f"what was learned was handed over: {figures['pool_ejected']} host avoided at once",
+        failures,
+        new_vars["pool_ejected"] == 1,
+        f"the learned state was transferred: {new_vars['pool_ejected']} host ejected from the start",
     )
     await asyncio.sleep(SETTLE_SECONDS)
-    asked = discovery.asked_when_silent
+    calls = discovery.calls_when_silent
     check(
-        wrong,
-        bool(asked) and all(f"after={LIST_REVISION}" in line for line in asked),
-        f"the new process watches from revision {LIST_REVISION} on ({len(asked)} calls)",
+        failures,
+        bool(calls) and all(f"after={LIST_REVISION}" in line for line in calls),
+        f"the new process watches from revision {LIST_REVISION} ({len(calls)} calls)",
     )
     old.process.send_signal(signal.SIGTERM)
-    begun = time.monotonic()
+    terminated_at = time.monotonic()
     try:
-        code = await asyncio.wait_for(old.process.wait(), END_WITHIN_SECONDS)
-        ended = f"after {time.monotonic() - begun:.2f} s with code {code}"
-        check(wrong, code == 0, f"the old process ended {ended}")
+        code = await asyncio.wait_for(old.process.wait(), EXIT_TIMEOUT_SECONDS)
+        exit_result = f"after {time.monotonic() - terminated_at:.2f} s with code {code}"
+        check(failures, code == 0, f"the old process exited {exit_result}")
     except asyncio.TimeoutError:
-        check(wrong, False, f"the old process ended within {END_WITHIN_SECONDS} s")
+        check(failures, False, f"the old process exited within {EXIT_TIMEOUT_SECONDS} s")
 
 
-def report(load: Load, hosts: list[Host], wrong: list[str]) -> None:
-    answered = sum(load.statuses.values())
+def report(load: Load, hosts: list[Host], failures: list[str]) -> None:
+    responses = sum(load.statuses.values())
     statuses = ", ".join(f"{n} with {status}" for status, n in sorted(load.statuses.items()))
-    print(f"       {load.sent} requests sent, {answered} answered: {statuses}")
+    print(f"       {load.sent} requests sent, {responses} responses: {statuses}")
     print(f"       {load.clean_closes} connections closed between requests")
     attempts: Counter[str] = Counter()
     for host in hosts:
         attempts.update(host.attempts)
         print(f"       {sum(host.attempts.values())} attempts at {host.name}")
-    twice = [
+    repeated_payments = [
         request_id
         for request_id, n in attempts.items()
         if n > 1 and int(request_id.rpartition("-")[2]) % 10 == 0
     ]
-    check(wrong, not twice, f"no payment was sent twice ({len(twice)} were)")
+    check(failures, not repeated_payments, f"no payment was sent twice ({len(repeated_payments)} were)")
     for error in load.errors[:10]:
         print("       " + error)
-    check(wrong, not load.errors, f"connection errors and wrong answers: {len(load.errors)}")
-    check(wrong, answered == load.sent, f"requests with no final answer: {load.sent - answered}")
+    check(failures, not load.errors, f"connection errors and wrong responses: {len(load.errors)}")
+    check(failures, responses == load.sent, f"requests without a final response: {load.sent - responses}")
 
 
-async def play(old_program: str, new_program: str, folder: str) -> list[str]:
+async def run_test(old_program: str, new_program: str, folder: str) -> list[str]:
     hosts = [Host(name) for name in HOSTS]
     servers = [await host.start() for host in hosts]
     discovery = Discovery(hosts)
@@ -419,7 +422,7 @@
             },
             file,
         )
-    wrong: list[str] = []
+    failures: list[str] = []
     old = Gateway(old_program, "old", folder, config)
     new = Gateway(new_program, "new", folder, config)
     load = Load(port)
@@ -427,21 +430,21 @@
     try:
         await old.start()
         started.append(old)
-        await old.ready()
+        await old.wait_until_ready()
         clients = asyncio.create_task(load.run())
         await asyncio.sleep(REPLACE_AFTER_SECONDS)
         started.append(new)
-        await replace(old, new, port, discovery, wrong)
+        await replace(old, new, port, discovery, failures)
         await clients
-        check(wrong, new.process.returncode is None, "the new process serves on")
-        report(load, hosts, wrong)
+        check(failures, new.process.returncode is None, "the new process still runs")
+        report(load, hosts, failures)
     except NotReady as error:
-        check(wrong, False, str(error))
+        check(failures, False, str(error))
     finally:
-        words = ("replaces a process", "a process that replaces", "nothing can be handed over")
+        log_texts = ("replaces a process", "a process that replaces", "nothing can be handed over")
         for gateway in started:
             for line in gateway.log():
-                if any(word in line for word in words):
+                if any(text in line for text in log_texts):
                     print(f"       log of {os.path.basename(gateway.log_path)}: {line}")
         for gateway in started:
             with contextlib.suppress(AttributeError, ProcessLookupError):
@@ -449,15 +452,15 @@
                 await gateway.process.wait()
         for server in servers:
             server.close()
-    return wrong
+    return failures
 
 
 def main() -> int:
     old_program, new_program = (os.path.abspath(path) for path in sys.argv[1:3])
     with tempfile.TemporaryDirectory(prefix="replace-") as folder:
-        wrong = asyncio.run(play(old_program, new_program, folder))
-    print("all held" if not wrong else f"{len(wrong)} did not hold")
-    return 1 if wrong else 0
+        failures = asyncio.run(run_test(old_program, new_program, folder))
+    print("all checks passed" if not failures else f"{len(failures)} checks failed")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/replace_between_builds.sh
+++ b/tests/replace_between_builds.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Replaces a running gateway of one build by a gateway of another, under load on loopback, and fails if a request went
-# without a final answer, if a connection broke otherwise than by a close between requests, or if the old process did not
-# hand over its listener, its list of hosts and what it had learned. Takes some 15 s; not a part of CI.
+# Replaces a running gateway of one build by that of another, under load on loopback. Fails if a request has
+# no final response, if a connection ends except by a close between requests, or if the old process does not
+# transfer its listener, list of hosts and learned state. Takes about 15 s; not part of CI.
 #
 #   bash tests/replace_between_builds.sh OLD_PROGRAM NEW_PROGRAM
 set -euo pipefail
