--- a/src/proxy/admin/metrics.hpp
+++ b/src/proxy/admin/metrics.hpp
@@ -41,7 +41,7 @@
 
   // A gauge or counter that the caller of ToPrometheus() provides.
   struct Sample {
-    const char* name;  // without the prefix "elderhead_"
+    const char* name;  // without the common prefix
     const char* type;  // gauge or counter
     const char* help;
     double value;
