--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -23,7 +23,7 @@
 };
 inline constexpr Range kNotNegative{0, std::numeric_limits<double>::infinity()};
 inline constexpr Range kAboveZero{1e-9, std::numeric_limits<double>::infinity()};
-inline constexpr Range kShare{0, 1};
+inline constexpr Range kFraction{0, 1};
 
 // One table of a TOML file. Getters return the value of a key, and `fallback` where the file does not have
 // it; those without a fallback throw ConfigError then. They throw ConfigError, at the place of the value, for
--- a/src/lab/experiment_reader.cpp
+++ b/src/lab/experiment_reader.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 using base::kAboveZero;
+using base::kFraction;
 using base::kNotNegative;
-using base::kShare;
 using base::TomlTable;
 
 constexpr double kMillisPerSecond = 1000;
@@ -70,12 +70,12 @@
   group.speed = table.Number("speed", group.speed, {0.001, 1000});
   group.slots = table.Integer("slots", group.slots, 1, kMaxSlots);
   group.queue_capacity = table.Integer("waiting", group.queue_capacity, 0, kMaxSlots);
-  group.thrash_factor = table.Number("thrash", group.thrash_factor, kShare);
+  group.thrash_factor = table.Number("thrash", group.thrash_factor, kFraction);
   group.handshake_work = table.Number("handshake_ms", group.handshake_work, kNotNegative);
   group.max_connections = table.Integer("connections", group.max_connections, 1, kMaxSlots);
   group.idle_timeout = table.Number("idle_ms", group.idle_timeout, {100, 1e9});
-  group.error_rate = table.Number("errors", group.error_rate, kShare);
-  group.no_response_rate = table.Number("silent", group.no_response_rate, kShare);
+  group.error_rate = table.Number("errors", group.error_rate, kFraction);
+  group.no_response_rate = table.Number("silent", group.no_response_rate, kFraction);
   table.RejectUnknownKeys();
   return group;
 }
@@ -109,7 +109,7 @@
     table.Fail("deadline_ms", "is before aim_ms");
   }
   traffic_class.priority_weight = table.Number("worth", traffic_class.priority_weight, kAboveZero);
-  traffic_class.late_weight = table.Number("late_worth", traffic_class.late_weight, kShare);
+  traffic_class.late_weight = table.Number("late_worth", traffic_class.late_weight, kFraction);
   traffic_class.idempotent = table.Flag("repeatable", traffic_class.idempotent);
   table.RejectUnknownKeys();
   return traffic_class;
--- a/src/lab/fault_reader.cpp
+++ b/src/lab/fault_reader.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 using base::kAboveZero;
+using base::kFraction;
 using base::kNotNegative;
-using base::kShare;
 using base::TomlTable;
 
 constexpr double kMillisPerSecond = 1000;
@@ -128,9 +128,9 @@
 }
 
 void ReadConditions(TomlTable& table, Fault& fault) {
-  fault.conditions.loss_rate = table.Number("loss", 0, kShare);
-  fault.conditions.duplication_rate = table.Number("repeat", 0, kShare);
-  fault.conditions.reordering_rate = table.Number("reorder", 0, kShare);
+  fault.conditions.loss_rate = table.Number("loss", 0, kFraction);
+  fault.conditions.duplication_rate = table.Number("repeat", 0, kFraction);
+  fault.conditions.reordering_rate = table.Number("reorder", 0, kFraction);
   fault.conditions.delay = table.Number("delay_ms", 0, kNotNegative);
 }
 
@@ -150,7 +150,7 @@
       fault.description += " from " + table.Text("peer");
       return;
     case FaultKind::kFailingHost:
-    case FaultKind::kListTruncate: fault.magnitude = table.Number("size", kShare); return;
+    case FaultKind::kListTruncate: fault.magnitude = table.Number("size", kFraction); return;
     default: return;
   }
 }
--- a/src/registry/service_options.cpp
+++ b/src/registry/service_options.cpp
@@ -24,7 +24,7 @@
   SelfPreservationOptions& preservation = leases.self_preservation;
   leases.default_duration = table.Seconds("term_s", leases.default_duration, kLeaseDurationSeconds);
   leases.removal_grace = table.Seconds("grace_s", leases.removal_grace, base::kNotNegative);
-  preservation.max_lapsed_share = table.Number("most_lapsed", preservation.max_lapsed_share, base::kShare);
+  preservation.max_lapsed_share = table.Number("most_lapsed", preservation.max_lapsed_share, base::kFraction);
   preservation.min_lapsed =
       table.Integer("least_lapsed", preservation.min_lapsed, kMinLapsedRange.min, kMinLapsedRange.max);
   preservation.window = table.Seconds("window_s", preservation.window, base::kNotNegative);
