--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::ordered_json;
 
-LogForm log_form = LogForm::kText;  // of the whole process
+LogFormat log_form = LogFormat::kText;  // of the whole process
 
 const char* Name(Level level) {
   return level == Level::kInfo ? "info" : level == Level::kWarning ? "warning" : "error";
@@ -64,12 +64,12 @@
 
 }  // namespace
 
-void SetLogForm(LogForm form) { log_form = form; }
+void SetLogFormat(LogFormat form) { log_form = form; }
 
-std::string FormatRecord(LogForm form, double unix_ms, Level level, std::string_view part,
+std::string FormatRecord(LogFormat form, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields) {
-  if (form == LogForm::kText) return Timestamp(unix_ms) + ' ' + Name(level) + ' ' + std::string(text);
+  if (form == LogFormat::kText) return Timestamp(unix_ms) + ' ' + Name(level) + ' ' + std::string(text);
   ordered_json record = {
       {"time", Timestamp(unix_ms)}, {"level", Name(level)}, {"part", part}, {"event", event}, {"text", text}};
   for (const LogField& field : fields) {
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -10,7 +10,7 @@
 namespace gateway::base {
 
 enum class Level { kInfo, kWarning, kError };
-enum class LogForm {
+enum class LogFormat {
   kText,  // "2026-12-01T09:30:00.123Z info sockets: hosts 7 ..."
   kJson   // an object with time, level, part, event, text and the fields of the record
 };
@@ -28,7 +28,7 @@
 
 // Sets the form of all later records of the process; kText at its start. To be called before a second thread
 // logs.
-void SetLogForm(LogForm form);
+void SetLogFormat(LogFormat form);
 
 // Writes one record by one system call, in the calling thread; blocks only where standard error does. Does
 // not limit the rate: callers do. `part` is the part of the program and `event` the kind of record, both
@@ -38,7 +38,7 @@
          std::initializer_list<LogField> fields = {});
 
 // Returns one record without its line feed. `unix_ms` is its Unix time in ms.
-std::string FormatRecord(LogForm form, double unix_ms, Level level, std::string_view part,
+std::string FormatRecord(LogFormat form, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields = {});
 
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -154,7 +154,7 @@
   if (!file.contains(at)) return;
   const json& form = file[at];
   if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
-  if (form == "json") config.log = base::LogForm::kJson;
+  if (form == "json") config.log = base::LogFormat::kJson;
 }
 
 void ReadKnownList(const json& file, Config& config) {
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -42,7 +42,7 @@
   bool load_state = true;       // else this start ignores the saved state and replaces it
   Millis state_sync_delay = 0;  // added to each sync of the state, for drills with a slow disk
   std::string state_owner;      // name and clients' address of the gateway that the state belongs to
-  base::LogForm log = base::LogForm::kText;
+  base::LogFormat log = base::LogFormat::kText;
 };
 
 // `variable` looks up an environment variable: null if it is not set. Throws ConfigError.
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -19,7 +19,7 @@
     const proxy::Config config = proxy::LoadConfig(variable);
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error of the write, and no reason to end
     std::signal(SIGPIPE, SIG_IGN);  // so is a log that nobody reads any more
-    base::SetLogForm(config.log);
+    base::SetLogFormat(config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     proxy::Gateway gateway(io, config);
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -319,10 +319,10 @@
 // line.
 TEST(Log, IsTextOrOneObjectALine) {
   const std::string words = "sockets: hosts 7 clients 3 left 0 | dialled 4 reused 9 | reset new 1 reused 2";
-  EXPECT_EQ(base::FormatRecord(base::LogForm::kText, 1780000000123.0, base::Level::kInfo, "sockets", "counts",
-                               words),
+  EXPECT_EQ(base::FormatRecord(base::LogFormat::kText, 1780000000123.0, base::Level::kInfo, "sockets",
+                               "counts", words),
             "2026-05-28T20:26:40.123Z info " + words);
-  const auto record = nlohmann::json::parse(base::FormatRecord(base::LogForm::kJson, 1780000000123.0,
+  const auto record = nlohmann::json::parse(base::FormatRecord(base::LogFormat::kJson, 1780000000123.0,
                                                                base::Level::kWarning, "sockets", "counts",
                                                                words, {{"host", "h\"\xff"}, {"ms", 2.5}}));
   const nlohmann::json wanted = {{"time", "2026-05-28T20:26:40.123Z"},
