--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -47,10 +47,10 @@
   }
 
   // Whether at least 10 values lie beyond the quantile, as an estimate of it needs.
-  bool Supports(double share) const { return static_cast<double>(count_) * (1 - share) >= 10; }
+  bool SupportsQuantile(double share) const { return static_cast<double>(count_) * (1 - share) >= 10; }
 
   // The number of values up to `value`, to the accuracy of a bucket.
-  std::uint64_t AtMost(std::uint64_t value) const {
+  std::uint64_t CountAtMost(std::uint64_t value) const {
     std::uint64_t seen = 0;
     for (std::size_t i = 0; i < kBuckets && UpperEnd(i) <= value; ++i) seen += counts_[i];
     return seen;
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -33,7 +33,7 @@
   run.figures["mean_ms" + suffix] = latency.mean() / kMicrosPerMilli;
   for (const auto& [name, share] :
        {std::pair{"p50_ms", 0.5}, {"p90_ms", 0.9}, {"p99_ms", 0.99}, {"p999_ms", 0.999}}) {
-    if (latency.Supports(share)) run.figures[name + suffix] = ToMillis(latency.Quantile(share));
+    if (latency.SupportsQuantile(share)) run.figures[name + suffix] = ToMillis(latency.Quantile(share));
   }
 }
 
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -109,7 +109,7 @@
       const std::string label = "{class=" + Quoted(class_name);
       for (const std::uint64_t bound : kBounds) {
         text += name + "_bucket" + label + ",le=\"" + Number(static_cast<double>(bound) / 1e6) + "\"} " +
-                std::to_string(histogram.AtMost(bound)) + '\n';
+                std::to_string(histogram.CountAtMost(bound)) + '\n';
       }
       text += name + "_bucket" + label + ",le=\"+Inf\"} " + std::to_string(histogram.count()) + '\n';
       text += name + "_sum" + label + "} " + Number(histogram.sum() / 1e6) + '\n';
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -326,7 +326,7 @@
     }
   }
   EXPECT_EQ(base::Histogram().Quantile(0.5), 0U);
-  EXPECT_FALSE(base::Histogram().Supports(0.5));
+  EXPECT_FALSE(base::Histogram().SupportsQuantile(0.5));
 }
 
 TEST(Files, AreReadStrictly) {
