--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-std::string GetRequest(const std::string& target, const std::string& host) {
+std::string FormatGetRequest(const std::string& target, const std::string& host) {
   return "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
 }
 
@@ -29,7 +29,7 @@
   });
   if (!connected_) return Connect();
   error_code ignored;
-  socket_.cancel(ignored);  // ends WatchIdle
+  socket_.cancel(ignored);  // ends NotifyOnIdleClose
   Write();
 }
 
@@ -86,7 +86,7 @@
   socket_.close(ignored);
 }
 
-void ClientConnection::WatchIdle(std::function<void()> closed) {
+void ClientConnection::NotifyOnIdleClose(std::function<void()> closed) {
   socket_.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this(), closed = std::move(closed)](error_code ec) {
                        if (ec || !self->open_ || self->done_) return;
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -25,7 +25,7 @@
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
 // The text of a GET request without a body. `host` is the value of its Host field.
-std::string GetRequest(const std::string& target, const std::string& host);
+std::string FormatGetRequest(const std::string& target, const std::string& host);
 
 // A connection to an HTTP server, with one exchange at a time. Owned by shared pointers: an exchange under
 // way keeps it alive. To be used in the thread that runs the io_context.
@@ -64,7 +64,7 @@
   const tcp::endpoint& server() const { return server_; }
 
   // Calls `closed` when the server closes the connection while it is idle. Ends with the next Exchange.
-  void WatchIdle(std::function<void()> closed);
+  void NotifyOnIdleClose(std::function<void()> closed);
 
  private:
   void Connect();
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -156,7 +156,7 @@
 void Clients::ReuseLater(int target, std::shared_ptr<ClientConnection> connection) {
   if (!connection->usable()) return;
   auto& idle = idle_[static_cast<std::size_t>(target)];
-  connection->WatchIdle([&idle, closed = connection.get()] {
+  connection->NotifyOnIdleClose([&idle, closed = connection.get()] {
     std::erase_if(idle, [closed](const auto& other) { return other.get() == closed; });
   });
   idle.push_back(std::move(connection));
--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -120,7 +120,7 @@
   if (!connection || !connection->usable()) {
     connection = std::make_shared<ClientConnection>(env_.io, env_.addresses.Gateway(gateway));
   }
-  connection->Exchange(base::GetRequest("/up", "backend.local"), kProbeTimeout,
+  connection->Exchange(base::FormatGetRequest("/up", "backend.local"), kProbeTimeout,
                        [this, gateway, sent_at = MonotonicNow()](const ClientConnection::Result& result) {
                          OnProbeResult(gateway, result);
                          auto& timer = At(gateway).probe_timer;
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -167,7 +167,7 @@
   if (!upstream || !upstream->usable()) {
     upstream = std::make_shared<ClientConnection>(env_.io, env_.registry->address());
   }
-  upstream->Exchange(base::GetRequest(target, "registry"), kMaxWatchTimeout + kNotifiedWithin,
+  upstream->Exchange(base::FormatGetRequest(target, "registry"), kMaxWatchTimeout + kNotifiedWithin,
                      [this, gateway, connection](const ClientConnection::Result& result) {
                        if (!connection->open()) return;
                        if (result.failure == ClientConnection::Failure::kNone) {
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -41,7 +41,7 @@
 constexpr double kMicrosPerMilli = 1000;
 constexpr double kKilobytesPerMegabyte = 1024;
 
-std::string GetText(const std::string& target) { return base::GetRequest(target, "r"); }
+std::string GetText(const std::string& target) { return base::FormatGetRequest(target, "r"); }
 
 std::uint64_t ToMicros(Millis time) {
   return static_cast<std::uint64_t>(std::max(0.0, kMicrosPerMilli * time));
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -102,7 +102,7 @@
   auto& connection = connections_[from];
   if (!connection || !connection->usable()) connection = std::make_shared<ClientConnection>(loop_.io(), from);
   std::optional<ClientConnection::Result> result;
-  connection->Exchange(base::GetRequest(target, "scale"), kAnswerTimeout,
+  connection->Exchange(base::FormatGetRequest(target, "scale"), kAnswerTimeout,
                        [&](ClientConnection::Result got) { result = std::move(got); });
   loop_.RunUntil("an answer to " + target, 2 * kAnswerTimeout, [&] { return result.has_value(); });
   CheckAlive();
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -77,7 +77,7 @@
     if (!connection_ || !connection_->usable()) {
       connection_ = std::make_shared<ClientConnection>(fleet_.loop().io(), fleet_.list_service_address());
     }
-    connection_->Exchange(base::GetRequest("/metrics", "scale"), kMetricsPatience,
+    connection_->Exchange(base::FormatGetRequest("/metrics", "scale"), kMetricsPatience,
                           [this](ClientConnection::Result result) {
                             asking_ = false;
                             if (on_ && result.failure == ClientConnection::Failure::kNone) {
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -101,8 +101,8 @@
     if (!list_connection_ || !list_connection_->usable())
       list_connection_ = std::make_shared<ClientConnection>(io_, list_address_);
     list_connection_->Exchange(
-        base::GetRequest(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", revision_, kWatchTimeout),
-                         "list"),
+        base::FormatGetRequest(
+            fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", revision_, kWatchTimeout), "list"),
         kWatchTimeout + kWatchGrace, [this](ClientConnection::Result result) {
           const bool answered =
               result.failure == ClientConnection::Failure::kNone && result.response.result_int() == 200;
@@ -164,7 +164,7 @@
 
   void ReuseLater(Endpoint& endpoint, const std::shared_ptr<ClientConnection>& connection) {
     if (!connection->usable()) return;
-    connection->WatchIdle([&endpoint, closed = connection.get()] {
+    connection->NotifyOnIdleClose([&endpoint, closed = connection.get()] {
       std::erase_if(endpoint.idle, [closed](const auto& other) { return other.get() == closed; });
     });
     endpoint.idle.push_back(connection);
