--- a/src/base/supervisor.cpp
+++ b/src/base/supervisor.cpp
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-Supervisor::Decision Supervisor::OnProcessEnd(const ProcessEnd& end, double jitter) {
+Supervisor::Decision Supervisor::OnProcessExit(const ProcessExit& end, double jitter) {
   if (end.expected) return {Action::kStop, 0};
-  if (IsCrashLoop(end.now)) return {Action::kGiveUp, 0};
+  if (IsCrashLoop(end.now)) return {Action::kStopCrashLoop, 0};
   crashes_in_row_ = end.ran_for >= options_.healthy_run ? 1 : crashes_in_row_ + 1;
   // A run without the saved state says nothing about the state and leaves the count as it is.
   if (end.with_saved_state) {
--- a/src/base/supervisor.hpp
+++ b/src/base/supervisor.hpp
@@ -21,14 +21,14 @@
     Millis bad_state_run = 5000;  // within this time of a start with a saved state: the state may be bad
   };
 
-  struct ProcessEnd {
+  struct ProcessExit {
     Millis now = 0;
     Millis ran_for = 0;
     bool expected = false;         // it was asked to end, or ended by itself with success
     bool with_saved_state = true;  // it was started with its saved state
   };
 
-  enum class Action { kStop, kRestart, kRestartWithoutState, kGiveUp };
+  enum class Action { kStop, kRestart, kRestartWithoutState, kStopCrashLoop };
 
   struct Decision {
     Action action = Action::kStop;
@@ -39,7 +39,7 @@
 
   // Decides after the end of the process. `jitter` is uniform from 0 to 1; backoffs vary with it from half to
   // the full value.
-  Decision OnProcessEnd(const ProcessEnd& end, double jitter);
+  Decision OnProcessExit(const ProcessExit& end, double jitter);
 
  private:
   bool IsCrashLoop(Millis now);
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -105,11 +105,11 @@
   int Run() {
     for (;;) {
       const GatewayEnd end = RunGateway();
-      const Supervisor::Decision decision = supervisor_.OnProcessEnd(
+      const Supervisor::Decision decision = supervisor_.OnProcessExit(
           {end.at, end.ran_for, asked_to_end_ || IsSuccess(end.status), with_saved_state_},
           std::uniform_real_distribution<double>()(random_));
       if (decision.action == Supervisor::Action::kStop) return ExitCode(end.status);
-      if (decision.action == Supervisor::Action::kGiveUp) {
+      if (decision.action == Supervisor::Action::kStopCrashLoop) {
         LogCrashLoop(end);
         return kCrashLoop;
       }
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -600,7 +600,7 @@
        {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // longer than a state's fault takes
        {26000, 900, false, true, Action::kRestart, 3200, 6400},
        {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
-       {60000, 900, false, false, Action::kGiveUp, 0, 0}},
+       {60000, 900, false, false, Action::kStopCrashLoop, 0, 0}},
       // The same crashes spread over more time are no loop.
       {{0, 900, false, false, Action::kRestart, 100, 200},
        {40000, 900, false, false, Action::kRestart, 200, 400},
@@ -616,7 +616,7 @@
       Supervisor supervisor({});
       for (const Step& step : story) {
         const auto decision =
-            supervisor.OnProcessEnd({step.at, step.ran, step.expected, step.with_saved_state}, draw);
+            supervisor.OnProcessExit({step.at, step.ran, step.expected, step.with_saved_state}, draw);
         EXPECT_EQ(decision.action, step.action) << "at " << step.at;
         EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
       }
