--- a/src/base/config_error.hpp
+++ b/src/base/config_error.hpp
@@ -1,4 +1,4 @@
-// The error of every reader of configurations.
+// The exception that all configuration readers throw.
 #ifndef GATEWAY_BASE_CONFIG_ERROR_HPP_
 #define GATEWAY_BASE_CONFIG_ERROR_HPP_
 
@@ -6,8 +6,9 @@
 
 namespace gateway::base {
 
-// A configuration that can't be read or that is wrong. what() is one line, which begins with the place of the
-// fault ("FILE:LINE:COLUMN") or the name of the variable or field, and says what is wrong there.
+// A configuration that can't be read or is invalid. what() is one line. It begins with the location of the
+// error
+// ("FILE:LINE:COLUMN") or the name of the variable or field and describes the error.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/base/descriptor_limit.hpp
+++ b/src/base/descriptor_limit.hpp
@@ -1,11 +1,10 @@
-// The limit on file descriptors of this process.
+// The file descriptor limit of this process.
 #ifndef GATEWAY_BASE_DESCRIPTOR_LIMIT_HPP_
 #define GATEWAY_BASE_DESCRIPTOR_LIMIT_HPP_
 
 namespace gateway::base {
 
-// Raises the soft limit on open file descriptors to the hard limit. Where the system refuses, the limit stays
-// as it is.
+// Raises the soft limit on open file descriptors to the hard limit. Does nothing if the system refuses.
 void RaiseDescriptorLimit();
 
 }  // namespace gateway::base
--- a/src/base/file_descriptor.hpp
+++ b/src/base/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor.
+// An owning file descriptor.
 #ifndef GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
 #define GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace gateway::base {
 
-// Closes its descriptor when it is destroyed or replaced. Empty by default.
+// Closes its descriptor when it is destroyed or assigned to. Empty by default.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  // Takes ownership of `fd`; a negative one makes an empty object.
+  // Takes ownership of `fd`. A negative `fd` creates an empty object.
   explicit FileDescriptor(int fd) : fd_(fd) {}
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(other.Release()) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
@@ -24,9 +24,9 @@
   ~FileDescriptor() { Close(); }
 
   explicit operator bool() const { return fd_ >= 0; }
-  // -1 if empty.
+  // Returns -1 if empty.
   int get() const { return fd_; }
-  // Gives ownership to the caller and leaves this empty.
+  // Transfers ownership to the caller and leaves this object empty.
   int Release() { return std::exchange(fd_, -1); }
 
  private:
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -1,5 +1,6 @@
-// A histogram of bounded memory and bounded relative error, after Gil Tene's HDR histogram: equal buckets
-// within each power of two. Debian 12 packages that library for Java and Go only (docs/parts.md).
+// A histogram with bounded memory and bounded relative error, based on Gil Tene's HdrHistogram: each power of
+// two is divided into buckets of equal width. Implemented here because Debian 12 packages that library for
+// Java and Go only (docs/parts.md).
 #ifndef GATEWAY_BASE_HISTOGRAM_HPP_
 #define GATEWAY_BASE_HISTOGRAM_HPP_
 
@@ -11,8 +12,8 @@
 
 namespace gateway::base {
 
-// Counts integers from 0 to 2^41 - 1 with a relative error of at most 1/32; larger ones count as the largest.
-// Takes 9.3 KB. To be used in one thread at a time.
+// Counts integers from 0 to 2^41 - 1 with a relative error of at most 1/32. Larger values are counted as 2^41
+// - 1. Takes 9.3 KB. Not thread-safe.
 class Histogram {
  public:
   void Add(std::uint64_t value, std::uint64_t times = 1) {
@@ -34,45 +35,48 @@
   double mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
   std::uint64_t max() const { return max_; }
 
-  // Returns the upper end of the lowest bucket that has `share` (0 to 1) of all values in it or below; 0
-  // without values.
-  std::uint64_t Quantile(double share) const {
-    const double wanted = share * static_cast<double>(count_);
-    std::uint64_t seen = 0;
+  // Returns the upper end of the lowest bucket up to which at least the fraction `quantile` (0 to 1) of all
+  // values lies, or the maximum if that is lower. Returns 0 if there are no values.
+  std::uint64_t Quantile(double quantile) const {
+    const double target_count = quantile * static_cast<double>(count_);
+    std::uint64_t cumulative_count = 0;
     for (std::size_t i = 0; i < kBuckets; ++i) {
-      seen += counts_[i];
-      if (seen > 0 && static_cast<double>(seen) >= wanted) return UpperEnd(i) < max_ ? UpperEnd(i) : max_;
+      cumulative_count += counts_[i];
+      if (cumulative_count > 0 && static_cast<double>(cumulative_count) >= target_count) {
+        return UpperEnd(i) < max_ ? UpperEnd(i) : max_;
+      }
     }
     return max_;
   }
 
-  // Whether at least 10 values lie beyond the quantile, as an estimate of it needs.
-  bool SupportsQuantile(double share) const { return static_cast<double>(count_) * (1 - share) >= 10; }
+  // Returns whether at least 10 values lie above the quantile. With fewer, Quantile() is a poor estimate.
+  bool SupportsQuantile(double quantile) const { return static_cast<double>(count_) * (1 - quantile) >= 10; }
 
-  // The number of values up to `value`, to the accuracy of a bucket.
+  // Returns the number of values up to `value`, with the resolution of the buckets.
   std::uint64_t CountAtMost(std::uint64_t value) const {
-    std::uint64_t seen = 0;
-    for (std::size_t i = 0; i < kBuckets && UpperEnd(i) <= value; ++i) seen += counts_[i];
-    return seen;
+    std::uint64_t cumulative_count = 0;
+    for (std::size_t i = 0; i < kBuckets && UpperEnd(i) <= value; ++i) cumulative_count += counts_[i];
+    return cumulative_count;
   }
 
  private:
-  static constexpr int kBits = 5;  // 32 buckets for each power of two
-  static constexpr int kMaxBits = 41;
-  static constexpr std::size_t kBuckets = static_cast<std::size_t>(kMaxBits - kBits + 1) << kBits;
+  static constexpr int kSubBucketBits = 5;  // 32 buckets for each power of two
+  static constexpr int kMaxValueBits = 41;
+  static constexpr std::size_t kBuckets = static_cast<std::size_t>(kMaxValueBits - kSubBucketBits + 1)
+                                          << kSubBucketBits;
 
   static std::size_t Bucket(std::uint64_t value) {
-    constexpr std::uint64_t kMax = (std::uint64_t{1} << kMaxBits) - 1;
-    if (value > kMax) value = kMax;
-    const int shift = std::max(0, static_cast<int>(std::bit_width(value)) - kBits - 1);
-    return (static_cast<std::size_t>(shift) << kBits) + static_cast<std::size_t>(value >> shift);
+    constexpr std::uint64_t kMaxValue = (std::uint64_t{1} << kMaxValueBits) - 1;
+    if (value > kMaxValue) value = kMaxValue;
+    const int shift = std::max(0, static_cast<int>(std::bit_width(value)) - kSubBucketBits - 1);
+    return (static_cast<std::size_t>(shift) << kSubBucketBits) + static_cast<std::size_t>(value >> shift);
   }
 
   static std::uint64_t UpperEnd(std::size_t bucket) {
-    constexpr std::size_t kBucketsPerPower = std::size_t{1} << kBits;
+    constexpr std::size_t kBucketsPerPower = std::size_t{1} << kSubBucketBits;
     if (bucket < 2 * kBucketsPerPower) return bucket;
-    const std::size_t shift = (bucket >> kBits) - 1;
-    return ((static_cast<std::uint64_t>(bucket - (shift << kBits)) + 1) << shift) - 1;
+    const std::size_t shift = (bucket >> kSubBucketBits) - 1;
+    return ((static_cast<std::uint64_t>(bucket - (shift << kSubBucketBits)) + 1) << shift) - 1;
   }
 
   std::array<std::uint64_t, kBuckets> counts_{};
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -18,24 +18,24 @@
   return "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
 }
 
-void ClientConnection::Exchange(std::string request, Millis timeout, Done done,
-                                std::function<void()> written) {
+void ClientConnection::Exchange(std::string request, Millis timeout, ResultCallback on_result,
+                                std::function<void()> on_written) {
   request_ = std::move(request);
-  done_ = std::move(done);
-  written_ = std::move(written);
+  on_result_ = std::move(on_result);
+  on_written_ = std::move(on_written);
   timer_.expires_after(TimerDuration(timeout));
   timer_.async_wait([self = shared_from_this(), exchange = exchanges_](error_code ec) {
-    if (!ec && self->done_ && exchange == self->exchanges_) self->Finish(Failure::kTimedOut);
+    if (!ec && self->on_result_ && exchange == self->exchanges_) self->Finish(Failure::kTimedOut);
   });
   if (!connected_) return Connect();
   error_code ignored;
-  socket_.cancel(ignored);  // ends NotifyOnIdleClose
+  socket_.cancel(ignored);  // ends the wait of NotifyOnIdleClose()
   Write();
 }
 
 void ClientConnection::Connect() {
   socket_.async_connect(server_, [self = shared_from_this()](error_code ec) {
-    if (!self->done_) return;
+    if (!self->on_result_) return;
     if (ec) return self->Finish(Failure::kConnectFailed);
     self->connected_ = true;
     error_code ignored;
@@ -48,16 +48,16 @@
   parser_.emplace();
   parser_->body_limit(kMaxHttpBodyBytes);
   asio::async_write(socket_, asio::buffer(request_), [self = shared_from_this()](error_code ec, std::size_t) {
-    if (!self->done_) return;
+    if (!self->on_result_) return;
     if (ec) return self->Finish(Failure::kNoResponse);
-    if (self->written_) self->written_();
+    if (self->on_written_) self->on_written_();
     self->Read();
   });
 }
 
 void ClientConnection::Read() {
   http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-    if (!self->done_) return;
+    if (!self->on_result_) return;
     if (!ec) return self->Finish(Failure::kNone);
     self->Finish(self->parser_->got_some() ? Failure::kIncompleteResponse : Failure::kNoResponse);
   });
@@ -75,9 +75,9 @@
   } else {
     Close();
   }
-  const Done done = std::exchange(done_, nullptr);
-  written_ = nullptr;
-  done(std::move(result));
+  const ResultCallback on_result = std::exchange(on_result_, nullptr);
+  on_written_ = nullptr;
+  on_result(std::move(result));
 }
 
 void ClientConnection::Close() {
@@ -86,12 +86,12 @@
   socket_.close(ignored);
 }
 
-void ClientConnection::NotifyOnIdleClose(std::function<void()> closed) {
+void ClientConnection::NotifyOnIdleClose(std::function<void()> on_closed) {
   socket_.async_wait(tcp::socket::wait_read,
-                     [self = shared_from_this(), closed = std::move(closed)](error_code ec) {
-                       if (ec || !self->open_ || self->done_) return;
+                     [self = shared_from_this(), on_closed = std::move(on_closed)](error_code ec) {
+                       if (ec || !self->open_ || self->on_result_) return;
                        self->Close();
-                       closed();
+                       on_closed();
                      });
 }
 
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -1,4 +1,4 @@
-// The client's end of HTTP/1.1, over Beast.
+// A client for HTTP/1.1, based on Boost.Beast.
 #ifndef GATEWAY_BASE_HTTP_CLIENT_HPP_
 #define GATEWAY_BASE_HTTP_CLIENT_HPP_
 
@@ -24,47 +24,51 @@
 using tcp = boost::asio::ip::tcp;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// The text of a GET request without a body. `host` is the value of its Host field.
+// Returns the text of a GET request without a body. `host` is the value of its Host field.
 std::string FormatGetRequest(const std::string& target, const std::string& host);
 
-// A connection to an HTTP server, with one exchange at a time. Owned by shared pointers: an exchange under
-// way keeps it alive. To be used in the thread that runs the io_context.
+// A connection to an HTTP server that carries one exchange at a time. It is owned by shared pointers, and an
+// exchange in progress keeps it alive. Only the thread that runs the io_context may use it.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   enum class Failure {
     kNone,
     kConnectFailed,
-    kNoResponse,          // the connection ended before the first byte of the response
-    kIncompleteResponse,  // the connection ended within the response, or the response is malformed
+    kNoResponse,          // the connection was closed before the first byte of the response
+    kIncompleteResponse,  // the connection was closed within the response, or the response is malformed
     kTimedOut,
   };
   struct Result {
     Failure failure = Failure::kNone;
-    HttpResponse response;  // kNone: complete
+    HttpResponse response;  // complete if `failure` is kNone, else empty
     bool ok() const { return failure == Failure::kNone && response.result_int() == 200; }
   };
-  using Done = std::function<void(Result)>;
+  using ResultCallback = std::function<void(Result)>;
 
   ClientConnection(boost::asio::io_context& io, tcp::endpoint server)
       : socket_(io), timer_(io), server_(std::move(server)) {}
 
-  // Sends a request, complete with its header, and reads the response. Connects first where that has not been
-  // done. `done` is called exactly once, after `timeout` at the latest; `written`, where given, before it,
-  // when the last byte of the request has been handed to the system. usable() must be true.
-  void Exchange(std::string request, Millis timeout, Done done, std::function<void()> written = {});
+  // Sends a request, which includes its header, and reads the response. Connects first if the connection has
+  // not been established. Calls `on_result` exactly once, at the latest after `timeout`. If `on_written` is
+  // given, it is called before that, once the last byte of the request has been passed to the system.
+  // usable() must be true.
+  void Exchange(std::string request, Millis timeout, ResultCallback on_result,
+                std::function<void()> on_written = {});
 
   void Close();
 
-  // Whether another exchange can begin: none is under way, and the connection has not failed or been closed.
-  bool usable() const { return open_ && !done_; }
+  // Whether another exchange can begin: none is in progress, and the connection has not failed or been
+  // closed.
+  bool usable() const { return open_ && !on_result_; }
 
-  // Exchanges that have ended.
+  // The number of finished exchanges.
   int exchanges() const { return exchanges_; }
 
   const tcp::endpoint& server() const { return server_; }
 
-  // Calls `closed` when the server closes the connection while it is idle. Ends with the next Exchange.
-  void NotifyOnIdleClose(std::function<void()> closed);
+  // Calls `on_closed` if the server closes the connection while it is idle. The next Exchange() ends the
+  // notification.
+  void NotifyOnIdleClose(std::function<void()> on_closed);
 
  private:
   void Connect();
@@ -78,8 +82,8 @@
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser_;
   std::string request_;
-  Done done_;  // empty: no exchange is under way
-  std::function<void()> written_;
+  ResultCallback on_result_;  // empty if no exchange is in progress
+  std::function<void()> on_written_;
   bool open_ = true;
   bool connected_ = false;
   int exchanges_ = 0;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,9 +15,9 @@
 
 using nlohmann::ordered_json;
 
-LogFormat log_form = LogFormat::kText;  // of the whole process
+LogFormat log_format = LogFormat::kText;  // of all records of the process
 
-const char* Name(Level level) {
+const char* LevelName(Level level) {
   return level == Level::kInfo ? "info" : level == Level::kWarning ? "warning" : "error";
 }
 
@@ -38,9 +38,9 @@
   return error == std::errc() && end == word.data() + word.size() && std::isfinite(number);
 }
 
-// Adds the "name number" pairs of a summary line as fields. In "hosts 7 | reset new 1 reused 2" the word
-// "reset", which has no number of its own, becomes a prefix of the names up to the next bar: reset_new.
-void AddPairs(std::string_view text, ordered_json& record) {
+// Adds the "name number" pairs of a summary line as fields. A word without a number, such as "reset" in
+// "hosts 7 | reset new 1 reused 2", becomes a prefix of the names up to the next bar: reset_new.
+void AddNumberFields(std::string_view text, ordered_json& record) {
   std::string name;
   std::string prefix;
   while (!text.empty()) {
@@ -64,14 +64,18 @@
 
 }  // namespace
 
-void SetLogFormat(LogFormat form) { log_form = form; }
+void SetLogFormat(LogFormat format) { log_format = format; }
 
-std::string FormatRecord(LogFormat form, double unix_ms, Level level, std::string_view part,
+std::string FormatRecord(LogFormat format, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields) {
-  if (form == LogFormat::kText) return Timestamp(unix_ms) + ' ' + Name(level) + ' ' + std::string(text);
-  ordered_json record = {
-      {"time", Timestamp(unix_ms)}, {"level", Name(level)}, {"part", part}, {"event", event}, {"text", text}};
+  if (format == LogFormat::kText)
+    return Timestamp(unix_ms) + ' ' + LevelName(level) + ' ' + std::string(text);
+  ordered_json record = {{"time", Timestamp(unix_ms)},
+                         {"level", LevelName(level)},
+                         {"part", part},
+                         {"event", event},
+                         {"text", text}};
   for (const LogField& field : fields) {
     double number = 0;
     if (field.is_number && ParseNumber(field.value, number)) {
@@ -80,20 +84,20 @@
       record[std::string(field.name)] = field.value;
     }
   }
-  if (event == "counts") AddPairs(text.substr(std::min(text.size(), text.find(": ") + 2)), record);
-  // Texts of peers may be invalid UTF-8, which JSON does not allow.
+  if (event == "counts") AddNumberFields(text.substr(std::min(text.size(), text.find(": ") + 2)), record);
+  // Texts received from peers may contain invalid UTF-8, which JSON does not allow.
   return record.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
 void Log(Level level, std::string_view part, std::string_view event, std::string_view text,
          std::initializer_list<LogField> fields) {
-  std::string line = FormatRecord(log_form, UnixNow(), level, part, event, text, fields);
+  std::string line = FormatRecord(log_format, UnixNow(), level, part, event, text, fields);
   for (char& c : line) {
-    if (c == '\n' || c == '\r') c = ' ';  // texts of peers must not begin a new record
+    if (c == '\n' || c == '\r') c = ' ';  // texts received from peers must not start a new record
   }
   line += '\n';
   const auto written = ::write(STDERR_FILENO, line.data(), line.size());
-  static_cast<void>(written);  // the program goes on without its log
+  static_cast<void>(written);  // the program continues if a record can't be written
 }
 
 }  // namespace gateway::base
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-// The log of every program: one record a line on standard error, as text or as JSON.
+// The log of all programs: one record per line on standard error, as text or as JSON.
 #ifndef GATEWAY_BASE_LOG_HPP_
 #define GATEWAY_BASE_LOG_HPP_
 
@@ -12,10 +12,10 @@
 enum class Level { kInfo, kWarning, kError };
 enum class LogFormat {
   kText,  // "2026-12-01T09:30:00.123Z info sockets: hosts 7 ..."
-  kJson   // an object with time, level, part, event, text and the fields of the record
+  kJson   // an object with the keys time, level, part, event, text and the fields of the record
 };
 
-// A named value of a record, a number or a text.
+// A named value of a record: a number or a string.
 struct LogField {
   LogField(std::string_view name, std::string_view text) : name(name), value(text) {}
   template <typename Number>
@@ -26,19 +26,20 @@
   bool is_number = false;
 };
 
-// Sets the form of all later records of the process; kText at its start. To be called before a second thread
-// logs.
-void SetLogFormat(LogFormat form);
+// Sets the format of all later records of the process. The default is kText. Must be called before a second
+// thread logs.
+void SetLogFormat(LogFormat format);
 
-// Writes one record by one system call, in the calling thread; blocks only where standard error does. Does
-// not limit the rate: callers do. `part` is the part of the program and `event` the kind of record, both
-// fixed words; `text` is the whole record for a reader, without a line feed. In JSON the "name number" pairs
-// of `text` become fields too where `event` is "counts". A record that can't be written is dropped.
+// Writes one record with one system call in the calling thread and blocks only if standard error does.
+// Callers limit the rate of records. `part` is the component of the program and `event` the kind of record,
+// both fixed words. `text` is the complete record in readable form, without a line feed. If `event` is
+// "counts", the "name number" pairs of `text` also become fields of the JSON record. A record that can't be
+// written is dropped.
 void Log(Level level, std::string_view part, std::string_view event, std::string_view text,
          std::initializer_list<LogField> fields = {});
 
-// Returns one record without its line feed. `unix_ms` is its Unix time in ms.
-std::string FormatRecord(LogFormat form, double unix_ms, Level level, std::string_view part,
+// Returns one record without a line feed. `unix_ms` is its Unix time in ms.
+std::string FormatRecord(LogFormat format, double unix_ms, Level level, std::string_view part,
                          std::string_view event, std::string_view text,
                          std::initializer_list<LogField> fields = {});
 
--- a/src/base/millis.hpp
+++ b/src/base/millis.hpp
@@ -1,10 +1,11 @@
-// The unit of time of the whole project.
+// The time unit of the project.
 #ifndef GATEWAY_BASE_MILLIS_HPP_
 #define GATEWAY_BASE_MILLIS_HPP_
 
 namespace gateway::base {
 
-// Milliseconds, with fractions: a duration, or a point in time from an origin that its owner states.
+// Milliseconds with fractions: a duration, or a point in time relative to an origin that the declaration
+// names.
 using Millis = double;
 
 }  // namespace gateway::base
--- a/src/base/socket_address.hpp
+++ b/src/base/socket_address.hpp
@@ -1,4 +1,4 @@
-// Socket addresses as configurations, endpoint lists and management calls write them.
+// The text form of socket addresses in configurations, endpoint lists and management commands.
 #ifndef GATEWAY_BASE_SOCKET_ADDRESS_HPP_
 #define GATEWAY_BASE_SOCKET_ADDRESS_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace gateway::base {
 
-// Parses an IP address and port, such as "10.1.0.18:3000". Returns nothing for any other text; host names are
+// Parses an IP address and port, such as "10.1.0.18:3000". Returns nullopt for any other text; host names are
 // not resolved.
 inline std::optional<boost::asio::ip::tcp::endpoint> ParseSocketAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
@@ -24,7 +24,7 @@
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
-// The form that ParseSocketAddress reads.
+// Returns the form that ParseSocketAddress() reads.
 inline std::string FormatSocketAddress(const boost::asio::ip::tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
--- a/src/base/spelling.cpp
+++ b/src/base/spelling.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::size_t kMaxDistance = 3;
-constexpr std::size_t kLettersPerDifference = 3;  // one difference is allowed for so many letters
+constexpr std::size_t kLettersPerEdit = 3;  // one edit is accepted per this many letters
 
-// Levenshtein distance, a row of the table at a time.
+// Computes the Levenshtein distance, one row of the table at a time.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -28,8 +28,8 @@
 
 std::string NearestWord(std::string_view typed, const std::vector<std::string>& words) {
   std::string nearest;
-  const std::size_t allowed = std::clamp<std::size_t>(typed.size() / kLettersPerDifference, 1, kMaxDistance);
-  std::size_t smallest = allowed + 1;
+  const std::size_t max_distance = std::clamp<std::size_t>(typed.size() / kLettersPerEdit, 1, kMaxDistance);
+  std::size_t smallest = max_distance + 1;
   for (const std::string& word : words) {
     const std::size_t distance = EditDistance(typed, word);
     if (distance < smallest) {
--- a/src/base/spelling.hpp
+++ b/src/base/spelling.hpp
@@ -1,4 +1,4 @@
-// Suggestions for mistyped words of configuration files and command lines.
+// Suggestions for mistyped words in configuration files and command lines.
 #ifndef GATEWAY_BASE_SPELLING_HPP_
 #define GATEWAY_BASE_SPELLING_HPP_
 
@@ -8,9 +8,9 @@
 
 namespace gateway::base {
 
-// Returns the word of `words` with the smallest edit distance to `typed`, the first of them where several are
-// as near. Returns an empty text where the distance of all is above a third of the length of `typed` or above
-// three; a distance of one always counts as near.
+// Returns the word in `words` with the smallest edit distance to `typed`, or the first such word if there are
+// several. Returns an empty string if all distances exceed three or a third of the length of `typed`; a
+// distance of one is always accepted.
 std::string NearestWord(std::string_view typed, const std::vector<std::string>& words);
 
 }  // namespace gateway::base
--- a/src/base/supervisor.cpp
+++ b/src/base/supervisor.cpp
@@ -6,31 +6,31 @@
 namespace gateway::base {
 namespace {
 
-constexpr int kMaxDoublings = 30;  // far beyond the maximum backoff; keeps the power finite
+constexpr int kMaxDoublings = 30;  // far above the maximum backoff; keeps the power of two finite
 
 }  // namespace
 
-Supervisor::Decision Supervisor::OnProcessExit(const ProcessExit& end, double jitter) {
-  if (end.expected) return {Action::kStop, 0};
-  if (IsCrashLoop(end.now)) return {Action::kStopCrashLoop, 0};
-  crashes_in_row_ = end.ran_for >= options_.healthy_run ? 1 : crashes_in_row_ + 1;
-  // A run without the saved state says nothing about the state and leaves the count as it is.
-  if (end.with_saved_state) {
-    crashes_on_saved_state_ = end.ran_for < options_.bad_state_run ? crashes_on_saved_state_ + 1 : 0;
+Supervisor::Decision Supervisor::OnProcessExit(const ProcessExit& exit, double jitter) {
+  if (exit.expected) return {Action::kStop, 0};
+  if (IsCrashLoop(exit.now)) return {Action::kStopCrashLoop, 0};
+  consecutive_crashes_ = exit.run_duration >= options_.healthy_run_duration ? 1 : consecutive_crashes_ + 1;
+  // A run without the saved state gives no information about the state, so the count is unchanged.
+  if (exit.with_saved_state) {
+    crashes_on_saved_state_ = exit.run_duration < options_.bad_state_window ? crashes_on_saved_state_ + 1 : 0;
   }
-  if (crashes_on_saved_state_ < options_.bad_state_crashes) return {Action::kRestart, Backoff(jitter)};
-  crashes_on_saved_state_ = 0;  // only one start goes without the state
+  if (crashes_on_saved_state_ < options_.bad_state_threshold) return {Action::kRestart, Backoff(jitter)};
+  crashes_on_saved_state_ = 0;  // only one start omits the state
   return {Action::kRestartWithoutState, Backoff(jitter)};
 }
 
 bool Supervisor::IsCrashLoop(Millis now) {
   crashes_.push_back(now);
   while (crashes_.front() < now - options_.crash_loop_window) crashes_.pop_front();
-  return static_cast<int>(crashes_.size()) >= options_.crash_loop_crashes;
+  return static_cast<int>(crashes_.size()) >= options_.crash_loop_threshold;
 }
 
 Millis Supervisor::Backoff(double jitter) const {
-  const int doublings = std::min(crashes_in_row_ - 1, kMaxDoublings);
+  const int doublings = std::min(consecutive_crashes_ - 1, kMaxDoublings);
   const Millis backoff =
       std::min(options_.maximum_backoff, options_.initial_backoff * std::ldexp(1, doublings));
   return backoff * (0.5 + jitter / 2);
--- a/src/base/supervisor.hpp
+++ b/src/base/supervisor.hpp
@@ -1,5 +1,5 @@
-// Decides when a process that has ended is started again. A state machine without I/O, clock or randomness:
-// all three are handed in.
+// Decides whether and when a process that has exited is restarted. A state machine without I/O: the caller
+// supplies the time and the random numbers.
 #ifndef GATEWAY_BASE_SUPERVISOR_HPP_
 #define GATEWAY_BASE_SUPERVISOR_HPP_
 
@@ -12,20 +12,25 @@
 class Supervisor {
  public:
   struct Options {
-    Millis initial_backoff = 200;  // before the restart after a first crash; doubles with each further one
+    // The backoff before the restart after a first crash. It doubles with each consecutive crash.
+    Millis initial_backoff = 200;
     Millis maximum_backoff = 30000;
-    Millis healthy_run = 10000;         // a crash after so long a run counts as a first one again
-    int crash_loop_crashes = 8;         // so many crashes
-    Millis crash_loop_window = 120000;  // within this time are a crash loop, which ends the restarts
-    int bad_state_crashes = 2;          // so many crashes in a row
-    Millis bad_state_run = 5000;  // within this time of a start with a saved state: the state may be bad
+    // A crash after a run of at least this duration counts as a first crash again.
+    Millis healthy_run_duration = 10000;
+    // This many crashes within the window are a crash loop, after which the process is not restarted.
+    int crash_loop_threshold = 8;
+    Millis crash_loop_window = 120000;
+    // After this many consecutive crashes, each within the window after a start with the saved state, the
+    // state may be corrupt and the process is restarted without it.
+    int bad_state_threshold = 2;
+    Millis bad_state_window = 5000;
   };
 
   struct ProcessExit {
     Millis now = 0;
-    Millis ran_for = 0;
-    bool expected = false;         // it was asked to end, or ended by itself with success
-    bool with_saved_state = true;  // it was started with its saved state
+    Millis run_duration = 0;
+    bool expected = false;         // the process was asked to terminate or exited with success
+    bool with_saved_state = true;  // the process was started with its saved state
   };
 
   enum class Action { kStop, kRestart, kRestartWithoutState, kStopCrashLoop };
@@ -37,9 +42,9 @@
 
   explicit Supervisor(Options options) : options_(options) {}
 
-  // Decides after the end of the process. `jitter` is uniform from 0 to 1; backoffs vary with it from half to
-  // the full value.
-  Decision OnProcessExit(const ProcessExit& end, double jitter);
+  // Decides what to do after the process has exited. `jitter` is uniform in [0, 1] and varies the backoff
+  // from half of its value to its full value.
+  Decision OnProcessExit(const ProcessExit& exit, double jitter);
 
  private:
   bool IsCrashLoop(Millis now);
@@ -47,8 +52,8 @@
 
   const Options options_;
   std::deque<Millis> crashes_;      // times of the crashes within the crash loop window
-  int crashes_in_row_ = 0;          // without a healthy run between them
-  int crashes_on_saved_state_ = 0;  // in a row, each soon after a start with the saved state
+  int consecutive_crashes_ = 0;     // without a healthy run between them
+  int crashes_on_saved_state_ = 0;  // consecutive, each soon after a start with the saved state
 };
 
 }  // namespace gateway::base
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -14,14 +14,16 @@
 
 constexpr Millis kMillisPerSecond = 1000;
 
-// "FILE:LINE:COLUMN: REASON".
-std::string At(const std::string& file, const toml::source_region& region, std::string_view reason) {
+// Returns "FILE:LINE:COLUMN: REASON".
+std::string LocatedError(const std::string& file, const toml::source_region& region,
+                         std::string_view reason) {
   return fmt::format("{}:{}:{}: {}", region.path ? *region.path : file, region.begin.line,
                      region.begin.column, reason);
 }
 
-// Adds the keys of `base` that `table` does not have. Moves them, since copies lose their place in the file.
-void Extend(toml::table& table, toml::table&& base) {
+// Adds the keys of `base` that `table` does not have. Moves them because copies lose their location in the
+// file.
+void AddMissingKeys(toml::table& table, toml::table&& base) {
   for (auto&& [key, value] : base) {
     value.visit([&, &name = key](auto& node) { table.insert(name, std::move(node)); });
   }
@@ -30,7 +32,8 @@
 
 void CheckRange(const TomlTable& table, const std::string& key, double value, Range range) {
   if (value >= range.minimum && value <= range.maximum) return;
-  table.Fail(key, fmt::format("{} is not from {:g} to {:g}", value, range.minimum, range.maximum));
+  table.Fail(key,
+             fmt::format("{} is out of range, expected {:g} to {:g}", value, range.minimum, range.maximum));
 }
 
 }  // namespace
@@ -39,7 +42,7 @@
   std::shared_ptr<const toml::table> root;
   const toml::table* table;
   std::string file;
-  std::vector<std::string> known_keys;  // that getters asked for
+  std::vector<std::string> known_keys;  // requested by getters
 
   bool IsKnown(const std::string& key) const {
     return std::find(known_keys.begin(), known_keys.end(), key) != known_keys.end();
@@ -58,12 +61,12 @@
     auto root = std::make_shared<toml::table>(toml::parse_file(path));
     if (const auto extends = (*root)["extends"].value<std::string>()) {
       const std::string base = (std::filesystem::path(path).parent_path() / *extends).string();
-      Extend(*root, toml::parse_file(base));
+      AddMissingKeys(*root, toml::parse_file(base));
     }
     return TomlTable(std::make_shared<Impl>(Impl{root, root.get(), path, {}}));
   } catch (const toml::parse_error& error) {
-    const auto& place = error.source();
-    throw ConfigError(At(place.path ? *place.path : path, place, error.description()));
+    const auto& location = error.source();
+    throw ConfigError(LocatedError(location.path ? *location.path : path, location, error.description()));
   }
 }
 
@@ -72,22 +75,24 @@
     auto root = std::make_shared<const toml::table>(toml::parse(text, name));
     return TomlTable(std::make_shared<Impl>(Impl{root, root.get(), name, {}}));
   } catch (const toml::parse_error& error) {
-    throw ConfigError(At(name, error.source(), error.description()));
+    throw ConfigError(LocatedError(name, error.source(), error.description()));
   }
 }
 
 void TomlTable::Fail(const std::string& key, const std::string& reason) const {
   const toml::node* const node = impl_->table->get(key);
-  throw ConfigError(At(impl_->file, node ? node->source() : impl_->table->source(), key + ": " + reason));
+  throw ConfigError(
+      LocatedError(impl_->file, node ? node->source() : impl_->table->source(), key + ": " + reason));
 }
 
-// A key of the table that is spelled nearly the same was probably meant.
+// Reports an unknown key that is spelled almost like the missing one, since it is probably a misspelling of
+// it.
 void TomlTable::FailMissing(const std::string& key) const {
   for (const auto& [name, value] : *impl_->table) {
     if (!NearestWord(name.str(), {key}).empty()) {
       throw ConfigError(
-          At(impl_->file, name.source(),
-             fmt::format("unknown key '{}', did you mean '{}'?", std::string(name.str()), key)));
+          LocatedError(impl_->file, name.source(),
+                       fmt::format("unknown key '{}', did you mean '{}'?", std::string(name.str()), key)));
     }
   }
   Fail(key, "missing");
@@ -115,7 +120,7 @@
 
 int TomlTable::Integer(const std::string& key, int fallback, int minimum, int maximum) {
   const double value = Number(key, fallback, {static_cast<double>(minimum), static_cast<double>(maximum)});
-  if (value != std::floor(value)) Fail(key, "must be a whole number");
+  if (value != std::floor(value)) Fail(key, "must be an integer");
   return static_cast<int>(value);
 }
 
@@ -134,7 +139,7 @@
 std::string TomlTable::Text(const std::string& key, std::string fallback) {
   const toml::node* const node = impl_->Find(key);
   if (node == nullptr) return fallback;
-  if (!node->is_string()) Fail(key, "must be a text");
+  if (!node->is_string()) Fail(key, "must be a string");
   return *node->value<std::string>();
 }
 
@@ -143,7 +148,7 @@
   std::string word = Text(key, fallback);
   if (std::find(words.begin(), words.end(), word) == words.end()) {
     const std::string nearest = NearestWord(word, words);
-    Fail(key, fmt::format("'{}' is none of {}{}", word, fmt::join(words, ", "),
+    Fail(key, fmt::format("'{}' is not one of {}{}", word, fmt::join(words, ", "),
                           nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
   return word;
@@ -153,9 +158,9 @@
   std::vector<std::string> texts;
   const toml::node* const node = impl_->Find(key);
   if (node == nullptr) return texts;
-  if (!node->is_array()) Fail(key, "must be an array of texts");
+  if (!node->is_array()) Fail(key, "must be an array of strings");
   for (const toml::node& item : *node->as_array()) {
-    if (!item.is_string()) Fail(key, "must be an array of texts");
+    if (!item.is_string()) Fail(key, "must be an array of strings");
     texts.push_back(*item.value<std::string>());
   }
   return texts;
@@ -197,7 +202,7 @@
   std::vector<TomlTable> tables;
   const toml::node* const node = impl_->Find(key);
   if (node == nullptr) return tables;
-  if (!node->is_array_of_tables()) Fail(key, "must be a list of tables, [[" + key + "]]");
+  if (!node->is_array_of_tables()) Fail(key, "must be an array of tables, [[" + key + "]]");
   for (const toml::node& item : *node->as_array()) {
     tables.push_back(TomlTable(impl_->Child(*item.as_table())));
   }
@@ -209,11 +214,11 @@
     const std::string name(key.str());
     if (impl_->IsKnown(name)) continue;
     const std::string nearest = NearestWord(name, impl_->known_keys);
-    throw ConfigError(
-        At(impl_->file, key.source(),
-           nearest.empty()
-               ? fmt::format("unknown key '{}'; known here: {}", name, fmt::join(impl_->known_keys, ", "))
-               : fmt::format("unknown key '{}', did you mean '{}'?", name, nearest)));
+    throw ConfigError(LocatedError(
+        impl_->file, key.source(),
+        nearest.empty()
+            ? fmt::format("unknown key '{}'; expected one of: {}", name, fmt::join(impl_->known_keys, ", "))
+            : fmt::format("unknown key '{}', did you mean '{}'?", name, nearest)));
   }
 }
 
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -1,5 +1,5 @@
-// Strict reading of TOML files: a key that no reader asks for is an error, and errors name file, line and
-// column.
+// A strict reader for TOML files. A key that no getter requests is an error, and errors name the file, line
+// and column.
 #ifndef GATEWAY_BASE_TOML_READER_HPP_
 #define GATEWAY_BASE_TOML_READER_HPP_
 
@@ -16,7 +16,7 @@
 
 namespace gateway::base {
 
-// The numbers that a key may have, both ends included.
+// The range of valid numbers for a key, inclusive at both ends.
 struct Range {
   double minimum = -std::numeric_limits<double>::infinity();
   double maximum = std::numeric_limits<double>::infinity();
@@ -25,17 +25,18 @@
 inline constexpr Range kAboveZero{1e-9, std::numeric_limits<double>::infinity()};
 inline constexpr Range kFraction{0, 1};
 
-// One table of a TOML file. Getters return the value of a key, and `fallback` where the file does not have
-// it; those without a fallback throw ConfigError then. They throw ConfigError, at the place of the value, for
-// one of the wrong type or out of range. Copies share the file, which lives as long as the last of them. To
-// be used in one thread at a time.
+// One table of a TOML file. Getters return the value of a key, or `fallback` if the file does not have the
+// key; getters without a fallback throw ConfigError in that case. They also throw ConfigError, with the
+// location of the value, if its type is wrong or it is out of range. Copies share the parsed file, which
+// lives as long as the last copy. Not thread-safe.
 class TomlTable {
  public:
-  // Reads a file. Throws ConfigError if it can't be read or is no TOML. With a key extends = "FILE", a path
-  // relative to the folder of `path`, the top-level keys that the file does not have are those of FILE.
+  // Reads a file. Throws ConfigError if it can't be read or is not valid TOML. If the file has a key extends
+  // = "FILE", a path relative to the folder of `path`, top-level keys that are absent in the file are taken
+  // from FILE.
   static TomlTable FromFile(const std::string& path);
 
-  // The same of a text; errors call it `name`.
+  // Reads a string. Errors use `name` in place of the file name.
   static TomlTable FromText(std::string_view text, const std::string& name);
 
   bool Has(const std::string& key);
@@ -43,7 +44,7 @@
   double Number(const std::string& key, Range range = {});
   double Number(const std::string& key, double fallback, Range range = {});
 
-  // A duration in ms that the file gives in seconds. `seconds` is the range in seconds.
+  // Returns a duration in ms that the file specifies in seconds. `seconds` is the valid range in seconds.
   Millis Seconds(const std::string& key, Millis fallback, Range seconds = {});
 
   int Integer(const std::string& key, int fallback, int minimum, int maximum);
@@ -53,27 +54,27 @@
   std::string Text(const std::string& key);
   std::string Text(const std::string& key, std::string fallback);
 
-  // A text that has to be one of `words`.
+  // Returns a string that must be one of `words`.
   std::string OneOf(const std::string& key, const std::string& fallback,
                     const std::vector<std::string>& words);
 
-  // An array, in the order of the file; empty where the file does not have the key.
+  // Returns an array in the order of the file, or an empty one if the file does not have the key.
   std::vector<std::string> TextList(const std::string& key);
   std::vector<double> NumberList(const std::string& key, Range range = {});
 
-  // A table of numbers, none of them negative; empty where the file does not have the key.
+  // Returns a table of non-negative numbers, or an empty one if the file does not have the key.
   std::map<std::string, double> NumberTable(const std::string& key);
 
   std::optional<TomlTable> Table(const std::string& key);
 
-  // An array of tables, [[key]]; empty where the file does not have the key.
+  // Returns an array of tables, [[key]], or an empty one if the file does not have the key.
   std::vector<TomlTable> Tables(const std::string& key);
 
-  // To be called after the last getter: throws ConfigError for the first key of the table that no getter
-  // asked for, with the nearest of those that were asked for as a suggestion.
+  // Throws ConfigError for the first key of the table that no getter has requested, and suggests the most
+  // similar requested key. Must be called after the last getter.
   void RejectUnknownKeys() const;
 
-  // Throws ConfigError at the place of the key, or of the table where it does not have the key: for rules
+  // Throws ConfigError with the location of the key, or of the table if it does not have the key. For rules
   // that only the caller knows.
   [[noreturn]] void Fail(const std::string& key, const std::string& reason) const;
 
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -339,7 +339,7 @@
        "test.toml:19:1: unknown key 'second', did you mean 'seconds'?"},
       {kSmall, "traffic: missing"},
       {kSmall + "[traffic]\nrate = \"many\"\nseconds = 5\n", "test.toml:18:8: rate: must be a number"},
-      {kSmall + "[traffic]\nrate = -1\nseconds = 5\n", "is not from"},
+      {kSmall + "[traffic]\nrate = -1\nseconds = 5\n", "is out of range"},
       {kSmall + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
       {kSmall + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
       {kSmall + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
@@ -348,7 +348,8 @@
        "'x' is not N or N-M"},
       {kSmall + traffic + "[[bounds]]\nfigure = \"godput\"\nleast = 1\n", "did you mean 'goodput'?"},
       {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
-      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n", "is none of"},
+      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n",
+       "is not one of"},
       {"name = \n", "test.toml:1:"},
   };
   for (const Case& c : cases) {
