--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -21,46 +21,47 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::chrono::seconds kTimeout{5};
-constexpr std::string_view kMetricsEnd = "EOT\n";  // the last line of an answer with metrics
+constexpr std::chrono::seconds kCallTimeout{5};
+constexpr std::string_view kMetricsEnd = "EOT\n";  // last line of a response with metrics
 
 struct CallOptions {
   std::string address;
-  std::string call;
+  std::string command;  // of the management protocol
 };
 
-// One call: sends its line and reads the answer until the gateway closes the connection.
+// Sends one command line and reads the response until the gateway closes the connection.
 class ManagementCall {
  public:
-  explicit ManagementCall(const std::string& call) : request_(call + "\n") {}
+  explicit ManagementCall(const std::string& command) : request_(command + "\n") {}
 
-  // Returns what ended the call: no error where the answer is complete.
+  // Returns no error if the response is complete.
   error_code Run(const asio::ip::tcp::endpoint& gateway) {
-    socket_.async_connect(gateway, [this](error_code ec) { ec ? End(ec) : Write(); });
-    io_.run_for(kTimeout);
+    socket_.async_connect(gateway, [this](error_code ec) { ec ? Finish(ec) : Write(); });
+    io_.run_for(kCallTimeout);
     return result_;
   }
 
-  const std::string& answer() const { return answer_; }
+  const std::string& response() const { return response_; }
 
  private:
   void Write() {
     asio::async_write(socket_, asio::buffer(request_),
-                      [this](error_code ec, std::size_t) { ec ? End(ec) : Read(); });
+                      [this](error_code ec, std::size_t) { ec ? Finish(ec) : Read(); });
   }
 
   void Read() {
-    asio::async_read(socket_, asio::dynamic_buffer(answer_),
-                     [this](error_code ec, std::size_t) { End(ec == asio::error::eof ? error_code() : ec); });
+    asio::async_read(socket_, asio::dynamic_buffer(response_), [this](error_code ec, std::size_t) {
+      Finish(ec == asio::error::eof ? error_code() : ec);
+    });
   }
 
-  void End(error_code result) { result_ = result; }
+  void Finish(error_code result) { result_ = result; }
 
   asio::io_context io_{1};
   asio::ip::tcp::socket socket_{io_};
   const std::string request_;
-  std::string answer_;
-  error_code result_ = asio::error::timed_out;  // until it has ended
+  std::string response_;
+  error_code result_ = asio::error::timed_out;  // until Finish()
 };
 
 int CallGateway(const CallOptions& options) {
@@ -69,15 +70,15 @@
     throw std::invalid_argument("'" + options.address +
                                 "' is not an address and port, such as 127.0.0.1:3001");
   }
-  ManagementCall call(options.call);
+  ManagementCall call(options.command);
   if (const error_code error = call.Run(*gateway)) {
     fmt::print(stderr, "gatewayctl: {}: {}\n", options.address, error.message());
     return kFailure;
   }
-  std::string_view answer = call.answer();
-  const bool success = answer.starts_with("SUCCESS") || answer.ends_with("\nEOT\n");
-  if (success && options.call == "metrics") answer.remove_suffix(kMetricsEnd.size());
-  fmt::print("{}", answer);
+  std::string_view response = call.response();
+  const bool success = response.starts_with("SUCCESS") || response.ends_with("\nEOT\n");
+  if (success && options.command == "metrics") response.remove_suffix(kMetricsEnd.size());
+  fmt::print("{}", response);
   return success ? kSuccess : kFailure;
 }
 
@@ -85,14 +86,15 @@
 
 void AddCall(CLI::App& app, Command& selected) {
   const auto options = std::make_shared<CallOptions>();
-  CLI::App* const call = app.add_subcommand("call", "Calls a gateway where its operators do (NODE_MGMT)");
-  call->add_option("ADDRESS", options->address, "Address and port")->required();
-  call->add_option("CALL", options->call, "What to ask")
+  CLI::App* const call =
+      app.add_subcommand("call", "Sends a command to the management address of a gateway (NODE_MGMT)");
+  call->add_option("ADDRESS", options->address, "Management address and port")->required();
+  call->add_option("CALL", options->command, "Management command")
       ->required()
       ->check(CLI::IsMember({"check", "vars", "metrics", "drain-on", "drain-off"}));
   call->footer(
-      "Exit codes: 0 SUCCESS or figures, 1 FAILURE or no answer, 2 wrong use.\nExample: gatewayctl call "
-      "127.0.0.1:3001 check");
+      "Exit codes: 0 SUCCESS or metrics, 1 FAILURE or no response, 2 invalid arguments.\nExample: gatewayctl "
+      "call 127.0.0.1:3001 check");
   SelectWhenGiven(*call, selected, [options] { return CallGateway(*options); });
 }
 
--- a/src/cli/call.hpp
+++ b/src/cli/call.hpp
@@ -1,4 +1,4 @@
-// `gatewayctl call`: one call to the management address of a gateway.
+// `gatewayctl call`: sends one command to the management address of a gateway.
 #ifndef GATEWAY_CLI_CALL_HPP_
 #define GATEWAY_CLI_CALL_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace gateway::cli {
 
-// The command ends with kSuccess for SUCCESS or metrics that are complete, and with kFailure for any other
-// answer, no connection, or no complete answer in time.
+// Adds the subcommand. It returns kSuccess for a SUCCESS response or complete metrics, and kFailure for any
+// other response, a failed connection, or a response that is not complete within the timeout.
 void AddCall(CLI::App& app, Command& selected);
 
 }  // namespace gateway::cli
--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -26,8 +26,9 @@
 int CheckExperiment(const std::string& path) {
   const lab::Experiment experiment = lab::ReadExperiment(path);
   fmt::print(
-      "{}: experiment '{}': {} gateways, {} hosts, {:.0f} requests/s of {:.0f}, {} faults, {} bounds\n", path,
-      experiment.name, experiment.fleet.gateways, experiment.HostCount(), experiment.traffic.rate,
+      "{}: experiment '{}': {} gateways, {} hosts, {:.0f} requests/s of a capacity of {:.0f}, {} faults, {} "
+      "bounds\n",
+      path, experiment.name, experiment.fleet.gateways, experiment.HostCount(), experiment.traffic.rate,
       experiment.Capacity(), experiment.faults.size(), experiment.bounds.size());
   return kSuccess;
 }
@@ -44,13 +45,13 @@
 }
 
 void AddConfig(CLI::App& app, Command& selected) {
-  CLI::App* const config = app.add_subcommand("config", "Looks at configuration files");
+  CLI::App* const config = app.add_subcommand("config", "Checks configuration files");
   config->require_subcommand(1);
   config->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
-  CLI::App* const check = config->add_subcommand(
-      "check", "Says whether a file is right: an experiment (.toml) or a gateway's (.json)");
+  CLI::App* const check =
+      config->add_subcommand("check", "Validates an experiment (.toml) or a gateway configuration (.json)");
   const auto path = std::make_shared<std::string>();
-  check->add_option("FILE", *path, "The file")->required();
+  check->add_option("FILE", *path, "Configuration file")->required();
   check->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
   SelectWhenGiven(*check, selected, [path] { return CheckExperiment(*path); });
 }
--- a/src/cli/config.hpp
+++ b/src/cli/config.hpp
@@ -11,9 +11,9 @@
 
 void AddConfig(CLI::App& app, Command& selected);
 
-// Reads a gateway's configuration file as the gateway does at its start, without the environment variables
-// that take precedence over its fields, and prints a summary. Throws base::ConfigError, whose text begins
-// with the path.
+// Reads a gateway's configuration file as the gateway does at startup, but ignores the environment variables
+// that override its fields, and prints a summary. Throws base::ConfigError with a text that begins with the
+// path.
 int CheckGatewayConfig(const std::string& path);
 
 }  // namespace gateway::cli
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -24,7 +24,7 @@
 
 struct RunOptions {
   std::string file;
-  std::string json;  // where the result is written; empty: nowhere
+  std::string json;  // path for the result; empty: not written
   lab::RunOptions lab;
 };
 
@@ -33,7 +33,7 @@
   std::uint64_t seed = 1;
 };
 
-// The arguments of a subcommand that reads results.
+// The paths of the two results to compare.
 struct ResultOptions {
   std::string first;
   std::string second;
@@ -58,7 +58,7 @@
   return "";
 }
 
-// Returns the exit code that the verdicts make: a violation counts more than one that could not be judged.
+// Returns kFailure if a bound or rule is violated, else kInconclusive if a bound could not be evaluated.
 int PrintVerdicts(const std::vector<lab::Verdict>& verdicts) {
   int code = kSuccess;
   for (const lab::Verdict& verdict : verdicts) {
@@ -95,16 +95,18 @@
   const auto options = std::make_shared<RunOptions>();
   options->lab.gatewayctl = programs.gatewayctl;
   options->lab.gateway = programs.gateway;
-  CLI::App* const run = lab.add_subcommand("run", "Plays an experiment and judges its bounds");
-  run->add_option("FILE", options->file, "The experiment, see experiments/")->required();
-  run->add_option("--seed", options->lab.seed, "Of the schedule and all draws")->capture_default_str();
-  run->add_option("--repeat", options->lab.repeats, "Plays, each with the next seed")
+  CLI::App* const run = lab.add_subcommand("run", "Runs an experiment and evaluates its bounds");
+  run->add_option("FILE", options->file, "Experiment file (see experiments/)")->required();
+  run->add_option("--seed", options->lab.seed, "Seed of the schedule and of all random numbers")
+      ->capture_default_str();
+  run->add_option("--repeat", options->lab.repeats, "Runs of each variant; each run uses the next seed")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
-  run->add_option("--gateway", options->lab.gateway, "Command of the program under test")
+  run->add_option("--gateway", options->lab.gateway, "Command that starts the gateway under test")
       ->capture_default_str();
-  run->add_option("--baseline", options->lab.earlier, "Command of an earlier build, played as 'earlier'");
-  run->add_option("--json", options->json, "Write all figures and series there");
+  run->add_option("--baseline", options->lab.earlier,
+                  "Command of an earlier build, run as the variant 'earlier'");
+  run->add_option("--json", options->json, "Write all figures and time series to this file");
   run->add_option("--logs", options->lab.log_folder, "Keep the processes' logs in this folder");
   run->footer(std::string(kLabExitCodes) +
               "\nExample: gatewayctl lab run experiments/steady-3x12.toml --repeat 3 --json steady.json");
@@ -123,8 +125,8 @@
 void AddSchedule(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<ScheduleOptions>();
   CLI::App* const schedule = lab.add_subcommand("schedule", "Prints the arrivals and the timeline of faults");
-  schedule->add_option("FILE", options->file, "The experiment")->required();
-  schedule->add_option("--seed", options->seed, "Of the schedule")->capture_default_str();
+  schedule->add_option("FILE", options->file, "Experiment file")->required();
+  schedule->add_option("--seed", options->seed, "Seed of the schedule")->capture_default_str();
   schedule->footer("Example: gatewayctl lab schedule experiments/steady-3x12.toml --seed 2 | sha256sum");
   SelectWhenGiven(*schedule, selected, [options] { return PrintSchedule(*options); });
 }
@@ -140,9 +142,9 @@
 
 void AddCompare(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<ResultOptions>();
-  CLI::App* const compare = lab.add_subcommand("compare", "Sets two results side by side");
+  CLI::App* const compare = lab.add_subcommand("compare", "Compares two results");
   compare->add_option("A", options->first, "A result of 'lab run --json'")->required();
-  compare->add_option("B", options->second, "Another")->required();
+  compare->add_option("B", options->second, "A second result")->required();
   compare->footer("Example: gatewayctl lab compare before.json after.json");
   SelectWhenGiven(*compare, selected, [options] { return CompareResults(*options); });
 }
@@ -157,9 +159,9 @@
   const auto result = std::make_shared<std::string>();
   const auto folder = std::make_shared<std::string>();
   CLI::App* const plot =
-      lab.add_subcommand("plot", "Draws a result over time, and a report that holds it all");
+      lab.add_subcommand("plot", "Plots a result over time and writes a report with all plots");
   plot->add_option("RESULT", *result, "A result of 'lab run --json'")->required();
-  plot->add_option("DIR", *folder, "Folder for the pictures and report.html")->required();
+  plot->add_option("DIR", *folder, "Folder for the plots and report.html")->required();
   plot->footer("Needs gnuplot (Debian: gnuplot-nox).\nExample: gatewayctl lab plot out.json report");
   SelectWhenGiven(*plot, selected, [result, folder] { return PlotResult(*result, *folder); });
 }
@@ -175,17 +177,17 @@
   const auto load = std::make_shared<lab::RegistryLoad>();
   load->program = programs.gatewayctl;
   CLI::App* const registry =
-      lab.add_subcommand("registry", "Measures what the list service bears, on this machine's disk");
-  registry->add_option("--members", load->members, "That renew")
+      lab.add_subcommand("registry", "Measures the load capacity of the list service on this machine's disk");
+  registry->add_option("--members", load->members, "Members that renew their leases")
       ->check(CLI::Range(1, 20000))
       ->capture_default_str();
-  registry->add_option("--watchers", load->watchers, "That wait")
+  registry->add_option("--watchers", load->watchers, "Watchers that wait for changes")
       ->check(CLI::Range(1, 20000))
       ->capture_default_str();
-  registry->add_option("--changes", load->changes, "Timed to all watchers")
+  registry->add_option("--changes", load->changes, "Changes whose delivery to all watchers is timed")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
-  registry->add_option("--history", load->history, "Changes before the kill")
+  registry->add_option("--history", load->history, "Changes made before the service is killed")
       ->check(CLI::Range(1000, 1000000))
       ->capture_default_str();
   registry->footer("Example: gatewayctl lab registry --watchers 5000");
@@ -194,12 +196,12 @@
 
 void AddStandIn(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<lab::StandInOptions>();
-  CLI::App* const stand_in =
-      lab.add_subcommand("stand-in", "Serves as the plainest gateway, for the lab's own use");
-  stand_in->add_option("--policy", options->policy, "How it picks hosts")
+  CLI::App* const stand_in = lab.add_subcommand(
+      "stand-in", "Runs the simplest gateway, as a baseline or with a defect (used by the lab)");
+  stand_in->add_option("--policy", options->policy, "Load balancing policy")
       ->check(CLI::IsMember(lab::StandInPolicies()))
       ->capture_default_str();
-  stand_in->add_option("--fault", options->fault, "What it does wrong")
+  stand_in->add_option("--fault", options->fault, "Defect of the gateway")
       ->check(CLI::IsMember(lab::StandInFaults()))
       ->capture_default_str();
   stand_in->footer("Example: gatewayctl lab run FILE --gateway 'gatewayctl lab stand-in --fault twice'");
@@ -209,7 +211,8 @@
 }  // namespace
 
 void AddLab(CLI::App& app, const ProgramPaths& programs, Command& selected) {
-  CLI::App* const lab = app.add_subcommand("lab", "Plays fleets with faults on this machine's loopback");
+  CLI::App* const lab = app.add_subcommand(
+      "lab", "Runs experiments with fleets and faults on this machine's loopback interface");
   lab->require_subcommand(1);
   lab->footer("Example: gatewayctl lab run experiments/gateway-killed.toml --seed 3 --json out.json");
   // In the order of the help text.
--- a/src/cli/lab.hpp
+++ b/src/cli/lab.hpp
@@ -1,4 +1,4 @@
-// `gatewayctl lab`: experiments on fleets of gateways with faults, and what is done with their results.
+// `gatewayctl lab`: runs experiments with faults on fleets of gateways, and compares and plots their results.
 #ifndef GATEWAY_CLI_LAB_HPP_
 #define GATEWAY_CLI_LAB_HPP_
 
@@ -9,7 +9,9 @@
 namespace gateway::cli {
 
 inline constexpr const char* kLabExitCodes =
-    "Exit codes: 0 all held, 1 a bound or rule was broken, 2 wrong use, 3 a speed could not be judged.";
+    "Exit codes: 0 all bounds held, 1 a bound or rule was violated, 2 invalid arguments, 3 a timing bound "
+    "could "
+    "not be evaluated.";
 
 void AddLab(CLI::App& app, const ProgramPaths& programs, Command& selected);
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,5 @@
-// gatewayctl: the command for operators and developers. Reads the command line and calls the subsystems.
+// gatewayctl: the command line tool for operators and developers. Parses the command line and runs a
+// subcommand.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -18,7 +19,7 @@
 
 namespace cli = gateway::cli;
 
-// The gateway is expected beside this program.
+// Returns the paths of this program and of the gateway, which is expected in the same folder.
 cli::ProgramPaths FindPrograms() {
   const std::filesystem::path self = std::filesystem::read_symlink("/proc/self/exe");
   return {self.string(), (self.parent_path() / "gateway").string()};
@@ -46,7 +47,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"gatewayctl: a gateway fleet's lab and tools"};
+  CLI::App app{"gatewayctl: lab and tools for a fleet of gateways"};
   app.require_subcommand(1);
   app.footer(std::string(cli::kLabExitCodes) + "\nExample: gatewayctl lab run experiments/steady-3x12.toml");
   cli::Command selected;
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -25,9 +25,18 @@
 using nlohmann::json;
 using nlohmann::ordered_json;
 
-constexpr int kDone = 0, kRefused = 1, kWrongUse = 2, kNoAnswer = 3;
-constexpr const char* kCodes =
-    "Exit codes: 0 done, 1 refused by the service, 2 wrong use, 3 no service answered.";
+// Exit codes of the registry subcommands. Invalid arguments end with kUsageError.
+constexpr int kDone = 0;
+constexpr int kRejected = 1;
+constexpr int kNoResponse = 3;
+constexpr const char* kRegistryExitCodes =
+    "Exit codes: 0 success, 1 rejected by the service, 2 invalid arguments, 3 no service responded.";
+
+constexpr unsigned kHttpOk = 200;
+constexpr unsigned kHttpServiceUnavailable = 503;
+constexpr double kCallTimeoutMs = 5000;
+constexpr int kMaxWatchTimeoutMs = 20000;
+constexpr double kMillisPerSecond = 1000;
 
 std::int64_t UnixMillis() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -35,164 +44,174 @@
       .count();
 }
 
-std::string RandomWord() {
+std::string RandomHexToken() {
   std::random_device random;
   return fmt::format("{:08x}{:08x}", random(), random());
 }
 
-struct Options {
+// The options of all registry subcommands. A negative revision or incarnation stands for an absent option.
+struct RegistryOptions {
   std::vector<std::string> services{"127.0.0.1:8500"};
   bool json = false;
-  std::string file, id, key;
-  std::vector<std::string> files;
-  std::string address, zone, kind, version;
-  double size = 1, term_s = 0, seconds = 0;
+  std::string config_file;
+  std::vector<std::string> list_files;
+  std::string member_id, idempotency_key;
+  std::string address, zone, machine_type, version;
+  double size = 1, lease_seconds = 0, watch_seconds = 0;
   std::int64_t incarnation = -1, if_incarnation = -1, if_revision = -1, after = -1;
 };
 
-struct Answer {
-  unsigned status = 0;  // 0: none
+struct ServiceResponse {
+  unsigned status = 0;  // 0: no service responded
   std::string body;
 };
 
-// Asks one service after the other until one answers.
-Answer Ask(const Options& o, const std::string& method, const std::string& target,
-           const std::string& body = "", double patience = 5000) {
-  for (const std::string& service : o.services) {
-    const auto to = base::ParseSocketAddress(service);
-    if (!to || to->port() == 0) {
+// Sends the request to one service after the other until one responds with a status other than 503. Returns
+// a 503 only if it comes from the last service.
+ServiceResponse SendRequest(const RegistryOptions& options, const std::string& method,
+                            const std::string& target, const std::string& body = "",
+                            double timeout_ms = kCallTimeoutMs) {
+  for (const std::string& service : options.services) {
+    const auto address = base::ParseSocketAddress(service);
+    if (!address || address->port() == 0) {
       throw std::invalid_argument("'" + service + "' is not an address and port, such as 127.0.0.1:8500");
     }
     boost::asio::io_context io(1);
-    Answer answer;
-    const auto connection = std::make_shared<base::ClientConnection>(io, *to);
+    ServiceResponse response;
+    const auto connection = std::make_shared<base::ClientConnection>(io, *address);
     connection->Exchange(
         fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{}", method,
                     target, service, body.size(), body),
-        patience, [&](base::ClientConnection::Result result) {
+        timeout_ms, [&](base::ClientConnection::Result result) {
           if (result.failure != base::ClientConnection::Failure::kNone) return;
-          answer = {result.response.result_int(), result.response.body()};
+          response = {result.response.result_int(), result.response.body()};
         });
     io.run();
-    if (answer.status != 0 && answer.status != 503) return answer;
-    if (answer.status == 503 && service == o.services.back()) return answer;
+    if (response.status != 0 && response.status != kHttpServiceUnavailable) return response;
+    if (response.status == kHttpServiceUnavailable && service == options.services.back()) return response;
   }
-  fmt::print(stderr, "gatewayctl: no service answered at {}\n", fmt::join(o.services, ", "));
+  fmt::print(stderr, "gatewayctl: no list service responded at {}\n", fmt::join(options.services, ", "));
   return {};
 }
 
-int Write(const Options& o, registry::Command command) {
+// Sends the command as an operator's, with the preconditions of the options, and prints the result.
+int SendCommand(const RegistryOptions& options, registry::Command command) {
   const std::string name = CallName(command.action);
   command.by_operator = true;
-  command.idempotency_key = o.key.empty() ? "cli-" + RandomWord() : o.key;
-  if (o.if_revision >= 0) command.if_revision = o.if_revision;
-  if (o.if_incarnation >= 0) command.if_incarnation = o.if_incarnation;
-  const Answer answer = Ask(o, "POST", "/registry/" + name, EncodeCall(command));
-  if (answer.status == 0) return kNoAnswer;
-  const registry::CommandResult result = registry::ParseResult(answer.status, answer.body);
-  if (o.json) {
-    fmt::print("{}\n", answer.body);
+  command.idempotency_key =
+      options.idempotency_key.empty() ? "cli-" + RandomHexToken() : options.idempotency_key;
+  if (options.if_revision >= 0) command.if_revision = options.if_revision;
+  if (options.if_incarnation >= 0) command.if_incarnation = options.if_incarnation;
+  const ServiceResponse response = SendRequest(options, "POST", "/registry/" + name, EncodeCall(command));
+  if (response.status == 0) return kNoResponse;
+  const registry::CommandResult result = registry::ParseResult(response.status, response.body);
+  if (options.json) {
+    fmt::print("{}\n", response.body);
   } else if (result.ok()) {
     fmt::print("{} {}: {}\n", name, command.member.id,
-               result.changed ? fmt::format("revision {}", result.revision) : "nothing had to change");
+               result.changed ? fmt::format("revision {}", result.revision) : "unchanged");
   } else {
     fmt::print(stderr, "gatewayctl: {} {}: {} ({})\n", name, command.member.id, result.error->message,
                ErrorCodeName(*result.error));
   }
-  return result.ok() ? kDone : kRefused;
+  return result.ok() ? kDone : kRejected;
 }
 
-int Write(const Options& o, registry::Action action) {
+int SendCommand(const RegistryOptions& options, registry::Action action) {
   registry::Command command;
   command.action = action;
-  command.member.id = o.id;
-  command.member.size = o.size;
-  return Write(o, std::move(command));
+  command.member.id = options.member_id;
+  command.member.size = options.size;
+  return SendCommand(options, std::move(command));
 }
 
-std::string Flags(const json& m) {
+// Returns the names of the flags that are set, separated by commas, or "-" if there are none.
+std::string FlagsText(const json& member) {
   std::string flags;
   for (const char* name : {"suspect", "held_out", "expired"}) {
-    if (m.value(name, false)) flags += (flags.empty() ? "" : ",") + std::string(name);
+    if (member.value(name, false)) flags += (flags.empty() ? "" : ",") + std::string(name);
   }
   return flags.empty() ? "-" : flags;
 }
 
-void Row(const json& m) {
-  const auto word = [&](const char* name) {
-    const std::string text = m.value(name, "");
+void PrintMember(const json& member) {
+  const auto text_or_dash = [&](const char* name) {
+    const std::string text = member.value(name, "");
     return text.empty() ? std::string("-") : text;
   };
-  fmt::print("{:>14} {:20} {:22} {:12} {:12} {:10} {:9} {:>5.2f} {}\n", m.value("changed", 0LL), word("id"),
-             word("host_port"), word("locality"), word("flavor"), word("version"), word("phase"),
-             m.value("size", 1.0), Flags(m));
+  fmt::print("{:>14} {:20} {:22} {:12} {:12} {:10} {:9} {:>5.2f} {}\n", member.value("changed", 0LL),
+             text_or_dash("id"), text_or_dash("host_port"), text_or_dash("locality"), text_or_dash("flavor"),
+             text_or_dash("version"), text_or_dash("phase"), member.value("size", 1.0), FlagsText(member));
 }
 
-void Heading() {
+void PrintHeading() {
   fmt::print("{:>14} {:20} {:22} {:12} {:12} {:10} {:9} {:>5} {}\n", "REVISION", "ID", "ADDRESS", "ZONE",
              "KIND", "VERSION", "PHASE", "SIZE", "FLAGS");
 }
 
-int PrintList(const Options& o, const std::string& target) {
-  const Answer answer = Ask(o, "GET", target);
-  if (answer.status == 0) return kNoAnswer;
-  const json list = json::parse(answer.body, nullptr, false);
-  if (answer.status != 200 || !list.is_object() || !list.contains("members")) {
-    fmt::print(stderr, "gatewayctl: {}\n", answer.body);
-    return kRefused;
+int PrintList(const RegistryOptions& options, const std::string& target) {
+  const ServiceResponse response = SendRequest(options, "GET", target);
+  if (response.status == 0) return kNoResponse;
+  const json list = json::parse(response.body, nullptr, false);
+  if (response.status != kHttpOk || !list.is_object() || !list.contains("members")) {
+    fmt::print(stderr, "gatewayctl: {}\n", response.body);
+    return kRejected;
   }
-  if (o.json) {
-    fmt::print("{}\n", answer.body);
+  if (options.json) {
+    fmt::print("{}\n", response.body);
     return kDone;
   }
-  Heading();
-  for (const json& member : list["members"]) Row(member);
+  PrintHeading();
+  for (const json& member : list["members"]) PrintMember(member);
   return kDone;
 }
 
-// Prints changes as they come, until the time is over (0: for ever).
-int Watch(const Options& o) {
-  Answer answer =
-      Ask(o, "GET", o.after >= 0 ? fmt::format("/discovery/hosts?after={}", o.after) : "/discovery/hosts");
-  const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(o.seconds);
-  bool heading = !o.json;
+// Prints changes as they arrive, for `watch_seconds`, or without a time limit if that is 0.
+int WatchMembers(const RegistryOptions& options) {
+  ServiceResponse response = SendRequest(
+      options, "GET",
+      options.after >= 0 ? fmt::format("/discovery/hosts?after={}", options.after) : "/discovery/hosts");
+  const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(options.watch_seconds);
+  bool heading_pending = !options.json;
   for (;;) {
-    if (answer.status == 0) return kNoAnswer;
-    const json list = json::parse(answer.body, nullptr, false);
-    if (answer.status != 200 || !list.is_object()) {
-      fmt::print(stderr, "gatewayctl: {}\n", answer.body);
-      return kRefused;
+    if (response.status == 0) return kNoResponse;
+    const json list = json::parse(response.body, nullptr, false);
+    if (response.status != kHttpOk || !list.is_object()) {
+      fmt::print(stderr, "gatewayctl: {}\n", response.body);
+      return kRejected;
     }
-    if (std::exchange(heading, false)) Heading();
+    if (std::exchange(heading_pending, false)) PrintHeading();
     for (const json& member : list["members"]) {
-      if (o.json) {
+      if (options.json) {
         fmt::print("{}\n", member.dump());
       } else {
-        Row(member);
+        PrintMember(member);
       }
     }
     std::fflush(stdout);
-    const double left =
+    const double remaining_ms =
         std::chrono::duration<double, std::milli>(end - std::chrono::steady_clock::now()).count();
-    if (o.seconds > 0 && left <= 0) return kDone;
-    const int wait = o.seconds > 0 ? std::max(1, std::min(20000, static_cast<int>(left))) : 20000;
-    answer = Ask(o, "GET",
-                 fmt::format("/discovery/hosts?after={}&wait_ms={}&epoch={}", list.value("revision", 0LL),
-                             wait, list.value("epoch", "")),
-                 "", wait + 5000);
+    if (options.watch_seconds > 0 && remaining_ms <= 0) return kDone;
+    const int wait_ms = options.watch_seconds > 0
+                            ? std::max(1, std::min(kMaxWatchTimeoutMs, static_cast<int>(remaining_ms)))
+                            : kMaxWatchTimeoutMs;
+    response = SendRequest(options, "GET",
+                           fmt::format("/discovery/hosts?after={}&wait_ms={}&epoch={}",
+                                       list.value("revision", 0LL), wait_ms, list.value("epoch", "")),
+                           "", wait_ms + kCallTimeoutMs);
   }
 }
 
-int Status(const Options& o) {
-  const Answer answer = Ask(o, "GET", "/registry/status");
-  if (answer.status == 0) return kNoAnswer;
-  const ordered_json status = ordered_json::parse(answer.body, nullptr, false);
-  if (answer.status != 200 || !status.is_object()) {
-    fmt::print(stderr, "gatewayctl: {}\n", answer.body);
-    return kRefused;
+int PrintStatus(const RegistryOptions& options) {
+  const ServiceResponse response = SendRequest(options, "GET", "/registry/status");
+  if (response.status == 0) return kNoResponse;
+  const ordered_json status = ordered_json::parse(response.body, nullptr, false);
+  if (response.status != kHttpOk || !status.is_object()) {
+    fmt::print(stderr, "gatewayctl: {}\n", response.body);
+    return kRejected;
   }
-  if (o.json) {
-    fmt::print("{}\n", answer.body);
+  if (options.json) {
+    fmt::print("{}\n", response.body);
     return kDone;
   }
   for (const auto& [name, value] : status.items()) {
@@ -201,23 +220,24 @@
   return kDone;
 }
 
-// Lists in the published form, or what `gatewayctl state export` prints of a gateway's folder: of each member
-// what the newest list says.
-int Restore(const Options& o) {
+// Registers each member as the newest of the lists describes it. A file contains a list in the published form
+// or the output of `gatewayctl state export` for a gateway's folder.
+int RestoreMembers(const RegistryOptions& options) {
   std::map<std::string, std::pair<registry::Revision, registry::Member>> newest;
-  for (const std::string& file : o.files) {
+  for (const std::string& file : options.list_files) {
     std::ifstream stream(file);
     if (!stream) throw std::runtime_error("can't read '" + file + "'");
     std::stringstream text;
     text << stream.rdbuf();
-    std::string body = text.str(), why;
-    const json line = json::parse(body.substr(0, body.find('\n')), nullptr, false);
-    if (line.is_object() && line.contains("payload") && line["payload"].is_object() &&
-        line["payload"].contains("list")) {
-      body = line["payload"]["list"].dump();
+    std::string body = text.str();
+    std::string error;
+    const json first_line = json::parse(body.substr(0, body.find('\n')), nullptr, false);
+    if (first_line.is_object() && first_line.contains("payload") && first_line["payload"].is_object() &&
+        first_line["payload"].contains("list")) {
+      body = first_line["payload"]["list"].dump();
     }
-    const auto list = registry::ParseList(body, why);
-    if (!list) throw std::runtime_error(file + ": " + why);
+    const auto list = registry::ParseList(body, error);
+    if (!list) throw std::runtime_error(file + ": " + error);
     for (const registry::Member& member : list->members) {
       auto& entry = newest[member.id];
       if (entry.second.id.empty() || entry.first < list->revision) entry = {list->revision, member};
@@ -227,29 +247,29 @@
   for (const auto& [id, entry] : newest) {
     registry::Command command;
     command.member = entry.second;
-    command.member.lease_duration = o.term_s * 1000;
-    code = std::max(code, Write(o, command));
-    if (code == kNoAnswer) return code;
+    command.member.lease_duration = options.lease_seconds * kMillisPerSecond;
+    code = std::max(code, SendCommand(options, command));
+    if (code == kNoResponse) return code;
     command.action = registry::Action::kDrain;
-    if (entry.second.draining) code = std::max(code, Write(o, command));
+    if (entry.second.draining) code = std::max(code, SendCommand(options, command));
   }
-  fmt::print("{} members from {} lists\n", newest.size(), o.files.size());
+  fmt::print("{} members from {} lists\n", newest.size(), options.list_files.size());
   return code;
 }
 
-int Serve(const std::string& file) {
-  registry::ServiceOptions options = registry::ReadServiceOptions(file);
+int RunService(const std::string& config_file) {
+  registry::ServiceOptions options = registry::ReadServiceOptions(config_file);
   options.program = GATEWAY_VERSION;
-  options.epoch = RandomWord();
-  options.initial_revision =
-      UnixMillis();               // above all that a lost service gave, at under 1,000 changes a second
-  std::signal(SIGXFSZ, SIG_IGN);  // a limit on files is a full disk
+  options.epoch = RandomHexToken();
+  // Unix time in ms exceeds every revision of a lost service that made fewer than 1,000 changes per second.
+  options.initial_revision = UnixMillis();
+  std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit then fails as on a full disk
   std::signal(SIGPIPE, SIG_IGN);
   base::RaiseDescriptorLimit();
   boost::asio::io_context io(1);
   const auto files = storage::MakePosixFileSystem();
   registry::Service service(io, *files, options);
-  fmt::print(stderr, "registry: serves at {}:{}\n", service.address().address().to_string(),
+  fmt::print(stderr, "registry: listening on {}:{}\n", service.address().address().to_string(),
              service.address().port());
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code, int) { io.stop(); });
@@ -257,8 +277,9 @@
   return kDone;
 }
 
-int KeepMember(const std::string& file, std::int64_t incarnation) {
-  registry::AgentOptions options = registry::ReadAgentOptions(file);
+// Keeps the member of the configuration registered until SIGTERM or SIGINT.
+int RunAgent(const std::string& config_file, std::int64_t incarnation) {
+  registry::AgentOptions options = registry::ReadAgentOptions(config_file);
   options.member.incarnation = incarnation >= 0 ? incarnation : UnixMillis();
   boost::asio::io_context io(1);
   int code = kDone;
@@ -274,25 +295,25 @@
   return code;
 }
 
-int PrintHistory(const Options& o) {
-  return PrintList(o,
-                   o.after >= 0 ? fmt::format("/registry/history?after={}", o.after) : "/registry/history");
+int PrintHistory(const RegistryOptions& options) {
+  return PrintList(options, options.after >= 0 ? fmt::format("/registry/history?after={}", options.after)
+                                               : "/registry/history");
 }
 
-int Register(const Options& o) {
+int RegisterMember(const RegistryOptions& options) {
   registry::Command command;
-  command.member.id = o.id;
-  command.member.address = o.address;
-  command.member.zone = o.zone;
-  command.member.machine_type = o.kind;
-  command.member.version = o.version;
-  command.member.size = o.size;
-  command.member.lease_duration = o.term_s * 1000;
-  command.member.incarnation = std::max<std::int64_t>(0, o.incarnation);
-  return Write(o, std::move(command));
+  command.member.id = options.member_id;
+  command.member.address = options.address;
+  command.member.zone = options.zone;
+  command.member.machine_type = options.machine_type;
+  command.member.version = options.version;
+  command.member.size = options.size;
+  command.member.lease_duration = options.lease_seconds * kMillisPerSecond;
+  command.member.incarnation = std::max<std::int64_t>(0, options.incarnation);
+  return SendCommand(options, std::move(command));
 }
 
-// Adds the subcommands of `registry`. They share one set of options, since a command line names one of them.
+// Adds the subcommands of `registry`. They share one set of options because a command line selects only one.
 class RegistrySubcommands {
  public:
   RegistrySubcommands(CLI::App& registry, Command& selected) : registry_(registry), selected_(selected) {}
@@ -305,9 +326,9 @@
     AddWatch();
     AddStatus();
     AddRegister();
-    AddWrite("drain", "Takes a member out of new traffic", "drain web-1", registry::Action::kDrain);
-    AddWrite("undrain", "Ends a drain of operators", "undrain web-1", registry::Action::kUndrain);
-    AddWrite("remove", "Takes a member off the list, confirmed by you", "remove web-1",
+    AddWrite("drain", "Stops new requests to a member", "drain web-1", registry::Action::kDrain);
+    AddWrite("undrain", "Ends an operator's drain of a member", "undrain web-1", registry::Action::kUndrain);
+    AddWrite("remove", "Removes a member from the list, as confirmed by an operator", "remove web-1",
              registry::Action::kRemove);
     AddSize();
     AddRestore();
@@ -316,116 +337,132 @@
  private:
   CLI::App& Add(const char* name, const char* description, const char* example, Command command) {
     CLI::App* const subcommand = registry_.add_subcommand(name, description);
-    subcommand->footer(std::string(kCodes) + "\nExample: gatewayctl registry " + example);
+    subcommand->footer(std::string(kRegistryExitCodes) + "\nExample: gatewayctl registry " + example);
     SelectWhenGiven(*subcommand, selected_, std::move(command));
     return *subcommand;
   }
 
-  // A subcommand that calls the service.
+  // Adds a subcommand that sends requests to the service.
   CLI::App& AddServiceCall(const char* name, const char* description, const char* example, Command command) {
     CLI::App& subcommand = Add(name, description, example, std::move(command));
-    subcommand.add_option("--service", options_->services, "Address and port; several are tried in turn")
+    subcommand
+        .add_option("--service", options_->services,
+                    "Address and port of a list service; if several are given, they are tried in turn")
         ->capture_default_str();
-    subcommand.add_flag("--json", options_->json, "For programs: what the service answered");
+    subcommand.add_flag("--json", options_->json, "Print the JSON response of the service");
     return subcommand;
   }
 
-  // A subcommand that changes a member, with the conditions under which the service does so.
+  // Adds a subcommand that changes a member, with options for the idempotency key and preconditions.
   CLI::App& AddMemberChange(const char* name, const char* description, const char* example, Command command) {
     CLI::App& subcommand = AddServiceCall(name, description, example, std::move(command));
-    subcommand.add_option("ID", options_->id, "The member")->required();
-    subcommand.add_option("--key", options_->key,
-                          "Of this request: repeating it with the same key is harmless");
-    subcommand.add_option("--if-revision", options_->if_revision, "Only if the member has not changed since");
-    subcommand.add_option("--if-incarnation", options_->if_incarnation, "Only if this is its process");
+    subcommand.add_option("ID", options_->member_id, "ID of the member")->required();
+    subcommand.add_option("--key", options_->idempotency_key,
+                          "Idempotency key: a retry with the same key is not executed twice");
+    subcommand.add_option("--if-revision", options_->if_revision,
+                          "Fail if the member has changed since this revision");
+    subcommand.add_option("--if-incarnation", options_->if_incarnation,
+                          "Fail if the member's process has another incarnation");
     return subcommand;
   }
 
   CLI::App& AddWrite(const char* name, const char* description, const char* example,
                      registry::Action action) {
-    return AddMemberChange(name, description, example, [o = options_, action] { return Write(*o, action); });
+    return AddMemberChange(name, description, example,
+                           [options = options_, action] { return SendCommand(*options, action); });
   }
 
   void AddServe() {
-    CLI::App& serve = Add("serve", "Serves as a list service", "serve deploy/registry.toml",
-                          [o = options_] { return Serve(o->file); });
-    serve.add_option("CONFIG", options_->file, "Its configuration (TOML)")->required();
+    CLI::App& serve = Add("serve", "Runs the list service", "serve deploy/registry.toml",
+                          [options = options_] { return RunService(options->config_file); });
+    serve.add_option("CONFIG", options_->config_file, "Configuration file (TOML)")->required();
   }
 
   void AddMember() {
-    CLI::App& member = Add("member", "Keeps a server process listed until SIGTERM", "member web-1.toml",
-                           [o = options_] { return KeepMember(o->file, o->incarnation); });
-    member.add_option("CONFIG", options_->file, "Its configuration (TOML)")->required();
+    CLI::App& member = Add(
+        "member", "Runs the agent that keeps a server process registered until SIGTERM", "member web-1.toml",
+        [options = options_] { return RunAgent(options->config_file, options->incarnation); });
+    member.add_option("CONFIG", options_->config_file, "Configuration file (TOML)")->required();
     member.add_option("--incarnation", options_->incarnation,
-                      "Unix time in ms at which the process started; else now");
+                      "Start time of the process, Unix time in ms (default: now)");
   }
 
   void AddMembers() {
     AddServiceCall("members", "Lists the members", "members",
-                   [o = options_] { return PrintList(*o, "/registry/members"); });
+                   [options = options_] { return PrintList(*options, "/registry/members"); });
   }
 
   void AddHistory() {
-    CLI::App& history =
-        AddServiceCall("history", "Lists the changes that are still known", "history --after 1764600000000",
-                       [o = options_] { return PrintHistory(*o); });
-    history.add_option("--after", options_->after, "Only those behind this revision");
+    CLI::App& history = AddServiceCall("history", "Lists the changes that the service retains",
+                                       "history --after 1764600000000",
+                                       [options = options_] { return PrintHistory(*options); });
+    history.add_option("--after", options_->after, "Only changes after this revision");
   }
 
   void AddWatch() {
-    CLI::App& watch = AddServiceCall("watch", "Prints changes as they come", "watch --json",
-                                     [o = options_] { return Watch(*o); });
-    watch.add_option("--after", options_->after, "From this revision on");
-    watch.add_option("--for", options_->seconds, "Seconds; else for ever");
+    CLI::App& watch = AddServiceCall("watch", "Prints changes as they arrive", "watch --json",
+                                     [options = options_] { return WatchMembers(*options); });
+    watch.add_option("--after", options_->after,
+                     "Only changes after this revision (default: start with the complete list)");
+    watch.add_option("--for", options_->watch_seconds, "Duration in seconds (default: no limit)");
   }
 
   void AddStatus() {
-    AddServiceCall("status", "Tells how the service does", "status", [o = options_] { return Status(*o); });
+    AddServiceCall("status", "Prints the status of the service", "status",
+                   [options = options_] { return PrintStatus(*options); });
   }
 
   void AddRegister() {
-    CLI::App& enter =
-        AddMemberChange("register", "Lists a member, or changes what is said of it",
-                        "register web-1 --address 10.1.0.18:3000", [o = options_] { return Register(*o); });
-    enter.add_option("--address", options_->address, "Where it serves")->required();
-    enter.add_option("--zone", options_->zone, "Its zone");
-    enter.add_option("--kind", options_->kind, "Its kind of machine");
-    enter.add_option("--version", options_->version, "Label of what it runs");
-    enter.add_option("--size", options_->size, "Relative size")->capture_default_str();
-    enter.add_option("--incarnation", options_->incarnation, "Unix time in ms at which its process started");
-    enter.add_option("--term", options_->term_s, "Seconds of its lease; 0: until it is removed")
+    CLI::App& subcommand = AddMemberChange("register", "Adds a member to the list or updates its entry",
+                                           "register web-1 --address 10.1.0.18:3000",
+                                           [options = options_] { return RegisterMember(*options); });
+    subcommand
+        .add_option("--address", options_->address, "Address and port at which the member serves requests")
+        ->required();
+    subcommand.add_option("--zone", options_->zone, "Zone of the member");
+    subcommand.add_option("--kind", options_->machine_type, "Machine type of the member");
+    subcommand.add_option("--version", options_->version, "Version label of the member's software");
+    subcommand.add_option("--size", options_->size, "Size relative to other members")->capture_default_str();
+    subcommand.add_option("--incarnation", options_->incarnation,
+                          "Start time of the member's process, Unix time in ms");
+    subcommand
+        .add_option("--term", options_->lease_seconds,
+                    "Duration of the lease in seconds; 0: no lease, listed until removed")
         ->capture_default_str();
   }
 
   void AddSize() {
     CLI::App& size =
         AddWrite("size", "Sets a member's relative size", "size web-1 0.5", registry::Action::kSetSize);
-    size.add_option("SIZE", options_->size, "Relative to others")->required();
+    size.add_option("SIZE", options_->size, "Size relative to other members")->required();
   }
 
   void AddRestore() {
-    CLI::App& restore =
-        AddServiceCall("restore", "Seeds a service that lost its disk from the gateways' lists",
-                       "restore n1.json n2.json   # of: gatewayctl state export DIR",
-                       [o = options_] { return Restore(*o); });
+    CLI::App& restore = AddServiceCall(
+        "restore", "Restores the members of a service that lost its disk, from the gateways' lists",
+        "restore n1.json n2.json   # files from: gatewayctl state export DIR",
+        [options = options_] { return RestoreMembers(*options); });
     restore
-        .add_option("FILES", options_->files, "Lists as published, or what 'gatewayctl state export' printed")
+        .add_option("FILES", options_->list_files, "Published lists, or output of 'gatewayctl state export'")
         ->required();
-    restore.add_option("--term", options_->term_s, "Seconds of the leases that they get; 0: none")
+    restore
+        .add_option("--term", options_->lease_seconds,
+                    "Duration of the members' leases in seconds; 0: no lease")
         ->capture_default_str();
   }
 
   CLI::App& registry_;
   Command& selected_;
-  const std::shared_ptr<Options> options_ = std::make_shared<Options>();
+  const std::shared_ptr<RegistryOptions> options_ = std::make_shared<RegistryOptions>();
 };
 
 }  // namespace
 
 void AddRegistry(CLI::App& app, Command& selected) {
-  CLI::App* const registry = app.add_subcommand("registry", "The project's own list service");
+  CLI::App* const registry = app.add_subcommand("registry", "Runs and controls the list service (registry)");
   registry->require_subcommand(1);
-  registry->footer(std::string(kCodes) + "\nExample: gatewayctl registry members --service 127.0.0.1:8500");
+  registry->footer(std::string(kRegistryExitCodes) +
+                   "\nExample: gatewayctl registry members --service 127.0.0.1:8500");
   RegistrySubcommands(*registry, selected).AddAll();
 }
 
--- a/src/cli/registry.hpp
+++ b/src/cli/registry.hpp
@@ -1,4 +1,5 @@
-// `gatewayctl registry`: the list service, the agent of a member, and the operators' calls to the service.
+// `gatewayctl registry`: runs the list service or a member's agent, and sends operators' requests to the
+// service.
 #ifndef GATEWAY_CLI_REGISTRY_HPP_
 #define GATEWAY_CLI_REGISTRY_HPP_
 
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -27,28 +27,29 @@
 using base::Millis;
 using base::Supervisor;
 
-constexpr int kCrashLoop = 4;             // exit code
-constexpr int kSignalExitCodeBase = 128;  // exit code after signal N: 128 + N
-constexpr int kParentEndedExitCode = 97;  // of the child, before it becomes the gateway
-constexpr int kNoShellExitCode = 98;
+constexpr int kCrashLoopExitCode = 4;
+constexpr int kSignalExitCodeBase = 128;   // exit code after signal N: 128 + N
+constexpr int kParentExitedExitCode = 97;  // of the forked child: the parent exited before the exec
+constexpr int kExecFailedExitCode = 98;    // of the forked child: /bin/sh could not be executed
 constexpr double kMillisPerSecond = 1000;
 constexpr double kNanosPerMilli = 1e6;
 
-// Starts the command by /bin/sh. The child gets SIGTERM when this process ends, whatever ends it.
+// Starts the command with /bin/sh. The kernel sends SIGTERM to the child when this process ends for any
+// reason.
 pid_t StartProcess(const std::string& command, bool with_saved_state) {
-  const std::string line = "exec " + command;
+  const std::string shell_command = "exec " + command;
   const pid_t parent = getpid();
   const pid_t pid = fork();
-  if (pid < 0) throw std::runtime_error(std::string("can't start a process: ") + std::strerror(errno));
+  if (pid < 0) throw std::runtime_error(std::string("can't start a process: fork: ") + std::strerror(errno));
   if (pid > 0) return pid;
   prctl(PR_SET_PDEATHSIG, SIGTERM);
-  if (getppid() != parent) _exit(kParentEndedExitCode);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  if (getppid() != parent) _exit(kParentExitedExitCode);
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   with_saved_state ? unsetenv("ELDERHEAD_WITHOUT_STATE") : setenv("ELDERHEAD_WITHOUT_STATE", "1", 1);
-  execl("/bin/sh", "sh", "-c", line.c_str(), nullptr);
-  _exit(kNoShellExitCode);
+  execl("/bin/sh", "sh", "-c", shell_command.c_str(), nullptr);
+  _exit(kExecFailedExitCode);
 }
 
 std::string StatusText(int status) {
@@ -62,9 +63,9 @@
 
 bool IsSuccess(int status) { return WIFEXITED(status) && WEXITSTATUS(status) == 0; }
 
-bool AsksToEnd(int signal) { return signal == SIGTERM || signal == SIGINT; }
+bool IsTerminationSignal(int signal) { return signal == SIGTERM || signal == SIGINT; }
 
-// The signals that the supervisor waits for, blocked so that none is missed.
+// Blocks the signals that the supervisor waits for, so that none is missed, and returns them.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -79,7 +80,7 @@
   }
 }
 
-// Returns 0 when no signal has come within `timeout`.
+// Returns 0 if no signal arrives within `timeout`.
 int WaitForSignal(const sigset_t& signals, Millis timeout) {
   const timespec duration{static_cast<time_t>(timeout / kMillisPerSecond),
                           static_cast<long>(std::fmod(timeout, kMillisPerSecond) * kNanosPerMilli)};
@@ -89,12 +90,12 @@
   }
 }
 
-// How a gateway process has ended.
-struct GatewayEnd {
+// One run of a gateway process, from its start to its exit.
+struct GatewayRun {
   pid_t pid = 0;
-  int status = 0;  // as of waitpid
-  Millis at = 0;
-  Millis ran_for = 0;
+  int status = 0;  // as returned by waitpid
+  Millis exited_at = 0;
+  Millis duration = 0;
 };
 
 class GatewaySupervisor {
@@ -104,86 +105,87 @@
   // Returns the exit code of this program.
   int Run() {
     for (;;) {
-      const GatewayEnd end = RunGateway();
+      const GatewayRun run = RunGateway();
       const Supervisor::Decision decision = supervisor_.OnProcessExit(
-          {end.at, end.ran_for, asked_to_end_ || IsSuccess(end.status), with_saved_state_},
+          {run.exited_at, run.duration, termination_requested_ || IsSuccess(run.status), with_saved_state_},
           std::uniform_real_distribution<double>()(random_));
-      if (decision.action == Supervisor::Action::kStop) return ExitCode(end.status);
+      if (decision.action == Supervisor::Action::kStop) return ExitCode(run.status);
       if (decision.action == Supervisor::Action::kStopCrashLoop) {
-        LogCrashLoop(end);
-        return kCrashLoop;
+        LogCrashLoop(run);
+        return kCrashLoopExitCode;
       }
       with_saved_state_ = decision.action == Supervisor::Action::kRestart;
-      LogCrash(end, decision.backoff);
-      if (const int signal = BackOff(end.at + decision.backoff)) return kSignalExitCodeBase + signal;
+      LogCrash(run, decision.backoff);
+      if (const int signal = WaitForBackoff(run.exited_at + decision.backoff))
+        return kSignalExitCodeBase + signal;
     }
   }
 
  private:
-  // Starts a gateway, passes signals on to it, and returns when it has ended.
-  GatewayEnd RunGateway() {
+  // Starts a gateway, forwards signals to it, and returns once it has exited.
+  GatewayRun RunGateway() {
     const Millis started = base::MonotonicNow();
-    GatewayEnd end;
-    end.pid = StartProcess(command_, with_saved_state_);
-    base::Log(
-        Level::kInfo, "run", "started",
-        fmt::format("run: started process {}{}", end.pid, with_saved_state_ ? "" : " without its state"),
-        {{"process", end.pid}});
-    for (bool ended = false; !ended;) {
+    GatewayRun run;
+    run.pid = StartProcess(command_, with_saved_state_);
+    base::Log(Level::kInfo, "run", "started",
+              fmt::format("run: started process {}{}", run.pid,
+                          with_saved_state_ ? "" : " without its saved state"),
+              {{"process", run.pid}});
+    for (bool exited = false; !exited;) {
       const int signal = WaitForSignal(signals_);
       if (signal == SIGCHLD) {
-        ended = waitpid(end.pid, &end.status, WNOHANG) == end.pid;
+        exited = waitpid(run.pid, &run.status, WNOHANG) == run.pid;
         continue;
       }
-      asked_to_end_ = asked_to_end_ || AsksToEnd(signal);
-      kill(end.pid, signal);
+      termination_requested_ = termination_requested_ || IsTerminationSignal(signal);
+      kill(run.pid, signal);
     }
-    end.at = base::MonotonicNow();
-    end.ran_for = end.at - started;
-    return end;
+    run.exited_at = base::MonotonicNow();
+    run.duration = run.exited_at - started;
+    return run;
   }
 
-  // Waits. Returns the signal that asked this program to end meanwhile, or 0.
-  int BackOff(Millis until) const {
+  // Waits until `until`. Returns the termination signal that interrupted the wait, or 0.
+  int WaitForBackoff(Millis until) const {
     while (base::MonotonicNow() < until) {
       const int signal = WaitForSignal(signals_, std::max(0.0, until - base::MonotonicNow()));
-      if (AsksToEnd(signal)) return signal;
+      if (IsTerminationSignal(signal)) return signal;
     }
     return 0;
   }
 
-  static void LogCrashLoop(const GatewayEnd& end) {
-    base::Log(Level::kError, "run", "gave_up",
-              fmt::format("run: gives up: crashed again and again, the last time with {} after {:.0f} ms",
-                          StatusText(end.status), end.ran_for));
+  static void LogCrashLoop(const GatewayRun& run) {
+    base::Log(
+        Level::kError, "run", "gave_up",
+        fmt::format("run: not restarting after a crash loop; the last process exited with {} after {:.0f} ms",
+                    StatusText(run.status), run.duration));
   }
 
-  void LogCrash(const GatewayEnd& end, Millis backoff) const {
+  void LogCrash(const GatewayRun& run, Millis backoff) const {
     base::Log(Level::kWarning, "run", "crashed",
-              fmt::format("run: process {} ended with {} after {:.0f} ms; started again in {:.0f} ms{}",
-                          end.pid, StatusText(end.status), end.ran_for, backoff,
-                          with_saved_state_ ? "" : ", without its state"),
-              {{"process", end.pid}, {"ran_ms", end.ran_for}, {"wait_ms", backoff}});
+              fmt::format("run: process {} exited with {} after {:.0f} ms; restarting in {:.0f} ms{}",
+                          run.pid, StatusText(run.status), run.duration, backoff,
+                          with_saved_state_ ? "" : " without its saved state"),
+              {{"process", run.pid}, {"ran_ms", run.duration}, {"wait_ms", backoff}});
   }
 
   const std::string command_;
   const sigset_t signals_ = BlockSignals();
   Supervisor supervisor_{{}};
   std::mt19937_64 random_{std::random_device{}()};
-  bool with_saved_state_ = true;  // of the process that runs now, or of the next one
-  bool asked_to_end_ = false;
+  bool with_saved_state_ = true;  // of the running process, or of the next one during a backoff
+  bool termination_requested_ = false;
 };
 
 }  // namespace
 
 void AddRun(CLI::App& app, const ProgramPaths& programs, Command& selected) {
   const auto command = std::make_shared<std::string>(programs.gateway);
-  CLI::App* const run = app.add_subcommand("run", "Keeps one gateway alive: starts it again after a crash");
-  run->add_option("--command", *command, "What to start, for /bin/sh")->capture_default_str();
+  CLI::App* const run = app.add_subcommand("run", "Supervises one gateway and restarts it after a crash");
+  run->add_option("--command", *command, "Shell command that starts the gateway")->capture_default_str();
   run->footer(
-      "Exit codes: the command's own once it ends as told or by itself with 0, 128 + N after signal N, 4 "
-      "given up on a "
-      "crash loop.\nExample: NODE_CONFIG=n3.json gatewayctl run");
+      "Exit codes: that of the command after a termination signal or a successful exit, 128 + N after signal "
+      "N, 4 after a crash loop.\nExample: NODE_CONFIG=n3.json gatewayctl run");
   SelectWhenGiven(*run, selected, [command] { return GatewaySupervisor(*command).Run(); });
 }
 
--- a/src/cli/run.hpp
+++ b/src/cli/run.hpp
@@ -8,10 +8,10 @@
 
 namespace gateway::cli {
 
-// The command starts a gateway and restarts it after a crash, until it ends with success, is asked to end or
-// crashes in a loop (base::Supervisor). Passes SIGTERM, SIGINT, SIGHUP, SIGUSR1 and SIGUSR2 on. Its exit code
-// is that of the gateway, 128 + N after signal N, or 4 after a crash loop. Throws std::runtime_error where no
-// process can be started.
+// Adds the subcommand. It starts a gateway and restarts it after a crash, until the gateway exits with
+// success, this program is asked to terminate, or the gateway crashes in a loop (base::Supervisor). It
+// forwards SIGTERM, SIGINT, SIGHUP, SIGUSR1 and SIGUSR2 to the gateway. The exit code is that of the gateway,
+// 128 + N after signal N, or 4 after a crash loop. Throws std::runtime_error if no process can be started.
 void AddRun(CLI::App& app, const ProgramPaths& programs, Command& selected);
 
 }  // namespace gateway::cli
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -26,7 +26,7 @@
 namespace gateway::cli {
 namespace {
 
-constexpr unsigned kDeadlineMarginSeconds = 15;  // between the deadline and the end of a hanging process
+constexpr unsigned kDeadlineMarginSeconds = 15;  // from the deadline to the SIGALRM for a hanging process
 constexpr double kMillisPerSecond = 1000;
 
 struct ScaleOptions {
@@ -36,8 +36,8 @@
   bool quick = false;
   bool plots = true;
   bool compare = false;    // run the standard comparison first
-  int runs = 0;            // of each point; 0: as the file says
-  std::uint64_t seed = 0;  // of the first play; 0: as the file says
+  int runs = 0;            // of each point; 0: the value in the file
+  std::uint64_t seed = 0;  // of the first run; 0: the value in the file
   lab::ScalePrograms programs;
 };
 
@@ -102,8 +102,8 @@
             lab::StormsToJson(storms).dump(1) + "\n");
   for (const lab::StormResult& storm : storms) {
     fmt::print(
-        "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests waiting; all current after {:.0f} "
-        "ms\n",
+        "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests queued; all up to date after "
+        "{:.0f} ms\n",
         storm.storm, storm.peak_bytes_per_s, storm.peak_cpu_percent, storm.peak_queue, storm.all_current_ms);
   }
   return kSuccess;
@@ -118,17 +118,20 @@
                                  options.seed > 0 ? options.seed : experiment.seed, deadline);
   WriteFile(std::filesystem::path(options.json_dir) / (experiment.name + ".json"),
             lab::ToJson(comparison).dump(1) + "\n");
-  fmt::print("{} hollow gateways against as many real ones, at the list service:\n", comparison.gateways);
+  fmt::print("{} hollow gateways compared with as many real gateways, measured at the list service:\n",
+             comparison.gateways);
   for (const lab::UseRatio& ratio : comparison.ratios) {
     fmt::print("  {:18} real {:10.6g} hollow {:10.6g} ratio {:.3f}\n", ratio.figure, ratio.real, ratio.hollow,
                ratio.ratio());
   }
   const bool holds = comparison.Holds(/*speeds=*/true);
-  fmt::print("{}\n", holds ? "held: each within 10%" : "BROKEN: a ratio is further than 10% from 1");
+  fmt::print("{}\n", holds ? "held: each ratio is within 10% of 1"
+                           : "BROKEN: a ratio differs from 1 by more than 10%");
   return holds ? kSuccess : kFailure;
 }
 
-int RunOne(const lab::ScaleExperiment& experiment, const ScaleOptions& options, base::Millis deadline) {
+int RunScaleExperiment(const lab::ScaleExperiment& experiment, const ScaleOptions& options,
+                       base::Millis deadline) {
   switch (experiment.kind) {
     case lab::ScaleKind::kStorms: return RunStormsFile(experiment, options, deadline);
     case lab::ScaleKind::kComparison: return RunComparison(experiment, options, deadline);
@@ -137,14 +140,14 @@
   return RunSweepFile(experiment, options, deadline);
 }
 
-// Makes SIGALRM end this process, and with it all processes that it started, if a step hangs.
+// Schedules a SIGALRM that ends this process, and with it all processes that it started, if a step hangs.
 void SetWatchdog(base::Millis timeout) {
   alarm(static_cast<unsigned>(std::ceil(timeout / kMillisPerSecond)) + kDeadlineMarginSeconds);
 }
 
 void ClearWatchdog() { alarm(0); }
 
-// Reads all files, and rejects those that this machine can't carry out, before any is run.
+// Reads all experiments before the first one runs, and rejects those that exceed the limits of this machine.
 std::vector<lab::ScaleExperiment> ReadExperiments(const ScaleOptions& options) {
   const lab::ScaleLimits limits = lab::LimitsOfThisMachine();
   std::vector<lab::ScaleExperiment> experiments;
@@ -153,9 +156,9 @@
   return experiments;
 }
 
-int RunFiles(const ScaleOptions& options) {
+int RunScaleExperiments(const ScaleOptions& options) {
   if (options.files.empty() && !options.compare)
-    throw std::invalid_argument("no FILE: name an experiment, or --compare");
+    throw std::invalid_argument("no FILE: give an experiment file or --compare");
   base::RaiseDescriptorLimit();
   std::signal(SIGPIPE, SIG_IGN);
   int code = kSuccess;
@@ -163,7 +166,7 @@
     const base::Millis started = base::MonotonicNow();
     SetWatchdog(experiment.ends_within);
     const base::Millis deadline = started + experiment.ends_within;
-    code = std::max(code, RunOne(experiment, options, deadline));
+    code = std::max(code, RunScaleExperiment(experiment, options, deadline));
     ClearWatchdog();
     fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - started) / 1000);
   }
@@ -182,37 +185,42 @@
 void AddScale(CLI::App& lab, const ProgramPaths& programs, Command& selected) {
   const auto options = std::make_shared<ScaleOptions>();
   options->programs = {programs.gatewayctl, programs.gateway};
-  CLI::App* const scale =
-      lab.add_subcommand("scale", "Measures what each role costs as the fleet grows, and fits the slopes");
-  scale->add_option("FILE", options->files, "Experiments, see experiments/scale/");
+  CLI::App* const scale = lab.add_subcommand(
+      "scale", "Measures the resource usage of each role as the fleet grows and fits the slopes");
+  scale->add_option("FILE", options->files, "Experiment files (see experiments/scale/)");
   scale->add_option("--json-dir", options->json_dir, "Folder for the results and plots")
       ->capture_default_str();
   scale->add_option("--gateway", options->programs.gateway, "Command of the gateway")->capture_default_str();
-  scale->add_option("--plays", options->runs, "Of each point; as the file says unless given")
+  scale->add_option("--plays", options->runs, "Runs of each point (default: the value in the file)")
       ->check(CLI::Range(1, 100));
-  scale->add_option("--seed", options->seed, "Of the first play; as the file says unless given");
-  scale->add_option("--revision", options->revision, "Of the program, for the results");
-  scale->add_flag("--quick", options->quick, "Fewer, smaller and shorter points, one play");
+  scale->add_option("--seed", options->seed, "Seed of the first run (default: the value in the file)");
+  scale->add_option("--revision", options->revision, "Revision of the program, recorded in the results");
+  scale->add_flag("--quick", options->quick, "Fewer, smaller and shorter points with one run each");
   scale->add_flag("--compare", options->compare,
-                  "First show that hollow gateways are to the list service as real ones");
-  scale->add_flag("!--no-plots", options->plots, "Draw nothing");
+                  "First compare the load on the list service of hollow gateways with that of real ones");
+  scale->add_flag("!--no-plots", options->plots, "Don't write plots");
   scale->footer(
-      "Exit codes: 0 measured, 1 nothing could be measured or hollow gateways differ from real ones, 2 wrong "
-      "use.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick --json-dir /tmp/scale");
-  SelectWhenGiven(*scale, selected, [options] { return RunFiles(*options); });
+      "Exit codes: 0 measured, 1 nothing could be measured or hollow gateways differ from real ones, 2 "
+      "invalid arguments.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick --json-dir "
+      "/tmp/scale");
+  SelectWhenGiven(*scale, selected, [options] { return RunScaleExperiments(*options); });
 }
 
 void AddHollowGateways(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<lab::HollowOptions>();
   const auto control = std::make_shared<std::string>();
   CLI::App* const hollow =
-      lab.add_subcommand("hollow-gateways", "Gateways without a request path, for the lab's own use");
-  hollow->add_option("CONFIG", options->config, "Of the first one, as NODE_CONFIG")->required();
-  hollow->add_option("--count", options->count, "How many")
+      lab.add_subcommand("hollow-gateways", "Runs gateways without a request path (used by the lab)");
+  hollow
+      ->add_option("CONFIG", options->config,
+                   "Configuration of the first gateway, in the form of NODE_CONFIG")
+      ->required();
+  hollow->add_option("--count", options->count, "Number of gateways")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  hollow->add_option("--first", options->first, "Index of the first one")->capture_default_str();
-  hollow->add_option("--control", *control, "Address and port where the tool asks")->required();
+  hollow->add_option("--first", options->first, "Index of the first gateway")->capture_default_str();
+  hollow->add_option("--control", *control, "Address and port at which the lab queries this process")
+      ->required();
   hollow->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
   SelectWhenGiven(*hollow, selected, [options, control] { return ServeHollowGateways(*options, *control); });
 }
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::ordered_json;
 
-// Reads the folder without writing there. Throws std::runtime_error where it can't be read.
+// Reads the folder without writing to it. Throws std::runtime_error if it can't be read.
 storage::Examination Examine(const std::string& folder) {
   storage::Examination examination;
   const auto files = storage::MakePosixFileSystem();
@@ -29,7 +29,7 @@
     case storage::StoreCondition::kComplete: return "whole";
     case storage::StoreCondition::kCorrupt: return "damaged";
     case storage::StoreCondition::kOtherOwner:
-    case storage::StoreCondition::kUnsupportedVersion: return "of a newer program";
+    case storage::StoreCondition::kUnsupportedVersion: return "written by a newer version";
   }
   return "";
 }
@@ -37,7 +37,7 @@
 std::string SummaryLine(const std::string& folder, const storage::Examination& examination) {
   std::string line = fmt::format("{}: {}", folder, ConditionText(examination.condition));
   if (examination.manifest && !examination.manifest->owner.empty())
-    line += fmt::format(", of {}", examination.manifest->owner);
+    line += fmt::format(", owner {}", examination.manifest->owner);
   if (examination.snapshot) line += fmt::format(", snapshot up to {}", examination.snapshot->sequence);
   if (!examination.records.empty()) {
     line += fmt::format(", records {} to {}", examination.records.front().sequence,
@@ -46,7 +46,7 @@
   return examination.error.empty() ? line : line + ": " + examination.error;
 }
 
-// The payload as JSON, or as a text where it is none.
+// Returns the payload as JSON, or as a JSON string if it can't be parsed.
 ordered_json PayloadToJson(const std::string& bytes) {
   const ordered_json parsed = ordered_json::parse(bytes, nullptr, /*allow_exceptions=*/false);
   return parsed.is_discarded() ? ordered_json(bytes) : parsed;
@@ -56,34 +56,35 @@
   fmt::print("{}\n", line.dump(-1, ' ', false, ordered_json::error_handler_t::replace));
 }
 
-bool IsUndamaged(const storage::Examination& examination) {
+bool IsIntact(const storage::Examination& examination) {
   return examination.condition == storage::StoreCondition::kComplete ||
          examination.condition == storage::StoreCondition::kEmpty;
 }
 
-// Prints what is there, file by file.
+// Prints a summary and a line for each file.
 int InspectState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   fmt::print("{}\n", SummaryLine(folder, examination));
   if (examination.manifest)
-    fmt::print("  begun by elderhead {}, format {}\n", examination.manifest->program,
+    fmt::print("  created by elderhead {}, format {}\n", examination.manifest->program,
                examination.manifest->format);
   for (const auto& file : examination.files) {
     fmt::print("  {:32} {:>9} bytes  {}{}\n", file.name, file.bytes, file.description,
-               file.error.empty() ? "" : "; wrong: " + file.error);
+               file.error.empty() ? "" : "; error: " + file.error);
   }
-  for (const std::string& name : examination.obsolete_files) fmt::print("  {:32} needed no more\n", name);
+  for (const std::string& name : examination.obsolete_files) fmt::print("  {:32} obsolete\n", name);
   return kSuccess;
 }
 
-// Prints one line. Fails where the state is damaged or of a newer program.
+// Prints the summary. Fails if the state is damaged or was written by a newer version.
 int VerifyState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   fmt::print("{}\n", SummaryLine(folder, examination));
-  return IsUndamaged(examination) ? kSuccess : kFailure;
+  return IsIntact(examination) ? kSuccess : kFailure;
 }
 
-// Prints the snapshot and the records that the program would load as JSON, a line each. Fails as VerifyState.
+// Prints the snapshot and the records that the program would load, each as a line of JSON. Fails under the
+// same conditions as VerifyState.
 int ExportState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   if (examination.snapshot) {
@@ -97,10 +98,10 @@
                    {"version", record.version},
                    {"payload", PayloadToJson(record.payload)}});
   }
-  return IsUndamaged(examination) ? kSuccess : kFailure;
+  return IsIntact(examination) ? kSuccess : kFailure;
 }
 
-// One of the subcommands of `state`, each of which takes a folder.
+// A subcommand of `state`. Each takes a folder.
 struct StateSubcommand {
   const char* name;
   const char* description;
@@ -109,29 +110,27 @@
 };
 
 constexpr StateSubcommand kSubcommands[] = {
-    {"inspect", "Tells what is there, file by file", "gatewayctl state inspect /var/lib/elderhead/n3",
-     InspectState},
-    {"verify", "Tells in a line whether all of it is whole", "gatewayctl state verify /var/lib/elderhead/n3",
-     VerifyState},
-    {"export", "Prints the believed snapshot and records as JSON, a line each",
+    {"inspect", "Prints a summary of the state and its files",
+     "gatewayctl state inspect /var/lib/elderhead/n3", InspectState},
+    {"verify", "Checks the integrity of the state and prints one line",
+     "gatewayctl state verify /var/lib/elderhead/n3", VerifyState},
+    {"export", "Prints the valid snapshot and records, one JSON object per line",
      "gatewayctl state export DIR | head -1", ExportState},
 };
 
 }  // namespace
 
 void AddState(CLI::App& app, Command& selected) {
-  CLI::App* const state =
-      app.add_subcommand("state", "Looks at a folder that a program keeps its state in; never writes there");
+  CLI::App* const state = app.add_subcommand("state", "Examines a saved state folder without writing to it");
   state->require_subcommand(1);
   state->footer("Example: gatewayctl state verify /var/lib/elderhead/n3");
   for (const StateSubcommand& subcommand : kSubcommands) {
     const auto folder = std::make_shared<std::string>();
     CLI::App* const command = state->add_subcommand(subcommand.name, subcommand.description);
-    command->add_option("DIR", *folder, "The folder")->required();
-    command->footer(
-        std::string(
-            "Exit codes: 0 whole or empty, 1 damaged or of a newer program, 2 can't be read.\nExample: ") +
-        subcommand.example);
+    command->add_option("DIR", *folder, "Folder with the saved state")->required();
+    command->footer(std::string("Exit codes: 0 whole or empty, 1 damaged or written by a newer version, 2 "
+                                "unreadable.\nExample: ") +
+                    subcommand.example);
     SelectWhenGiven(*command, selected, [run = subcommand.run, folder] { return run(*folder); });
   }
 }
--- a/src/cli/state.hpp
+++ b/src/cli/state.hpp
@@ -1,4 +1,4 @@
-// `gatewayctl state`: examines the folder in which a program saves its state. Never writes there.
+// `gatewayctl state`: examines the folder in which a program saves its state, without writing to it.
 #ifndef GATEWAY_CLI_STATE_HPP_
 #define GATEWAY_CLI_STATE_HPP_
 
--- a/src/cli/subcommand.hpp
+++ b/src/cli/subcommand.hpp
@@ -1,4 +1,4 @@
-// What the files of the subcommands share: how a subcommand is selected, exit codes, and reading of files.
+// Utilities that all subcommands share: selection by the command line, exit codes, and file reading.
 #ifndef GATEWAY_CLI_SUBCOMMAND_HPP_
 #define GATEWAY_CLI_SUBCOMMAND_HPP_
 
@@ -9,14 +9,14 @@
 
 namespace gateway::cli {
 
-// Runs a subcommand with the options that the command line gave, and returns the exit code of the program.
-// Throws base::ConfigError for a wrong file and other exceptions for what can't be done at all.
+// Runs a subcommand with the options from the command line and returns the exit code of the program. Throws
+// base::ConfigError for an invalid file and other exceptions if the subcommand can't be executed.
 using Command = std::function<int()>;
 
 inline constexpr int kSuccess = 0;
-inline constexpr int kFailure = 1;       // a bound or rule was violated, a gateway answered with a failure
-inline constexpr int kUsageError = 2;    // wrong arguments or files
-inline constexpr int kInconclusive = 3;  // a speed could not be judged on this machine
+inline constexpr int kFailure = 1;     // a bound or rule was violated, or a gateway responded with a failure
+inline constexpr int kUsageError = 2;  // invalid arguments or files
+inline constexpr int kInconclusive = 3;  // this machine was too slow to evaluate a timing bound
 
 // The programs that subcommands start.
 struct ProgramPaths {
@@ -24,13 +24,13 @@
   std::string gateway;
 };
 
-// Makes the command line that names `subcommand` set `selected` to `command`, which has to share ownership of
-// its options. `selected` outlives the parser.
+// Sets `selected` to `command` when the command line names `subcommand`. `command` must share ownership of
+// its options, and `selected` must outlive the parser.
 inline void SelectWhenGiven(CLI::App& subcommand, Command& selected, Command command) {
   subcommand.callback([&selected, command = std::move(command)] { selected = command; });
 }
 
-// Reads a complete file. Throws std::runtime_error where it can't be read.
+// Returns the content of a file. Throws std::runtime_error if it can't be read.
 std::string ReadFile(const std::string& path);
 
 }  // namespace gateway::cli
