--- a/src/simulator/action_codec.cpp
+++ b/src/simulator/action_codec.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kDecimals = 3;
-constexpr std::size_t kMaxNumberLength = 32;  // characters; times of the wire stay far below
+constexpr std::size_t kMaxNumberLength = 32;  // characters; numbers on the wire are far shorter
 
 void AppendNumber(std::string& out, double value) {
   char buffer[kMaxNumberLength];
@@ -16,7 +16,7 @@
   out.append(buffer, end);
 }
 
-// Appends an action's line without its line feed.
+// Appends the line of an action without its line feed.
 class ActionEncoder {
  public:
   explicit ActionEncoder(std::string& out) : out_(out) {}
--- a/src/simulator/action_codec.hpp
+++ b/src/simulator/action_codec.hpp
@@ -1,5 +1,5 @@
-// Translates policy actions, and what the policy host reports, into the lines that the simulator reads. Each
-// function appends one line with its line feed.
+// Encodes policy actions and reports of the policy host as the lines that the simulator reads. Each function
+// appends one line with its line feed.
 #ifndef GATEWAY_SIMULATOR_ACTION_CODEC_HPP_
 #define GATEWAY_SIMULATOR_ACTION_CODEC_HPP_
 
@@ -11,16 +11,16 @@
 
 namespace gateway::simulator {
 
-// An action of the instance that the last AppendInstance of the same reply named.
+// Appends an action of the instance that the last AppendInstance() for this reply selected.
 void AppendAction(std::string& reply, const policy::Action& action);
 
-// The lines that follow are of this instance.
+// Selects the instance that the following lines belong to.
 void AppendInstance(std::string& reply, std::int64_t instance);
 
-// The instance threw an exception while it handled an event.
+// Reports that the instance threw an exception with this text while it handled an event.
 void AppendFailure(std::string& reply, std::string_view text);
 
-// The reply to a batch is complete.
+// Marks the reply to a batch as complete.
 void AppendEndOfReply(std::string& reply);
 
 }  // namespace gateway::simulator
--- a/src/simulator/event_codec.cpp
+++ b/src/simulator/event_codec.cpp
@@ -60,7 +60,7 @@
   throw WireError("unknown list kind '" + std::string(kind) + "'");
 }
 
-// The values of a load report; NaN for one that the endpoint did not report.
+// Returns the values of a load report, with NaN for each value that the endpoint did not report.
 std::vector<double> ToLoadReport(std::string_view text) {
   std::vector<double> load;
   if (text.empty()) return load;
@@ -77,13 +77,13 @@
 
 MessageType ToMessageType(std::string_view word) {
   const auto found = std::find_if(std::begin(kMessageWords), std::end(kMessageWords),
-                                  [&](const MessageWord& known) { return known.word == word; });
+                                  [&](const MessageWord& entry) { return entry.word == word; });
   return found == std::end(kMessageWords) ? MessageType::kUnknown : found->type;
 }
 
 std::string_view WireWord(MessageType type) {
   const auto found = std::find_if(std::begin(kMessageWords), std::end(kMessageWords),
-                                  [&](const MessageWord& known) { return known.type == type; });
+                                  [&](const MessageWord& entry) { return entry.type == type; });
   return found == std::end(kMessageWords) ? std::string_view() : found->word;
 }
 
@@ -126,7 +126,7 @@
   request.tenant = fields.Optional(3);
   request.key = fields.Optional(4);
   request.time_left = fields.Number<double>(5, "graceMs");
-  fields.NumberOr<unsigned>(7, "opts", 0);  // checked and dropped: no decision uses it
+  fields.NumberOr<unsigned>(7, "opts", 0);  // validated only, since no decision uses it
   return request;
 }
 
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -1,8 +1,8 @@
-// Translates the lines that the simulator sends into policy events. The message words of the wire and the
-// names of its values appear here and in action_codec alone.
+// Decodes the lines that the simulator sends into policy events. Only this file and action_codec know the
+// message words of the wire and the names of its values.
 //
-// A caller finds the type of a line first, checks that it may come now, and then calls the decoder of that
-// type. Decoders throw WireError for a value that is missing or malformed.
+// A caller first determines the type of a line, then checks that this type is allowed in the current state,
+// and then calls the decoder for the type. Decoders throw WireError if a value is missing or malformed.
 #ifndef GATEWAY_SIMULATOR_EVENT_CODEC_HPP_
 #define GATEWAY_SIMULATOR_EVENT_CODEC_HPP_
 
@@ -19,8 +19,8 @@
 enum class MessageType {
   kBeginBatch,          // DecodeTime: the time of all events in the batch
   kEndBatch,            // no values
-  kSelectInstance,      // DecodeInstance: the following events are for this instance
-  kBeginEndpointList,   // DecodeEndpointListHeader; as many entries as it says follow at once
+  kSelectInstance,      // DecodeInstance: selects the instance that receives the following events
+  kBeginEndpointList,   // DecodeEndpointListHeader: announces the entries that follow directly
   kEndpointListEntry,   // DecodeEndpoint
   kCreateInstance,      // DecodeInstanceConfig: replaces the selected instance
   kDestroyInstance,     // no values
@@ -35,25 +35,25 @@
   kUnknown,
 };
 
-// kUnknown for a word that the wire does not have.
+// Returns kUnknown if the wire has no such word.
 MessageType ToMessageType(std::string_view word);
 
-// The wire's word for a message, for error texts. `type` is not kUnknown.
+// Returns the wire's word for a message type, for error texts. `type` must not be kUnknown.
 std::string_view WireWord(MessageType type);
 
 struct EndpointListHeader {
   std::size_t list = 0;         // number of the list that the entries replace
-  std::size_t entry_count = 0;  // entry lines that follow
+  std::size_t entry_count = 0;  // number of entry lines that follow
 };
 
 struct InstanceConfig {
   std::uint64_t seed = 0;
-  std::vector<std::string_view> settings;  // for ParseSettings; refers to the line
+  std::vector<std::string_view> settings;  // arguments of ParseSettings(); views into the line
 };
 
 struct EndpointListUpdate {
   policy::EndpointListEvent::Kind kind = policy::EndpointListEvent::Kind::kSnapshot;
-  std::size_t list = 0;  // number of the list with the endpoints; kFailure: none
+  std::size_t list = 0;  // number of the list with the endpoints; not set for kFailure
 };
 
 policy::Millis DecodeTime(const LineFields& fields);
@@ -68,7 +68,7 @@
 EndpointListUpdate DecodeEndpointListUpdate(const LineFields& fields);
 policy::ResponseStarted DecodeResponseStarted(const LineFields& fields);
 
-// Messages that no decision uses are checked and dropped.
+// Validate messages that no decision uses. Their content is discarded.
 void CheckProbeResult(const LineFields& fields);
 void CheckPeerMessage(const LineFields& fields);
 
--- a/src/simulator/line_codec.cpp
+++ b/src/simulator/line_codec.cpp
@@ -20,7 +20,7 @@
 bool ParseFlag(std::string_view text, std::string_view name) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
-  throw WireError(std::string(name) + " is not a flag: '" + std::string(text) + "'");
+  throw WireError(std::string(name) + " is not a boolean: '" + std::string(text) + "'");
 }
 
 void LineFields::Assign(std::string_view line) {
@@ -35,7 +35,7 @@
 
 std::string_view LineFields::Required(std::size_t index, std::string_view name) const {
   const std::string_view text = Optional(index);
-  if (text.empty()) throw WireError(std::string(word()) + " lacks its " + std::string(name));
+  if (text.empty()) throw WireError(std::string(word()) + ": " + std::string(name) + " is missing");
   return text;
 }
 
--- a/src/simulator/line_codec.hpp
+++ b/src/simulator/line_codec.hpp
@@ -1,5 +1,6 @@
-// Reads the fields of one line of the simulator's wire. A line is a message word and positional values, all
-// separated by single spaces; "-" stands for an absent value, and absent values at the end may be left off.
+// Parses the fields of one line of the simulator's wire. A line consists of a message word and positional
+// values, separated by single spaces. "-" stands for an absent value; absent values at the end of a line may
+// be omitted.
 #ifndef GATEWAY_SIMULATOR_LINE_CODEC_HPP_
 #define GATEWAY_SIMULATOR_LINE_CODEC_HPP_
 
@@ -14,17 +15,17 @@
 
 namespace gateway::simulator {
 
-// A line that breaks the wire's rules. what() names the fault, without the line's number.
+// A line that violates the wire protocol. what() describes the error but does not contain the line number.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Replaces `parts` with the parts of `text` between the separators. An empty text has one empty part.
+// Splits `text` at each separator and replaces the content of `parts`. An empty text has one empty part.
 void Split(std::string_view text, char separator, std::vector<std::string_view>& parts);
 
-// The number that makes up all of `text`; floating-point numbers must be finite. Throws WireError, whose text
-// calls the value `name`.
+// Parses all of `text` as a number. Throws WireError, which refers to the value as `name`, if it is not a
+// number or not finite.
 template <typename T>
 T ParseNumber(std::string_view text, std::string_view name) {
   T value{};
@@ -36,20 +37,21 @@
   return value;
 }
 
-// "1" or "true", "0" or "false". Throws WireError, whose text calls the value `name`.
+// Parses "1" or "true", "0" or "false". Throws WireError, which refers to the value as `name`, for any other
+// text.
 bool ParseFlag(std::string_view text, std::string_view name);
 
-// The fields of one line. They refer to the text of the line, which has to outlive them. Indices count from
-// 0, the message word. Getters throw WireError, whose text calls the value `name`.
+// The fields of one line. They are views into the line, which must outlive them. Index 0 is the message word.
+// Getters throw WireError, which refers to the value as `name`.
 class LineFields {
  public:
-  // Replaces the fields with those of `line`, which comes without its line feed. A carriage return at its end
-  // is dropped.
+  // Replaces the fields with those of `line`, which has no line feed. A carriage return at its end is
+  // ignored.
   void Assign(std::string_view line);
 
   std::string_view word() const { return parts_.front(); }
 
-  // Empty where the value is absent.
+  // Returns an empty view if the value is absent.
   std::string_view Optional(std::size_t index) const;
 
   std::string_view Required(std::size_t index, std::string_view name) const;
@@ -67,7 +69,7 @@
 
   bool Flag(std::size_t index, std::string_view name) const { return ParseFlag(Required(index, name), name); }
 
-  // All fields from `index` on, as they stand in the line. `index` is at most the number of fields.
+  // Returns all fields from `index` on, unchanged. `index` must not exceed the number of fields.
   std::vector<std::string_view> From(std::size_t index) const;
 
  private:
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
-// simulator_adapter: runs policies on the simulator's wire, from standard input to standard output. Ends with
-// 0 at the end of the input, and with 1 and one line on standard error for a fault, whose line it names.
+// simulator_adapter: runs policies for the simulator. Reads the wire protocol from standard input and writes
+// replies to standard output. Exits with 0 at the end of the input. On an error it prints one line to
+// standard error, with the number of the input line, and exits with 1.
 #include <unistd.h>
 
 #include <cerrno>
@@ -15,7 +16,7 @@
 
 constexpr std::size_t kChunkBytes = 64 * 1024;
 
-// Standard output is closed: the simulator has ended and nobody reads a message about it.
+// Standard output is closed because the simulator has exited. No error message is printed.
 class OutputClosed : public std::exception {};
 
 std::size_t ReadInput(std::string& chunk) {
@@ -35,10 +36,10 @@
   }
 }
 
-// Feeds the host with lines from pieces of input and writes its replies.
-class LineFeeder {
+// Splits the input into lines, passes them to the policy host and writes its replies.
+class LineProcessor {
  public:
-  // Throws std::runtime_error, whose text names the line, for a malformed line.
+  // Throws std::runtime_error, with the line number in its text, if a line is malformed.
   void Process(std::string_view input) {
     pending_ += input;
     std::size_t start = 0;
@@ -49,7 +50,7 @@
     pending_.erase(0, start);
   }
 
-  // Throws std::runtime_error if the input may not end here.
+  // Throws std::runtime_error if the input ends inside a line or a batch.
   void Finish() {
     if (!pending_.empty()) Fail(line_number_ + 1, "input ends inside a line");
     if (host_.InBatch()) Fail(line_number_, "input ends inside a batch");
@@ -70,7 +71,7 @@
   }
 
   gateway::simulator::PolicyHost host_;
-  std::string pending_;  // the start of a line whose end has not come yet
+  std::string pending_;  // the start of a line that has not been received completely
   unsigned long long line_number_ = 0;
 };
 
@@ -78,12 +79,12 @@
 
 int main() {
   try {
-    LineFeeder feeder;
+    LineProcessor processor;
     std::string chunk(kChunkBytes, '\0');
     while (const std::size_t count = ReadInput(chunk)) {
-      feeder.Process(std::string_view(chunk).substr(0, count));
+      processor.Process(std::string_view(chunk).substr(0, count));
     }
-    feeder.Finish();
+    processor.Finish();
   } catch (const OutputClosed&) {
     return 1;
   } catch (const std::exception& error) {
--- a/src/simulator/policy_host.cpp
+++ b/src/simulator/policy_host.cpp
@@ -13,7 +13,7 @@
 std::string Quoted(std::string_view word) { return "'" + std::string(word) + "'"; }
 
 std::size_t CheckedListNumber(std::size_t list, std::size_t count) {
-  if (list >= count) throw WireError("list number above " + std::to_string(count - 1));
+  if (list >= count) throw WireError("list number must be at most " + std::to_string(count - 1));
   return list;
 }
 
@@ -35,10 +35,10 @@
 
 std::string PolicyHost::TakeReply() { return std::exchange(reply_, {}); }
 
-// Throws WireError if a line of this type may not come now.
+// Throws WireError if a line of this type is not allowed in the current state.
 void PolicyHost::CheckOrder(MessageType type) const {
   if (entries_left_ > 0 && type != MessageType::kEndpointListEntry) {
-    throw WireError(std::string(WireWord(MessageType::kEndpointListEntry)) + " lines missing before " +
+    throw WireError(std::string(WireWord(MessageType::kEndpointListEntry)) + " lines are missing before " +
                     Quoted(fields_.word()));
   }
   if (type == MessageType::kBeginBatch) {
@@ -102,8 +102,8 @@
   policies_.erase(*selected_);
   try {
     policies_.emplace(*selected_, policy::Policy(ParseSettings(config.settings), config.seed));
-  } catch (const std::invalid_argument& error) {  // policy::SettingsError among them
-    throw WireError(std::string("settings that cannot work: ") + error.what());
+  } catch (const std::invalid_argument& error) {  // includes policy::SettingsError
+    throw WireError(std::string("invalid settings: ") + error.what());
   }
 }
 
--- a/src/simulator/policy_host.hpp
+++ b/src/simulator/policy_host.hpp
@@ -1,5 +1,5 @@
-// Runs the policies of one simulator process. The simulator sends batches of events, addressed to numbered
-// instances, and gets one reply a batch with the actions of all of them.
+// Runs the policies of one simulator process. The simulator sends batches of events that are addressed to
+// numbered instances. It receives one reply per batch with the actions of all instances.
 #ifndef GATEWAY_SIMULATOR_POLICY_HOST_HPP_
 #define GATEWAY_SIMULATOR_POLICY_HOST_HPP_
 
@@ -18,22 +18,22 @@
 
 namespace gateway::simulator {
 
-// The instances share the process, the time of a batch and the numbered endpoint lists, and nothing else. To
-// be called from one thread at a time.
+// The instances share only the process, the time of a batch and the numbered endpoint lists. Not thread-safe.
 class PolicyHost {
  public:
-  // Consumes one line, without its line feed. Throws WireError if it is malformed or may not come now; the
-  // host is of no further use then.
+  // Processes one line without its line feed. Throws WireError if the line is malformed or not allowed in the
+  // current state. The host must not be used after that.
   void ProcessLine(std::string_view line);
 
-  // The reply, after the line that ended a batch; empty at any other time. Each reply is returned once.
+  // Returns the reply after the line that ended a batch, and an empty string at any other time. Each reply is
+  // returned once.
   std::string TakeReply();
 
-  // Whether a batch has begun that has not ended yet.
+  // Returns whether a batch has begun and not ended yet.
   bool InBatch() const { return in_batch_; }
 
  private:
-  static constexpr std::size_t kListCount = 16;  // numbered endpoint lists of the wire
+  static constexpr std::size_t kListCount = 16;  // number of endpoint lists on the wire
 
   void CheckOrder(MessageType type) const;
   void BeginBatch();
@@ -45,17 +45,17 @@
   policy::EndpointListEvent ToEvent(const EndpointListUpdate& update) const;
   void Deliver(const policy::Event& event);
 
-  LineFields fields_;  // of the line that is being processed
+  LineFields fields_;  // of the current line
   policy::Millis now_ = 0;
   bool in_batch_ = false;
-  std::optional<std::int64_t> selected_;  // the instance that events are addressed to
+  std::optional<std::int64_t> selected_;  // the instance that receives the events
   std::map<std::int64_t, policy::Policy> policies_;
   std::array<std::vector<policy::EndpointInfo>, kListCount> lists_;
-  std::size_t open_list_ = 0;     // the list that entries are added to
-  std::size_t entries_left_ = 0;  // entry lines still to come for the open list
+  std::size_t open_list_ = 0;     // the list to which entries are added
+  std::size_t entries_left_ = 0;  // remaining entry lines of the open list
   std::vector<policy::Action> actions_;
-  std::optional<std::int64_t> reply_instance_;  // the instance that the last line of the open reply is of
-  std::string open_reply_;                      // of the batch that has not ended yet
+  std::optional<std::int64_t> reply_instance_;  // the instance of the last line in the open reply
+  std::string open_reply_;                      // of the current batch
   std::string reply_;
 };
 
--- a/src/simulator/settings_codec.cpp
+++ b/src/simulator/settings_codec.cpp
@@ -11,11 +11,11 @@
 namespace gateway::simulator {
 namespace {
 
-using Path = std::vector<std::string_view>;  // the parts of a key between its dots
+using Path = std::vector<std::string_view>;  // the parts of a key, separated by dots
 
-constexpr std::size_t kMaxListItems = 10000;  // bounds the memory that a wrong index can take
+constexpr std::size_t kMaxListItems = 10000;  // limits the memory that an invalid index can allocate
 
-// How one key sets one field of T.
+// Sets one field of T from the value of a key.
 template <typename T>
 struct FieldParser {
   std::string_view key;
@@ -29,18 +29,18 @@
   if constexpr (std::is_same_v<Field, bool>) {
     field = ParseFlag(value, key);
   } else if constexpr (std::is_arithmetic_v<Field>) {
-    field = static_cast<Field>(ParseNumber<double>(value, key));  // integers too are sent as 3.0
+    field = static_cast<Field>(ParseNumber<double>(value, key));  // integers are also sent in the form 3.0
   } else {
     field = value;
   }
 }
 
-// Sets the field that `key` names; does nothing where there is none.
+// Sets the field that `key` names. Does nothing if there is no such field.
 template <typename T, std::size_t N>
 void ParseKnownField(const FieldParser<T> (&parsers)[N], T& target, std::string_view key,
                      std::string_view value) {
-  const auto parser =
-      std::find_if(std::begin(parsers), std::end(parsers), [&](const auto& p) { return p.key == key; });
+  const auto parser = std::find_if(std::begin(parsers), std::end(parsers),
+                                   [&](const auto& candidate) { return candidate.key == key; });
   if (parser != std::end(parsers)) parser->parse(target, key, value);
 }
 
@@ -52,7 +52,7 @@
   } else if (value == "side_effect") {
     traffic_class.idempotency = policy::Idempotency::kNotIdempotent;
   } else {
-    throw policy::SettingsError("classes.idempotency", "unknown '" + std::string(value) + "'");
+    throw policy::SettingsError("classes.idempotency", "unknown value '" + std::string(value) + "'");
   }
 }
 
@@ -65,7 +65,7 @@
   } else if (value == "cell") {
     traffic_class.deduplication_scope = policy::DeduplicationScope::kCell;
   } else {
-    throw policy::SettingsError("classes.deduplication_scope", "unknown '" + std::string(value) + "'");
+    throw policy::SettingsError("classes.deduplication_scope", "unknown value '" + std::string(value) + "'");
   }
 }
 
@@ -118,7 +118,8 @@
     {"report.fields", ParseLoadReportFields},
 };
 
-// The element of a list that arrives item by item, as in "categories.2.sloMs". Grows the list up to it.
+// Returns the element of a list whose items arrive one by one, such as "categories.2.sloMs". Grows the list
+// if necessary.
 template <typename T>
 T& ItemAt(std::vector<T>& items, std::string_view index_text) {
   const auto index = ParseNumber<std::size_t>(index_text, "list index");
@@ -151,7 +152,7 @@
     const std::string_view value = pair.substr(equals + 1);
     if (value.empty() || value == "-") continue;
     Split(key, '.', path);
-    if (path.back() == "count") continue;  // the lists grow as their items come
+    if (path.back() == "count") continue;  // the lists grow when their items arrive
     ParseSetting(settings, path, key, value);
   }
   return settings;
--- a/src/simulator/settings_codec.hpp
+++ b/src/simulator/settings_codec.hpp
@@ -1,5 +1,5 @@
-// Reads the policy's settings from the platform's keys. The simulator's wire and the gateway's configuration
-// file use the same keys and units; both are read here.
+// Parses the policy's settings from the platform's keys. The simulator's wire and the gateway's configuration
+// file use the same keys and units, and both are parsed here.
 #ifndef GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 #define GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 
@@ -10,10 +10,10 @@
 
 namespace gateway::simulator {
 
-// Returns the settings of KEY=VALUE pairs, such as "limits.maxAttempts=3" or "categories.0.sloMs=500".
-// Unknown keys are skipped, empty and absent ("-") values leave the default. Throws WireError for a pair
-// without '=' and for a value of the wrong type, policy::SettingsError for an unknown word. Does not check
-// whether the settings can work: the constructor of policy::Policy does.
+// Parses KEY=VALUE pairs, such as "limits.maxAttempts=3" or "categories.0.sloMs=500". Ignores unknown keys. A
+// setting with an empty or absent ("-") value keeps its default. Throws WireError for a pair without '=' or a
+// value of the wrong type, and policy::SettingsError for an unknown enum value. Doesn't validate the
+// settings; the constructor of policy::Policy does.
 policy::Settings ParseSettings(const std::vector<std::string_view>& pairs);
 
 }  // namespace gateway::simulator
--- a/tests/simulator/policy_host_test.cpp
+++ b/tests/simulator/policy_host_test.cpp
@@ -1,4 +1,4 @@
-// The policy host on the simulator's wire: what it reads and prints, and which lines it refuses.
+// Tests of the policy host: its replies to batches of the simulator's wire, and the lines that it rejects.
 #include "simulator/policy_host.hpp"
 
 #include <gtest/gtest.h>
@@ -16,12 +16,12 @@
     "categories.0.deadlineMs=1000.0 categories.0.importance=2.0 categories.0.idempotency=pure "
     "limits.maxAttempts=4 membershipMode=push new.key.of.later=1";
 
-TEST(PolicyHost, EmptyBatchGetsAnEmptyReply) {
+TEST(PolicyHost, EmptyBatchGetsAReplyWithoutActions) {
   PolicyHost host;
   EXPECT_EQ(Process(host, {"TURN 1.5", "EOF_BATCH"}), "OK\n");
 }
 
-TEST(PolicyHost, RequestIsSentThroughTheListOfItsBatch) {
+TEST(PolicyHost, RequestIsSentToAnEndpointOfTheListInItsBatch) {
   PolicyHost host;
   const std::string reply =
       Process(host, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
@@ -30,7 +30,9 @@
   EXPECT_NE(reply.find("PASS_ON t/1 h1 400.000\n"), std::string::npos) << reply;
 }
 
-TEST(PolicyHost, ListNumbersAreResolvedInTheOrderOfEvents) {
+// Two instances use the same list number in one batch. Resolving the numbers only at the end of the batch
+// would give both instances the second list.
+TEST(PolicyHost, ReusedListNumberIsResolvedAtEachEvent) {
   PolicyHost host;
   const std::string reply =
       Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
@@ -41,7 +43,8 @@
   EXPECT_NE(reply.find("PASS_ON t/2 h2"), std::string::npos) << reply;
 }
 
-TEST(PolicyHost, InstanceKilledAndMadeAgainInOneBatchStartsEmpty) {
+// An instance that is destroyed and recreated in one batch must not keep the endpoints of its predecessor.
+TEST(PolicyHost, InstanceRecreatedInOneBatchStartsWithoutState) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
                  "REGISTRY 0 1 C", "EOF_BATCH"});
@@ -50,14 +53,14 @@
   EXPECT_EQ(reply.find("PASS_ON"), std::string::npos) << reply;
 }
 
-// The reply lines of one instance over `rounds` batches; `others` more share its process.
-std::string RepliesOfOneInstance(int others, int rounds) {
+// Returns the reply lines of instance 0 over `rounds` batches. `others` more instances share its process.
+std::string RepliesOfInstanceZero(int others, int rounds) {
   PolicyHost host;
   std::string replies;
   for (int round = 0; round < rounds; ++round) {
     host.ProcessLine("TURN " + std::to_string(10 * round));
     for (int i = 0; i <= others; ++i) {
-      // The instance that is watched comes in the middle, so that both neighbours could disturb it.
+      // Instance 0 is the last of a batch, so the other instances run directly before and after it.
       host.ProcessLine("INSTANCE " + std::to_string((i + 1) % (others + 1)));
       if (round == 0) {
         for (const char* line : {kCreate, "SNAPSHOT_ROWS 0 3", "ENTRY h1 z k 0 up 1 -",
@@ -71,13 +74,13 @@
     }
     host.ProcessLine("EOF_BATCH");
     const std::string reply = host.TakeReply();
-    bool of_instance = false;
+    bool is_instance_zero = false;
     std::size_t start = 0;
     for (std::size_t end; (end = reply.find('\n', start)) != std::string::npos; start = end + 1) {
       const std::string line = reply.substr(start, end - start);
       if (line.starts_with("CONTEXT ")) {
-        of_instance = line == "CONTEXT 0";
-      } else if (of_instance && line != "OK") {
+        is_instance_zero = line == "CONTEXT 0";
+      } else if (is_instance_zero && line != "OK") {
         replies += line + "\n";
       }
     }
@@ -85,13 +88,14 @@
   return replies;
 }
 
-TEST(PolicyHost, InstanceActsAlikeAloneAndAmongOthersInOneProcess) {
-  const std::string alone = RepliesOfOneInstance(0, 60);
+TEST(PolicyHost, InstanceRepliesTheSameAloneAndWithOtherInstances) {
+  const std::string alone = RepliesOfInstanceZero(0, 60);
   EXPECT_NE(alone.find("PASS_ON t/0 "), std::string::npos) << alone;
-  EXPECT_EQ(alone, RepliesOfOneInstance(2, 60));
+  EXPECT_EQ(alone, RepliesOfInstanceZero(2, 60));
 }
 
-TEST(PolicyHost, KillWithAttemptsOutLeavesNothingBehind) {
+// A destroyed instance with an attempt in flight: its successor must not act on events for that attempt.
+TEST(PolicyHost, RecreatedInstanceIgnoresEventsForOldAttempts) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
                  "REGISTRY 0 1 C", "KNOCK t/1 view - - 400 - 0", "EOF_BATCH"});
@@ -101,9 +105,9 @@
   EXPECT_EQ(reply.find("t/1"), std::string::npos) << reply;
 }
 
-class Malformed : public ::testing::TestWithParam<const char*> {};
+class MalformedLine : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(Malformed, LineIsNamedAndRefused) {
+TEST_P(MalformedLine, ThrowsWireError) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "EOF_BATCH"});
   host.ProcessLine("TURN 11");
@@ -111,7 +115,7 @@
   EXPECT_THROW(host.ProcessLine(GetParam()), WireError) << GetParam();
 }
 
-INSTANTIATE_TEST_SUITE_P(Lines, Malformed,
+INSTANTIATE_TEST_SUITE_P(Lines, MalformedLine,
                          ::testing::Values("BOGUS 1", "TURN x", "TURN 12", "KNOCK t/1 view - - abc - 0",
                                            "KNOCK t/1", "COMPLETED t/1 0 h 99 1 5.0 -",
                                            "COMPLETED t/1 0 h 10 maybe 5.0 -", "ENTRY h z k 0 up 1 -",
@@ -119,7 +123,7 @@
                                            "CREATE notanumber", "CREATE 5 novalue", "CREATE 5 zone=a",
                                            "KNOCK t/1 view - - nan - 0", ""));
 
-TEST(PolicyHost, EventForAnInstanceThatDoesNotExistIsRefused) {
+TEST(PolicyHost, EventForAnUnknownInstanceThrowsWireError) {
   PolicyHost host;
   host.ProcessLine("TURN 1");
   host.ProcessLine("INSTANCE 9");
