--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,4 +1,4 @@
-// One request from its arrival to its answer, through the public header alone.
+// Handles one request from its arrival to its response, using only the public header.
 #include <gateway/policy.hpp>
 #include <iostream>
 
@@ -28,14 +28,14 @@
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::cout << "send " << send->request << " to " << send->endpoint << "\n";
-      AttemptOutcome outcome;  // what the gateway reports once the server has answered
+      AttemptOutcome outcome;  // what the gateway reports after the server has responded
       outcome.request = send->request;
       outcome.endpoint = send->endpoint;
       outcome.result = AttemptResult::kServed;
       outcome.request_finished = true;
       outcome.latency = 31;
-      std::vector<Action> more;
-      policy.Handle(36, outcome, more);
+      std::vector<Action> further_actions;
+      policy.Handle(36, outcome, further_actions);
       std::cout << "served\n";
       return 0;
     }
