--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -114,7 +114,7 @@
       for (const std::uint64_t bound : kBucketBoundsMicros) {
         text += name + "_bucket" + label + ",le=\"" +
                 FormatNumber(static_cast<double>(bound) / kMicrosPerSecond) + "\"} " +
-                std::to_string(histogram.AtMost(bound)) + '\n';
+                std::to_string(histogram.CountAtMost(bound)) + '\n';
       }
       text += name + "_bucket" + label + ",le=\"+Inf\"} " + std::to_string(histogram.count()) + '\n';
       text += name + "_sum" + label + "} " + FormatNumber(histogram.sum() / kMicrosPerSecond) + '\n';
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -20,7 +20,7 @@
     const proxy::Config config = proxy::LoadConfig(variable);
     std::signal(SIGXFSZ, SIG_IGN);  // reaching the file size limit must fail the write, not end the process
     std::signal(SIGPIPE, SIG_IGN);  // the same for writing to a closed log pipe
-    base::SetLogForm(config.log);
+    base::SetLogFormat(config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     proxy::Gateway gateway(io, config);
