--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -161,7 +161,7 @@
   if (!file.contains(pointer)) return;
   const json& form = file[pointer];
   if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
-  if (form == "json") config.log = base::LogForm::kJson;
+  if (form == "json") config.log = base::LogFormat::kJson;
 }
 
 void ReadKnownList(const json& file, Config& config) {
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -42,7 +42,7 @@
   bool load_state = true;       // false: this start ignores the saved state and overwrites it
   Millis state_sync_delay = 0;  // added to each sync of the state, to test with a slow disk
   std::string state_owner;      // name and client address of the gateway that owns the state
-  base::LogForm log = base::LogForm::kText;
+  base::LogFormat log = base::LogFormat::kText;
 };
 
 // `variable` returns the value of an environment variable, or null if it is not set. Throws ConfigError.
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -326,7 +326,7 @@
     }
   }
   EXPECT_EQ(base::Histogram().Quantile(0.5), 0U);
-  EXPECT_FALSE(base::Histogram().Supports(0.5));
+  EXPECT_FALSE(base::Histogram().SupportsQuantile(0.5));
 }
 
 TEST(Files, AreReadStrictly) {
@@ -339,7 +339,7 @@
        "test.toml:19:1: unknown key 'second', did you mean 'seconds'?"},
       {kSmall, "traffic: missing"},
       {kSmall + "[traffic]\nrate = \"many\"\nseconds = 5\n", "test.toml:18:8: rate: must be a number"},
-      {kSmall + "[traffic]\nrate = -1\nseconds = 5\n", "is not from"},
+      {kSmall + "[traffic]\nrate = -1\nseconds = 5\n", "is out of range"},
       {kSmall + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
       {kSmall + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
       {kSmall + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
@@ -348,7 +348,8 @@
        "'x' is not N or N-M"},
       {kSmall + traffic + "[[bounds]]\nfigure = \"godput\"\nleast = 1\n", "did you mean 'goodput'?"},
       {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
-      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n", "is none of"},
+      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n",
+       "is not one of"},
       {"name = \n", "test.toml:1:"},
   };
   for (const Case& c : cases) {
@@ -600,7 +601,7 @@
        {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // longer than a state's fault takes
        {26000, 900, false, true, Action::kRestart, 3200, 6400},
        {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
-       {60000, 900, false, false, Action::kGiveUp, 0, 0}},
+       {60000, 900, false, false, Action::kStopCrashLoop, 0, 0}},
       // The same crashes spread over more time are no loop.
       {{0, 900, false, false, Action::kRestart, 100, 200},
        {40000, 900, false, false, Action::kRestart, 200, 400},
@@ -616,7 +617,7 @@
       Supervisor supervisor({});
       for (const Step& step : story) {
         const auto decision =
-            supervisor.OnProcessEnd({step.at, step.ran, step.expected, step.with_saved_state}, draw);
+            supervisor.OnProcessExit({step.at, step.ran, step.expected, step.with_saved_state}, draw);
         EXPECT_EQ(decision.action, step.action) << "at " << step.at;
         EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
       }
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -328,10 +328,10 @@
 // in the text of a "counts" record are fields too.
 TEST(Log, FormatsARecordAsTextOrJson) {
   const std::string text = "sockets: hosts 7 clients 3 left 0 | dialled 4 reused 9 | reset new 1 reused 2";
-  EXPECT_EQ(base::FormatRecord(base::LogForm::kText, 1780000000123.0, base::Level::kInfo, "sockets", "counts",
-                               text),
+  EXPECT_EQ(base::FormatRecord(base::LogFormat::kText, 1780000000123.0, base::Level::kInfo, "sockets",
+                               "counts", text),
             "2026-05-28T20:26:40.123Z info " + text);
-  const auto record = nlohmann::json::parse(base::FormatRecord(base::LogForm::kJson, 1780000000123.0,
+  const auto record = nlohmann::json::parse(base::FormatRecord(base::LogFormat::kJson, 1780000000123.0,
                                                                base::Level::kWarning, "sockets", "counts",
                                                                text, {{"host", "h\"\xff"}, {"ms", 2.5}}));
   const nlohmann::json expected = {{"time", "2026-05-28T20:26:40.123Z"},
