--- a/src/storage/atomic_file.hpp
+++ b/src/storage/atomic_file.hpp
@@ -1,4 +1,4 @@
-// Replaces files atomically.
+// Atomic replacement of files.
 #ifndef GATEWAY_STORAGE_ATOMIC_FILE_HPP_
 #define GATEWAY_STORAGE_ATOMIC_FILE_HPP_
 
@@ -10,9 +10,9 @@
 
 namespace gateway::storage {
 
-// Writes the bytes to a temporary file, syncs it, and renames it to `path`. After a crash `path` is the old
-// file or the new one; it is surely the new one only after a sync of the folder. `open_file`, if not null,
-// gets the file, open for appending.
+// Writes the bytes to a temporary file, syncs it, and renames it to `path`. After a crash, `path` holds
+// either the old or the new content; the new content is guaranteed only after a sync of the folder. If
+// `open_file` is not null, it receives the new file, open for appending.
 Status ReplaceFile(FileSystem& files, const std::string& path, std::string_view bytes,
                    std::unique_ptr<File>* open_file = nullptr);
 
--- a/src/storage/byte_order.hpp
+++ b/src/storage/byte_order.hpp
@@ -1,4 +1,4 @@
-// Little-endian numbers in byte strings.
+// Writes integers to byte strings, and reads them, in little-endian order.
 #ifndef GATEWAY_STORAGE_BYTE_ORDER_HPP_
 #define GATEWAY_STORAGE_BYTE_ORDER_HPP_
 
@@ -13,7 +13,7 @@
   for (std::size_t i = 0; i < sizeof number; ++i) bytes += static_cast<char>(number >> (8 * i) & 0xff);
 }
 
-// `offset` and the size of the number must lie within `bytes`.
+// Requires that all bytes of the number, from `offset` on, lie within `bytes`.
 template <typename Number>
 Number ReadLittleEndian(std::string_view bytes, std::size_t offset) {
   Number number = 0;
--- a/src/storage/checksum.hpp
+++ b/src/storage/checksum.hpp
@@ -1,4 +1,4 @@
-// The checksum of all files of a store.
+// Checksum used in all files of a store.
 #ifndef GATEWAY_STORAGE_CHECKSUM_HPP_
 #define GATEWAY_STORAGE_CHECKSUM_HPP_
 
--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -36,7 +36,7 @@
   Examination& result_;
   std::vector<NumberedFile> snapshots_;
   std::vector<NumberedFile> segments_;
-  bool log_intact_ = true;  // up to the segment that is examined
+  bool log_intact_ = true;  // no segment examined so far is corrupt
 };
 
 Status Examiner::Run(const std::string& owner) {
@@ -51,7 +51,7 @@
     // The manifest is durable before any other file is created.
     if (snapshots_.empty() && segments_.empty()) return {};
     DoNotUseAny();
-    MarkCorrupt("there are files of a state, but no manifest");
+    MarkCorrupt("found log or snapshot files but no manifest");
     return {};
   }
   if (Status status = ExamineManifest(owner); !status.ok()) return status;
@@ -93,7 +93,7 @@
   if (result_.manifest) {
     CheckManifest(owner);
   } else {
-    MarkCorrupt("the manifest: " + error);
+    MarkCorrupt("manifest: " + error);
   }
   return {};
 }
@@ -102,18 +102,18 @@
   const Manifest& manifest = *result_.manifest;
   if (manifest.format > kFormatVersion) {
     result_.condition = StoreCondition::kUnsupportedVersion;
-    result_.error = "it is of format " + std::to_string(manifest.format) + ", this program reads up to " +
-                    std::to_string(kFormatVersion);
+    result_.error = "the store has format " + std::to_string(manifest.format) +
+                    ", but this program supports formats up to " + std::to_string(kFormatVersion);
   } else if (!owner.empty() && manifest.owner != owner) {
     result_.condition = StoreCondition::kOtherOwner;
-    result_.error = "it belongs to '" + manifest.owner + "', not to '" + owner + "'";
+    result_.error = "the store belongs to '" + manifest.owner + "', not to '" + owner + "'";
   } else {
     result_.first_sequence = manifest.first_sequence;
   }
 }
 
-// Uses the newest valid snapshot. A snapshot gets its name only once it is complete, so an invalid one is
-// corrupt.
+// Uses the newest valid snapshot. A snapshot file gets its final name only when it is complete, so an invalid
+// snapshot is reported as corrupt.
 Status Examiner::ExamineSnapshots() {
   for (auto file = snapshots_.rbegin(); file != snapshots_.rend(); ++file) {
     result_.highest_sequence = std::max(result_.highest_sequence, file->sequence);
@@ -132,7 +132,7 @@
   std::string error;
   result_.snapshot = DecodeSnapshot(bytes, error);
   if (result_.snapshot && result_.snapshot->sequence != file.sequence) {
-    error = "it is another's, by its name";
+    error = "the sequence in the header does not match the file name";
     result_.snapshot.reset();
   }
   result_.files.push_back(
@@ -145,7 +145,7 @@
 }
 
 Status Examiner::ExamineSegments() {
-  const Sequence covered = result_.last();  // by the snapshot
+  const Sequence covered = result_.last();  // last record that the snapshot replaces
   for (std::size_t i = 0; i < segments_.size(); ++i) {
     const bool is_last = i + 1 == segments_.size();
     if (!is_last && segments_[i + 1].sequence <= covered + 1) {
@@ -166,7 +166,7 @@
   result_.highest_sequence = std::max(result_.highest_sequence, last);
   if (segment.first == 0 && !is_last) segment.corrupt = true;
   if (segment.first != 0 && segment.first != file.sequence) {
-    segment.error = "it is another's, by its name";
+    segment.error = "the sequence in the header does not match the file name";
     segment.corrupt = true;
     segment.records.clear();
   }
@@ -176,13 +176,13 @@
 }
 
 void Examiner::ReportSegment(const NumberedFile& file, std::size_t bytes, const Segment& segment) {
-  Examination::FileReport report{file.name, bytes, "no record", ""};
+  Examination::FileReport report{file.name, bytes, "no records", ""};
   if (!segment.records.empty()) {
     report.description = "records " + std::to_string(file.sequence) + " to " +
                          std::to_string(file.sequence + segment.records.size() - 1);
   }
   if (!segment.error.empty()) {
-    report.error = segment.error + ", at byte " + std::to_string(segment.valid_bytes);
+    report.error = segment.error + " at byte " + std::to_string(segment.valid_bytes);
   }
   result_.files.push_back(std::move(report));
 }
@@ -199,7 +199,7 @@
     if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
   }
   result_.active_segment = file.sequence;
-  // Only the last segment may end in a torn record: a segment is synced before the next one is created.
+  // Only the last segment may end with a torn record, because a segment is synced before the next is created.
   if (!segment.complete && (segment.corrupt || !is_last)) {
     MarkCorrupt(file.name + ": " + segment.error);
     log_intact_ = false;
@@ -207,7 +207,7 @@
   }
 }
 
-// Where no record follows the snapshot, the last segment is not continued.
+// If no record follows the snapshot, the last segment is not continued.
 void Examiner::DropEmptyActiveSegment() {
   if (!result_.active_segment || !result_.records.empty()) return;
   if (result_.condition != StoreCondition::kCorrupt) {
--- a/src/storage/examination.hpp
+++ b/src/storage/examination.hpp
@@ -1,4 +1,4 @@
-// Finds out what a store's folder holds, without writing to it.
+// Determines the content and the condition of a store's folder without writing to it.
 #ifndef GATEWAY_STORAGE_EXAMINATION_HPP_
 #define GATEWAY_STORAGE_EXAMINATION_HPP_
 
@@ -15,48 +15,49 @@
 namespace gateway::storage {
 
 enum class StoreCondition {
-  kEmpty,               // no state yet
-  kComplete,            // all of it; a torn record at the end of the log is dropped, as after a loss of power
-  kCorrupt,             // something durable is missing or invalid: nothing after it is used
-  kOtherOwner,          // not to be changed
-  kUnsupportedVersion,  // of a newer program: not to be changed
+  kEmpty,  // nothing has been stored yet
+  // All durable data is valid. A torn record at the end of the log, as left by a power loss, is dropped.
+  kComplete,
+  kCorrupt,             // durable data is missing or invalid; nothing after it is used
+  kOtherOwner,          // written by another owner; must not be modified
+  kUnsupportedVersion,  // written by a newer program; must not be modified
 };
 
 struct Examination {
   StoreCondition condition = StoreCondition::kEmpty;
   std::optional<Manifest> manifest;
-  std::optional<Snapshot> snapshot;  // the newest valid one
-  std::vector<Record> records;       // after the snapshot, contiguous
-  std::string error;                 // why the store is corrupt or not to be changed; else empty
+  std::optional<Snapshot> snapshot;  // the newest valid snapshot
+  std::vector<Record> records;       // contiguous records after the snapshot
+  std::string error;                 // why the store is corrupt or must not be modified; otherwise empty
 
   struct FileReport {
     std::string name;
     std::uint64_t bytes = 0;
-    std::string description;  // what it holds
-    std::string error;        // what is invalid in it; else empty
+    std::string description;  // of the content
+    std::string error;        // why the file is invalid; otherwise empty
   };
   std::vector<FileReport> files;
 
-  // For recovery.
-  Sequence first_sequence = 1;             // of the store
-  Sequence highest_sequence = 0;           // in the name or header of any file, valid or not
-  std::optional<Sequence> active_segment;  // the segment in which `records` end
+  // Used by recovery.
+  Sequence first_sequence = 1;             // of the store's first record
+  Sequence highest_sequence = 0;           // in any file's name or records, including corrupt files
+  std::optional<Sequence> active_segment;  // first sequence of the segment that contains the last record
   std::vector<std::string> obsolete_files;
-  std::vector<std::string> corrupt_files;  // and those after them, which are not used
+  std::vector<std::string> corrupt_files;  // includes valid files that follow a corrupt one
 
-  // The last sequence that is recovered.
+  // Returns the sequence of the last recovered record.
   Sequence last() const {
     if (!records.empty()) return records.back().sequence;
     return snapshot ? snapshot->sequence : first_sequence - 1;
   }
-  // Whether another owner or a newer program wrote the store.
+  // Returns whether another owner or a newer program wrote the store.
   bool is_foreign() const {
     return condition == StoreCondition::kOtherOwner || condition == StoreCondition::kUnsupportedVersion;
   }
 };
 
-// Fills `examination`. `owner` empty: a store of any owner. The status is an error only if the folder or a
-// file can't be read.
+// Fills `examination`. An empty `owner` accepts a store of any owner. Returns an error only if the folder or
+// a file cannot be read.
 Status Examine(FileSystem& files, const std::string& folder, const std::string& owner,
                Examination& examination);
 
--- a/src/storage/faulty_file_system.hpp
+++ b/src/storage/faulty_file_system.hpp
@@ -1,4 +1,4 @@
-// A file system that fails on demand, for tests and drills.
+// File system that injects faults, for tests and failure drills.
 #ifndef GATEWAY_STORAGE_FAULTY_FILE_SYSTEM_HPP_
 #define GATEWAY_STORAGE_FAULTY_FILE_SYSTEM_HPP_
 
@@ -14,20 +14,20 @@
 
 namespace gateway::storage {
 
-// Forwards calls to another file system, except for those that the hook makes fail.
+// Forwards calls to another file system unless the hook injects a fault.
 class FaultyFileSystem : public FileSystem {
  public:
   enum class Call { kCreate, kAppend, kSync, kRead, kRename, kRemove, kSyncFolder, kList, kLock };
-  // What happens instead of a call; nothing by default.
+  // Replaces the effect of a call. The default lets the call proceed.
   struct Fault {
     std::error_code error;
     bool skip = false;              // reports success without making the call
-    std::size_t partial_bytes = 0;  // of an append: written before the error
+    std::size_t partial_bytes = 0;  // written by a failing append before the error
   };
-  // Called before each call; may also block, as a slow disk does.
+  // Invoked before each call. May block to simulate a slow disk.
   using Hook = std::function<Fault(Call call, const std::string& path)>;
 
-  // `below` must outlive it.
+  // `below` must outlive this object.
   FaultyFileSystem(FileSystem& below, Hook hook) : below_(below), hook_(std::move(hook)) {}
 
   Status Create(const std::string& path, std::unique_ptr<File>& file) override;
--- a/src/storage/file_names.hpp
+++ b/src/storage/file_names.hpp
@@ -13,21 +13,21 @@
 
 inline constexpr const char* kManifestName = "MANIFEST";
 inline constexpr const char* kLockName = "LOCK";
-inline constexpr std::string_view kLogStem = "log";            // segments: sequence of the first record
-inline constexpr std::string_view kSnapshotStem = "snapshot";  // sequence of the last record that it replaces
-inline constexpr std::string_view kTemporarySuffix = ".new";   // of a file that is being written
-inline constexpr std::string_view kCorruptPrefix = "damaged-";  // of corrupt files that were set aside
+inline constexpr std::string_view kLogStem = "log";            // segments, numbered by their first record
+inline constexpr std::string_view kSnapshotStem = "snapshot";  // numbered by the last record that it replaces
+inline constexpr std::string_view kTemporarySuffix = ".new";   // of files that are being written
+inline constexpr std::string_view kCorruptPrefix = "damaged-";  // of quarantined corrupt files
 
-// "log-0000000000000001".
+// Returns the file name for a sequence, such as "log-0000000000000001".
 std::string NumberedName(std::string_view stem, Sequence sequence);
-// Returns nothing if the name is no numbered name of this stem.
+// Returns the sequence, or std::nullopt if `name` is not a numbered name with this stem.
 std::optional<Sequence> ParseNumberedName(std::string_view stem, std::string_view name);
 
 struct NumberedFile {
   Sequence sequence = 0;
   std::string name;
 };
-// The files of this stem, in the order of their sequences. `names` must be sorted.
+// Returns the files with this stem in the order of their sequences. `names` must be sorted.
 std::vector<NumberedFile> FindNumberedFiles(const std::vector<std::string>& names, std::string_view stem);
 
 }  // namespace gateway::storage
--- a/src/storage/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -1,5 +1,5 @@
-// What a store needs of a file system. An interface, so that tests can simulate power loss, full disks and
-// failing syncs. Not thread-safe: one thread owns a store and the file system that it uses.
+// File system interface of the store. Tests implement it to simulate power loss, full disks and failing
+// syncs. Not thread-safe: a single thread owns a store and its file system.
 #ifndef GATEWAY_STORAGE_FILE_SYSTEM_HPP_
 #define GATEWAY_STORAGE_FILE_SYSTEM_HPP_
 
@@ -12,49 +12,48 @@
 
 namespace gateway::storage {
 
-// Success by default, else an error.
+// Result of an operation. The default value is success.
 struct [[nodiscard]] Status {
-  std::error_code code;  // of the system call; none for errors of other kinds
-  std::string what;      // the call and its path, or the whole error where there is no code
+  std::error_code code;  // set if a system call failed
+  std::string what;      // the failed call and its path, or the complete message if there is no code
   bool ok() const { return !code && what.empty(); }
   std::string Text() const { return code ? what + ": " + code.message() : what; }
 };
 
-// A file that is open for appending. Closed, without a sync, on destruction.
+// A file that is open for appending. The destructor closes it without a sync.
 class File {
  public:
   virtual ~File() = default;
-  // Writes all bytes. After an error any part of them may have been written.
+  // Writes all bytes. After an error, any part of them may have been written.
   virtual Status Append(std::string_view bytes) = 0;
-  // Makes all that was appended durable. After an error, nothing since the last successful sync may be
-  // durable.
+  // Makes all appended bytes durable. After an error, the bytes since the last successful sync may be lost.
   virtual Status Sync() = 0;
 };
 
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  // Creates an empty file, or empties the one that is there. The name is durable only after SyncFolder().
+  // Creates an empty file, or truncates an existing one. The name is durable only after SyncFolder().
   virtual Status Create(const std::string& path, std::unique_ptr<File>& file) = 0;
-  // Reads the complete file. An error if it holds more than `max_bytes`.
+  // Reads the complete file. Fails if it is larger than `max_bytes`.
   virtual Status Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) = 0;
-  // Replaces `to` atomically. Durable only after SyncFolder().
+  // Replaces `to` atomically. The change is durable only after SyncFolder().
   virtual Status Rename(const std::string& from, const std::string& to) = 0;
   virtual Status Remove(const std::string& path) = 0;
-  // Makes all changes of names in the folder durable.
+  // Makes all created, renamed and removed names in the folder durable.
   virtual Status SyncFolder(const std::string& folder) = 0;
-  // Gets the names in the folder, sorted. Creates a missing folder if `make` is set.
+  // Lists the names in the folder, sorted. Creates a missing folder if `make` is set.
   virtual Status List(const std::string& folder, bool make, std::vector<std::string>& names) = 0;
-  // Held until its destruction.
+  // Releases the lock on destruction.
   class Lock {
    public:
     virtual ~Lock() = default;
   };
-  // Locks the file against every other process. Does not wait: an error if another process holds the lock.
+  // Acquires an exclusive lock on the file. Fails without waiting if another process holds the lock.
   virtual Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) = 0;
 };
 
-// The file system of the machine. Calls block as long as the disk does.
+// Returns the operating system's file system. Calls block until the disk has completed them.
 std::unique_ptr<FileSystem> MakePosixFileSystem();
 
 }  // namespace gateway::storage
--- a/src/storage/manifest.cpp
+++ b/src/storage/manifest.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::string_view kChecksumKey = "crc32c ";
-constexpr std::size_t kChecksumLineBytes = 24;  // at least
-constexpr const char* kNoManifest = "it is no manifest of a state";
+constexpr std::size_t kChecksumLineBytes = 24;  // sufficient for "crc32c ", 8 digits and a newline
+constexpr const char* kNoManifest = "the content is not a valid manifest";
 
-// The keys in their order, one a line.
+// The keys in the order of their lines.
 enum Line { kFormatLine, kOwnerLine, kProgramLine, kFirstSequenceLine, kLineCount };
 constexpr std::array<std::string_view, kLineCount> kKeys{"elderhead-state ", "owner ", "program ", "begin "};
 
@@ -24,7 +24,8 @@
   return line.data();
 }
 
-// The values of the lines up to the first one that has another key. `text` keeps what follows them.
+// Returns the values of the lines up to the first line with an unexpected key, and removes these lines from
+// `text`.
 std::vector<std::string_view> SplitValues(std::string_view& text) {
   std::vector<std::string_view> values;
   for (const std::string_view key : kKeys) {
@@ -36,7 +37,7 @@
   return values;
 }
 
-// Returns false unless the whole text is a number.
+// Returns false unless the complete text is a number.
 template <typename Number>
 bool ParseNumber(std::string_view text, Number& number) {
   const char* const end = text.data() + text.size();
@@ -63,7 +64,7 @@
   const std::size_t checksum = bytes.rfind(kChecksumKey);
   if (checksum == std::string_view::npos ||
       bytes.substr(checksum) != ChecksumLine(bytes.substr(0, checksum))) {
-    error = "its bytes are not those that were written";
+    error = "the checksum line is missing or does not match the content";
     return std::nullopt;
   }
   std::string_view rest = bytes.substr(0, checksum);
--- a/src/storage/manifest.hpp
+++ b/src/storage/manifest.hpp
@@ -1,4 +1,4 @@
-// The manifest of a store: a text file that says whose state the folder holds, and in which format. No I/O.
+// Encodes and decodes the manifest of a store: a text file with the store's owner and format. Does no I/O.
 #ifndef GATEWAY_STORAGE_MANIFEST_HPP_
 #define GATEWAY_STORAGE_MANIFEST_HPP_
 
@@ -16,14 +16,14 @@
 
 struct Manifest {
   int format = kFormatVersion;
-  std::string owner;            // one line: whose state it is
-  std::string program;          // one line: version of the program that created the store
+  std::string owner;            // a single line that identifies the owner of the store
+  std::string program;          // a single line: version of the program that created the store
   Sequence first_sequence = 1;  // of the store's first record
 };
 
 std::string EncodeManifest(const Manifest& manifest);
-// Returns nothing, and the reason in `error`, if the bytes are no complete and valid manifest. Of a newer
-// format only `format` is read.
+// Returns std::nullopt, and sets `error`, if the bytes are not a complete and valid manifest. For a newer
+// format, only `format` is decoded.
 std::optional<Manifest> DecodeManifest(std::string_view bytes, std::string& error);
 
 }  // namespace gateway::storage
--- a/src/storage/memory_file_system.cpp
+++ b/src/storage/memory_file_system.cpp
@@ -51,7 +51,8 @@
 Status MemoryFileSystem::Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) {
   const auto found = names_.find(path);
   if (found == names_.end()) return Missing(path);
-  if (found->second->bytes.size() > max_bytes) return {{}, path + " is too long"};
+  if (found->second->bytes.size() > max_bytes)
+    return {{}, path + " is larger than " + std::to_string(max_bytes) + " bytes"};
   bytes = found->second->bytes;
   return {};
 }
@@ -88,7 +89,7 @@
 }
 
 Status MemoryFileSystem::TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) {
-  if (!locks_->insert(path).second) return {{}, path + " is held by another process"};
+  if (!locks_->insert(path).second) return {{}, path + " is locked by another process"};
   lock = std::make_unique<HeldLock>(locks_, path);
   return {};
 }
@@ -100,7 +101,7 @@
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::Copy(const Names& names, const Loss* loss) const {
   auto copy = std::make_unique<MemoryFileSystem>();
-  std::map<const Node*, std::shared_ptr<Node>> nodes;  // several names of one file stay so
+  std::map<const Node*, std::shared_ptr<Node>> nodes;  // keeps several names of one file together
   for (const auto& [path, node] : names) {
     auto& copied = nodes[node.get()];
     if (!copied) {
@@ -128,7 +129,8 @@
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::AfterProcessDeath() const {
   auto copy = Copy(names_, nullptr);
-  // What was not synced still is not, as a loss of power may follow. Synced names refer to the copied files.
+  // Unsynced changes remain unsynced, because a power loss may follow. Synced names refer to the copied
+  // files.
   std::map<const Node*, std::shared_ptr<Node>> nodes;
   for (const auto& [path, node] : names_) nodes[node.get()] = copy->names_[path];
   copy->synced_names_.clear();
--- a/src/storage/memory_file_system.hpp
+++ b/src/storage/memory_file_system.hpp
@@ -1,4 +1,4 @@
-// A file system in memory that simulates loss of power.
+// In-memory file system that simulates power loss.
 #ifndef GATEWAY_STORAGE_MEMORY_FILE_SYSTEM_HPP_
 #define GATEWAY_STORAGE_MEMORY_FILE_SYSTEM_HPP_
 
@@ -15,8 +15,8 @@
 
 namespace gateway::storage {
 
-// Bytes are durable once their file is synced, names once their folder is; the caller chooses what a loss of
-// power leaves of the rest. Folders are one level deep and need not be created.
+// Bytes become durable when their file is synced, and names when their folder is synced. The caller chooses
+// which other changes survive a power loss. Folders are one level deep and need not be created.
 class MemoryFileSystem : public FileSystem {
  public:
   Status Create(const std::string& path, std::unique_ptr<File>& file) override;
@@ -27,24 +27,25 @@
   Status List(const std::string& folder, bool make, std::vector<std::string>& names) override;
   Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
 
-  // What a loss of power leaves of what was not synced. An empty function leaves nothing.
+  // Chooses which unsynced changes survive a power loss. An empty function keeps none.
   struct Loss {
-    std::function<bool(std::size_t change)> keeps;  // whether it keeps this change of a name
-    std::function<std::string(std::string unsynced)>
-        tail;  // the bytes that it leaves of a file's unsynced ones
+    // Returns whether a change of a name survives.
+    std::function<bool(std::size_t change)> keeps;
+    // Returns the bytes that remain in place of a file's unsynced bytes.
+    std::function<std::string(std::string unsynced)> tail;
   };
-  // A copy, as it is after the machine lost power.
+  // Returns a copy with the state after a power loss.
   std::unique_ptr<MemoryFileSystem> AfterPowerLoss(const Loss& loss) const;
-  // A copy, as it is after the process died and the machine did not.
+  // Returns a copy with the state after the process died while the machine kept running.
   std::unique_ptr<MemoryFileSystem> AfterProcessDeath() const;
 
-  // The content of a file, so that tests can corrupt it; null if there is none.
+  // Returns the content of a file, which tests may modify to corrupt it, or null if the file does not exist.
   std::string* Content(const std::string& path);
 
  private:
   struct Node {
     std::string bytes;
-    std::size_t synced = 0;  // how many of them are durable
+    std::size_t synced = 0;  // number of durable bytes
   };
   using Names = std::map<std::string, std::shared_ptr<Node>>;
   class OpenFile;
@@ -54,7 +55,7 @@
 
   Names names_;
   Names synced_names_;
-  std::vector<std::function<void(Names&)>> pending_;  // changes of names that are not durable
+  std::vector<std::function<void(Names&)>> pending_;  // changes of names that are not durable yet
   std::shared_ptr<std::set<std::string>> locks_ = std::make_shared<std::set<std::string>>();
 };
 
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -1,4 +1,4 @@
-// The file system of the machine, over POSIX calls.
+// File system that uses POSIX system calls.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <sys/stat.h>
@@ -17,12 +17,12 @@
 
 constexpr mode_t kFileMode = 0640;
 
-// The error of a system call; by default the current one.
+// Returns the error of a failed system call. `error` is an errno value.
 Status Failed(const char* call, const std::string& path, int error = errno) {
   return {std::error_code(error, std::generic_category()), std::string(call) + " " + path};
 }
 
-// Owns a file descriptor; negative: none.
+// Owns a file descriptor. A negative value means that there is none.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -59,8 +59,7 @@
     return {};
   }
 
-  // Not repeated after an error, EINTR included: a second sync may succeed without the pages that the first
-  // one lost.
+  // Not retried after an error, including EINTR: a second sync may succeed although the first one lost pages.
   Status Sync() override { return ::fdatasync(fd_.get()) == 0 ? Status{} : Failed("sync", path_); }
 
  private:
@@ -90,8 +89,10 @@
     if (!fd) return Failed("open", path);
     struct stat about {};
     if (::fstat(fd.get(), &about) != 0) return Failed("stat", path);
-    if (!S_ISREG(about.st_mode)) return {{}, path + " is no file"};
-    if (static_cast<std::uint64_t>(about.st_size) > max_bytes) return {{}, path + " is too long"};
+    if (!S_ISREG(about.st_mode)) return {{}, path + " is not a regular file"};
+    if (static_cast<std::uint64_t>(about.st_size) > max_bytes) {
+      return {{}, path + " is larger than " + std::to_string(max_bytes) + " bytes"};
+    }
     bytes.assign(static_cast<std::size_t>(about.st_size), '\0');
     std::size_t filled = 0;
     while (filled < bytes.size()) {
@@ -122,7 +123,7 @@
   Status List(const std::string& folder, bool make, std::vector<std::string>& names) override {
     std::error_code ec;
     if (make) std::filesystem::create_directories(folder, ec);
-    if (ec) return {ec, "make " + folder};
+    if (ec) return {ec, "create " + folder};
     names.clear();
     for (std::filesystem::directory_iterator at(folder, ec), end; !ec && at != end; at.increment(ec)) {
       names.push_back(at->path().filename().string());
@@ -136,7 +137,7 @@
     Descriptor fd(OpenRetrying(path, O_RDWR | O_CREAT));
     if (!fd) return Failed("open", path);
     if (::flock(fd.get(), LOCK_EX | LOCK_NB) != 0) {
-      return errno == EWOULDBLOCK ? Status{{}, path + " is held by another process"} : Failed("lock", path);
+      return errno == EWOULDBLOCK ? Status{{}, path + " is locked by another process"} : Failed("lock", path);
     }
     lock = std::make_unique<PosixLock>(std::move(fd));
     return {};
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -36,7 +36,7 @@
   if (Status status = SetCorruptFilesAside(); !status.ok()) return status;
   if (Status status = RemoveObsoleteFiles(); !status.ok()) return status;
   log_.durable = found_.last();
-  // No sequence is used twice.
+  // A sequence must never be reused.
   if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, found_.highest_sequence);
   if (Status status = WriteManifest(owner, program); !status.ok()) return status;
   if (!found_.records.empty()) {
@@ -61,7 +61,7 @@
   return {};
 }
 
-// Writes a manifest where there is none that can be used.
+// Writes a manifest if the folder has no usable one.
 Status Recoverer::WriteManifest(const std::string& owner, const std::string& program) {
   const bool is_empty = found_.condition == StoreCondition::kEmpty;
   const bool is_unusable = IsCorrupt() && (HasNoState() || !found_.manifest);
@@ -74,7 +74,7 @@
   return ReplaceFile(files_, Path(kManifestName), EncodeManifest(manifest));
 }
 
-// Records of earlier segments stay where they are.
+// Earlier segments are kept unchanged.
 Status Recoverer::RewriteLastSegment() {
   const Sequence active = *found_.active_segment;
   const Sequence first = std::max(active, found_.records.front().sequence);
--- a/src/storage/recovery.hpp
+++ b/src/storage/recovery.hpp
@@ -1,4 +1,4 @@
-// Brings a store's folder into a state in which the log can be continued.
+// Prepares a store's folder so that new records can be appended to the log.
 #ifndef GATEWAY_STORAGE_RECOVERY_HPP_
 #define GATEWAY_STORAGE_RECOVERY_HPP_
 
@@ -12,19 +12,19 @@
 
 namespace gateway::storage {
 
-// The log of a store that is open.
+// State of an open store's log.
 struct LogState {
-  Sequence durable = 0;           // the last sequence that is durable
-  std::unique_ptr<File> segment;  // open for appending; null: the next commit creates one
+  Sequence durable = 0;           // last durable sequence
+  std::unique_ptr<File> segment;  // open for appending; if null, the next commit creates a segment
   std::uint64_t segment_bytes = 0;
-  std::uint64_t log_bytes = 0;     // of all segments
-  std::vector<std::string> files;  // segments and snapshots, which the next snapshot replaces
+  std::uint64_t log_bytes = 0;     // total size of all segments
+  std::vector<std::string> files;  // segments and snapshots that the next snapshot replaces
 };
 
-// Leaves only what the examination found valid, and sets corrupt files aside. Writes the last segment again,
-// because after a failed sync its pages may be in memory only, and a further sync would not write them.
-// Repeating it after a crash gives the same. `log` must be empty. `owner` and `program` go into a new
-// manifest.
+// Removes obsolete files and renames corrupt files, so that only the files that the examination found valid
+// are used. Rewrites the last segment, because after a failed sync its pages may exist only in memory, and
+// another sync would not write them. Recovery can be repeated after a crash with the same result. `log` must
+// be empty. `owner` and `program` are written to a new manifest.
 Status Recover(FileSystem& files, const std::string& folder, const std::string& owner,
                const std::string& program, const Examination& found, LogState& log);
 
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -27,10 +27,10 @@
 
 struct DecodedRecord {
   Record record;
-  std::size_t size = 0;  // in the segment
+  std::size_t size = 0;  // of the encoded record
 };
 
-// Returns nothing unless a complete and valid record begins at the offset.
+// Returns std::nullopt unless a complete and valid record starts at the offset.
 std::optional<DecodedRecord> DecodeRecord(std::string_view segment, std::size_t offset) {
   const std::string_view bytes = segment.substr(offset);
   if (bytes.size() < kRecordHeaderBytes) return std::nullopt;
@@ -48,8 +48,8 @@
   return decoded;
 }
 
-// Whether a record after the offset states that `missing` had been synced. Decodes a record only where the
-// sequences are plausible.
+// Returns whether a record after the offset shows that the record `missing` had been synced. Decodes a record
+// only if its sequences are plausible.
 bool WasSynced(std::string_view bytes, std::size_t offset, Sequence missing) {
   for (; offset + kRecordHeaderBytes <= bytes.size(); ++offset) {
     const auto durable = ReadLittleEndian<Sequence>(bytes, offset + kDurableOffset);
@@ -68,8 +68,8 @@
 
 std::string DescribeInvalidRecord(const std::optional<DecodedRecord>& found, Sequence expected) {
   const std::string number = std::to_string(expected);
-  if (!found) return "record " + number + " is cut short or wrong";
-  return "record " + std::to_string(found->record.sequence) + " stands where " + number + " should";
+  if (!found) return "record " + number + " is truncated or corrupt";
+  return "expected record " + number + ", found record " + std::to_string(found->record.sequence);
 }
 
 }  // namespace
@@ -97,7 +97,8 @@
 Segment ReadSegment(std::string_view bytes, Sequence named_first) {
   Segment segment;
   if (!IsHeaderValid(bytes)) {
-    segment.error = bytes.size() < kHeaderBytes ? "the head is cut short" : "the head is wrong";
+    segment.error = bytes.size() < kHeaderBytes ? "the segment header is truncated"
+                                                : "the segment header has a wrong magic number or checksum";
     segment.corrupt = WasSynced(bytes, 0, named_first);
     return segment;
   }
--- a/src/storage/segment.hpp
+++ b/src/storage/segment.hpp
@@ -1,5 +1,5 @@
-// Segments of the write-ahead log: how records are encoded, and read back after a crash. No I/O. All numbers
-// are little-endian; the header and each record carry a checksum of all their other bytes.
+// Encodes segments of the write-ahead log, and decodes them after a crash. Does no I/O. All integers are
+// little-endian; the header and each record contain a checksum of all their other bytes.
 #ifndef GATEWAY_STORAGE_SEGMENT_HPP_
 #define GATEWAY_STORAGE_SEGMENT_HPP_
 
@@ -11,38 +11,38 @@
 
 namespace gateway::storage {
 
-// Number of a record in the log, from 1. Never used twice.
+// Number of a record in the log, starting at 1. A number is never reused.
 using Sequence = std::uint64_t;
 
-inline constexpr std::size_t kMaxPayloadBytes = 1 << 20;         // of a record
-inline constexpr std::uint64_t kMaxSegmentBytes = 256ULL << 20;  // that are read
+inline constexpr std::size_t kMaxPayloadBytes = 1 << 20;         // of one record
+inline constexpr std::uint64_t kMaxSegmentBytes = 256ULL << 20;  // larger files are not read
 
 struct Record {
   Sequence sequence = 0;
   std::uint16_t kind = 0;     // defined by the owner of the store
-  std::uint16_t version = 0;  // of the payload's form; defined by the owner
+  std::uint16_t version = 0;  // of the payload's format; defined by the owner
   std::string payload;
   bool operator==(const Record&) const = default;
 };
 
-// Appends: crc u32, length u32, kind u16, version u16, sequence u64, durable u64, payload. `durable` is the
-// last sequence that was durable when the record was written. It tells a reader whether records before a
-// corrupt place had been synced.
+// Appends the encoded record: crc u32, length u32, kind u16, version u16, sequence u64, durable u64, payload.
+// `durable` is the last sequence that was durable when the record was written. With it, a reader can
+// determine whether a corrupt record before this one had been synced.
 void AppendRecord(std::string& bytes, const Record& record, Sequence durable);
-// The bytes that a segment begins with. `first`: the sequence of its first record.
+// Returns the header of a segment whose first record has the sequence `first`.
 std::string EncodeSegmentHeader(Sequence first);
 
-// What a segment holds, up to the first invalid byte.
+// Content of a segment up to the first invalid byte.
 struct Segment {
-  Sequence first = 0;           // by the header; 0: the header is torn or corrupt
-  std::vector<Record> records;  // contiguous from `first`
-  std::size_t valid_bytes = 0;  // header and records
-  bool complete = false;        // nothing follows the records
-  // A later record states that what is missing at `valid_bytes` had been synced, so it is no torn write.
+  Sequence first = 0;           // from the header; 0 if the header is torn or corrupt
+  std::vector<Record> records;  // contiguous, starting at `first`
+  std::size_t valid_bytes = 0;  // size of the header and the valid records
+  bool complete = false;        // no bytes follow the valid records
+  // A later record shows that the record at `valid_bytes` had been synced, so this is not a torn write.
   bool corrupt = false;
-  std::string error;  // what is invalid at `valid_bytes`; empty if complete
+  std::string error;  // describes the invalid data at `valid_bytes`; empty if complete
 };
-// `named_first`: the sequence of the first record, by the file's name.
+// Decodes a segment. `named_first` is the sequence of the first record according to the file's name.
 Segment ReadSegment(std::string_view bytes, Sequence named_first);
 
 }  // namespace gateway::storage
--- a/src/storage/snapshot.cpp
+++ b/src/storage/snapshot.cpp
@@ -29,15 +29,15 @@
 
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes, std::string& error) {
   if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
-    error = "the head is cut short or wrong";
+    error = "the snapshot header is truncated or has a wrong magic number";
     return std::nullopt;
   }
   if (ReadLittleEndian<std::uint64_t>(bytes, kLengthOffset) != bytes.size() - kHeaderBytes) {
-    error = "it has another length than it says";
+    error = "the payload length does not match the header";
     return std::nullopt;
   }
   if (Crc32c(bytes.substr(kSequenceOffset)) != ReadLittleEndian<std::uint32_t>(bytes, kCrcOffset)) {
-    error = "its bytes are not those that were written";
+    error = "the checksum does not match the content";
     return std::nullopt;
   }
   Snapshot snapshot;
--- a/src/storage/snapshot.hpp
+++ b/src/storage/snapshot.hpp
@@ -1,4 +1,4 @@
-// The bytes of a snapshot file. No I/O.
+// Encodes and decodes snapshot files. Does no I/O.
 #ifndef GATEWAY_STORAGE_SNAPSHOT_HPP_
 #define GATEWAY_STORAGE_SNAPSHOT_HPP_
 
@@ -14,14 +14,14 @@
 inline constexpr std::uint64_t kMaxSnapshotBytes = 64ULL << 20;
 
 struct Snapshot {
-  Sequence sequence = 0;      // replaces all records up to this one
-  std::uint16_t version = 0;  // of the payload's form; defined by the owner of the store
+  Sequence sequence = 0;      // of the last record that the snapshot replaces
+  std::uint16_t version = 0;  // of the payload's format; defined by the owner of the store
   std::string payload;
   bool operator==(const Snapshot&) const = default;
 };
 
 std::string EncodeSnapshot(const Snapshot& snapshot);
-// Returns nothing, and the reason in `error`, if the bytes are no complete and valid snapshot.
+// Returns std::nullopt, and sets `error`, if the bytes are not a complete and valid snapshot.
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes, std::string& error);
 
 }  // namespace gateway::storage
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -87,10 +87,12 @@
   const std::string name = NumberedName(kSnapshotStem, log_.durable);
   const std::string bytes = EncodeSnapshot({log_.durable, version, std::string(payload)});
   if (bytes.size() > kMaxSnapshotBytes) {
-    return {{}, "a snapshot of " + std::to_string(bytes.size()) + " bytes is too long"};
+    return {{},
+            "a snapshot of " + std::to_string(bytes.size()) + " bytes exceeds the limit of " +
+                std::to_string(kMaxSnapshotBytes) + " bytes"};
   }
   if (Status status = WriteSnapshot(name, bytes); !status.ok()) return Fail(std::move(status));
-  log_.segment.reset();  // the next commit creates a new one
+  log_.segment.reset();  // the next commit creates a new segment
   log_.segment_bytes = 0;
   log_.log_bytes = 0;
   if (Status status = RemoveReplacedFiles(name); !status.ok()) return Fail(std::move(status));
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -1,5 +1,5 @@
-// A store: a write-ahead log with snapshots in one folder. What Commit() has acknowledged survives any crash
-// and loss of power. The store does not know what the records mean.
+// Store of records in a folder: a write-ahead log with snapshots. Records that Commit() has acknowledged
+// survive crashes and power loss. The store does not interpret the records.
 #ifndef GATEWAY_STORAGE_STORE_HPP_
 #define GATEWAY_STORAGE_STORE_HPP_
 
@@ -17,37 +17,37 @@
 namespace gateway::storage {
 
 struct StoreOptions {
-  std::string owner;                          // one line; a store of another owner is not opened
-  std::string program;                        // one line; version of the program
-  std::uint64_t max_segment_bytes = 1 << 20;  // a longer segment is followed by a new one
-  std::uint64_t max_log_bytes = 16 << 20;     // of all segments; beyond it only a snapshot makes room
-  bool open_corrupt = false;                  // else a corrupt store is not opened
+  std::string owner;                          // a single line; a store of another owner is not opened
+  std::string program;                        // a single line: version of the program
+  std::uint64_t max_segment_bytes = 1 << 20;  // a new segment is created once this is exceeded
+  std::uint64_t max_log_bytes = 16 << 20;     // of all segments; a full log accepts records after a snapshot
+  bool open_corrupt = false;  // whether to open a corrupt store with the valid part of its data
 };
 
-// Not thread-safe; calls block as long as the disk does. After any error the store is read-only: records that
-// were not acknowledged may or may not be there when it is opened again. A failed sync is not repeated,
-// because the kernel may regard the lost pages as written.
+// Not thread-safe. Calls block until the disk has completed them. After any error the store is read-only, and
+// records that were not acknowledged may or may not exist when it is opened again. A failed sync is not
+// retried, because the kernel may already have marked the lost pages as clean.
 class Store {
  public:
-  // Recovers the folder and locks it; creates it if it is missing. `found` gets what was in it, also where
-  // the store is not opened. `files` must outlive the store.
+  // Locks and recovers the folder, and creates it if it is missing. `found` receives the content of the
+  // folder, even if the store is not opened. `files` must outlive the store.
   static Status Open(FileSystem& files, const std::string& folder, const StoreOptions& options,
                      std::unique_ptr<Store>& store, Examination& found);
 
-  // Adds a record to the next commit. Returns its sequence, or 0: the log is full until a snapshot, the
-  // payload is too long, or the store is read-only.
+  // Adds a record to the next commit. Returns its sequence, or 0 if the log is full until the next snapshot,
+  // the payload is too long, or the store is read-only.
   Sequence Append(std::uint16_t kind, std::uint16_t version, std::string_view payload);
   // Makes all appended records durable, with one write and one sync.
   Status Commit();
-  // Commits, then replaces all records so far by the snapshot, and removes their files.
+  // Commits, replaces all records by the snapshot, and removes the files of these records.
   Status TakeSnapshot(std::uint16_t version, std::string_view payload);
 
-  // The last sequence that is durable.
+  // Returns the last durable sequence.
   Sequence durable() const { return log_.durable; }
-  // Bytes of all segments since the last snapshot.
+  // Returns the total size of all segments since the last snapshot.
   std::uint64_t log_bytes() const { return log_.log_bytes; }
   bool read_only() const { return !error_.ok(); }
-  // The error that made the store read-only.
+  // Returns the error that made the store read-only.
   const Status& error() const { return error_; }
 
  private:
--- a/tests/storage/crash_recovery_test.cpp
+++ b/tests/storage/crash_recovery_test.cpp
@@ -1,4 +1,4 @@
-// Recovery of a store after every crash that the memory file system simulates.
+// Tests that a store recovers from every crash that the in-memory file system can simulate.
 #include <gtest/gtest.h>
 
 #include <boost/random/mersenne_twister.hpp>
@@ -16,17 +16,17 @@
 
 using Call = FaultyFileSystem::Call;
 
-// Writes 200 records in batches and four snapshots, with segments of 1,200 bytes. `look` gets the file system
-// as it is before each call to it.
+// Writes 200 records in batches and four snapshots, with segments of 1,200 bytes. Calls `observe` with the
+// file system before each call to it.
 struct Workload {
   Sequence acknowledged = 0;
   Sequence written = 0;
 
-  template <typename Look>
-  void Run(MemoryFileSystem& memory, FaultyFileSystem::Hook faults, Look look) {
+  template <typename Observer>
+  void Run(MemoryFileSystem& memory, FaultyFileSystem::Hook faults, Observer observe) {
     boost::random::mt19937_64 random(11);
     FaultyFileSystem files(memory, [&](Call call, const std::string& path) {
-      look(memory);
+      observe(memory);
       return faults ? faults(call, path) : FaultyFileSystem::Fault{};
     });
     auto opened = Open(files);
@@ -43,138 +43,146 @@
         ASSERT_TRUE(opened.store->TakeSnapshot(2, "all up to " + std::to_string(written)).ok());
       }
     }
-    look(memory);
+    observe(memory);
   }
 
  private:
   Sequence snapshots_ = 0;
 };
 
-// States that a loss of power or the death of the process may leave now.
-std::vector<std::unique_ptr<MemoryFileSystem>> Crashes(const MemoryFileSystem& memory,
-                                                       boost::random::mt19937_64& random) {
-  const auto draw = [&random](std::size_t most) {
-    return boost::random::uniform_int_distribution<std::size_t>(0, most)(random);
+// Returns states that a power loss or the death of the process may leave at this point.
+std::vector<std::unique_ptr<MemoryFileSystem>> SimulateCrashes(const MemoryFileSystem& memory,
+                                                               boost::random::mt19937_64& random) {
+  const auto draw = [&random](std::size_t max) {
+    return boost::random::uniform_int_distribution<std::size_t>(0, max)(random);
   };
   const std::vector<std::function<std::string(std::string)>> tails{
       {},
       [](std::string tail) { return tail; },
       [&](std::string tail) { return tail.substr(0, draw(tail.size())); },  // torn
-      [&](std::string tail) {  // written out of order: blocks of 16 bytes are there or not
-        for (std::size_t at = 0; at < tail.size(); at += 16) {
+      [&](std::string tail) {  // written out of order: some blocks of 16 bytes are missing
+        for (std::size_t block = 0; block < tail.size(); block += 16) {
           if (draw(1) == 0)
-            std::fill(tail.begin() + static_cast<std::ptrdiff_t>(at),
-                      tail.begin() + static_cast<std::ptrdiff_t>(std::min(tail.size(), at + 16)), '\0');
+            std::fill(tail.begin() + static_cast<std::ptrdiff_t>(block),
+                      tail.begin() + static_cast<std::ptrdiff_t>(std::min(tail.size(), block + 16)), '\0');
         }
         return tail;
       },
-      [&](std::string tail) {  // the length was written, the bytes were not
-        for (char& c : tail) c = static_cast<char>(draw(255));
+      [&](std::string tail) {  // the length was written, but not the bytes
+        for (char& byte : tail) byte = static_cast<char>(draw(255));
         return tail;
       }};
-  const std::vector<std::function<bool(std::size_t)>> names{{},
-                                                            [](std::size_t) { return true; },
-                                                            [&](std::size_t) { return draw(1) == 0; },
-                                                            [&](std::size_t) { return draw(3) > 0; }};
-  std::vector<std::unique_ptr<MemoryFileSystem>> all;
+  const std::vector<std::function<bool(std::size_t)>> name_changes{{},
+                                                                   [](std::size_t) { return true; },
+                                                                   [&](std::size_t) { return draw(1) == 0; },
+                                                                   [&](std::size_t) { return draw(3) > 0; }};
+  std::vector<std::unique_ptr<MemoryFileSystem>> crashed;
   for (const auto& tail : tails) {
-    for (const auto& keeps : names) all.push_back(memory.AfterPowerLoss({keeps, tail}));
+    for (const auto& keeps_change : name_changes)
+      crashed.push_back(memory.AfterPowerLoss({keeps_change, tail}));
   }
-  for (int i = 0; i < 24; ++i) all.push_back(memory.AfterPowerLoss({names[2 + i % 2], tails[2 + draw(2)]}));
-  all.push_back(memory.AfterProcessDeath());
-  return all;
+  for (int i = 0; i < 24; ++i) {
+    crashed.push_back(memory.AfterPowerLoss({name_changes[2 + i % 2], tails[2 + draw(2)]}));
+  }
+  crashed.push_back(memory.AfterProcessDeath());
+  return crashed;
 }
 
 struct CrashResults {
   std::size_t states = 0;
-  std::size_t wrong = 0;
+  std::size_t failures = 0;
   std::string first_error;
 };
 
-// Recovers a crashed folder, twice, and continues it until the next loss of power. Returns what is wrong, or
-// an empty string.
-std::string CheckRecovery(MemoryFileSystem& crashed, const FaultyFileSystem::Hook& in_recovery,
+// Recovers a crashed folder, checks that a second recovery has the same result, and continues the log until
+// the next power loss. Returns an error message, or an empty string.
+std::string CheckRecovery(MemoryFileSystem& crashed, const FaultyFileSystem::Hook& recovery_faults,
                           const Workload& workload) {
   FaultyFileSystem files(crashed, [&](Call call, const std::string& path) {
-    return in_recovery ? in_recovery(call, path) : FaultyFileSystem::Fault{};
+    return recovery_faults ? recovery_faults(call, path) : FaultyFileSystem::Fault{};
   });
   auto opened = Open(files);
   if (!opened.status.ok()) return opened.status.Text();
-  std::string error = ErrorIn(opened.found, workload.acknowledged, workload.written);
+  std::string error = FindError(opened.found, workload.acknowledged, workload.written);
   if (!error.empty()) return error;
   const Sequence last = opened.found.last();
-  Examination again;
-  if (!Examine(crashed, kFolder, kOptions.owner, again).ok() || again.last() != last) {
-    error = "recovers to another";
+  Examination second_examination;
+  if (!Examine(crashed, kFolder, kOptions.owner, second_examination).ok() ||
+      second_examination.last() != last) {
+    error = "a second recovery has another result";
   }
-  // Two records are acknowledged, then the power is lost at once.
+  // Two records are acknowledged immediately before the next power loss.
   for (Sequence next = last + 1; next <= last + 2; ++next) opened.store->Append(7, 1, PayloadOf(next));
-  if (!opened.store->Commit().ok()) error = "can't go on";
-  const auto later = crashed.AfterPowerLoss({});
-  Examination after;
-  if (!Examine(*later, kFolder, kOptions.owner, after).ok()) error = "can't be read";
-  if (error.empty()) error = ErrorIn(after, last + 2, last + 2);
-  return error.empty() ? error : "after the next loss: " + error;
+  if (!opened.store->Commit().ok()) error = "cannot commit after the recovery";
+  const auto crashed_again = crashed.AfterPowerLoss({});
+  Examination last_examination;
+  if (!Examine(*crashed_again, kFolder, kOptions.owner, last_examination).ok()) error = "cannot be read";
+  if (error.empty()) error = FindError(last_examination, last + 2, last + 2);
+  return error.empty() ? error : "after the next power loss: " + error;
 }
 
 // Recovers from every crash state of the workload.
-CrashResults RunCrashes(const FaultyFileSystem::Hook& in_workload,
-                        const FaultyFileSystem::Hook& in_recovery) {
+CrashResults RunCrashes(const FaultyFileSystem::Hook& workload_faults,
+                        const FaultyFileSystem::Hook& recovery_faults) {
   CrashResults results;
   boost::random::mt19937_64 random(23);
   MemoryFileSystem memory;
   Workload workload;
-  workload.Run(memory, in_workload, [&](const MemoryFileSystem& now) {
-    for (const auto& crashed : Crashes(now, random)) {
+  workload.Run(memory, workload_faults, [&](const MemoryFileSystem& now) {
+    for (const auto& crashed : SimulateCrashes(now, random)) {
       ++results.states;
-      const std::string error = CheckRecovery(*crashed, in_recovery, workload);
-      if (!error.empty() && results.wrong++ == 0) results.first_error = error;
+      const std::string error = CheckRecovery(*crashed, recovery_faults, workload);
+      if (!error.empty() && results.failures++ == 0) results.first_error = error;
     }
   });
   return results;
 }
 
+// A crash at any call to the file system must not lose an acknowledged record.
 TEST(CrashRecovery, RecoversAcknowledgedRecordsAfterEveryCrash) {
   const CrashResults results = RunCrashes(nullptr, nullptr);
-  EXPECT_EQ(results.wrong, 0U) << results.first_error;
+  EXPECT_EQ(results.failures, 0U) << results.first_error;
   EXPECT_GE(results.states, 10000U);
   RecordProperty("states", static_cast<int>(results.states));
   std::printf("%zu crash states\n", results.states);
 }
 
-// Each sync is needed: without it some crash loses an acknowledged record.
-TEST(CrashRecovery, NeedsEachOfItsSyncs) {
-  struct Case {
-    const char* what;
+// Skips each kind of sync in turn. A sync whose absence loses no acknowledged record after any crash would be
+// superfluous, or the simulated crashes would not cover it.
+TEST(CrashRecovery, LosesRecordsWithoutEachOfItsSyncs) {
+  struct SkippedSync {
+    const char* description;
     Call call;
-    const char* path;   // skips syncs of paths that contain this
-    const char* after;  // and whose last change before was to a path that contains this
-    bool in_recovery;   // skips during the recovery of a crashed folder, and not in the workload
+    const char* path;          // skips syncs of paths that contain this text
+    const char* last_changed;  // if the path that was changed last contains this text
+    bool in_recovery;          // skips in the recovery of a crashed folder instead of the workload
   };
-  for (const Case& c :
-       {Case{"of a segment at a commit", Call::kSync, "/log-", "", false},
-        Case{"of the folder for a new segment", Call::kSyncFolder, "state", "/log-", false},
-        Case{"of a snapshot", Call::kSync, "/snapshot-", "", false},
-        Case{"of the folder for a snapshot", Call::kSyncFolder, "state", "/snapshot-", false},
-        Case{"of the manifest", Call::kSync, "/MANIFEST", "", false},
-        Case{"of the folder for the manifest", Call::kSyncFolder, "state", "/MANIFEST", false},
-        Case{"of a segment written anew in recovery", Call::kSync, "/log-", ".new", true},
-        Case{"of the folder in recovery", Call::kSyncFolder, "state", ".new", true}}) {
-    std::string last;
-    bool skipped = false;
-    const FaultyFileSystem::Hook skips = [&](Call call, const std::string& path) {
+  for (const SkippedSync& skipped_sync :
+       {SkippedSync{"of a segment at a commit", Call::kSync, "/log-", "", false},
+        SkippedSync{"of the folder for a new segment", Call::kSyncFolder, "state", "/log-", false},
+        SkippedSync{"of a snapshot", Call::kSync, "/snapshot-", "", false},
+        SkippedSync{"of the folder for a snapshot", Call::kSyncFolder, "state", "/snapshot-", false},
+        SkippedSync{"of the manifest", Call::kSync, "/MANIFEST", "", false},
+        SkippedSync{"of the folder for the manifest", Call::kSyncFolder, "state", "/MANIFEST", false},
+        SkippedSync{"of a segment rewritten in recovery", Call::kSync, "/log-", ".new", true},
+        SkippedSync{"of the folder in recovery", Call::kSyncFolder, "state", ".new", true}}) {
+    std::string last_changed;
+    bool skipped_once = false;
+    const FaultyFileSystem::Hook skip_sync = [&](Call call, const std::string& path) {
       FaultyFileSystem::Fault fault;
-      fault.skip =
-          call == c.call && path.find(c.path) != std::string::npos && last.find(c.after) != std::string::npos;
-      if (call == Call::kLock) skipped = false;  // a store is being opened
-      if (c.in_recovery && fault.skip) fault.skip = !std::exchange(skipped, true);
+      fault.skip = call == skipped_sync.call && path.find(skipped_sync.path) != std::string::npos &&
+                   last_changed.find(skipped_sync.last_changed) != std::string::npos;
+      if (call == Call::kLock) skipped_once = false;  // a store is being opened
+      if (skipped_sync.in_recovery && fault.skip) fault.skip = !std::exchange(skipped_once, true);
       if (call == Call::kCreate || call == Call::kAppend || call == Call::kRename || call == Call::kRemove)
-        last = path;
+        last_changed = path;
       return fault;
     };
-    const CrashResults results = RunCrashes(c.in_recovery ? nullptr : skips, c.in_recovery ? skips : nullptr);
-    EXPECT_GT(results.wrong, 0U) << "nothing is lost without the sync " << c.what;
-    std::printf("without the sync %s: %zu of %zu states wrong\n", c.what, results.wrong, results.states);
+    const CrashResults results = RunCrashes(skipped_sync.in_recovery ? nullptr : skip_sync,
+                                            skipped_sync.in_recovery ? skip_sync : nullptr);
+    EXPECT_GT(results.failures, 0U) << "no record is lost without the sync " << skipped_sync.description;
+    std::printf("without the sync %s: %zu of %zu crash states failed\n", skipped_sync.description,
+                results.failures, results.states);
   }
 }
 
--- a/tests/storage/store_fixture.hpp
+++ b/tests/storage/store_fixture.hpp
@@ -1,4 +1,4 @@
-// A store in memory whose records can be recognised.
+// Helpers of the store tests: a store in memory with records that identify themselves.
 #ifndef GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 #define GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 
@@ -20,45 +20,46 @@
          std::string(sequence % 41, static_cast<char>('a' + sequence % 26));
 }
 
-struct Opened {
+struct OpenResult {
   Status status;
   std::unique_ptr<Store> store;
   Examination found;
 };
-inline Opened Open(FileSystem& files, const StoreOptions& options = kOptions) {
-  Opened opened;
+inline OpenResult Open(FileSystem& files, const StoreOptions& options = kOptions) {
+  OpenResult opened;
   opened.status = Store::Open(files, kFolder, options, opened.store, opened.found);
   return opened;
 }
 
-// Returns what is wrong with the recovered state, or an empty string: all records up to `acknowledged` are
-// there, and none that was never written.
-inline std::string ErrorIn(const Examination& found, Sequence acknowledged, Sequence written) {
+// Checks that the recovered state contains all records up to `acknowledged`, and none after `written`.
+// Returns an error message, or an empty string.
+inline std::string FindError(const Examination& found, Sequence acknowledged, Sequence written) {
   if (found.condition == StoreCondition::kCorrupt || found.is_foreign())
     return "reported as corrupt: " + found.error;
   if (found.last() < acknowledged) {
-    return "has up to " + std::to_string(found.last()) + ", acknowledged are " + std::to_string(acknowledged);
+    return "recovered up to " + std::to_string(found.last()) + ", but acknowledged up to " +
+           std::to_string(acknowledged);
   }
-  if (found.last() > written) return "has more than was written";
+  if (found.last() > written) return "recovered records that were never written";
   if (found.snapshot && found.snapshot->payload != "all up to " + std::to_string(found.snapshot->sequence)) {
-    return "another snapshot";
+    return "the snapshot has an unexpected payload";
   }
   Sequence expected = found.snapshot ? found.snapshot->sequence : 0;
   for (const Record& record : found.records) {
     if (record.sequence != ++expected || record.payload != PayloadOf(expected))
-      return "another record " + std::to_string(expected);
+      return "unexpected record instead of " + std::to_string(expected);
   }
   return "";
 }
 
-// A folder that holds a snapshot and three segments after it.
-inline std::unique_ptr<MemoryFileSystem> FilledFolder() {
+// Returns a file system whose folder contains a snapshot and three segments after it.
+inline std::unique_ptr<MemoryFileSystem> MakeFilledFolder() {
   auto memory = std::make_unique<MemoryFileSystem>();
   auto opened = Open(*memory);
-  for (Sequence s = 1; s <= 90; ++s) {
-    opened.store->Append(7, 1, PayloadOf(s));
-    EXPECT_TRUE(s % 3 != 0 || opened.store->Commit().ok());
-    EXPECT_TRUE(s != 30 || opened.store->TakeSnapshot(2, "all up to 30").ok());
+  for (Sequence sequence = 1; sequence <= 90; ++sequence) {
+    opened.store->Append(7, 1, PayloadOf(sequence));
+    EXPECT_TRUE(sequence % 3 != 0 || opened.store->Commit().ok());
+    EXPECT_TRUE(sequence != 30 || opened.store->TakeSnapshot(2, "all up to 30").ok());
   }
   return memory;
 }
--- a/tests/storage/store_fuzz.cpp
+++ b/tests/storage/store_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer on the decoders of a store's files: no input crashes them, and what they accept encodes to the
-// same bytes.
+// Fuzz target (libFuzzer) for the decoders of a store's files: no input may crash them, and accepted input
+// must encode to the same bytes.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
@@ -31,15 +31,15 @@
   if (const auto manifest = DecodeManifest(bytes, error); manifest && manifest->format == kFormatVersion) {
     Require(EncodeManifest(*manifest) == bytes);
   }
-  // The same bytes as the payload of a valid record, and with one byte changed.
+  // Uses the bytes as the payload of a valid record, then changes one byte of the segment.
   std::string encoded = EncodeSegmentHeader(1);
   if (size > 4) {
     AppendRecord(encoded, {1, static_cast<std::uint16_t>(data[0]), 1, std::string(bytes.substr(4))}, data[1]);
-    const Segment read = ReadSegment(encoded, 1);
-    Require(read.complete && read.records.size() == 1 && read.records[0].payload == bytes.substr(4));
+    const Segment decoded = ReadSegment(encoded, 1);
+    Require(decoded.complete && decoded.records.size() == 1 && decoded.records[0].payload == bytes.substr(4));
     encoded[data[2] % encoded.size()] ^= static_cast<char>(1 + data[3] % 255);
-    const Segment changed = ReadSegment(encoded, 1);
-    Require(!changed.complete);
+    const Segment corrupted = ReadSegment(encoded, 1);
+    Require(!corrupted.complete);
   }
   return 0;
 }
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -1,4 +1,4 @@
-// The store: errors of the disk, owners, bounds, and the machine's own file system.
+// Tests of the store: disk errors, owners, size limits, and the POSIX file system.
 #include "storage/store.hpp"
 
 #include <gtest/gtest.h>
@@ -17,18 +17,21 @@
 
 using Call = FaultyFileSystem::Call;
 
+// After a failed write or sync it is unknown which data is durable, so later writes must not be acknowledged.
 TEST(Store, IsReadOnlyAfterTheFirstError) {
-  struct Case {
+  struct FailingCall {
     Call call;
     std::errc error;
   };
-  for (const Case& c :
-       {Case{Call::kAppend, std::errc::no_space_on_device}, Case{Call::kSync, std::errc::io_error}}) {
+  for (const FailingCall& failing_call : {FailingCall{Call::kAppend, std::errc::no_space_on_device},
+                                          FailingCall{Call::kSync, std::errc::io_error}}) {
     MemoryFileSystem memory;
     bool failing = false;
     FaultyFileSystem files(memory, [&](Call call, const std::string&) {
       FaultyFileSystem::Fault fault;
-      if (failing && call == c.call) fault = {std::make_error_code(c.error), false, 13};
+      if (failing && call == failing_call.call) {
+        fault = {std::make_error_code(failing_call.error), false, 13};
+      }
       return fault;
     });
     auto opened = Open(files);
@@ -36,32 +39,33 @@
     ASSERT_TRUE(opened.store->Commit().ok());
     failing = true;
     opened.store->Append(7, 1, PayloadOf(2));
-    EXPECT_EQ(opened.store->Commit().code, std::make_error_code(c.error));
-    failing = false;  // the disk works again; what it has lost is unknown
+    EXPECT_EQ(opened.store->Commit().code, std::make_error_code(failing_call.error));
+    failing = false;  // the disk works again, but it is unknown which data it lost
     EXPECT_TRUE(opened.store->read_only());
     EXPECT_EQ(opened.store->Append(7, 1, "x"), 0U);
     EXPECT_FALSE(opened.store->Commit().ok());
     EXPECT_EQ(opened.store->durable(), 1U);
     opened.store.reset();
-    const auto after = memory.AfterPowerLoss({});
-    auto again = Open(*after);
-    ASSERT_TRUE(again.status.ok()) << again.status.Text();
-    EXPECT_EQ(again.found.last(), 1U);
+    const auto after_power_loss = memory.AfterPowerLoss({});
+    auto reopened = Open(*after_power_loss);
+    ASSERT_TRUE(reopened.status.ok()) << reopened.status.Text();
+    EXPECT_EQ(reopened.found.last(), 1U);
   }
 }
 
-TEST(Store, AdmitsOneOwnerAndOneProcess) {
-  const auto memory = FilledFolder();
+// Two processes, or programs of different owners, that write to one folder would corrupt it.
+TEST(Store, RejectsOtherOwnersAndProcesses) {
+  const auto memory = MakeFilledFolder();
   auto first = Open(*memory);
   ASSERT_TRUE(first.status.ok());
-  EXPECT_NE(Open(*memory).status.Text().find("held by another"), std::string::npos);
+  EXPECT_NE(Open(*memory).status.Text().find("locked by another"), std::string::npos);
   first.store.reset();
-  StoreOptions other = kOptions;
-  other.owner = "site/n2";
+  StoreOptions other_owner = kOptions;
+  other_owner.owner = "site/n2";
   const auto before = memory->AfterProcessDeath();
-  EXPECT_NE(Open(*memory, other).status.Text().find("belongs to 'site/n1', not to 'site/n2'"),
+  EXPECT_NE(Open(*memory, other_owner).status.Text().find("belongs to 'site/n1', not to 'site/n2'"),
             std::string::npos);
-  // A store of a newer format is not changed.
+  // A store with a newer format must not be modified.
   std::string newer = "elderhead-state 2\nwhatever it says\n";
   char crc[32];
   std::snprintf(crc, sizeof crc, "crc32c %08x\n", Crc32c(newer));
@@ -76,17 +80,18 @@
   }
 }
 
-TEST(Store, BoundsTheLog) {
+// The log must not grow without limit if no snapshot is taken.
+TEST(Store, RejectsRecordsWhenLogIsFullUntilSnapshot) {
   MemoryFileSystem memory;
-  StoreOptions small = kOptions;
-  small.max_log_bytes = 5000;
-  auto opened = Open(memory, small);
-  int taken = 0;
+  StoreOptions small_log = kOptions;
+  small_log.max_log_bytes = 5000;
+  auto opened = Open(memory, small_log);
+  int accepted = 0;
   while (opened.store->Append(7, 1, std::string(100, 'x')) != 0) {
     ASSERT_TRUE(opened.store->Commit().ok());
-    ASSERT_LT(++taken, 100);
+    ASSERT_LT(++accepted, 100);
   }
-  EXPECT_GT(taken, 30);
+  EXPECT_GT(accepted, 30);
   EXPECT_LE(opened.store->log_bytes(), 5000U);
   ASSERT_TRUE(opened.store->TakeSnapshot(1, "short").ok());
   EXPECT_NE(opened.store->Append(7, 1, std::string(100, 'x')), 0U);
@@ -95,8 +100,8 @@
   EXPECT_EQ(names.size(), 2U);  // the manifest and the snapshot
 }
 
-// On the machine's file system, where the store is opened again for each round.
-TEST(Store, WorksOnThePosixFileSystem) {
+// Reopens the store in each round, so that errors in the use of real files, folders and locks show.
+TEST(Store, RecoversOnPosixFileSystem) {
   const std::string folder = ::testing::TempDir() + "store-" + std::to_string(getpid());
   std::filesystem::remove_all(folder);
   const auto files = MakePosixFileSystem();
@@ -106,7 +111,7 @@
     const Status status = Store::Open(*files, folder, kOptions, store, found);
     ASSERT_TRUE(status.ok()) << status.Text();
     EXPECT_EQ(found.last(), round * 20);
-    EXPECT_EQ(ErrorIn(found, round * 20, round * 20), "");
+    EXPECT_EQ(FindError(found, round * 20, round * 20), "");
     for (Sequence i = 1; i <= 20; ++i)
       ASSERT_EQ(store->Append(7, 1, PayloadOf(round * 20 + i)), round * 20 + i);
     ASSERT_TRUE(store->Commit().ok());
@@ -116,7 +121,7 @@
   }
   std::filesystem::remove_all(folder);
   Examination found;
-  EXPECT_FALSE(Examine(*files, folder, "", found).ok());  // there is no folder, and none is created
+  EXPECT_FALSE(Examine(*files, folder, "", found).ok());  // the folder does not exist and must not be created
   EXPECT_FALSE(std::filesystem::exists(folder));
 }
 
