--- a/src/membership/dissemination_queue.hpp
+++ b/src/membership/dissemination_queue.hpp
@@ -1,4 +1,4 @@
-// Gossip updates that are still to be sent: they ride on the datagrams of probes.
+// Queue of gossip updates that are piggybacked on the datagrams of probes.
 #ifndef GATEWAY_MEMBERSHIP_DISSEMINATION_QUEUE_HPP_
 #define GATEWAY_MEMBERSHIP_DISSEMINATION_QUEUE_HPP_
 
@@ -11,12 +11,12 @@
 
 namespace gateway::membership {
 
-// Holds one update a member, and 4,096 at most: the oldest is dropped first. Not thread-safe.
+// Holds at most one update per member and at most 4,096 updates; drops the oldest first. Not thread-safe.
 class DisseminationQueue {
  public:
-  // Puts the update first, in place of an earlier one about the same member.
+  // Adds the update at the front. Replaces an earlier update about the same member.
   void Enqueue(const GossipUpdate& update);
-  // Adds the next updates that fit. Each is sent `retransmit_limit` times before it is dropped.
+  // Adds the next updates that fit to the datagram. Drops each update after `retransmit_limit` transmissions.
   void Fill(DatagramBuilder& datagram, int retransmit_limit);
 
  private:
@@ -26,7 +26,7 @@
   };
 
   std::deque<Entry> entries_;
-  std::unordered_set<std::string> names_;  // of the members that they are about
+  std::unordered_set<std::string> names_;  // members that have an entry
 };
 
 }  // namespace gateway::membership
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,7 +9,8 @@
 using base::Millis;
 
 constexpr double kPeriodJitter = 0.05;
-constexpr double kNackAfterTimeouts = 0.8;  // a helper without an ack sends its nack after this
+// A helper that has not received an ack sends its nack after this fraction of the probe timeout.
+constexpr double kNackAfterTimeouts = 0.8;
 constexpr double kForgetRelayAfterPeriods = 2;
 constexpr int kMaxRoundsPerProbe = 2;
 
@@ -39,7 +40,7 @@
   delegate_.SendMessage({to, MessageType::kPing, ++last_sequence_, target, {}}, out);
 }
 
-// ---- Own probes -----------------------------------------------------------------------------------
+// ---- Probes by this member ------------------------------------------------------------------------
 
 void FailureDetector::StartProbe(Millis now, ProtocolOutput& out) {
   const int stretch = local_health_.multiplier();
@@ -56,7 +57,7 @@
   delegate_.SendMessage({probe.address, MessageType::kPing, probe.sequence, probe.name, {}}, out);
 }
 
-// Probes each member once a round, in a new order each time, so that no member waits longer than two rounds.
+// Probes each member once per round, in a new random order, so that no member waits longer than two rounds.
 const Member* FailureDetector::NextProbeTarget() {
   for (int rounds = 0; rounds < kMaxRoundsPerProbe;) {
     if (round_.empty()) {
@@ -98,7 +99,7 @@
   }
 }
 
-// A helper that sent neither ack nor nack is a sign that the fault is on this side.
+// A helper that sent neither an ack nor a nack indicates that the fault is on the side of this member.
 void FailureDetector::FailProbe(Millis now, ProtocolOutput& out) {
   if (probe_->missing_nacks > 0) {
     local_health_.Worsen(probe_->missing_nacks);
@@ -127,7 +128,7 @@
   relayed_.erase(found);
 }
 
-// ---- Probes of others -----------------------------------------------------------------------------
+// ---- Probes by other members ----------------------------------------------------------------------
 
 void FailureDetector::OnPing(Address from, const MessageHeader& ping, ProtocolOutput& out) {
   const bool is_for_this_member = ping.target.empty() || ping.target == members_.self().name;
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-// SWIM's failure detector: probes one member a protocol period, directly and through other members, and
-// answers the probes of others.
+// SWIM's failure detector: probes one member in each protocol period, directly and through other members, and
+// answers probes from other members.
 #ifndef GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 #define GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 
@@ -18,10 +18,10 @@
 
 namespace gateway::membership {
 
-// No I/O and no clock. Not thread-safe.
+// Does no I/O and reads no clock. Not thread-safe.
 class FailureDetector {
  public:
-  // Of a message: what the sender chooses. `target` and `probe_address` as in MessageHeader.
+  // The fields of a message that its sender chooses. `target` and `probe_address` are those of MessageHeader.
   struct OutgoingMessage {
     Address to;
     MessageType type = MessageType::kPing;
@@ -34,19 +34,19 @@
    public:
     virtual ~Delegate() = default;
     virtual void SendMessage(const OutgoingMessage& message, ProtocolOutput& out) = 0;
-    // No ack has come, directly or through other members.
+    // Called when no ack arrived in time, either directly or through other members.
     virtual void OnProbeFailed(base::Millis now, const std::string& name, ProtocolOutput& out) = 0;
   };
 
-  // All that is handed in must outlive it.
+  // All references must outlive the failure detector.
   FailureDetector(const MembershipOptions& options, const MemberTable& members, LocalHealth& local_health,
                   RandomEngine& random, Delegate& delegate);
 
-  // Continues the probes and begins new ones.
+  // Advances running probes and starts new ones.
   void Tick(base::Millis now, ProtocolOutput& out);
-  // Abandons all probes, whose acks this process may have missed.
+  // Cancels all probes, because this process may have missed their acks.
   void Reset();
-  // Sends a ping that is no probe. `target` empty: whoever has the address.
+  // Sends a ping that is not a probe. An empty `target` addresses any member at `to`.
   void SendPing(Address to, const std::string& target, ProtocolOutput& out);
 
   void OnPing(Address from, const MessageHeader& ping, ProtocolOutput& out);
@@ -59,12 +59,12 @@
     std::string name;
     Address address;
     std::uint32_t sequence = 0;
-    base::Millis direct_deadline = 0;  // for the ack of the direct ping
-    base::Millis deadline = 0;         // for any ack
+    base::Millis direct_deadline = 0;  // timeout of the direct ping
+    base::Millis deadline = 0;         // timeout of the probe
     bool indirect = false;             // ping-reqs were sent
-    int missing_nacks = 0;             // helpers that have sent neither ack nor nack
+    int missing_nacks = 0;             // number of helpers that have sent neither an ack nor a nack
   };
-  // A probe that another member has requested.
+  // A probe that this member makes at the request of another member.
   struct RelayedProbe {
     Address requester;
     std::uint32_t requester_sequence = 0;
@@ -85,9 +85,9 @@
   LocalHealth& local_health_;
   RandomEngine& random_;
   Delegate& delegate_;
-  std::vector<std::string> round_;  // members that are still to be probed in this round
+  std::vector<std::string> round_;  // members not probed yet in this round
   std::optional<Probe> probe_;
-  std::map<std::uint32_t, RelayedProbe> relayed_;  // by the own sequence
+  std::map<std::uint32_t, RelayedProbe> relayed_;  // by the sequence of the relayed ping
   base::Millis next_probe_at_ = 0;
   std::uint32_t last_sequence_ = 0;
 };
--- a/src/membership/gossip_codec.cpp
+++ b/src/membership/gossip_codec.cpp
@@ -7,7 +7,7 @@
 
 constexpr char kVersion = 1;
 
-// Writes the last `bytes` bytes of the number, little-endian.
+// Writes the low `bytes` bytes of the number in little-endian order.
 void PutNumber(std::string& out, std::uint64_t value, int bytes) {
   for (int i = 0; i < bytes; ++i) out.push_back(static_cast<char>(value >> (8 * i)));
 }
@@ -30,8 +30,8 @@
   PutName(out, update.suspector);
 }
 
-// The Take functions remove what they return from the front of `in`, and return nothing if it is too short or
-// malformed.
+// The Take functions decode a value at the front of `in` and remove it. They return std::nullopt if the input
+// is too short or malformed.
 
 std::optional<std::uint64_t> TakeNumber(std::string_view& in, std::size_t bytes) {
   if (in.size() < bytes) return std::nullopt;
--- a/src/membership/gossip_codec.hpp
+++ b/src/membership/gossip_codec.hpp
@@ -1,4 +1,4 @@
-// The bytes of datagrams and of the whole state (PROTOCOL, "Between gateways").
+// Encodes and decodes datagrams and the complete membership state. See "Between gateways" in PROTOCOL.
 #ifndef GATEWAY_MEMBERSHIP_GOSSIP_CODEC_HPP_
 #define GATEWAY_MEMBERSHIP_GOSSIP_CODEC_HPP_
 
@@ -19,11 +19,11 @@
 
 struct MessageHeader {
   MessageType type = MessageType::kPing;
-  std::uint32_t sequence = 0;  // of the probe that it belongs to, by the prober
+  std::uint32_t sequence = 0;  // identifies the probe; assigned by the member that sends the ping
   std::string sender;
   Incarnation sender_incarnation = 0;
-  std::string target;     // of kPing and kPingReq: the member that is probed; empty: whoever has the address
-  Address probe_address;  // of kPingReq: where to send the ping
+  std::string target;     // kPing and kPingReq: the probed member; empty for any member at the address
+  Address probe_address;  // kPingReq: destination of the ping
 };
 
 struct Message {
@@ -31,11 +31,11 @@
   std::vector<GossipUpdate> updates;
 };
 
-// Builds a datagram of a header and as many updates as fit.
+// Builds a datagram from a header and as many updates as fit.
 class DatagramBuilder {
  public:
   explicit DatagramBuilder(const MessageHeader& header);
-  // Returns false, and adds nothing, if the update does not fit.
+  // Returns false without adding anything if the update does not fit.
   bool Add(const GossipUpdate& update);
   // Returns the datagram. The builder must not be used afterwards.
   std::string Take();
@@ -44,12 +44,12 @@
   std::string bytes_;
 };
 
-// Returns nothing if any part of the datagram is malformed or of another version.
+// Returns std::nullopt if any part of the datagram is malformed or if its version is not supported.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
-// A state is a sequence of updates of any length.
+// Encodes a state, which consists of any number of updates.
 std::string EncodeState(const std::vector<GossipUpdate>& updates);
-// Returns nothing if any part of the state is malformed or of another version.
+// Returns std::nullopt if any part of the state is malformed or if its version is not supported.
 std::optional<std::vector<GossipUpdate>> DecodeState(std::string_view bytes);
 
 }  // namespace gateway::membership
--- a/src/membership/local_health.hpp
+++ b/src/membership/local_health.hpp
@@ -1,4 +1,5 @@
-// Lifeguard's local health: a member that is itself slow or badly connected takes longer to suspect others.
+// Lifeguard's local health: a member that is slow or poorly connected itself waits longer before it suspects
+// others.
 #ifndef GATEWAY_MEMBERSHIP_LOCAL_HEALTH_HPP_
 #define GATEWAY_MEMBERSHIP_LOCAL_HEALTH_HPP_
 
@@ -10,9 +11,9 @@
  public:
   explicit LocalHealth(int max_score) : max_score_(max_score) {}
 
-  // 0 is healthy; higher is worse.
+  // Returns 0 if the member is healthy. A higher score is worse.
   int score() const { return score_; }
-  // Factor of the own protocol periods and timeouts.
+  // Returns the factor by which this member's protocol periods and timeouts are extended.
   int multiplier() const { return score_ + 1; }
 
   void Improve() { Add(-1); }
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,4 +1,4 @@
-// Members of the group, and the updates about them that gateways exchange.
+// Members of the group, and the updates about members that gateways exchange.
 #ifndef GATEWAY_MEMBERSHIP_MEMBER_HPP_
 #define GATEWAY_MEMBERSHIP_MEMBER_HPP_
 
@@ -13,8 +13,9 @@
 
 inline constexpr std::size_t kMaxNameBytes = 24;
 
-// Orders what is said of a member: a higher one is newer. The first 48 bits are the start of its process
-// (Unix time in ms, or above what others last knew of the name), the last 16 count its refutations.
+// Orders the updates about a member: a higher incarnation is newer. The upper 48 bits are the start time of
+// the member's process (Unix time in ms, or a value above the last one that other members knew for the name).
+// The lower 16 bits count the member's refutations.
 using Incarnation = std::uint64_t;
 inline constexpr int kRefutationBits = 16;
 
@@ -25,7 +26,7 @@
   auto operator<=>(const Address&) const = default;
 };
 
-// Of the same incarnation, a higher status overrides a lower one. The values are on the wire.
+// Within an incarnation, a higher status overrides a lower one. The values are part of the wire format.
 enum class MemberStatus : std::uint8_t { kAlive = 0, kSuspect = 1, kDead = 2, kLeft = 3 };
 
 struct Member {
@@ -33,21 +34,22 @@
   Address address;
   Incarnation incarnation = 0;
   MemberStatus status = MemberStatus::kAlive;
-  base::Millis status_since = 0;  // by the own clock
-  // Members that suspect it independently of each other, sorted; empty unless it is suspect. Never itself.
+  base::Millis status_since = 0;  // on the local clock
+  // Members that suspect this member independently of each other, sorted. Empty unless it is suspect. Never
+  // contains the member itself.
   std::vector<std::string> suspectors;
 
-  // Suspects count as alive until their suspicion times out.
+  // Returns whether the member is alive. A suspect counts as alive until its suspicion times out.
   bool IsAlive() const { return status <= MemberStatus::kSuspect; }
 };
 
-// What one member says of another.
+// A report about a member.
 struct GossipUpdate {
   std::string name;
   Address address;
   Incarnation incarnation = 0;
   MemberStatus status = MemberStatus::kAlive;
-  std::string suspector;  // of kSuspect and kDead: who says so; may be empty
+  std::string suspector;  // kSuspect and kDead: the reporting member; may be empty
 };
 
 }  // namespace gateway::membership
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -10,8 +10,7 @@
 
 using base::Millis;
 
-// Of two updates the one with the greater incarnation is newer, then the one with the higher status. The
-// address makes the order total.
+// Orders updates: a higher incarnation is newer, then a higher status. The address makes the order total.
 template <typename Update>
 auto PrecedenceOf(const Update& update) {
   return std::tuple(update.incarnation, update.status, update.address);
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,4 +1,4 @@
-// What is known of each member, and how updates change it.
+// Table of all known members, which merges updates about them.
 #ifndef GATEWAY_MEMBERSHIP_MEMBER_TABLE_HPP_
 #define GATEWAY_MEMBERSHIP_MEMBER_TABLE_HPP_
 
@@ -14,36 +14,36 @@
 
 namespace gateway::membership {
 
-// Merging updates is commutative, associative and idempotent: the result does not depend on their order. Not
-// thread-safe.
+// Merging is commutative, associative and idempotent, so the result does not depend on the order of updates.
+// Not thread-safe.
 class MemberTable {
  public:
-  // Begins with the own member.
+  // Creates a table that contains only the local member.
   MemberTable(const MembershipOptions& options, const std::string& own_name, Address address,
               Incarnation incarnation);
 
-  // The own member included, by name.
+  // Returns all members by name, including the local member.
   const std::map<std::string, Member>& members() const { return members_; }
   const Member& self() const { return members_.at(own_name_); }
-  // Returns null if no such member is known. Valid until it is removed.
+  // Returns null if the member is not known. The pointer is valid until the member is removed.
   const Member* Find(const std::string& name) const;
-  // The members in the order in which they became known.
+  // Returns the members in the order in which they became known.
   const std::vector<Member*>& by_arrival() const { return by_arrival_; }
-  // Suspects included.
+  // Returns the number of alive members, including suspects.
   std::size_t alive_count() const { return alive_count_; }
-  // Whether every member is alive and none is suspect.
+  // Returns whether every member is alive and none is suspect.
   bool all_healthy() const { return unhealthy_count_ == 0; }
 
   void SetOwnIncarnation(Incarnation incarnation) { members_.at(own_name_).incarnation = incarnation; }
 
-  // Merges an update about another member. Returns whether anything has changed, so that it is to be passed
-  // on.
+  // Merges an update about another member. Returns whether the table changed, in which case the update should
+  // be disseminated.
   bool Merge(base::Millis now, const GossipUpdate& update, ProtocolOutput& out);
-  // Declares the members dead whose suspicion has timed out, and returns the updates about them.
+  // Marks suspects whose suspicion has timed out as dead, and returns the updates about them.
   std::vector<GossipUpdate> ExpireSuspicions(base::Millis now, ProtocolOutput& out);
-  // Removes members that are dead or have left for the retention time.
+  // Removes members that have been dead or have left for longer than the retention time.
   void ForgetDead(base::Millis now);
-  // Starts the time in each member's status later.
+  // Postpones the timeouts that depend on how long each member has had its status.
   void DelayTimeouts(base::Millis delay);
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -13,10 +13,10 @@
 using base::Millis;
 
 constexpr int kRandomMembersPerMessage = 2;
-constexpr double kSeedPingPeriods = 10;  // from one ping of a seed address to the next
+constexpr double kSeedPingPeriods = 10;  // interval between pings of seed addresses, in protocol periods
 constexpr double kIntervalJitter = 0.25;
-constexpr int kEarlySyncs = 4;  // soon after the start, one a protocol period
-constexpr std::size_t kSeedSyncOneIn = 4;
+constexpr int kEarlySyncs = 4;             // syncs after the start that are made in every protocol period
+constexpr std::size_t kSeedSyncOneIn = 4;  // one of this many syncs goes to a seed address
 
 std::string CheckedName(std::string name) {
   if (name.empty() || name.size() > kMaxNameBytes) {
@@ -61,7 +61,8 @@
   ExpireSuspicions(now, out);
 }
 
-// Where this process was stopped or starved, other members are not to be suspected for what it missed.
+// If this process was suspended or starved of CPU, other members must not be suspected for messages that it
+// missed.
 void Membership::DetectPause(Millis now) {
   const Millis since_last_tick = now - last_tick_;
   if (last_tick_ >= 0 && since_last_tick > options_.protocol_period) {
@@ -78,8 +79,8 @@
   next_seed_ping_at_ = now + options_.protocol_period * periods * Jitter(random_, kIntervalJitter);
 }
 
-// Synchronises with any member and sometimes with a seed address, by which the halves of a partitioned group
-// find each other again.
+// Requests a sync with a random member, or sometimes with a seed address, which lets the halves of a
+// partitioned group find each other again.
 void Membership::RequestSync(Millis now, ProtocolOutput& out) {
   const std::vector<Member*>& members = members_.by_arrival();
   const Address member = members[RandomIndex(random_, members.size())]->address;
@@ -121,19 +122,19 @@
 void Membership::Merge(Millis now, const GossipUpdate& update, ProtocolOutput& out) {
   if (update.name == name_) return Refute(update);
   GossipUpdate merged = update;
-  // No member is dead because another one says so, whose link may be at fault: it counts as one suspicion,
-  // and each member waits for its own timeout.
+  // A report that a member is dead counts only as one suspicion, because the reporting member's link may be
+  // at fault. Each member waits for its own timeout.
   if (merged.status == MemberStatus::kDead) merged.status = MemberStatus::kSuspect;
   if (members_.Merge(now, merged, out)) dissemination_.Enqueue(merged);
 }
 
-// Overrides an update about the own member by a higher incarnation.
+// Refutes an update about this member with a higher incarnation.
 void Membership::Refute(const GossipUpdate& update) {
   const Incarnation own = self().incarnation;
   const bool says_alive = update.status == MemberStatus::kAlive;
   const bool is_older = update.incarnation < own || (says_alive && update.incarnation == own);
   if (is_older || left_) return;
-  // Other members could not reach this one: its own failed probes may have the same cause.
+  // Other members could not reach this member, so its own failed probes may have the same cause.
   if (!says_alive) local_health_.Worsen(1);
   members_.SetOwnIncarnation(update.incarnation + 1);
   dissemination_.Enqueue(UpdateAbout(self(), ""));
@@ -177,7 +178,7 @@
     return;
   }
   const MessageHeader& header = message->header;
-  if (header.sender == name_) return;  // an earlier process of this name, or an echo
+  if (header.sender == name_) return;  // from an earlier process with this name, or an echo
   Merge(now, {header.sender, from, header.sender_incarnation, MemberStatus::kAlive, ""}, out);
   for (const GossipUpdate& update : message->updates) Merge(now, update, out);
   HandleMessage(now, from, header, out);
@@ -191,7 +192,7 @@
     case MessageType::kAck: break;
   }
   failure_detector_.OnAck(header, out);
-  // A member that answers but is not known as alive learns of it by the ping, and can refute it.
+  // The ping informs a member that answers but is not known as alive, so that it can refute this status.
   const Member* const sender = members_.Find(header.sender);
   if (sender != nullptr && sender->status != MemberStatus::kAlive) {
     failure_detector_.SendPing(from, header.sender, out);
@@ -207,7 +208,7 @@
   out.datagrams.push_back({message.to, datagram.Take()});
 }
 
-// A member that is not known as alive is told so first, so that it can refute it.
+// Adds the status of a recipient that is not known as alive first, so that the recipient can refute it.
 void Membership::AddUpdatesAbout(Address recipient, DatagramBuilder& datagram) const {
   if (members_.all_healthy()) return;
   for (const Member* member : members_.by_arrival()) {
@@ -216,8 +217,8 @@
   }
 }
 
-// Fills spare room, for members that missed an update. Dead members are left out: old updates about them
-// would circulate for ever.
+// Fills the remaining space for members that missed an update. Omits dead members, because old updates about
+// them would circulate forever.
 void Membership::AddRandomMembers(DatagramBuilder& datagram) {
   if (members().size() <= 1) return;
   for (int i = 0; i < kRandomMembersPerMessage; ++i) {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,6 +1,6 @@
-// Which gateways are there: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, and Lifeguard's
-// local health (Dadgar, Phillips, Currey 2018). docs/design/membership.md has the reasons. No process uses it
-// yet.
+// Group membership of gateways: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, and
+// Lifeguard's local health (Dadgar, Phillips, Currey 2018). See docs/design/membership.md for the rationale.
+// Not used by any process yet.
 #ifndef GATEWAY_MEMBERSHIP_MEMBERSHIP_HPP_
 #define GATEWAY_MEMBERSHIP_MEMBERSHIP_HPP_
 
@@ -22,39 +22,39 @@
 
 namespace gateway::membership {
 
-// The protocol as a state machine: datagrams and times in, datagrams and status changes out. No I/O and no
-// clock; random choices follow the seed. Times are of the caller's monotonic clock; no time of another
-// machine is used. Not thread-safe.
+// The protocol as a state machine: consumes datagrams and the current time, and produces datagrams and status
+// changes. Does no I/O and reads no clock; random choices depend only on the seed. Times are those of the
+// caller's monotonic clock; times of other machines are never used. Not thread-safe.
 class Membership final : private FailureDetector::Delegate {
  public:
-  // `process_start`: Unix time in ms. Throws std::invalid_argument for a name that is empty or too long.
+  // `process_start` is a Unix time in ms. Throws std::invalid_argument if the name is empty or too long.
   Membership(MembershipOptions options, std::string name, Address address, std::uint64_t process_start,
              std::uint64_t seed);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Adds the address of another gateway, of which nothing else is known.
+  // Adds the address of a gateway whose name is not known yet.
   void AddSeedAddress(Address address);
-  // Probes, suspects and synchronises. To be called every few tens of ms.
+  // Does the periodic work: probes, suspicions and state exchanges. Must be called every few tens of ms.
   void Tick(base::Millis now, ProtocolOutput& out);
-  // Any bytes: a malformed datagram is dropped and counted.
+  // Handles a received datagram. Drops and counts malformed datagrams.
   void Receive(base::Millis now, Address from, std::string_view bytes, ProtocolOutput& out);
-  // Announces the end to some members. To be called once, at the end.
+  // Announces to some members that this member leaves the group. Must be called once, at shutdown.
   void Leave(ProtocolOutput& out);
 
-  // Anti-entropy, for what datagrams missed: all that is known except for dead members, and its merging.
-  // Merging is commutative, associative and idempotent. Returns false for a malformed state.
+  // Anti-entropy for updates that datagrams missed. State() returns all known members except for dead ones.
+  // MergeState() is commutative, associative and idempotent, and returns false if the state is malformed.
   std::string State() const;
   bool MergeState(base::Millis now, std::string_view state, ProtocolOutput& out);
 
-  // The own member included.
+  // Returns all members, including the local member.
   const std::map<std::string, Member>& members() const { return members_.members(); }
   const Member& self() const { return members_.self(); }
-  // 0: healthy.
+  // Returns the local health score; 0 is healthy.
   int local_health() const { return local_health_.score(); }
-  // Suspects included.
+  // Returns the number of alive members, including suspects.
   std::size_t alive_count() const { return members_.alive_count(); }
-  // Number of malformed datagrams and states.
+  // Returns the number of malformed datagrams and states received.
   std::uint64_t malformed() const { return malformed_; }
 
  private:
@@ -85,8 +85,8 @@
   std::vector<Address> seed_addresses_;
   base::Millis next_seed_ping_at_ = 0;
   base::Millis next_sync_at_ = 0;
-  base::Millis last_tick_ = -1;  // negative: none
-  int syncs_ = 0;                // requested while other members are known
+  base::Millis last_tick_ = -1;  // negative before the first tick
+  int syncs_ = 0;                // number of syncs requested while other members were known
   bool left_ = false;
   std::uint64_t malformed_ = 0;
 };
--- a/src/membership/protocol_output.hpp
+++ b/src/membership/protocol_output.hpp
@@ -1,4 +1,4 @@
-// What the membership protocol asks its owner to do, and reports to it.
+// Output of the membership protocol: actions for its owner to perform, and status changes.
 #ifndef GATEWAY_MEMBERSHIP_PROTOCOL_OUTPUT_HPP_
 #define GATEWAY_MEMBERSHIP_PROTOCOL_OUTPUT_HPP_
 
@@ -12,7 +12,7 @@
 
 struct Datagram {
   Address to;
-  std::string bytes;  // kMaxDatagramBytes at most
+  std::string bytes;  // at most kMaxDatagramBytes
 };
 
 struct StatusChange {
@@ -22,9 +22,10 @@
 };
 
 struct ProtocolOutput {
-  std::vector<Datagram> datagrams;  // to be sent
+  std::vector<Datagram> datagrams;  // datagrams to send
   std::vector<StatusChange> status_changes;
-  // A member to exchange the whole state with, over a connection. Where that fails, updates take longer.
+  // A member with which to exchange the complete state over a connection. If the exchange fails, updates only
+  // take longer to spread.
   std::optional<Address> sync_with;
 };
 
--- a/src/membership/random_choice.hpp
+++ b/src/membership/random_choice.hpp
@@ -1,4 +1,4 @@
-// Random choices of the membership protocol, from an engine that the caller seeds.
+// Random choices of the membership protocol. The caller seeds the random engine.
 #ifndef GATEWAY_MEMBERSHIP_RANDOM_CHOICE_HPP_
 #define GATEWAY_MEMBERSHIP_RANDOM_CHOICE_HPP_
 
@@ -9,16 +9,16 @@
 
 using RandomEngine = std::mt19937_64;
 
-// From 0 to below 1.
+// Returns a number in [0, 1).
 inline double RandomFraction(RandomEngine& random) {
   constexpr double kTwoToThe53 = 9007199254740992.0;
   return static_cast<double>(random() >> 11) / kTwoToThe53;
 }
 
-// From 0 to below `size`, which must be above 0.
+// Returns an index in [0, size). `size` must be positive.
 inline std::size_t RandomIndex(RandomEngine& random, std::size_t size) { return random() % size; }
 
-// A factor within `spread` of 1 on either side.
+// Returns a factor in [1 - spread, 1 + spread).
 inline double Jitter(RandomEngine& random, double spread) {
   return 1 - spread + 2 * spread * RandomFraction(random);
 }
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,4 +1,4 @@
-// Lifeguard's suspicion: how long a member is suspect before it counts as dead.
+// Lifeguard's suspicion: determines how long a member is suspect before it counts as dead.
 #ifndef GATEWAY_MEMBERSHIP_SUSPICION_HPP_
 #define GATEWAY_MEMBERSHIP_SUSPICION_HPP_
 
@@ -10,13 +10,13 @@
 
 namespace gateway::membership {
 
-// Shortens from the maximum to the minimum as members confirm the suspicion. `suspectors`: the members that
-// suspect it, the first one included.
+// Returns the suspicion timeout, which shrinks from the maximum to the minimum as members confirm the
+// suspicion. `suspectors` is the number of members that suspect the member, including the first one.
 base::Millis SuspicionTimeout(const MembershipOptions& options, std::size_t alive_members,
                               std::size_t suspectors);
 
-// Adds a member that suspects another. Keeps the least names only, so that the result does not depend on the
-// order of updates. Returns whether the sorted list has changed.
+// Adds a member to the sorted list of suspectors. Retains only the lexicographically smallest names, so that
+// the result does not depend on the order of updates. Returns whether the list changed.
 bool AddSuspector(std::vector<std::string>& suspectors, const std::string& name, int expected_confirmations);
 
 }  // namespace gateway::membership
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership in simulated time: joins, loss, crashes, pauses, partitions, and updates in any order.
+// Tests of the membership protocol in simulated time: joins, loss, crashes, pauses, partitions and merging.
 #include "membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -15,102 +15,120 @@
 using base::Millis;
 
 constexpr Millis kStep = 10;
-constexpr Millis kTickEvery = 50;
+constexpr Millis kTickInterval = 50;
+constexpr int kSeedCount = 3;
+constexpr std::uint32_t kFirstIp = 0x0a000000U;
 
-// Members on a network that loses and delays as the site's does (1.1 to 17 ms), in steps of 10 ms.
+// Members on a simulated network that loses datagrams, and delays them by 1.1 to 17 ms like the network of a
+// site. Time advances in steps of 10 ms.
 struct SimulatedNetwork {
-  explicit SimulatedNetwork(int members, double loss = 0, std::uint64_t seed = 1) : loss(loss), random(seed) {
-    for (int i = 0; i < members; ++i) Start(i, 1000);
+  explicit SimulatedNetwork(int member_count, double loss_rate = 0, std::uint64_t seed = 1)
+      : loss_rate(loss_rate), random(seed) {
+    for (int member = 0; member < member_count; ++member) Start(member, 1000);
   }
-  static std::string Name(int i) { return "n" + std::to_string(i); }
-  static Address At(int i) { return {0x0a000000U + static_cast<std::uint32_t>(i), 7946}; }
+  static std::string NameOf(int member) { return "n" + std::to_string(member); }
+  static Address AddressOf(int member) { return {kFirstIp + static_cast<std::uint32_t>(member), 7946}; }
+  static int MemberAt(const Address& address) { return static_cast<int>(address.ip - kFirstIp); }
 
-  void Start(int i, std::uint64_t started) {
-    const auto at = static_cast<std::size_t>(i);
-    if (all.size() <= at) all.resize(at + 1), up.resize(at + 1), stopped.resize(at + 1);
-    all[at] = std::make_unique<Membership>(MembershipOptions{}, Name(i), At(i), started, random());
-    for (int s = 0; s < 3; ++s) all[at]->AddSeedAddress(At(s));
-    up[at] = true;
-    stopped[at] = false;
+  void Start(int member, std::uint64_t process_start) {
+    const auto index = static_cast<std::size_t>(member);
+    if (nodes.size() <= index) {
+      nodes.resize(index + 1), running.resize(index + 1), paused.resize(index + 1);
+    }
+    nodes[index] = std::make_unique<Membership>(MembershipOptions{}, NameOf(member), AddressOf(member),
+                                                process_start, random());
+    for (int seed = 0; seed < kSeedCount; ++seed) nodes[index]->AddSeedAddress(AddressOf(seed));
+    running[index] = true;
+    paused[index] = false;
   }
-  double Draw() { return static_cast<double>(random() >> 11) / 9007199254740992.0; }
+  double NextFraction() { return static_cast<double>(random() >> 11) / 9007199254740992.0; }
 
-  void Deliver(int i, ProtocolOutput& out) {
+  // Sends the datagrams of a member, records its status changes and performs its sync.
+  void HandleOutput(int member, ProtocolOutput& out) {
     for (auto& datagram : out.datagrams) {
       ++messages;
       bytes += datagram.bytes.size();
       EXPECT_LE(datagram.bytes.size(), kMaxDatagramBytes);
-      const int to = static_cast<int>(datagram.to.ip - 0x0a000000U);
-      if (Draw() < loss || (cut && cut(i) != cut(to))) continue;
-      const auto due = static_cast<std::size_t>((1.1 + 15.9 * Draw()) / kStep + 1);
-      in_flight[(step + due) % in_flight.size()].push_back({i, to, std::move(datagram.bytes)});
+      const int to = MemberAt(datagram.to);
+      if (NextFraction() < loss_rate || (partition_side && partition_side(member) != partition_side(to))) {
+        continue;
+      }
+      const auto delay_steps = static_cast<std::size_t>((1.1 + 15.9 * NextFraction()) / kStep + 1);
+      in_flight[(step + delay_steps) % in_flight.size()].push_back({member, to, std::move(datagram.bytes)});
     }
-    for (auto& change : out.status_changes) changes.push_back({now, i, std::move(change)});
-    const std::optional<Address> with = out.sync_with;
+    for (auto& change : out.status_changes) changes.push_back({now, member, std::move(change)});
+    const std::optional<Address> sync_with = out.sync_with;
     out = {};
-    if (with) Sync(i, static_cast<int>(with->ip - 0x0a000000U));
+    if (sync_with) Sync(member, MemberAt(*sync_with));
   }
 
-  // Over a connection: nothing is lost, and it comes about or not at all.
-  void Sync(int one, int other) {
-    const auto a = static_cast<std::size_t>(one), b = static_cast<std::size_t>(other);
-    if (b >= all.size() || !up[b] || stopped[b] || (cut && cut(one) != cut(other))) return;
-    const std::string theirs = all[b]->State(), ours = all[a]->State();
-    synced += theirs.size() + ours.size();
+  // Exchanges states over a connection, which loses nothing but may fail to be established.
+  void Sync(int first, int second) {
+    const auto first_index = static_cast<std::size_t>(first);
+    const auto second_index = static_cast<std::size_t>(second);
+    if (second_index >= nodes.size() || !running[second_index] || paused[second_index] ||
+        (partition_side && partition_side(first) != partition_side(second))) {
+      return;
+    }
+    const std::string second_state = nodes[second_index]->State();
+    const std::string first_state = nodes[first_index]->State();
+    sync_bytes += second_state.size() + first_state.size();
     ProtocolOutput out;
-    EXPECT_TRUE(all[b]->MergeState(now, ours, out));
-    Deliver(other, out);
-    EXPECT_TRUE(all[a]->MergeState(now, theirs, out));
-    Deliver(one, out);
+    EXPECT_TRUE(nodes[second_index]->MergeState(now, first_state, out));
+    HandleOutput(second, out);
+    EXPECT_TRUE(nodes[first_index]->MergeState(now, second_state, out));
+    HandleOutput(first, out);
   }
 
-  void Run(Millis time) {
+  void Run(Millis duration) {
     ProtocolOutput out;
-    for (const Millis until = now + time; now < until;) {
+    for (const Millis until = now + duration; now < until;) {
       now += kStep;
       ++step;
       for (auto& datagram : std::exchange(in_flight[step % in_flight.size()], {})) {
         const auto to = static_cast<std::size_t>(datagram.to);
-        if (to >= all.size() || !up[to]) continue;
-        if (stopped[to]) {  // it waits in the socket
+        if (to >= nodes.size() || !running[to]) continue;
+        if (paused[to]) {  // the datagram waits in the socket's buffer
           in_flight[(step + 1) % in_flight.size()].push_back(std::move(datagram));
           continue;
         }
-        all[to]->Receive(now, At(datagram.from), datagram.bytes, out);
-        Deliver(datagram.to, out);
+        nodes[to]->Receive(now, AddressOf(datagram.from), datagram.bytes, out);
+        HandleOutput(datagram.to, out);
       }
-      for (std::size_t i = 0; i < all.size(); ++i) {
-        if (!up[i] || stopped[i] || (step + i) % static_cast<std::size_t>(kTickEvery / kStep) != 0) continue;
-        all[i]->Tick(now, out);
-        Deliver(static_cast<int>(i), out);
+      for (std::size_t i = 0; i < nodes.size(); ++i) {
+        const bool tick_due = (step + i) % static_cast<std::size_t>(kTickInterval / kStep) == 0;
+        if (!running[i] || paused[i] || !tick_due) continue;
+        nodes[i]->Tick(now, out);
+        HandleOutput(static_cast<int>(i), out);
       }
     }
   }
 
-  // Whether each running member counts exactly the running members as alive, suspects included.
-  bool Agreed() const {
-    for (std::size_t i = 0; i < all.size(); ++i) {
-      if (!up[i]) continue;
-      for (std::size_t other = 0; other < all.size(); ++other) {
-        const auto found = all[i]->members().find(Name(static_cast<int>(other)));
-        const bool alive = found != all[i]->members().end() && found->second.status <= MemberStatus::kSuspect;
-        if (alive != up[other]) return false;
+  // Returns whether each running member considers exactly the running members alive, including suspects.
+  bool HasConverged() const {
+    for (std::size_t i = 0; i < nodes.size(); ++i) {
+      if (!running[i]) continue;
+      for (std::size_t other = 0; other < nodes.size(); ++other) {
+        const auto found = nodes[i]->members().find(NameOf(static_cast<int>(other)));
+        const bool alive =
+            found != nodes[i]->members().end() && found->second.status <= MemberStatus::kSuspect;
+        if (alive != running[other]) return false;
       }
     }
     return true;
   }
-  // Until they agree; how long it took, or -1.
-  Millis Settle(Millis most) {
-    const Millis begun = now;
-    while (!Agreed() && now < begun + most) Run(100);
-    return Agreed() ? now - begun : -1;
+  // Runs until the members have converged. Returns the time that this took, or -1 after the timeout.
+  Millis RunUntilConverged(Millis timeout) {
+    const Millis start = now;
+    while (!HasConverged() && now < start + timeout) Run(100);
+    return HasConverged() ? now - start : -1;
   }
-  // Number of times that a member declared a running member dead.
-  int FalseDeaths() const {
+  // Returns how often a member declared a running member dead.
+  int CountFalseDeaths() const {
     int count = 0;
-    for (const auto& t : changes) {
-      const int about = std::atoi(t.change.name.c_str() + 1);
-      count += t.change.status == MemberStatus::kDead && up[static_cast<std::size_t>(about)];
+    for (const auto& reported : changes) {
+      const int subject = std::atoi(reported.change.name.c_str() + 1);
+      count += reported.change.status == MemberStatus::kDead && running[static_cast<std::size_t>(subject)];
     }
     return count;
   }
@@ -120,190 +138,208 @@
     std::string bytes;
   };
   struct ReportedChange {
-    Millis at;
-    int by;
+    Millis time;
+    int reporter;
     StatusChange change;
   };
-  double loss;
+  double loss_rate;
   std::mt19937_64 random;
-  std::vector<std::unique_ptr<Membership>> all;
-  std::vector<bool> up, stopped;
-  std::function<bool(int)> cut;  // which side of a cut a member is on
+  std::vector<std::unique_ptr<Membership>> nodes;
+  std::vector<bool> running, paused;
+  std::function<bool(int)> partition_side;  // side of a network partition that a member is on; empty if none
   std::vector<std::vector<Datagram>> in_flight{8};
   std::vector<ReportedChange> changes;
-  std::uint64_t messages = 0, bytes = 0, synced = 0;
+  std::uint64_t messages = 0, bytes = 0, sync_bytes = 0;
   std::size_t step = 0;
   Millis now = 0;
 };
 
-struct Row {
+struct GroupCase {
   int members;
-  double loss;
-  Millis max_detection;      // of one crash, until a member suspects it
-  Millis max_dissemination;  // until all members know it
+  double loss_rate;
+  Millis max_detection;      // time from a crash until a member suspects the crashed member
+  Millis max_dissemination;  // time from a crash until all members consider the crashed member dead
   int max_false_deaths;
 };
 
-class MembershipAtSize : public ::testing::TestWithParam<Row> {};
+class MembershipAtSize : public ::testing::TestWithParam<GroupCase> {};
 
-// SWIM: detection by anyone takes 1.6 periods on average whatever the size, and load a member is flat.
-// Printed, so that a change shows; bounds are wide, rules and not speeds.
+// In SWIM the first detection of a crash takes 1.6 periods on average and the load per member is constant,
+// whatever the size of the group. The figures are printed so that changes are visible; the bounds are wide
+// because they check this rule and not speeds.
 TEST_P(MembershipAtSize, DetectsACrashWithoutFalseDeaths) {
-  const Row row = GetParam();
+  const GroupCase group = GetParam();
   for (std::uint64_t seed = 1; seed <= 1; ++seed) {
-    SimulatedNetwork net(row.members, row.loss, seed);
-    const Millis joined = net.Settle(120000);
-    ASSERT_GE(joined, 0) << "seed " << seed;
-    net.messages = net.bytes = net.synced = 0;
+    SimulatedNetwork net(group.members, group.loss_rate, seed);
+    const Millis join_time = net.RunUntilConverged(120000);
+    ASSERT_GE(join_time, 0) << "seed " << seed;
+    net.messages = net.bytes = net.sync_bytes = 0;
     net.changes.clear();
-    constexpr Millis kCalm = 600000;
-    net.Run(row.members > 100 ? kCalm / 5 : kCalm);
-    const double seconds = (row.members > 100 ? kCalm / 5 : kCalm) / 1000;
-    const int wrong = net.FalseDeaths();
-    const double each = seconds * row.members;
+    constexpr Millis kQuietPeriod = 600000;
+    net.Run(group.members > 100 ? kQuietPeriod / 5 : kQuietPeriod);
+    const double seconds = (group.members > 100 ? kQuietPeriod / 5 : kQuietPeriod) / 1000;
+    const int false_deaths = net.CountFalseDeaths();
+    const double member_seconds = seconds * group.members;
     net.changes.clear();
-    const Millis died = net.now;
-    net.up[5] = false;
-    const Millis known = net.Settle(300000);
-    Millis doubted = -1;
-    for (const auto& t : net.changes) {
-      if (t.change.name == "n5" && doubted < 0) doubted = t.at - died;
+    const Millis crash_time = net.now;
+    net.running[5] = false;
+    const Millis dissemination_time = net.RunUntilConverged(300000);
+    Millis detection_time = -1;
+    for (const auto& reported : net.changes) {
+      if (reported.change.name == "n5" && detection_time < 0) detection_time = reported.time - crash_time;
     }
     std::printf(
-        "%4d members, loss %2.0f%%, seed %llu: joined %.1f s; %.2f messages, %.0f bytes and %.0f of syncs a "
-        "member a second; "
-        "false deaths %d in %.0f s; a crash doubted after %.1f s, known to all after %.1f s\n",
-        row.members, 100 * row.loss, static_cast<unsigned long long>(seed), joined / 1000,
-        static_cast<double>(net.messages) / each, static_cast<double>(net.bytes) / each,
-        static_cast<double>(net.synced) / each, wrong, seconds, doubted / 1000, known / 1000);
-    EXPECT_LE(wrong, row.max_false_deaths) << "seed " << seed;
-    EXPECT_GE(doubted, 0);
-    EXPECT_LE(doubted, row.max_detection) << "seed " << seed;
-    EXPECT_GE(known, 0) << "seed " << seed;
-    EXPECT_LE(known, row.max_dissemination) << "seed " << seed;
-    EXPECT_LT(net.messages / each, 6);
+        "%4d members, loss %2.0f%%, seed %llu: joined after %.1f s; %.2f messages, %.0f bytes and %.0f sync "
+        "bytes "
+        "per member and second; "
+        "%d false deaths in %.0f s; crash suspected after %.1f s, known to all members after %.1f s\n",
+        group.members, 100 * group.loss_rate, static_cast<unsigned long long>(seed), join_time / 1000,
+        static_cast<double>(net.messages) / member_seconds, static_cast<double>(net.bytes) / member_seconds,
+        static_cast<double>(net.sync_bytes) / member_seconds, false_deaths, seconds, detection_time / 1000,
+        dissemination_time / 1000);
+    EXPECT_LE(false_deaths, group.max_false_deaths) << "seed " << seed;
+    EXPECT_GE(detection_time, 0);
+    EXPECT_LE(detection_time, group.max_detection) << "seed " << seed;
+    EXPECT_GE(dissemination_time, 0) << "seed " << seed;
+    EXPECT_LE(dissemination_time, group.max_dissemination) << "seed " << seed;
+    EXPECT_LT(net.messages / member_seconds, 6);
   }
 }
 INSTANTIATE_TEST_SUITE_P(Sizes, MembershipAtSize,
-                         ::testing::Values(Row{10, 0, 10000, 60000, 0}, Row{100, 0, 10000, 90000, 0},
-                                           Row{300, 0, 10000, 90000, 0}, Row{100, 0.1, 10000, 200000, 0}));
+                         ::testing::Values(GroupCase{10, 0, 10000, 60000, 0},
+                                           GroupCase{100, 0, 10000, 90000, 0},
+                                           GroupCase{300, 0, 10000, 90000, 0},
+                                           GroupCase{100, 0.1, 10000, 200000, 0}));
 
+// During a partition each half declares the other half dead and removes it, so the halves find each other
+// again only through the seed addresses.
 TEST(Membership, PartitionedHalvesMergeAgain) {
   SimulatedNetwork net(40);
-  ASSERT_GE(net.Settle(60000), 0);
-  net.cut = [](int i) { return i < 20; };
-  net.Run(200000);  // each half has declared the other dead and forgotten it
-  EXPECT_EQ(net.all[0]->alive_count(), 20u);
-  EXPECT_EQ(net.all[39]->alive_count(), 20u);
-  net.cut = nullptr;
-  const Millis healed = net.Settle(120000);
-  std::printf("40 members agree %.1f s after a cut of 200 s was healed\n", healed / 1000);
-  EXPECT_GE(healed, 0);
+  ASSERT_GE(net.RunUntilConverged(60000), 0);
+  net.partition_side = [](int member) { return member < 20; };
+  net.Run(200000);  // until each half has declared the other dead and removed it
+  EXPECT_EQ(net.nodes[0]->alive_count(), 20u);
+  EXPECT_EQ(net.nodes[39]->alive_count(), 20u);
+  net.partition_side = nullptr;
+  const Millis merge_time = net.RunUntilConverged(120000);
+  std::printf("40 members converged %.1f s after the end of a partition of 200 s\n", merge_time / 1000);
+  EXPECT_GE(merge_time, 0);
 }
 
-// A member that was paused resumes with old updates and suspects no other for it.
-TEST(Membership, APausedMemberSuspectsNoOther) {
+// A resumed member finds that all its timeouts have elapsed, and would suspect others for messages that it
+// missed.
+TEST(Membership, PausedMemberDoesNotSuspectOthers) {
   SimulatedNetwork net(30);
-  ASSERT_GE(net.Settle(60000), 0);
+  ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.changes.clear();
-  net.stopped[7] = true;
+  net.paused[7] = true;
   net.Run(20000);
-  net.stopped[7] = false;
+  net.paused[7] = false;
   net.Run(60000);
-  EXPECT_TRUE(net.Agreed());
-  for (const auto& t : net.changes) {
-    EXPECT_FALSE(t.change.status >= MemberStatus::kSuspect && t.change.name != "n7")
-        << "n" << t.by << " considered " << t.change.name << " for ill at " << t.at;
+  EXPECT_TRUE(net.HasConverged());
+  for (const auto& reported : net.changes) {
+    EXPECT_FALSE(reported.change.status >= MemberStatus::kSuspect && reported.change.name != "n7")
+        << "n" << reported.reporter << " suspected " << reported.change.name << " at " << reported.time;
   }
 }
 
-// A member whose link loses most datagrams may be suspected; its own suspicions kill no other.
-TEST(Membership, AMemberWithABadLinkDeclaresNoOtherDead) {
+// A member whose link loses most datagrams may be suspected, but must not cause other members to be declared
+// dead.
+TEST(Membership, MemberWithLossyLinkDoesNotKillOthers) {
   SimulatedNetwork net(30);
-  ASSERT_GE(net.Settle(60000), 0);
+  ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.changes.clear();
-  for (int round = 0; round < 1200; ++round) {  // open a fifth of the time
-    net.cut = round % 5 == 0 ? std::function<bool(int)>() : [](int i) { return i == 3; };
+  for (int round = 0; round < 1200; ++round) {  // the link works for a fifth of the time
+    net.partition_side = round % 5 == 0 ? std::function<bool(int)>() : [](int member) { return member == 3; };
     net.Run(100);
   }
-  net.cut = nullptr;
-  for (const auto& t : net.changes) {
-    EXPECT_FALSE(t.change.status == MemberStatus::kDead && t.change.name != "n3" && t.by != 3)
-        << "n" << t.by << " considered " << t.change.name << " for dead at " << t.at;
+  net.partition_side = nullptr;
+  for (const auto& reported : net.changes) {
+    EXPECT_FALSE(reported.change.status == MemberStatus::kDead && reported.change.name != "n3" &&
+                 reported.reporter != 3)
+        << "n" << reported.reporter << " declared " << reported.change.name << " dead at " << reported.time;
   }
-  EXPECT_GE(net.Settle(120000), 0);
+  EXPECT_GE(net.RunUntilConverged(120000), 0);
 }
 
-// A restarted process under an old name, also where its clock is behind that of the old one.
-TEST(Membership, ARestartGetsAHigherIncarnation) {
-  for (const std::uint64_t started : {2000, 500}) {
+// A restarted process must replace the old one with the same name, even if its clock is behind the old one's.
+TEST(Membership, RestartedMemberGetsAHigherIncarnation) {
+  for (const std::uint64_t process_start : {2000, 500}) {
     SimulatedNetwork net(10);
-    ASSERT_GE(net.Settle(60000), 0);
-    const Incarnation old = net.all[0]->members().at("n4").incarnation;
-    net.Start(4, started);
+    ASSERT_GE(net.RunUntilConverged(60000), 0);
+    const Incarnation old_incarnation = net.nodes[0]->members().at("n4").incarnation;
+    net.Start(4, process_start);
     net.Run(30000);
-    EXPECT_TRUE(net.Agreed());
-    EXPECT_GT(net.all[0]->members().at("n4").incarnation, old) << started;
-    EXPECT_EQ(net.all[0]->members().at("n4").incarnation, net.all[4]->self().incarnation);
+    EXPECT_TRUE(net.HasConverged());
+    EXPECT_GT(net.nodes[0]->members().at("n4").incarnation, old_incarnation) << process_start;
+    EXPECT_EQ(net.nodes[0]->members().at("n4").incarnation, net.nodes[4]->self().incarnation);
   }
 }
 
-TEST(Membership, ALeavingMemberIsNotSuspected) {
+// Without its announcement, a member that shuts down would first be suspected and then declared dead.
+TEST(Membership, LeavingMemberIsNotSuspected) {
   SimulatedNetwork net(20);
-  ASSERT_GE(net.Settle(60000), 0);
+  ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.changes.clear();
   ProtocolOutput out;
-  net.all[9]->Leave(out);
-  net.Deliver(9, out);
+  net.nodes[9]->Leave(out);
+  net.HandleOutput(9, out);
   net.Run(100);
-  net.up[9] = false;
-  EXPECT_GE(net.Settle(20000), 0);
-  for (const auto& t : net.changes) EXPECT_EQ(t.change.status, MemberStatus::kLeft) << t.change.name;
+  net.running[9] = false;
+  EXPECT_GE(net.RunUntilConverged(20000), 0);
+  for (const auto& reported : net.changes) {
+    EXPECT_EQ(reported.change.status, MemberStatus::kLeft) << reported.change.name;
+  }
 }
 
-TEST(Membership, DropsMalformedDatagramsAndToleratesRepetition) {
+// Truncated datagrams and datagrams of a newer version must not change the state; duplicates must do no harm.
+TEST(Membership, DropsMalformedDatagramsAndToleratesDuplicates) {
   SimulatedNetwork net(3);
-  ASSERT_GE(net.Settle(60000), 0);
-  Membership& one = *net.all[1];
+  ASSERT_GE(net.RunUntilConverged(60000), 0);
+  Membership& receiver = *net.nodes[1];
   ProtocolOutput out;
-  net.all[0]->Tick(net.now + 5000, out);
-  net.all[0]->Tick(net.now + 5900, out);
+  net.nodes[0]->Tick(net.now + 5000, out);
+  net.nodes[0]->Tick(net.now + 5900, out);
   ASSERT_FALSE(out.datagrams.empty());
   const std::string bytes = out.datagrams.front().bytes;
   ProtocolOutput ignored;
-  const std::string before = one.State();
+  const std::string state_before = receiver.State();
   for (std::size_t size = 0; size < bytes.size(); ++size) {
-    std::string future = bytes;
-    future[0] = 2;
-    one.Receive(net.now, SimulatedNetwork::At(0), future, ignored);
-    std::string hurt = bytes.substr(0, size);
-    one.Receive(net.now, SimulatedNetwork::At(0), hurt, ignored);
+    std::string newer_version = bytes;
+    newer_version[0] = 2;
+    receiver.Receive(net.now, SimulatedNetwork::AddressOf(0), newer_version, ignored);
+    std::string truncated = bytes.substr(0, size);
+    receiver.Receive(net.now, SimulatedNetwork::AddressOf(0), truncated, ignored);
+  }
+  EXPECT_GE(receiver.malformed(), bytes.size());
+  EXPECT_EQ(receiver.State(), state_before);
+  for (int i = 0; i < 100; ++i) {
+    receiver.Receive(net.now, SimulatedNetwork::AddressOf(0), bytes, ignored);
   }
-  EXPECT_GE(one.malformed(), bytes.size());
-  EXPECT_EQ(one.State(), before);
-  for (int i = 0; i < 100; ++i) one.Receive(net.now, SimulatedNetwork::At(0), bytes, ignored);
-  EXPECT_EQ(one.alive_count(), 3u);
-  EXPECT_FALSE(one.MergeState(net.now, one.State() + "x", ignored));
+  EXPECT_EQ(receiver.alive_count(), 3u);
+  EXPECT_FALSE(receiver.MergeState(net.now, receiver.State() + "x", ignored));
   EXPECT_THROW(Membership({}, "", {}, 1, 1), std::invalid_argument);
 }
 
-// States of one update each, of few members, incarnations and suspectors, so that they concern the same ones.
+// Generates states with one update each. Draws from few members, incarnations and suspectors, so that the
+// updates affect the same members.
 rc::Gen<std::vector<std::string>> AnyStates() {
   return rc::gen::container<std::vector<std::string>>(rc::gen::apply(
-      [](int name, int incarnation, int status, int accuser, int port) {
+      [](int name, int incarnation, int status, int suspector, int port) {
         std::string bytes(1, 1);
-        const std::string who = "m" + std::to_string(name), by = "a" + std::to_string(accuser);
-        const auto put = [&](std::uint64_t value, int size) {
+        const std::string member_name = "m" + std::to_string(name);
+        const std::string suspector_name = "a" + std::to_string(suspector);
+        const auto put_number = [&](std::uint64_t value, int size) {
           for (int i = 0; i < size; ++i) bytes.push_back(static_cast<char>(value >> (8 * i)));
         };
-        put(static_cast<std::uint64_t>(status), 1);
-        put(who.size(), 1);
-        bytes += who;
-        put(0x0a000001, 4);
-        put(static_cast<std::uint64_t>(port), 2);
-        put(static_cast<std::uint64_t>(incarnation), 8);
-        put(status == 1 ? by.size() : 0, 1);
-        if (status == 1) bytes += by;
+        put_number(static_cast<std::uint64_t>(status), 1);
+        put_number(member_name.size(), 1);
+        bytes += member_name;
+        put_number(0x0a000001, 4);
+        put_number(static_cast<std::uint64_t>(port), 2);
+        put_number(static_cast<std::uint64_t>(incarnation), 8);
+        put_number(status == 1 ? suspector_name.size() : 0, 1);
+        if (status == 1) bytes += suspector_name;
         return bytes;
       },
       rc::gen::inRange(0, 3), rc::gen::inRange(1, 4), rc::gen::inRange(0, 4), rc::gen::inRange(0, 7),
@@ -311,24 +347,25 @@
 }
 
 std::string MergeAll(const std::vector<std::string>& states) {
-  Membership one({}, "self", {1, 1}, 1, 1);
+  Membership membership({}, "self", {1, 1}, 1, 1);
   ProtocolOutput out;
-  for (const std::string& state : states) RC_ASSERT(one.MergeState(0, state, out));
-  return one.State();
+  for (const std::string& state : states) RC_ASSERT(membership.MergeState(0, state, out));
+  return membership.State();
 }
 
-// Merging is commutative, associative and idempotent.
-RC_GTEST_PROP(Membership, MergesTheSameInAnyOrder, ()) {
+// Merging must be commutative, associative and idempotent; otherwise members that receive the same updates in
+// different orders would never agree.
+RC_GTEST_PROP(Membership, MergeDoesNotDependOnOrder, ()) {
   const auto states = *AnyStates();
   auto shuffled = states;
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
   std::shuffle(shuffled.begin(), shuffled.end(), random);
-  const std::string once = MergeAll(states);
-  RC_ASSERT(MergeAll(shuffled) == once);
+  const std::string merged = MergeAll(states);
+  RC_ASSERT(MergeAll(shuffled) == merged);
   shuffled.insert(shuffled.end(), states.begin(), states.end());
-  RC_ASSERT(MergeAll(shuffled) == once);
-  const auto half = states.begin() + static_cast<std::ptrdiff_t>(states.size() / 2);
-  RC_ASSERT(MergeAll({MergeAll({states.begin(), half}), MergeAll({half, states.end()})}) == once);
+  RC_ASSERT(MergeAll(shuffled) == merged);
+  const auto middle = states.begin() + static_cast<std::ptrdiff_t>(states.size() / 2);
+  RC_ASSERT(MergeAll({MergeAll({states.begin(), middle}), MergeAll({middle, states.end()})}) == merged);
 }
 
 }  // namespace
