--- a/src/registry/admission.hpp
+++ b/src/registry/admission.hpp
@@ -1,5 +1,5 @@
-// Admission control of the registry service: connections of clients and operators, and the rate of full
-// lists.
+// Admission control of the registry service. Limits the connections of clients and operators, and the rate of
+// full lists.
 #ifndef GATEWAY_REGISTRY_ADMISSION_HPP_
 #define GATEWAY_REGISTRY_ADMISSION_HPP_
 
@@ -14,32 +14,33 @@
 class Session;
 
 struct AdmissionLimits {
-  std::size_t clients = 0;           // sessions that read the list or renew leases
-  std::size_t operators = 0;         // sessions beyond these, for all other calls
-  double full_lists_per_second = 0;  // also the burst that is admitted
+  std::size_t clients = 0;           // maximum sessions that read the list or renew leases
+  std::size_t operators = 0;         // additional sessions for all other calls
+  double full_lists_per_second = 0;  // also the maximum burst
 };
 
-// No I/O and no clock: times are of the caller's monotonic clock. Not thread-safe.
+// Does no I/O and reads no clock: times are those of the caller's monotonic clock. Not thread-safe.
 class Admission {
  public:
   explicit Admission(AdmissionLimits limits);
 
-  // Whether `connections` may be open at once, the new one included.
+  // Returns whether `connections`, including the new one, may be open at once.
   bool AdmitsConnections(std::size_t connections) const {
     return connections <= limits_.clients + limits_.operators;
   }
-  // Counts the session as a client until Release(). Returns false, and does not, if there are too many.
+  // Counts the session as a client until Release(). Returns false without counting it if the limit is
+  // reached.
   bool AdmitClient(const Session& session);
   void Release(const Session& session) { clients_.erase(&session); }
 
-  // Takes one full list out of the token bucket. Returns false if it is empty.
+  // Takes the token for one full list from the token bucket. Returns false if the bucket is empty.
   bool AdmitFullList();
-  // Adds the tokens for the time since the last call.
+  // Adds the tokens for the time since the previous call.
   void Refill(base::Millis now);
 
   void CountRejected() { ++rejected_; }
-  // Counts a rejected request, and returns the seconds after which the client may retry. Successive clients
-  // are spread over 1 to 4 s.
+  // Counts a rejected request and returns the number of seconds after which the client may retry. The retries
+  // of successive clients are spread over 1 to 4 s.
   int RejectWithRetryAfter();
   std::uint64_t rejected() const { return rejected_; }
 
@@ -47,7 +48,7 @@
   const AdmissionLimits limits_;
   std::unordered_set<const Session*> clients_;
   double full_list_tokens_;
-  base::Millis refilled_at_ = 0;  // 0: never
+  base::Millis refilled_at_ = 0;  // 0 before the first refill
   std::uint64_t rejected_ = 0;
 };
 
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr Millis kCallTimeout = 2000;
-constexpr Millis kInitialBackoff = 200;  // doubles with each failed call, up to the renewal interval
+constexpr Millis kInitialBackoff = 200;  // doubles after each failed call, up to the renewal interval
 constexpr int kMaxBackoffDoublings = 10;
 constexpr double kRenewalsPerLease = 3;
 constexpr unsigned kServiceUnavailable = 503;
@@ -69,7 +69,7 @@
   ScheduleAct(0);
 }
 
-// If no service answers until the lease has expired, the agent ends without a removal.
+// If no service responds before the lease has expired, the agent finishes without removing the member.
 void Agent::OnDrainGraceOver() {
   state_.OnDrainGraceOver();
   stop_timer_.expires_after(TimerDuration(options_.member.lease_duration + 2 * kCallTimeout));
@@ -85,7 +85,7 @@
   if (was_healthy == state_.healthy()) return;
   base::Log(was_healthy ? Level::kWarning : Level::kInfo, "member", "health",
             fmt::format("member {}: {}", options_.member.id,
-                        was_healthy ? "does not answer; it is not renewed" : "answers"));
+                        was_healthy ? "does not answer; its lease is not renewed" : "answers"));
   if (!was_healthy) ScheduleAct(0);
 }
 
@@ -100,9 +100,9 @@
   if (call_pending_ || finished_) return;
   if (state_.done()) return Finish(kExitDone);
   if (state_.replaced()) {
-    base::Log(
-        Level::kError, "member", "replaced",
-        fmt::format("member {}: another process has taken this id, or it was removed", options_.member.id));
+    base::Log(Level::kError, "member", "replaced",
+              fmt::format("member {}: another process registered with this id, or the member was removed",
+                          options_.member.id));
     return Finish(kExitReplaced);
   }
   const AgentAction action = state_.next();
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -1,5 +1,5 @@
-// Keeps one server listed: registers it, renews its lease while it is healthy, and drains and removes it at
-// the end.
+// Agent that keeps one server in the list: registers it, renews its lease while it is healthy, and drains and
+// removes it at shutdown.
 #ifndef GATEWAY_REGISTRY_AGENT_HPP_
 #define GATEWAY_REGISTRY_AGENT_HPP_
 
@@ -17,14 +17,15 @@
 
 namespace gateway::registry {
 
-// In the thread of the io_context. Must outlive its operations, which end when the io_context is stopped.
+// Must be used in the thread of the io_context. Must outlive its operations, which end when the io_context
+// stops.
 class Agent {
  public:
-  // Begins with a health check. `io` must outlive it. `on_finished` is called once, with an exit code: 0
-  // after Stop(), 1 where another process has taken the member's id.
+  // Starts with a health check. `io` must outlive the agent. `on_finished` is called once with an exit code:
+  // 0 after Stop(), 1 if another process has registered with the member's id or the member was removed.
   Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> on_finished);
 
-  // Drains the member, and removes it after the drain grace.
+  // Drains the member, and removes it after the drain grace period.
   void Stop();
 
  private:
@@ -46,9 +47,9 @@
   HealthChecker health_checker_;
   boost::asio::steady_timer action_timer_;
   boost::asio::steady_timer stop_timer_;
-  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null: none
+  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null if there is none
   std::size_t service_index_ = 0;
-  int failed_calls_ = 0;  // in a row
+  int failed_calls_ = 0;  // consecutive
   bool call_pending_ = false;
   bool finished_ = false;
 };
--- a/src/registry/agent_options.cpp
+++ b/src/registry/agent_options.cpp
@@ -54,7 +54,7 @@
   for (const std::string& text : table.TextList("services")) {
     options.services.push_back(ParseAddress(table, "services", text));
   }
-  if (options.services.empty()) table.Fail("services", "needs at least one");
+  if (options.services.empty()) table.Fail("services", "must contain at least one address");
   options.drain_grace = table.Seconds("grace_s", options.drain_grace, base::kNotNegative);
   auto member = table.Table("member");
   if (!member) table.Fail("member", "is missing");
--- a/src/registry/agent_options.hpp
+++ b/src/registry/agent_options.hpp
@@ -1,4 +1,4 @@
-// Options of a member's agent, and their TOML form.
+// Options of a member's agent, read from a TOML file.
 #ifndef GATEWAY_REGISTRY_AGENT_OPTIONS_HPP_
 #define GATEWAY_REGISTRY_AGENT_OPTIONS_HPP_
 
@@ -13,21 +13,20 @@
 
 struct HealthCheckOptions {
   boost::asio::ip::tcp::endpoint address;  // of the member
-  std::string path;                        // must respond with 200; empty: a connection is enough
+  std::string path;                        // must respond with 200; if empty, a connection suffices
   base::Millis interval = 1000;
   base::Millis timeout = 1000;
-  int failure_threshold = 3;  // failures in a row after which the member is unhealthy
+  int failure_threshold = 3;  // consecutive failures after which the member is unhealthy
 };
 
 struct AgentOptions {
-  std::vector<boost::asio::ip::tcp::endpoint> services;  // in the order in which they are tried
-  Member member;                                         // with a lease duration above 0
+  std::vector<boost::asio::ip::tcp::endpoint> services;  // tried in this order
+  Member member;                                         // its lease duration is positive
   HealthCheckOptions health_check;
-  base::Millis drain_grace = 5000;  // from the drain to the removal
+  base::Millis drain_grace = 5000;  // time between drain and removal
 };
 
-// Reads the options from a TOML file. Throws base::ConfigError. Leaves the member's incarnation to the
-// caller.
+// Reads the options from a TOML file. Throws base::ConfigError. The caller must set the member's incarnation.
 AgentOptions ReadAgentOptions(const std::string& path);
 
 }  // namespace gateway::registry
--- a/src/registry/agent_state.hpp
+++ b/src/registry/agent_state.hpp
@@ -1,4 +1,4 @@
-// Decides what a member's agent asks of the registry next.
+// State machine that determines the next call of a member's agent to the registry.
 #ifndef GATEWAY_REGISTRY_AGENT_STATE_HPP_
 #define GATEWAY_REGISTRY_AGENT_STATE_HPP_
 
@@ -8,26 +8,28 @@
 
 enum class AgentAction { kRegister, kRenew, kDrain, kRemove, kNone };
 
-// Registers the member while it is healthy, renews its lease, and drains and removes it after Stop(). No I/O
-// and no clock. Not thread-safe.
+// Registers the member and renews its lease while it is healthy, and drains and removes it after Stop(). Does
+// no I/O and reads no clock. Not thread-safe.
 class AgentState {
  public:
   AgentAction next() const;
 
-  // The registry's result of an action.
+  // Handles the registry's result of an action.
   void OnResult(AgentAction action, ErrorCode code);
-  // A health check. The member becomes unhealthy after `failure_threshold` failures in a row.
+  // Handles the result of a health check. The member is unhealthy after `failure_threshold` consecutive
+  // failures.
   void OnHealthCheck(bool passed, int failure_threshold);
   void Stop() { stopping_ = true; }
-  // The time from the drain to the removal is over.
+  // Called when the time between drain and removal has elapsed.
   void OnDrainGraceOver() { drain_grace_over_ = true; }
 
   bool listed() const { return listed_; }
   bool drained() const { return drained_; }
   bool healthy() const { return healthy_; }
-  // Whether another process has taken the member's id, or operators have removed it.
+  // Returns whether another process has registered with the member's id, or operators have removed the
+  // member.
   bool replaced() const { return replaced_; }
-  // Whether nothing is left to do after Stop().
+  // Returns whether all work after Stop() is complete.
   bool done() const { return removed_ || (stopping_ && !listed_); }
 
  private:
@@ -40,7 +42,7 @@
   bool drain_grace_over_ = false;
   bool healthy_ = false;
   bool replaced_ = false;
-  int failed_checks_ = 0;  // in a row
+  int failed_checks_ = 0;  // consecutive
 };
 
 }  // namespace gateway::registry
--- a/src/registry/byte_codec.hpp
+++ b/src/registry/byte_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes numbers and strings into bytes, and decodes them: little-endian numbers, strings with a length of
-// four bytes before them.
+// Encodes and decodes numbers and strings. Numbers are little-endian; a string is preceded by its length in
+// four bytes.
 #ifndef GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 #define GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 
@@ -24,14 +24,14 @@
     WriteUnsigned(text.size(), kStringLengthBytes);
     bytes_ += text;
   }
-  // Returns all that was written. The writer must not be used afterwards.
+  // Returns all bytes written. The writer must not be used afterwards.
   std::string Take() { return std::move(bytes_); }
 
  private:
   std::string bytes_;
 };
 
-// A read past the end returns zero or an empty string, and ok() is false from then on.
+// A read past the end returns zero or an empty string and makes ok() return false from then on.
 class ByteReader {
  public:
   // `bytes` must outlive the reader.
@@ -60,7 +60,7 @@
     return text;
   }
   bool ok() const { return ok_; }
-  // Whether all bytes were read, and none past the end.
+  // Returns whether all bytes were read and no read went past the end.
   bool done() const { return ok_ && remaining_.empty(); }
 
  private:
--- a/src/registry/call_handler.cpp
+++ b/src/registry/call_handler.cpp
@@ -32,13 +32,13 @@
     case RenewalResult::kRenewed:
     case RenewalResult::kRecovered: return CommandResult::Unchanged(catalog_.catalog().revision());
     case RenewalResult::kStaleIncarnation:
-      return CommandResult::Failed(
-          {ErrorCode::kStaleIncarnation, "incarnation", "the lease is of another process of this member"});
+      return CommandResult::Failed({ErrorCode::kStaleIncarnation, "incarnation",
+                                    "the lease belongs to another process of this member"});
     case RenewalResult::kUnknownMember:
     case RenewalResult::kExpiring: break;
   }
   return CommandResult::Failed(
-      {ErrorCode::kUnknownMember, "id", "no lease of '" + renewal.id + "'; it has to register"});
+      {ErrorCode::kUnknownMember, "id", "member '" + renewal.id + "' has no lease and must register"});
 }
 
 }  // namespace gateway::registry
--- a/src/registry/call_handler.hpp
+++ b/src/registry/call_handler.hpp
@@ -1,4 +1,4 @@
-// Serves the calls of members and operators: renewals, and commands that change the list.
+// Handles the calls of members and operators: lease renewals and commands that change the list.
 #ifndef GATEWAY_REGISTRY_CALL_HANDLER_HPP_
 #define GATEWAY_REGISTRY_CALL_HANDLER_HPP_
 
@@ -13,17 +13,19 @@
 
 namespace gateway::registry {
 
-// In the thread of the sessions' io_context.
+// Must be used in the thread of the sessions' io_context.
 class CallHandler {
  public:
-  // `catalog` and `leases` must outlive it. Members that register without a lease duration get the default.
+  // `catalog` and `leases` must outlive the handler. Members that register without a lease duration get the
+  // default.
   CallHandler(DurableCatalog& catalog, LeaseMonitor& leases, base::Millis default_lease_duration)
       : catalog_(catalog), leases_(leases), default_lease_duration_(default_lease_duration) {}
 
-  // POST /registry/CALL. Responds at once to a renewal or an error, else when the command is durable.
+  // Handles POST /registry/CALL. Responds at once to a renewal or an invalid call, otherwise when the command
+  // is durable.
   void Handle(const std::shared_ptr<Session>& session, std::string_view call, const std::string& body);
 
-  // Renewals received since the start.
+  // Returns the number of renewals received since the start.
   std::uint64_t renewals() const { return renewals_; }
 
  private:
--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -11,35 +11,37 @@
   return CommandResult::Failed({code, std::move(field), std::move(message)});
 }
 
-// The precondition of the command that the member does not meet.
+// Returns an error if the member does not meet a precondition of the command.
 std::optional<Error> CheckPreconditions(const Command& command, const Member& listed) {
   if (command.if_incarnation && *command.if_incarnation != listed.incarnation) {
     return Error(ErrorCode::kStaleIncarnation, "if_incarnation",
-                 "the member's process is of " + std::to_string(listed.incarnation));
+                 "the listed process has incarnation " + std::to_string(listed.incarnation));
   }
   if (command.if_revision && listed.revision > *command.if_revision) {
     return Error(ErrorCode::kChangedSince, "if_revision",
-                 "the member has changed at revision " + std::to_string(listed.revision));
+                 "the member changed at revision " + std::to_string(listed.revision));
   }
   return std::nullopt;
 }
 
-// Whether a process may register whose member was removed before.
+// Returns an error if a process must not register because its member was removed before.
 std::optional<Error> CheckReturn(const Member& member, const Member& removed) {
-  // A delayed request of a process that was removed, or that another process has replaced.
+  // A delayed request from a process that was removed or replaced by a later process.
   if (member.incarnation < removed.incarnation) {
     return Error(ErrorCode::kStaleIncarnation, "incarnation",
-                 "a process of " + std::to_string(removed.incarnation) + " was listed after this one");
+                 "a later process with incarnation " + std::to_string(removed.incarnation) + " was listed");
   }
-  // An explicit removal is final for a process. With an unstated start (0) it may be another process.
+  // An explicit removal is final for a process. If the incarnation is not stated (0), this may be another
+  // process.
   const bool same_process = member.incarnation == removed.incarnation && member.incarnation != 0;
   if (same_process && !removed.expired) {
-    return Error(ErrorCode::kRemoved, "incarnation", "this process was removed; a new one may register");
+    return Error(ErrorCode::kRemoved, "incarnation",
+                 "this process was removed; only a new process may register");
   }
   return std::nullopt;
 }
 
-// Identifies what a request does, for requests with an idempotency key.
+// Returns a text that identifies the action and member of a request with an idempotency key.
 std::string RequestOf(const Command& command) {
   return std::to_string(static_cast<int>(command.action)) + " " + command.member.id;
 }
@@ -52,7 +54,7 @@
   member.expired = false;
 }
 
-// The member's state after a command other than kRegister.
+// Returns the member's state after a command other than kRegister.
 Member Changed(Member member, const Command& command) {
   switch (command.action) {
     case Action::kDrain: (command.by_operator ? member.drained_by_operator : member.draining) = true; break;
@@ -88,7 +90,7 @@
   if (key.empty()) return Execute(command);
   if (const IdempotencyTable::Entry* const executed = results_.Find(key)) {
     if (executed->request != RequestOf(command)) {
-      return Failed(ErrorCode::kKeyReused, "key", "this key was used for another request");
+      return Failed(ErrorCode::kKeyReused, "key", "the idempotency key was already used for another request");
     }
     return CommandResult::Unchanged(executed->revision);
   }
@@ -101,7 +103,7 @@
   if (command.action == Action::kRegister) return Register(command);
   const Member* const listed = Find(command.member.id);
   if (listed == nullptr) {
-    return Failed(ErrorCode::kUnknownMember, "id", "no member '" + command.member.id + "' is listed");
+    return Failed(ErrorCode::kUnknownMember, "id", "member '" + command.member.id + "' is not listed");
   }
   if (auto error = CheckPreconditions(command, *listed)) return CommandResult::Failed(*std::move(error));
   Member member = Changed(*listed, command);
@@ -129,13 +131,13 @@
 CommandResult Catalog::RegisterListed(const Command& command, Member member, const Member& listed) {
   if (member.incarnation < listed.incarnation) {
     return Failed(ErrorCode::kStaleIncarnation, "incarnation",
-                  "the listed process is of " + std::to_string(listed.incarnation));
+                  "the listed process has the later incarnation " + std::to_string(listed.incarnation));
   }
   if (auto error = CheckPreconditions(command, listed)) return CommandResult::Failed(*std::move(error));
   const bool same_process = member.incarnation == listed.incarnation;
   if (same_process && member.address != listed.address) {
     return Failed(ErrorCode::kAddressConflict, "address",
-                  "a process of the same start is listed at " + listed.address);
+                  "a process with the same incarnation is listed at " + listed.address);
   }
   member.drained_by_operator = listed.drained_by_operator;
   member.draining = same_process && listed.draining;
@@ -144,7 +146,7 @@
   return Commit(std::move(member));
 }
 
-// Makes a new revision of the list with this state of the member.
+// Creates a new revision of the list that contains this state of the member.
 CommandResult Catalog::Commit(Member member) {
   member.revision = ++revision_;
   history_.push_back(member);
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -1,6 +1,7 @@
-// The list itself, as a deterministic state machine: commands in, revisions out. The same commands in the
-// same order give the same catalog on every machine, so a command is applied only once it is durable. No I/O,
-// no clock and no randomness. docs/design/registry.md has the reasons.
+// The list of members as a deterministic state machine: applies commands and produces revisions. The same
+// commands in the same order produce the same catalog on every machine, so a command is applied only once it
+// is durable. Does no I/O and uses neither a clock nor randomness. See docs/design/registry.md for the
+// rationale.
 #ifndef GATEWAY_REGISTRY_CATALOG_HPP_
 #define GATEWAY_REGISTRY_CATALOG_HPP_
 
@@ -19,46 +20,46 @@
 
 namespace gateway::registry {
 
-// How much of the past is retained.
+// Limits of the retained history.
 struct RetentionLimits {
-  std::size_t changes = 100000;          // revisions from which a watch can continue
-  std::size_t idempotency_keys = 10000;  // requests whose result is known
+  std::size_t changes = 100000;          // changes from whose revisions a watch can continue
+  std::size_t idempotency_keys = 10000;  // requests whose result is retained
 };
 
 // Not thread-safe.
 class Catalog {
  public:
-  // `epoch` identifies this history for ever; `initial_revision` is the revision before its first change. A
-  // service that lost its state begins a new epoch, with an initial revision above all that the lost one can
-  // have reached.
+  // `epoch` identifies this history permanently; `initial_revision` is the revision before its first change.
+  // A service that lost its state starts a new epoch, with an initial revision above any that the lost epoch
+  // can have reached.
   Catalog(std::string epoch, Revision initial_revision, RetentionLimits limits = {});
 
-  // Applies the command. Every accepted change makes exactly one new revision; a failed command makes none.
+  // Applies the command. Every accepted change creates exactly one revision; a failed command creates none.
   CommandResult Apply(const Command& command);
 
   const std::string& epoch() const { return epoch_; }
   Revision revision() const { return revision_; }
-  // Oldest revision from which ChangedSince() has an answer: older ones are compacted.
+  // Returns the oldest revision that ChangedSince() supports; older ones are compacted.
   Revision oldest() const { return history_.empty() ? revision_ : history_.front().revision - 1; }
-  // Whether ChangedSince() has an answer for this revision.
+  // Returns whether ChangedSince() supports this revision.
   bool HasHistorySince(Revision after) const { return after >= oldest() && after <= revision_; }
-  // Revision of the last removal by operators; 0: none. Gateways accept a list that lost many members only if
-  // a removal by operators explains it.
+  // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept a list
+  // that lost many members only if a removal by operators explains it.
   Revision last_operator_removal() const { return last_operator_removal_; }
   const std::map<std::string, Member>& members() const { return members_; }
-  // Returns null if no such member is listed. Valid until the next Apply().
+  // Returns null if the member is not listed. The pointer is valid until the next Apply().
   const Member* Find(const std::string& id) const;
 
-  // The delta from a revision: the newest state of each member that changed after it, removed members
-  // included, in the order of these changes. Returns nothing if the revision is compacted or in the future.
-  // Valid until the next Apply().
+  // Returns the delta from a revision: the newest state of each member that changed after it, including
+  // removed members, in the order of these changes. Returns std::nullopt if the revision is compacted or in
+  // the future. The pointers are valid until the next Apply().
   std::optional<std::vector<const Member*>> ChangedSince(Revision after) const;
-  // The member's state after each retained change, oldest first.
+  // Returns the state of the changed member after each retained change, oldest first.
   const std::deque<Member>& history() const { return history_; }
 
-  // The whole state in binary form.
+  // Returns the complete state in binary form.
   std::string Snapshot() const;
-  // Returns nothing, and the reason in `error`, if the bytes are no complete snapshot.
+  // Returns std::nullopt, and sets `error`, if the bytes are not a complete snapshot.
   static std::optional<Catalog> FromSnapshot(std::string_view bytes, RetentionLimits limits,
                                              std::string& error);
 
@@ -75,8 +76,8 @@
   Revision last_operator_removal_ = 0;
   RetentionLimits limits_;
   std::map<std::string, Member> members_;            // ordered, so that snapshots are reproducible
-  std::deque<Member> history_;                       // as they were after each change
-  std::unordered_map<std::string, Member> removed_;  // those whose removal is in the history
+  std::deque<Member> history_;                       // state of the changed member after each change
+  std::unordered_map<std::string, Member> removed_;  // removed members whose removal is in the history
   IdempotencyTable results_;
 };
 
--- a/src/registry/catalog_snapshot.cpp
+++ b/src/registry/catalog_snapshot.cpp
@@ -1,4 +1,4 @@
-// Binary form of a whole catalog.
+// Encodes and decodes the binary snapshot of a catalog.
 #include <utility>
 
 #include "registry/catalog.hpp"
@@ -34,23 +34,23 @@
   if (!catalog.ReadHistory(reader, error)) return std::nullopt;
   catalog.results_.ReadFrom(reader);
   if (!reader.done()) {
-    error = "it is cut short or too long";
+    error = "the snapshot is truncated or has trailing bytes";
     return std::nullopt;
   }
   if (!catalog.history_.empty() && catalog.history_.back().revision != catalog.revision_) {
-    error = "its history ends at another revision";
+    error = "the history does not end at the revision of the snapshot";
     return std::nullopt;
   }
   return catalog;
 }
 
-// Returns false, and the reason in `error`, if revisions are missing.
+// Returns false, and sets `error`, if revisions are missing.
 bool Catalog::ReadHistory(ByteReader& reader, std::string& error) {
   Revision last = 0;
   for (std::uint64_t remaining = reader.ReadUnsigned(); remaining > 0 && reader.ok(); --remaining) {
     Member member = ReadMember(reader);
     if (last != 0 && member.revision != last + 1) {
-      error = "revisions are missing in its history";
+      error = "the history is missing revisions";
       return false;
     }
     last = member.revision;
--- a/src/registry/command.hpp
+++ b/src/registry/command.hpp
@@ -11,14 +11,14 @@
 
 namespace gateway::registry {
 
-// The values are written to the log: they never change.
+// The values are written to the log and must never change.
 enum class Action : std::uint8_t {
-  kRegister = 0,  // a new member, a new incarnation of a listed one, or new properties of it
+  kRegister = 0,  // adds a member, or updates the incarnation or the properties of a listed member
   kDrain = 1,
   kUndrain = 2,  // ends a drain by operators
   kRemove = 3,
   kSetSize = 4,
-  // Proposed by the service itself, when a lease expires or is renewed.
+  // Proposed by the service itself when a lease expires or is renewed again.
   kSuspect = 5,
   kRecover = 6,
   kExpire = 7
@@ -26,19 +26,20 @@
 
 struct Command {
   Action action = Action::kRegister;
-  // Identifies the request: a repetition gets the result of the first execution. Empty: none.
+  // Identifies the request, so that a repetition gets the result of the first execution. Empty if there is no
+  // key.
   std::string idempotency_key;
-  bool by_operator = false;  // else by the member's own process
+  bool by_operator = false;  // otherwise by the member's own process
   Member member;             // `id` for all actions, `size` for kSetSize, all properties for kRegister
-  // Preconditions. The command fails where the member changed after this revision, or where its process is
-  // another one.
+  // Preconditions. The command fails if the member changed after this revision, or if its process has another
+  // incarnation.
   std::optional<Revision> if_revision;
   std::optional<Incarnation> if_incarnation;
 
   bool operator==(const Command&) const = default;
 };
 
-// A member's request to extend its lease.
+// Request of a member to extend its lease.
 struct RenewalRequest {
   std::string id;
   Incarnation incarnation = 0;
@@ -50,14 +51,14 @@
   kUnknownMember,
   kUnknownCall,
   kStaleIncarnation,  // a later process of this member is known
-  kAddressConflict,   // a process of the same start is listed at another address
-  kRemoved,           // this very process was removed explicitly
+  kAddressConflict,   // a process with the same incarnation is listed at another address
+  kRemoved,           // this process was removed explicitly
   kChangedSince,      // the member changed after `if_revision`
   kKeyReused,         // the idempotency key was used for another request
   kOverloaded,        // nothing was written; the caller may retry later
   kStorageFailed,     // the write may or may not be durable; the caller may retry with the same key
-  kUnreadable,        // for clients: the response has no known form
-  kOther              // for clients: the service sent a code that this program does not know
+  kUnreadable,        // for clients: the response cannot be decoded
+  kOther              // for clients: the service sent an unknown code
 };
 
 struct Error {
@@ -65,15 +66,15 @@
       : code(error_code), field(std::move(error_field)), message(std::move(error_message)) {}
 
   ErrorCode code;
-  std::string field;  // of the request that is at fault; empty: none
+  std::string field;  // invalid field of the request; empty if there is none
   std::string message;
-  std::string other_code;  // the code as received, for kOther
+  std::string other_code;  // for kOther: the code as received
 };
 
-// Result of a command: an error, or the revision that holds the result.
+// Result of a command: an error, or the revision that contains its effect.
 struct CommandResult {
   std::optional<Error> error;
-  Revision revision = 0;  // made by the command, or the newest where nothing had to change
+  Revision revision = 0;  // created by the command, or the newest if nothing had to change
   bool changed = false;
 
   bool ok() const { return !error.has_value(); }
--- a/src/registry/commit_notifier.hpp
+++ b/src/registry/commit_notifier.hpp
@@ -1,4 +1,5 @@
-// Hands the results of batches from the log writer's thread to the thread of an io_context, over an eventfd.
+// Passes the results of batches from the log writer's thread to the thread of an io_context through an
+// eventfd.
 #ifndef GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
 #define GATEWAY_REGISTRY_COMMIT_NOTIFIER_HPP_
 
@@ -13,19 +14,19 @@
 
 namespace gateway::registry {
 
-// Holds one result at a time: the next batch is written only after the last result was received.
+// Holds one result at a time: the next batch is written only after the previous result was received.
 class CommitNotifier {
  public:
   using Result = LogWriter::BatchResult;
 
-  // `io` must outlive it.
+  // `io` must outlive the notifier.
   explicit CommitNotifier(boost::asio::io_context& io);
 
-  // In the log writer's thread.
+  // Passes a result. Called in the log writer's thread.
   void Notify(Result result);
-  // Blocks until a result is there. Only before Listen().
+  // Blocks until a result is available. Must not be called after Listen().
   Result Wait();
-  // Calls `handler` in the thread of the io_context with each result from now on.
+  // Calls `handler` with each further result in the thread of the io_context.
   void Listen(std::function<void(Result)> handler);
 
  private:
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -48,8 +48,8 @@
 
 // ---- Recovery -------------------------------------------------------------------------------------
 
-// Runs at the start, and after the storage failed: then commands that were rejected may be found in the log,
-// and are applied.
+// Runs at the start and after a storage failure. In the latter case the log may contain commands that were
+// reported as failed; they are applied.
 void DurableCatalog::Recover() {
   storage::Examination found;
   if (const storage::Status status = log_writer_.Open(found); !status.ok()) {
@@ -68,12 +68,12 @@
 void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
   std::string error;
   if (snapshot.version > kSnapshotVersion) {
-    error = "of a newer program";
+    error = "it was written by a newer program";
   } else {
     catalog_ = Catalog::FromSnapshot(snapshot.payload, options_.retention, error);
   }
   if (!catalog_) {
-    throw std::runtime_error(options_.state_folder + ": a snapshot that can't be read: " + error);
+    throw std::runtime_error(options_.state_folder + ": cannot read the snapshot: " + error);
   }
   applied_ = snapshot.sequence;
 }
@@ -87,7 +87,7 @@
     const auto command = readable ? DecodeCommand(record.payload) : std::nullopt;
     if (!command) {
       throw std::runtime_error(
-          fmt::format("{}: record {} can't be read", options_.state_folder, record.sequence));
+          fmt::format("{}: cannot decode record {}", options_.state_folder, record.sequence));
     }
     applied_ = record.sequence;
     catalog_->Apply(*command);
@@ -99,13 +99,14 @@
 void DurableCatalog::LogRecovery(std::size_t replayed, Millis duration) const {
   base::Log(
       Level::kInfo, "registry", "recovered",
-      fmt::format("registry: epoch {}, revision {}, {} members, {} changes known, {} records behind the "
-                  "snapshot, in {:.0f} ms",
-                  catalog_->epoch(), catalog_->revision(), catalog_->members().size(),
-                  catalog_->history().size(), replayed, duration));
+      fmt::format(
+          "registry: recovered epoch {}, revision {}, {} members, {} retained changes, {} records after "
+          "the snapshot, in {:.0f} ms",
+          catalog_->epoch(), catalog_->revision(), catalog_->members().size(), catalog_->history().size(),
+          replayed, duration));
 }
 
-// The epoch must be durable before any client sees it.
+// Makes the epoch durable before any client can see it.
 void DurableCatalog::WriteFirstSnapshot() {
   LogWriter::Batch batch;
   batch.snapshot = catalog_->Snapshot();
@@ -120,14 +121,14 @@
   Proposal proposal{std::move(command), std::move(handler)};
   if (!storage_error_.empty()) return Reject(proposal, StorageError());
   if (queued_.size() >= kMaxQueuedCommands) {
-    return Reject(proposal, {ErrorCode::kOverloaded, "", "too many writes wait for the disk"});
+    return Reject(proposal, {ErrorCode::kOverloaded, "", "the queue of writes is full"});
   }
   queued_.push_back(std::move(proposal));
   WriteNextBatch();
 }
 
-// One batch is written at a time; commands that arrive meanwhile form the next one. So all that was written
-// before is applied when a snapshot is taken.
+// Writes one batch at a time; commands that arrive meanwhile form the next batch. All earlier commands are
+// therefore applied when a snapshot is taken.
 void DurableCatalog::WriteNextBatch() {
   if (!being_written_.empty() || queued_.empty() || !storage_error_.empty()) return;
   being_written_ = std::exchange(queued_, {});
@@ -140,7 +141,8 @@
 void DurableCatalog::OnBatchWritten(const LogWriter::BatchResult& result) {
   const std::vector<Proposal> batch = std::exchange(being_written_, {});
   if (!result.status.ok()) {
-    const Error error(ErrorCode::kStorageFailed, "", "it may or may not be kept: " + result.status.Text());
+    const Error error(ErrorCode::kStorageFailed, "",
+                      "the write may or may not be durable: " + result.status.Text());
     for (const Proposal& proposal : batch) Reject(proposal, error);
     return OnStorageFailed(result.status);
   }
@@ -169,16 +171,16 @@
 }
 
 Error DurableCatalog::StorageError() const {
-  return {ErrorCode::kStorageFailed, "", "nothing can be kept now: " + storage_error_};
+  return {ErrorCode::kStorageFailed, "", "storage is unavailable: " + storage_error_};
 }
 
-// ---- Failures of the storage ----------------------------------------------------------------------
+// ---- Storage failures -----------------------------------------------------------------------------
 
 void DurableCatalog::OnStorageFailed(const storage::Status& status) {
   storage_error_ = status.Text();
-  base::Log(
-      Level::kError, "registry", "storage_failed",
-      "registry: " + storage_error_ + "; lists and watches go on, writes are refused, tried again every 2 s");
+  base::Log(Level::kError, "registry", "storage_failed",
+            "registry: " + storage_error_ +
+                "; lists and watches are still served, writes are rejected; reopening the storage every 2 s");
   for (const Proposal& proposal : std::exchange(queued_, {})) Reject(proposal, StorageError());
   ScheduleReopen();
 }
@@ -190,7 +192,7 @@
   });
 }
 
-// Reads the whole folder. The store writes the last segment again before it relies on it.
+// Recovers from the folder again. The store rewrites the last segment before it relies on it.
 void DurableCatalog::Reopen() {
   const Revision before = catalog_->revision();
   try {
@@ -201,7 +203,7 @@
   }
   storage_error_.clear();
   observer_.OnReopened(catalog_->ChangedSince(before).value_or(std::vector<const Member*>()));
-  base::Log(Level::kInfo, "registry", "storage_back", "registry: the disk takes writes again");
+  base::Log(Level::kInfo, "registry", "storage_back", "registry: storage accepts writes again");
   if (catalog_->revision() != before) observer_.OnNewRevision();
 }
 
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -1,6 +1,6 @@
-// The catalog over a write-ahead log: proposed commands are written in batches (group commit), and applied
-// and answered once they are durable. While the storage fails, commands are rejected and the folder is opened
-// again at intervals.
+// Catalog with a write-ahead log: writes proposed commands in batches (group commit), and applies and answers
+// them once they are durable. While the storage fails, commands are rejected and the store is reopened
+// periodically.
 #ifndef GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 #define GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 
@@ -25,35 +25,38 @@
 class CatalogObserver {
  public:
   virtual ~CatalogObserver() = default;
-  // The command is durable and was applied; the proposer is answered next.
+  // Called when the command is durable and applied, before its proposer gets the result.
   virtual void OnApplied(const Command& command, const CommandResult& result) = 0;
-  // The command was not applied; the proposer is answered next.
+  // Called when the command was not applied, before its proposer gets the error.
   virtual void OnRejected(const Command& command) = 0;
-  // The storage accepts writes again. These members changed by records that were found in it.
+  // Called when the storage accepts writes again. `changed` holds the members changed by records that were
+  // recovered from it.
   virtual void OnReopened(const std::vector<const Member*>& changed) = 0;
-  // All commands of a batch are applied and answered, and the revision has risen.
+  // Called after all commands of a batch were applied and answered, if the revision increased.
   virtual void OnNewRevision() = 0;
 };
 
-// In the thread of the io_context, except for the log writer's own thread.
+// Must be used in the thread of the io_context. The log writer has a thread of its own.
 class DurableCatalog {
  public:
   using ResultHandler = std::function<void(const CommandResult&)>;
 
-  // Recovers from the folder. Throws std::runtime_error if it can't be opened or read. `io`, `files` and
-  // `observer` must outlive it; the observer is not called before the constructor has returned.
+  // Recovers the catalog from the folder. Throws std::runtime_error if it cannot be opened or read. `io`,
+  // `files` and `observer` must outlive this object. The observer is not called before the constructor has
+  // returned.
   DurableCatalog(boost::asio::io_context& io, storage::FileSystem& files, const ServiceOptions& options,
                  CatalogObserver& observer);
 
   const Catalog& catalog() const { return *catalog_; }
-  // Calls `handler` (may be empty): at once if the command is rejected, else when it is durable and applied.
+  // Writes and applies the command. Calls `handler`, which may be empty, at once if the command is rejected,
+  // otherwise when it is durable and applied.
   void Propose(Command command, ResultHandler handler);
 
-  // Why the storage accepts no writes now; empty if it does.
+  // Returns why the storage accepts no writes at present, or an empty string if it does.
   const std::string& storage_error() const { return storage_error_; }
-  // Bytes of log since the last snapshot.
+  // Returns the size of the log since the last snapshot.
   std::uint64_t log_bytes() const { return log_bytes_; }
-  // Commands and batches written since the start, and the duration of a batch in microseconds.
+  // Commands and batches written since the start, and the durations of batches in microseconds.
   std::uint64_t commands_written() const { return commands_written_; }
   std::uint64_t batches_written() const { return batches_written_; }
   const base::Histogram& commit_time_us() const { return commit_time_us_; }
@@ -82,9 +85,9 @@
   const ServiceOptions options_;
   CatalogObserver& observer_;
   std::optional<Catalog> catalog_;       // empty only during the first recovery
-  storage::Sequence applied_ = 0;        // of the last record applied
-  std::vector<Proposal> queued_;         // for the next batch
-  std::vector<Proposal> being_written_;  // with the log writer now
+  storage::Sequence applied_ = 0;        // last applied record
+  std::vector<Proposal> queued_;         // commands of the next batch
+  std::vector<Proposal> being_written_;  // commands of the batch that the log writer is writing
   std::string storage_error_;
   std::uint64_t log_bytes_ = 0;
   std::uint64_t commands_written_ = 0;
@@ -92,7 +95,7 @@
   base::Histogram commit_time_us_;
   boost::asio::steady_timer reopen_timer_;
   CommitNotifier notifier_;
-  LogWriter log_writer_;  // last: its thread ends before the notifier that it uses
+  LogWriter log_writer_;  // last member, so that its thread ends before the notifier is destroyed
 };
 
 }  // namespace gateway::registry
--- a/src/registry/health_checker.hpp
+++ b/src/registry/health_checker.hpp
@@ -1,4 +1,4 @@
-// Checks at intervals whether a server answers, by an HTTP request or by a connection.
+// Checks periodically whether a server is healthy, with an HTTP request or a connection.
 #ifndef GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 #define GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 
@@ -13,16 +13,17 @@
 
 namespace gateway::registry {
 
-// In the thread of the io_context. Must outlive its operations, which end when the io_context is stopped.
+// Must be used in the thread of the io_context. Must outlive its operations, which end when the io_context
+// stops.
 class HealthChecker {
  public:
-  // `io` must outlive it. `on_result` gets the result of each check.
+  // `io` must outlive the checker. `on_result` receives the result of each check.
   HealthChecker(boost::asio::io_context& io, HealthCheckOptions options,
                 std::function<void(bool passed)> on_result);
 
-  // Makes the first check at once.
+  // Starts the first check at once.
   void Start() { Check(); }
-  // Cancels the next check. A check that is under way still ends, and schedules another one.
+  // Cancels the next check. A check in progress still completes and schedules another one.
   void Stop() { timer_.cancel(); }
 
  private:
@@ -35,7 +36,7 @@
   boost::asio::io_context& io_;
   const HealthCheckOptions options_;
   const std::function<void(bool)> on_result_;
-  boost::asio::steady_timer timer_;  // to the next check, or until a connection times out
+  boost::asio::steady_timer timer_;  // until the next check, or until the connection attempt times out
   std::shared_ptr<base::ClientConnection> http_;
   std::shared_ptr<boost::asio::ip::tcp::socket> probe_;
 };
--- a/src/registry/http_request.cpp
+++ b/src/registry/http_request.cpp
@@ -16,7 +16,7 @@
          " HTTP/1.1\r\nHost: registry\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Returns nothing unless the whole text is a number from 0.
+// Returns std::nullopt unless the complete text is a non-negative number.
 std::optional<std::int64_t> ParseNonNegative(std::string_view text) {
   std::int64_t number = 0;
   const char* const end = text.data() + text.size();
--- a/src/registry/http_request.hpp
+++ b/src/registry/http_request.hpp
@@ -1,4 +1,4 @@
-// HTTP requests to the registry service: the text that members send, and the query of a watch.
+// HTTP requests to the registry service: encodes calls, and parses the query of a watch.
 #ifndef GATEWAY_REGISTRY_HTTP_REQUEST_HPP_
 #define GATEWAY_REGISTRY_HTTP_REQUEST_HPP_
 
@@ -10,17 +10,17 @@
 
 namespace gateway::registry {
 
-// Complete HTTP requests, with head and body.
+// Returns a complete HTTP request with headers and body.
 std::string EncodeRequest(const Command& command);
 std::string EncodeRequest(const RenewalRequest& renewal);
 
 // The query of "/discovery/hosts?after=41&wait_ms=500&epoch=e".
 struct WatchQuery {
-  std::optional<Revision> after;  // the revision that the caller has; absent: none
-  base::Millis wait = 0;          // how long to wait for a change; 60,000 ms at most
-  std::string epoch;              // of `after`; empty: not stated
+  std::optional<Revision> after;  // the client's revision; absent if it has none
+  base::Millis wait = 0;          // maximum time to wait for a change; at most 60,000 ms
+  std::string epoch;              // epoch of `after`; empty if not stated
 };
-// Returns nothing if a number is malformed or negative. Unknown parameters are ignored.
+// Returns std::nullopt if a number is malformed or negative. Ignores unknown parameters.
 std::optional<WatchQuery> ParseWatchQuery(std::string_view target);
 
 }  // namespace gateway::registry
--- a/src/registry/http_response.hpp
+++ b/src/registry/http_response.hpp
@@ -9,28 +9,28 @@
 
 namespace gateway::registry {
 
-// Encoded response body; sessions that send the same one share it.
+// Encoded response body, shared by all sessions that send it.
 using Body = std::shared_ptr<const std::string>;
 
 struct Response {
   unsigned status = 200;
-  Body body;               // never null once it is sent
-  int retry_after_s = 0;   // 0: no Retry-After header
-  bool keep_alive = true;  // false: the connection is closed after it
+  Body body;               // must not be null when the response is sent
+  int retry_after_s = 0;   // 0 for no Retry-After header
+  bool keep_alive = true;  // if false, the connection is closed after the response
   const char* content_type = "application/json";
 };
 
 unsigned HttpStatus(ErrorCode code);
 
 Response ResultResponse(const CommandResult& result);
-// The status is that of the error's code, or the given one.
+// The status is derived from the error's code unless it is given.
 Response ErrorResponse(const Error& error);
 Response ErrorResponse(const Error& error, unsigned status);
-// Responses of status 200.
+// Responses with status 200.
 Response BodyResponse(Body body);
 Response TextResponse(std::string text, const char* content_type = "application/json");
 
-// Status line and headers, with the empty line that ends them.
+// Returns the status line and the headers, including the empty line after them.
 std::string EncodeResponseHead(const Response& response, bool keep_alive);
 
 }  // namespace gateway::registry
--- a/src/registry/idempotency_table.hpp
+++ b/src/registry/idempotency_table.hpp
@@ -1,4 +1,5 @@
-// Results of executed requests by idempotency key, so that a repeated request is not executed again.
+// Table of the results of executed requests by idempotency key, so that a repeated request is not executed
+// again.
 #ifndef GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
 #define GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
 
@@ -12,23 +13,23 @@
 
 namespace gateway::registry {
 
-// Holds the newest `capacity` keys; the oldest is dropped first.
+// Retains the newest `capacity` keys and drops the oldest first.
 class IdempotencyTable {
  public:
   struct Entry {
-    std::string request;  // action and member, to recognise a key that is used for another request
+    std::string request;  // action and member, to detect a key that is reused for another request
     Revision revision = 0;
   };
 
   explicit IdempotencyTable(std::size_t capacity) : capacity_(capacity) {}
 
-  // Returns null if the key is not known. Valid until the next Insert().
+  // Returns null if the key is unknown. The pointer is valid until the next Insert().
   const Entry* Find(const std::string& key) const;
-  // `key` must not be known yet.
+  // Adds an entry. The table must not contain `key` yet.
   void Insert(const std::string& key, Entry entry);
 
   void WriteTo(ByteWriter& writer) const;
-  // Adds all entries that WriteTo() wrote. Stops where the reader fails.
+  // Adds all entries that WriteTo() wrote. Stops if the reader fails.
   void ReadFrom(ByteReader& reader);
 
  private:
--- a/src/registry/json_fields.cpp
+++ b/src/registry/json_fields.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-constexpr double kMaxInteger = 9e15;  // a double holds all integers up to this
+constexpr double kMaxInteger = 9e15;  // a double represents all integers up to this value exactly
 constexpr unsigned char kDelete = 127;
 
 bool IsAbsent(const json& object, const std::string& field) {
@@ -17,12 +17,12 @@
 bool IsControlCharacter(unsigned char byte) { return byte < ' ' || byte == kDelete; }
 
 std::string CheckedText(const json& value, const std::string& field, bool required) {
-  if (!value.is_string()) throw FieldError(field, "must be a text");
+  if (!value.is_string()) throw FieldError(field, "must be a string");
   std::string text = value;
   if (required && text.empty()) throw FieldError(field, "must not be empty");
   if (text.size() > kMaxTextBytes) throw FieldError(field, "is longer than 256 bytes");
   if (std::ranges::any_of(text, IsControlCharacter)) {
-    throw FieldError(field, "must hold no control characters");
+    throw FieldError(field, "must not contain control characters");
   }
   return text;
 }
--- a/src/registry/json_fields.hpp
+++ b/src/registry/json_fields.hpp
@@ -1,4 +1,4 @@
-// Reads checked fields of a JSON object.
+// Reads and validates the fields of a JSON object.
 #ifndef GATEWAY_REGISTRY_JSON_FIELDS_HPP_
 #define GATEWAY_REGISTRY_JSON_FIELDS_HPP_
 
@@ -14,25 +14,25 @@
 
 inline constexpr std::size_t kMaxTextBytes = 256;
 
-// A field that is missing or has a wrong value; what() says what is wrong with it.
+// Reports a missing or invalid field. what() describes the problem without the name of the field.
 class FieldError : public std::runtime_error {
  public:
   FieldError(std::string field, const std::string& message)
       : std::runtime_error(message), field_(std::move(field)) {}
-  // Empty: not about one field.
+  // Returns the name of the field, or an empty string if the error does not concern a single field.
   const std::string& field() const { return field_; }
-  // Field and message in one sentence.
+  // Returns the field and the message in one sentence.
   std::string Sentence() const { return field_.empty() ? what() : "'" + field_ + "' " + what(); }
 
  private:
   std::string field_;
 };
 
-// All of these throw FieldError. A field that is null counts as absent.
+// The following functions throw FieldError. They treat a field that is null as absent.
 
-// Returns an empty text if the field is absent.
+// Returns an empty string if the field is absent.
 std::string ReadText(const nlohmann::json& object, const std::string& field);
-// The field must be there and not empty.
+// Requires that the field is present and not empty.
 std::string ReadRequiredText(const nlohmann::json& object, const std::string& field);
 
 struct NumberRange {
@@ -41,7 +41,7 @@
 };
 double ReadNumber(const nlohmann::json& object, const std::string& field, double default_value,
                   NumberRange range);
-// A number from 0; fractions are cut off.
+// Reads a non-negative number and truncates fractions. Returns std::nullopt if the field is absent.
 std::optional<std::int64_t> ReadInteger(const nlohmann::json& object, const std::string& field);
 
 }  // namespace gateway::registry
--- a/src/registry/lease_monitor.cpp
+++ b/src/registry/lease_monitor.cpp
@@ -24,9 +24,9 @@
 
 const char* LeaseEventText(Action action) {
   switch (action) {
-    case Action::kSuspect: return "is suspect: its lease lapsed";
-    case Action::kExpire: return "is removed: its lease lapsed";
-    default: return "renews again";
+    case Action::kSuspect: return "is suspect because its lease expired";
+    case Action::kExpire: return "was removed because its lease expired";
+    default: return "has renewed its lease again";
   }
 }
 
@@ -63,7 +63,7 @@
   for (Command& command : leases_.Tick(now)) catalog_.Propose(std::move(command), {});
   if (leases_.pauses() != pauses) {
     base::Log(Level::kWarning, "registry", "was_away",
-              "registry: was stopped or starved; all leases begin anew");
+              "registry: the process was suspended or starved of CPU; all leases were extended");
   }
   LogPreservedZones();
 }
@@ -73,7 +73,7 @@
   const Catalog& catalog = catalog_.catalog();
   if (const Member* const member = catalog.Find(command.member.id)) {
     leases_.OnMemberChanged(*member, MonotonicNow());
-  } else if (result.changed) {  // removed: its last state is the newest change
+  } else if (result.changed) {  // removed: the newest change is its last state
     leases_.OnMemberChanged(catalog.history().back(), MonotonicNow());
   }
   if (result.changed && IsLeaseEvent(command.action)) LogLeaseEvent(command, result.revision);
@@ -89,12 +89,12 @@
     zones.insert(active.zone);
     if (logged_zones_.contains(active.zone)) continue;
     base::Log(Level::kWarning, "registry", "hold",
-              fmt::format("registry: removals held {}: {} of {} leases lapsed together",
+              fmt::format("registry: removals suspended {}: {} of {} leases expired within a short time",
                           ZoneText(active.zone), active.leases.lapsed, active.leases.total));
   }
   for (const std::string& zone : logged_zones_) {
     if (zones.contains(zone)) continue;
-    base::Log(Level::kInfo, "registry", "hold_ended", "registry: removals go on " + ZoneText(zone));
+    base::Log(Level::kInfo, "registry", "hold_ended", "registry: removals resumed " + ZoneText(zone));
   }
   logged_zones_ = std::move(zones);
 }
--- a/src/registry/lease_monitor.hpp
+++ b/src/registry/lease_monitor.hpp
@@ -1,4 +1,4 @@
-// Keeps the lease table in step with the catalog, proposes what it asks for, and logs it.
+// Keeps the lease table consistent with the catalog, proposes its commands, and logs lease events.
 #ifndef GATEWAY_REGISTRY_LEASE_MONITOR_HPP_
 #define GATEWAY_REGISTRY_LEASE_MONITOR_HPP_
 
@@ -12,18 +12,18 @@
 
 namespace gateway::registry {
 
-// In the thread of the service's io_context.
+// Must be used in the thread of the service's io_context.
 class LeaseMonitor {
  public:
-  // `catalog` must outlive it; its members get their leases now.
+  // Creates leases for all members of the catalog. `catalog` must outlive the monitor.
   LeaseMonitor(DurableCatalog& catalog, LeaseOptions options);
 
-  // Extends a lease. Proposes kRecover if the member was suspect.
+  // Extends a lease, and proposes kRecover if the member was suspect.
   RenewalResult Renew(const RenewalRequest& renewal);
-  // Suspects and removes members whose leases have lapsed. To be called every few hundred ms.
+  // Proposes to suspect and to remove members whose leases have expired. Must be called every few hundred ms.
   void Tick(base::Millis now);
 
-  // What became of a command; see CatalogObserver.
+  // Handle the outcome of commands; see CatalogObserver.
   void OnApplied(const Command& command, const CommandResult& result);
   void OnRejected(const Command& command) { leases_.OnProposalFailed(command); }
   void OnReopened(const std::vector<const Member*>& changed);
@@ -36,7 +36,7 @@
 
   DurableCatalog& catalog_;
   LeaseTable leases_;
-  std::set<std::string> logged_zones_;  // zones that were last logged as preserved
+  std::set<std::string> logged_zones_;  // zones last logged as preserved
 };
 
 }  // namespace gateway::registry
--- a/src/registry/lease_table.cpp
+++ b/src/registry/lease_table.cpp
@@ -49,7 +49,7 @@
 std::vector<Command> LeaseTable::Tick(Millis now) {
   if (DetectPause(now)) ExtendAll(now);
   const SelfPreservation::Decision decision = self_preservation_.Decide(CountLeases(now), now);
-  // The members return one after another: those that are still lapsed get a full lease to do so.
+  // Members resume their renewals one after another, so those that have not yet done so get a full lease.
   for (const std::string& zone : decision.ended) ExtendLapsed(zone, now);
   std::vector<Command> proposals;
   if (decision.suspended.contains(kAllZones)) return proposals;
@@ -59,7 +59,8 @@
   return proposals;
 }
 
-// Whether this service was stopped or starved since the last tick: renewals may have been missed.
+// Returns whether this service was suspended or starved of CPU since the last tick and may have missed
+// renewals.
 bool LeaseTable::DetectPause(Millis now) {
   const bool paused = last_tick_ >= 0 && now - last_tick_ > options_.max_tick_interval;
   last_tick_ = now;
--- a/src/registry/lease_table.hpp
+++ b/src/registry/lease_table.hpp
@@ -1,4 +1,4 @@
-// The members' leases: who has stopped renewing, and when a member is removed for it.
+// Leases of the members: determines which members stopped renewing, and when they are suspected and removed.
 #ifndef GATEWAY_REGISTRY_LEASE_TABLE_HPP_
 #define GATEWAY_REGISTRY_LEASE_TABLE_HPP_
 
@@ -13,42 +13,43 @@
 namespace gateway::registry {
 
 struct LeaseOptions {
-  base::Millis default_duration = 10000;  // for members that state none
-  base::Millis removal_grace = 5000;      // from suspect to removed
-  // A longer time between two ticks means that this service was stopped or starved.
+  base::Millis default_duration = 10000;  // for members that do not state a duration
+  base::Millis removal_grace = 5000;      // time from suspicion to removal
+  // A longer time between two ticks means that this service was suspended or starved of CPU.
   base::Millis max_tick_interval = 1000;
   SelfPreservationOptions self_preservation;
 };
 
 enum class RenewalResult {
   kRenewed,
-  kRecovered,         // the member was suspect: kRecover is to be proposed
-  kUnknownMember,     // there is no lease of this member
-  kStaleIncarnation,  // the lease is of another process of this member
-  kExpiring           // the removal was proposed: the member has to register again
+  kRecovered,         // the member was suspect; the caller must propose kRecover
+  kUnknownMember,     // the member has no lease
+  kStaleIncarnation,  // the lease belongs to another process of this member
+  kExpiring           // the removal was proposed; the member must register again
 };
 
-// Leases are in memory only; after a restart every lease begins anew. No I/O and no clock: times are of the
-// caller's monotonic clock. Not thread-safe.
+// Leases exist only in memory; after a restart every lease starts with its full duration. Does no I/O and
+// reads no clock: times are those of the caller's monotonic clock. Not thread-safe.
 class LeaseTable {
  public:
   explicit LeaseTable(LeaseOptions options)
       : options_(options), self_preservation_(options.self_preservation) {}
 
-  // To be called with each member that the catalog holds at the start, and with each change that it applied.
+  // Must be called with each member of the catalog at the start, and with each change that the catalog
+  // applied.
   void OnMemberChanged(const Member& member, base::Millis now);
   RenewalResult Renew(const std::string& id, Incarnation incarnation, base::Millis now);
 
-  // Returns the commands to propose now: kSuspect and kExpire. To be called every few hundred ms.
+  // Returns the kSuspect and kExpire commands to propose. Must be called every few hundred ms.
   std::vector<Command> Tick(base::Millis now);
-  // To be called if a proposed command was not applied: a later tick proposes it again.
+  // Must be called if a proposed command was not applied, so that a later tick proposes it again.
   void OnProposalFailed(const Command& command);
 
-  // Zones in which removals are suspended.
+  // Returns the zones in which removals are suspended.
   std::vector<SelfPreservation::ActiveZone> preserved_zones() const { return self_preservation_.active(); }
   std::size_t size() const { return leases_.size(); }
   std::size_t CountLapsed(base::Millis now) const;
-  // Number of times that this service was stopped or starved.
+  // Returns how often this service was suspended or starved of CPU.
   int pauses() const { return pauses_; }
 
  private:
@@ -73,7 +74,7 @@
   const LeaseOptions options_;
   SelfPreservation self_preservation_;
   std::map<std::string, Lease> leases_;  // by member id
-  base::Millis last_tick_ = -1;          // negative: none
+  base::Millis last_tick_ = -1;          // negative before the first tick
   int pauses_ = 0;
 };
 
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -8,7 +8,7 @@
 namespace gateway::registry {
 namespace {
 
-// A delta of more changes than there are members, and this many, is longer than the full list.
+// A delta is taken to be longer than the full list if its changes outnumber the members by more than this.
 constexpr std::size_t kMaxChangesBeyondMembers = 64;
 constexpr std::size_t kMaxCachedDeltas = 64;
 
--- a/src/registry/list_cache.hpp
+++ b/src/registry/list_cache.hpp
@@ -1,4 +1,5 @@
-// Encoded lists of the newest revision: each is encoded once and shared by all clients that need it.
+// Cache of encoded lists of the newest revision. Each list is encoded once and shared by all clients that
+// need it.
 #ifndef GATEWAY_REGISTRY_LIST_CACHE_HPP_
 #define GATEWAY_REGISTRY_LIST_CACHE_HPP_
 
@@ -14,25 +15,25 @@
 // Not thread-safe.
 class ListCache {
  public:
-  // `catalog` must outlive it.
+  // `catalog` must outlive the cache.
   explicit ListCache(const Catalog& catalog) : catalog_(catalog) {}
 
-  // The delta from a revision, or the full list where that is shorter or the revision is compacted.
+  // Returns the delta from a revision, or the full list if it is shorter or if the revision is compacted.
   Body DeltaSince(Revision after);
   Body FullList();
-  // To be called after each new revision.
+  // Must be called after each new revision.
   void Clear();
-  // Bounds the memory between two revisions. To be called now and then.
+  // Limits the memory used between two revisions. Must be called periodically.
   void Trim();
-  // Number of bodies encoded so far.
+  // Returns the number of bodies encoded so far.
   std::uint64_t encoded() const { return encoded_; }
 
  private:
   Body Encode(bool complete, const std::vector<const Member*>& members) const;
 
   const Catalog& catalog_;
-  std::map<Revision, Body> deltas_;  // by the revision that the client has
-  Body full_list_;                   // null until it is needed
+  std::map<Revision, Body> deltas_;  // by the client's revision
+  Body full_list_;                   // null until first requested
   std::uint64_t encoded_ = 0;
 };
 
--- a/src/registry/list_handler.cpp
+++ b/src/registry/list_handler.cpp
@@ -17,7 +17,7 @@
   const auto query = ParseWatchQuery(target);
   if (!query) {
     return session->Respond(
-        ErrorResponse({ErrorCode::kBadRequest, "", "'after' and 'wait_ms' must be whole numbers"}));
+        ErrorResponse({ErrorCode::kBadRequest, "", "'after' and 'wait_ms' must be non-negative integers"}));
   }
   const bool same_epoch = query->epoch.empty() || query->epoch == catalog_.epoch();
   if (!query->after || !same_epoch || !catalog_.HasHistorySince(*query->after)) return SendFullList(session);
@@ -29,8 +29,7 @@
 
 void ListHandler::SendFullList(const std::shared_ptr<Session>& session) {
   if (!admission_.AdmitFullList()) {
-    Response response =
-        ErrorResponse({ErrorCode::kOverloaded, "", "too many ask for the whole list at once"});
+    Response response = ErrorResponse({ErrorCode::kOverloaded, "", "too many requests for the full list"});
     response.retry_after_s = admission_.RejectWithRetryAfter();
     return session->Respond(std::move(response));
   }
@@ -45,7 +44,8 @@
 void ListHandler::HandleHistory(const std::shared_ptr<Session>& session, std::string_view target) const {
   const auto query = ParseWatchQuery(target);
   if (!query) {
-    return session->Respond(ErrorResponse({ErrorCode::kBadRequest, "", "'after' must be a whole number"}));
+    return session->Respond(
+        ErrorResponse({ErrorCode::kBadRequest, "", "'after' must be a non-negative integer"}));
   }
   const Revision after = query->after.value_or(catalog_.oldest());
   std::vector<const Member*> changes;
--- a/src/registry/list_handler.hpp
+++ b/src/registry/list_handler.hpp
@@ -1,4 +1,4 @@
-// Serves the list: in full, as a delta, as a watch, and its history.
+// Serves the full list, deltas, watches, and the history of the list.
 #ifndef GATEWAY_REGISTRY_LIST_HANDLER_HPP_
 #define GATEWAY_REGISTRY_LIST_HANDLER_HPP_
 
@@ -15,28 +15,28 @@
 
 namespace gateway::registry {
 
-// In the thread of the sessions' io_context.
+// Must be used in the thread of the sessions' io_context.
 class ListHandler {
  public:
-  // `catalog` and `admission` must outlive it.
+  // `catalog` and `admission` must outlive the handler.
   ListHandler(const Catalog& catalog, Admission& admission)
       : catalog_(catalog), admission_(admission), lists_(catalog), watches_(lists_) {}
 
-  // GET /discovery/hosts: the full list, a delta, or a watch. `target` holds the query.
+  // Handles GET /discovery/hosts: the full list, a delta, or a watch. `target` contains the query.
   void HandleList(const std::shared_ptr<Session>& session, std::string_view target);
-  // GET /registry/members: the full list, without admission control.
+  // Handles GET /registry/members: the full list, without admission control.
   void HandleMembers(const std::shared_ptr<Session>& session);
-  // GET /registry/history: the retained changes, or those after a revision.
+  // Handles GET /registry/history: all retained changes, or those after a revision.
   void HandleHistory(const std::shared_ptr<Session>& session, std::string_view target) const;
 
-  // Answers all watches. To be called after each new revision.
+  // Responds to all watches. Must be called after each new revision.
   void OnNewRevision();
   void OnSessionClosed(const std::shared_ptr<Session>& session) { watches_.Remove(session); }
-  // Bounds the memory of cached lists. To be called now and then.
+  // Limits the memory of cached lists. Must be called periodically.
   void TrimCache() { lists_.Trim(); }
 
   std::size_t watches() const { return watches_.size(); }
-  // Full lists that gateways were sent, and bodies encoded, since the start.
+  // Full lists sent to gateways, and bodies encoded, since the start.
   std::uint64_t full_lists() const { return full_lists_; }
   std::uint64_t encoded_bodies() const { return lists_.encoded(); }
 
--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -30,7 +30,7 @@
 }
 
 storage::Status LogWriter::Open(storage::Examination& found) {
-  store_.reset();  // releases its lock on the folder
+  store_.reset();  // releases the lock on the folder
   return storage::Store::Open(files_, folder_, options_, store_, found);
 }
 
@@ -58,7 +58,7 @@
 LogWriter::BatchResult LogWriter::WriteBatch(const Batch& batch) {
   BatchResult result;
   if (!store_) {
-    result.status = {{}, folder_ + ": not open"};
+    result.status = {{}, folder_ + ": the store is not open"};
     return result;
   }
   const base::Millis begun = base::MonotonicNow();
@@ -76,7 +76,7 @@
   for (const std::string& record : batch.records) {
     const storage::Sequence sequence = store_->Append(kCommandRecord, kCommandVersion, record);
     sequences.push_back(sequence);
-    if (sequence == 0) return {{}, folder_ + ": no room for a record"};
+    if (sequence == 0) return {{}, folder_ + ": the log is full or a record is too long"};
   }
   return store_->Commit();
 }
--- a/src/registry/log_writer.hpp
+++ b/src/registry/log_writer.hpp
@@ -1,5 +1,5 @@
-// Writes batches of commands to the write-ahead log in a thread of its own, with one sync for each batch
-// (group commit).
+// Writes batches of commands to the write-ahead log in its own thread, with one sync per batch (group
+// commit).
 #ifndef GATEWAY_REGISTRY_LOG_WRITER_HPP_
 #define GATEWAY_REGISTRY_LOG_WRITER_HPP_
 
@@ -20,27 +20,27 @@
 class LogWriter {
  public:
   struct Batch {
-    std::optional<std::string> snapshot;  // replaces all that was written before; the records follow it
+    std::optional<std::string> snapshot;  // replaces all earlier records; written before `records`
     std::vector<std::string> records;
   };
   struct BatchResult {
-    storage::Status status;  // after an error nothing more is written until the next Open()
+    storage::Status status;  // after an error, all writes fail until the next Open()
     std::vector<storage::Sequence> sequences;
     double duration_ms = 0;
     std::uint64_t log_bytes = 0;  // since the last snapshot
   };
 
-  // `files` must outlive it. `on_written` is called in the writer's thread, once for each batch.
+  // `files` must outlive the writer. `on_written` is called once per batch in the writer's thread.
   LogWriter(storage::FileSystem& files, std::string folder, storage::StoreOptions options,
             std::function<void(BatchResult)> on_written);
   ~LogWriter();
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
-  // Recovers in the caller's thread; only while no batch is being written. After a failure, `found` may hold
-  // records of a batch that failed.
+  // Opens and recovers the store in the caller's thread. Must not be called while a batch is being written.
+  // After a failure, `found` may contain records of a failed batch.
   storage::Status Open(storage::Examination& found);
-  // Returns at once. One batch at a time: the next one only after `on_written`.
+  // Starts to write a batch and returns at once. Must not be called again before `on_written`.
   void Write(Batch batch);
 
  private:
@@ -57,7 +57,7 @@
   std::condition_variable wake_;
   std::optional<Batch> next_;  // guarded by mutex_
   bool stopping_ = false;      // guarded by mutex_
-  std::thread thread_;         // last: it uses the members above
+  std::thread thread_;         // last member, because the thread uses the members above
 };
 
 }  // namespace gateway::registry
--- a/src/registry/member.hpp
+++ b/src/registry/member.hpp
@@ -1,4 +1,4 @@
-// A member of the list: one server process that gateways may send requests to.
+// Member of the list: a server process to which gateways may send requests.
 #ifndef GATEWAY_REGISTRY_MEMBER_HPP_
 #define GATEWAY_REGISTRY_MEMBER_HPP_
 
@@ -9,10 +9,10 @@
 
 namespace gateway::registry {
 
-// Version of the whole list. Strictly rises by one with each accepted change.
+// Version of the complete list. Each accepted change increases it by one.
 using Revision = std::int64_t;
 
-// Start of a member's process, as Unix time in ms. A higher one is a later process; 0 is an unstated start.
+// Start time of a member's process (Unix time in ms). A higher value is a later process; 0 is not stated.
 using Incarnation = std::int64_t;
 
 enum class MemberPhase { kUp, kDraining, kRemoved };
@@ -22,19 +22,19 @@
   std::string address;  // "10.1.0.18:3000"
   std::string zone;
   std::string machine_type;
-  std::string cell;     // a JSON value that gateways compare as text; empty: none
-  std::string version;  // label of the software that it runs
+  std::string cell;     // JSON value that gateways compare as text; empty if there is none
+  std::string version;  // label of the software that the process runs
   double size = 1;      // capacity relative to other members
-  // Time between a renewal and the expiry of the lease; 0: the member has no lease and is listed until it is
-  // removed explicitly.
+  // Time between a renewal and the expiry of the lease. If 0, the member has no lease and is listed until it
+  // is removed explicitly.
   base::Millis lease_duration = 0;
   Incarnation incarnation = 0;
-  bool draining = false;             // requested by the process itself; ends with the process
+  bool draining = false;             // requested by the process itself; ends when the process is replaced
   bool drained_by_operator = false;  // survives restarts of the process
-  bool suspect = false;              // the lease has expired, and the removal grace has not
+  bool suspect = false;              // the lease has expired, but the removal grace period has not
   bool removed = false;
-  bool expired = false;   // removed because the lease expired: the same process may register again
-  Revision revision = 0;  // of its last change
+  bool expired = false;   // removed because the lease expired; the same process may register again
+  Revision revision = 0;  // of the last change
 
   bool operator==(const Member&) const = default;
 
--- a/src/registry/pending_watches.hpp
+++ b/src/registry/pending_watches.hpp
@@ -11,16 +11,17 @@
 
 namespace gateway::registry {
 
-// Must outlive the open sessions that wait. In the thread of the sessions' io_context.
+// Must outlive the sessions with pending watches. Must be used in the thread of the sessions' io_context.
 class PendingWatches {
  public:
-  // `lists` must outlive it.
+  // `lists` must outlive this object.
   explicit PendingWatches(ListCache& lists) : lists_(lists) {}
 
-  // Answers the session at the next NotifyAll(), or after `wait` without a change.
+  // Responds to the session at the next NotifyAll(), or after `wait` without a change.
   void Add(const std::shared_ptr<Session>& session, Revision after, base::Millis wait);
   void Remove(const std::shared_ptr<Session>& session) { watches_.erase(session); }
-  // Answers all watches with their deltas. To be called after each new revision, with the cache cleared.
+  // Responds to all watches with their deltas. Must be called after each new revision, once the cache was
+  // cleared.
   void NotifyAll();
   std::size_t size() const { return watches_.size(); }
 
@@ -28,7 +29,7 @@
   void OnTimeout(const std::shared_ptr<Session>& session);
 
   ListCache& lists_;
-  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;  // the revision that the client has
+  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;  // with the client's revision
 };
 
 }  // namespace gateway::registry
--- a/src/registry/record_codec.cpp
+++ b/src/registry/record_codec.cpp
@@ -3,14 +3,14 @@
 namespace gateway::registry {
 namespace {
 
-// Bits of a member's flags.
+// Bits of the flags of a member.
 constexpr unsigned kDraining = 1U << 0;
 constexpr unsigned kDrainedByOperator = 1U << 1;
 constexpr unsigned kSuspect = 1U << 2;
 constexpr unsigned kRemoved = 1U << 3;
 constexpr unsigned kExpired = 1U << 4;
 
-// Bits of a command's flags.
+// Bits of the flags of a command.
 constexpr unsigned kByOperator = 1U << 0;
 constexpr unsigned kIfRevision = 1U << 1;
 constexpr unsigned kIfIncarnation = 1U << 2;
--- a/src/registry/record_codec.hpp
+++ b/src/registry/record_codec.hpp
@@ -1,4 +1,4 @@
-// Binary form of members and commands in log records and snapshots.
+// Encodes and decodes members and commands in log records and snapshots.
 #ifndef GATEWAY_REGISTRY_RECORD_CODEC_HPP_
 #define GATEWAY_REGISTRY_RECORD_CODEC_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace gateway::registry {
 
-// Versions of the binary forms, as written beside each record and snapshot.
+// Versions of the binary formats, stored with each record and snapshot.
 inline constexpr std::uint16_t kCommandVersion = 1;
 inline constexpr std::uint16_t kSnapshotVersion = 1;
 
@@ -20,7 +20,7 @@
 Member ReadMember(ByteReader& reader);
 
 std::string EncodeCommand(const Command& command);
-// Returns nothing if the bytes are no complete command.
+// Returns std::nullopt if the bytes are not a complete command.
 std::optional<Command> DecodeCommand(std::string_view bytes);
 
 }  // namespace gateway::registry
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -33,7 +33,7 @@
                                                {ErrorCode::kStorageFailed, "storage_failed"},
                                                {ErrorCode::kUnreadable, "unreadable"}}};
 
-// Names of fields in the published list, and in calls to this service.
+// Names of the same field in the published list and in calls to this service.
 struct FieldName {
   const char* published;
   const char* call;
@@ -55,10 +55,10 @@
        {Action::kRegister, Action::kDrain, Action::kUndrain, Action::kRemove, Action::kSetSize}) {
     if (call == CallName(action)) return action;
   }
-  throw FieldError("", "no such call; there are register, renew, drain, undrain, remove and size");
+  throw FieldError("", "unknown call; expected register, renew, drain, undrain, remove or size");
 }
 
-// Invalid UTF-8 is replaced.
+// Serializes the value and replaces invalid UTF-8.
 std::string Dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
 json ParseLeniently(const std::string& text) {
@@ -76,7 +76,7 @@
 
 std::string ReadCell(const json& body) {
   if (!body.contains("cell") || body["cell"].is_null()) return "";
-  if (!body["cell"].is_primitive()) throw FieldError("cell", "must be a number or a text");
+  if (!body["cell"].is_primitive()) throw FieldError("cell", "must be a number or a string");
   std::string cell = body["cell"].dump();
   if (cell.size() > kMaxTextBytes) throw FieldError("cell", "is longer than 256 bytes");
   return cell;
@@ -259,7 +259,8 @@
 
 CommandResult ParseResult(unsigned status, const std::string& body) {
   const json parsed = ParseLeniently(body);
-  const Error unreadable(ErrorCode::kUnreadable, "", "status " + std::to_string(status));
+  const Error unreadable(ErrorCode::kUnreadable, "",
+                         "unreadable response with status " + std::to_string(status));
   if (!parsed.is_object()) return CommandResult::Failed(unreadable);
   try {
     if (status != kOk) return CommandResult::Failed(ReadError(parsed.at("error")));
@@ -276,14 +277,14 @@
     return std::nullopt;
   };
   if (!parsed.is_object() || !parsed.contains("members") || !parsed["members"].is_array()) {
-    return fail("no list of members");
+    return fail("'members' must be an array");
   }
-  if (!parsed.value("complete", true)) return fail("only a part of a list");
+  if (!parsed.value("complete", true)) return fail("the list is not complete");
   PublishedList list;
   try {
     list.revision = parsed.value("revision", Revision{0});
     for (const json& entry : parsed["members"]) {
-      if (!entry.is_object()) return fail("a member that is no object");
+      if (!entry.is_object()) return fail("each member must be an object");
       list.members.push_back(ReadPublishedMember(entry));
     }
   } catch (const FieldError& field_error) {
--- a/src/registry/registry_json.hpp
+++ b/src/registry/registry_json.hpp
@@ -1,6 +1,5 @@
-// The JSON forms of the registry's HTTP interface: the published list (PROTOCOL, "Discovery"), the calls of
-// members and operators, and their results. All words of that interface are translated here; their form on
-// the wire is fixed.
+// JSON of the registry's HTTP interface: the published list (see "Discovery" in PROTOCOL), the calls of
+// members and operators, and their results. Maps all names of the interface, whose form on the wire is fixed.
 #ifndef GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 #define GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 
@@ -15,37 +14,38 @@
 
 namespace gateway::registry {
 
-// The code on the wire. Empty for kNone and kOther.
+// Returns the code as used on the wire. Empty for kNone and kOther.
 const char* ErrorCodeName(ErrorCode code);
-// The code as the service sent it, also where this program does not know it.
+// Returns the code as the service sent it, even if it is unknown to this program.
 std::string ErrorCodeName(const Error& error);
-// The last part of the call's path, such as "register". Empty for actions of the service itself.
+// Returns the last segment of the call's path, such as "register". Empty for actions of the service itself.
 const char* CallName(Action action);
 
-// One member in the published form, with the fields that this service adds. Gateways ignore fields that they
-// do not know.
+// Encodes a member as in the published list, with the additional fields of this service. Gateways ignore
+// unknown fields.
 std::string EncodeMember(const Member& member);
-// The published list. `complete`: `members` is the whole list, else a delta or a part of the history.
+// Encodes the published list. `complete` states that `members` is the full list, not a delta or part of the
+// history.
 std::string EncodeList(const Catalog& catalog, bool complete, const std::vector<const Member*>& members);
 
 using ParsedCall = std::variant<Command, RenewalRequest, Error>;
-// `call` is the last part of the path: register, renew, drain, undrain, remove or size.
+// Decodes a call. `call` is the last segment of its path: register, renew, drain, undrain, remove or size.
 ParsedCall ParseCall(std::string_view call, const std::string& body);
-// The bodies that ParseCall() reads.
+// Encode the bodies that ParseCall() decodes.
 std::string EncodeCall(const Command& command);
 std::string EncodeCall(const RenewalRequest& renewal);
 
 std::string EncodeResult(const CommandResult& result);
 std::string EncodeError(const Error& error);
-// The result that a service sent. The code is kUnreadable where the response has another form.
+// Decodes the result that a service sent. The code is kUnreadable if the response cannot be decoded.
 CommandResult ParseResult(unsigned status, const std::string& body);
 
-// A published list that is read back to restore a service that lost its state.
+// A published list, as read back to restore a service that lost its state.
 struct PublishedList {
   Revision revision = 0;
   std::vector<Member> members;
 };
-// Returns nothing, and the reason in `error`, if the text is no complete list.
+// Returns std::nullopt, and sets `error`, if the text is not a complete list.
 std::optional<PublishedList> ParseList(const std::string& text, std::string& error);
 
 }  // namespace gateway::registry
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -1,5 +1,5 @@
-// Self-preservation, as in Netflix's Eureka: where many leases expire together, the cause is likely the
-// network or this service, so no member is suspected or removed for it.
+// Self-preservation, as in Netflix's Eureka: if many leases expire at about the same time, the cause is
+// likely the network or this service, so no member is suspected or removed.
 #ifndef GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 #define GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 
@@ -14,22 +14,22 @@
 namespace gateway::registry {
 
 struct SelfPreservationOptions {
-  // Self-preservation begins where more leases than this share of a zone, or of all zones, and more than
-  // `min_lapsed` have lapsed now or were removed within the window.
+  // Self-preservation starts if the leases of a zone, or of all zones, that have expired or whose members
+  // were removed within the window exceed both this share of the leases and `min_lapsed`.
   double max_lapsed_share = 0.25;
   int min_lapsed = 3;
   base::Millis window = 60000;
-  base::Millis max_duration = 3600000;  // after that, members are removed all the same
+  base::Millis max_duration = 3600000;  // afterwards, members are removed nevertheless
 };
 
-// Stands for all zones together.
+// Represents all zones together.
 inline constexpr const char* kAllZones = "";
 
 struct LeaseCount {
   int lapsed = 0;
   int total = 0;
 };
-// By zone, with an entry for all zones together.
+// Lease counts by zone, with an additional entry for all zones together.
 class ZoneLeaseCounts {
  public:
   void Add(const std::string& zone, bool lapsed);
@@ -39,25 +39,25 @@
   std::map<std::string, LeaseCount> zones_;
 };
 
-// Decides in which zones removals are suspended. No I/O and no clock: times are of the caller's monotonic
-// clock. Not thread-safe.
+// Decides in which zones removals are suspended. Does no I/O and reads no clock: times are those of the
+// caller's monotonic clock. Not thread-safe.
 class SelfPreservation {
  public:
   struct ActiveZone {
-    std::string zone;  // kAllZones: all
+    std::string zone;  // kAllZones for all zones together
     LeaseCount leases;
     base::Millis since = 0;
   };
   struct Decision {
-    std::set<std::string> suspended;  // zones in which no member is removed now
-    std::set<std::string> ended;      // those of them in which self-preservation has just ended
+    std::set<std::string> suspended;  // zones in which no member may be removed
+    std::set<std::string> ended;      // subset of `suspended` in which self-preservation has just ended
   };
 
   explicit SelfPreservation(SelfPreservationOptions options) : options_(options) {}
 
-  // Counts a member that was removed because its lease expired.
+  // Records a member that was removed because its lease expired.
   void RecordExpiry(const std::string& zone, base::Millis now) { expiries_.push_back({now, zone}); }
-  // `leases`: those that are listed now.
+  // Updates the state of all zones. `leases` counts the leases of the listed members.
   Decision Decide(ZoneLeaseCounts leases, base::Millis now);
 
   std::vector<ActiveZone> active() const;
@@ -74,8 +74,8 @@
 
   const SelfPreservationOptions options_;
   std::map<std::string, ActiveZone> active_;
-  std::set<std::string> given_up_;  // zones in which it lasted its maximum, until fewer leases are lapsed
-  std::deque<Expiry> expiries_;     // within the window, oldest first
+  std::set<std::string> given_up_;  // zones that reached the maximum duration, until fewer leases are expired
+  std::deque<Expiry> expiries_;     // expiries within the window, oldest first
 };
 
 }  // namespace gateway::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -60,7 +60,7 @@
 void Service::Accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
-    if (error) {  // out of file descriptors: try again after the next tick
+    if (error) {  // out of file descriptors: retry after the next tick
       tick_timer_.async_wait([this](error_code) { Accept(); });
       return;
     }
@@ -72,7 +72,7 @@
 void Service::OnAccepted(tcp::socket socket) {
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
-  SessionHandler& handler = *this;  // a private base, which make_shared can't convert to
+  SessionHandler& handler = *this;  // make_shared cannot convert to a private base class
   const auto session = std::make_shared<Session>(io_, std::move(socket), handler);
   sessions_.insert(session);
   if (admission_.AdmitsConnections(sessions_.size())) return session->Start();
@@ -83,7 +83,7 @@
 }
 
 void Service::RejectClient(const SessionPtr& session) {
-  Response response = ErrorResponse({ErrorCode::kOverloaded, "", "all places for callers are taken"});
+  Response response = ErrorResponse({ErrorCode::kOverloaded, "", "too many client connections"});
   response.retry_after_s = admission_.RejectWithRetryAfter();
   response.keep_alive = false;
   session->Respond(std::move(response));
@@ -109,7 +109,7 @@
   const std::string_view target(request.target().data(), request.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path == kListPath) session->CountIn(totals_.list);
-  const bool from_client = path == kListPath || path == kRenewPath;  // all others are operators
+  const bool from_client = path == kListPath || path == kRenewPath;  // all other requests are from operators
   if (from_client && !admission_.AdmitClient(*session)) return RejectClient(session);
   if (path == kListPath) return RouteList(session, target);
   if (request.method() == http::verb::get && RouteReport(session, path, target)) return;
@@ -118,10 +118,10 @@
 
 void Service::RouteList(const SessionPtr& session, std::string_view target) {
   if (session->request().method() == http::verb::get) return list_handler_.HandleList(session, target);
-  session->Respond(ErrorResponse({ErrorCode::kBadRequest, "", "only GET"}, kMethodNotAllowed));
+  session->Respond(ErrorResponse({ErrorCode::kBadRequest, "", "only GET is supported"}, kMethodNotAllowed));
 }
 
-// Returns false if there is no report at this path.
+// Returns false if the path is not that of a report.
 bool Service::RouteReport(const SessionPtr& session, std::string_view path, std::string_view target) {
   if (path == kMetricsPath) {
     session->Respond(TextResponse(MetricsReport(View()), kMetricsType));
@@ -143,7 +143,7 @@
     return call_handler_.Handle(session, path.substr(kCallPrefix.size()), session->request().body());
   }
   const unsigned status = is_call ? kMethodNotAllowed : kNotFound;
-  session->Respond(ErrorResponse({ErrorCode::kUnknownCall, "", "no such call here"}, status));
+  session->Respond(ErrorResponse({ErrorCode::kUnknownCall, "", "no such call at this path"}, status));
 }
 
 ServiceView Service::View() const {
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -1,5 +1,5 @@
-// The registry: the project's own list service. Gateways read and watch the list, members renew their leases,
-// members and operators change it. Clients see a change only once it is durable.
+// The registry service, which publishes the endpoint list. Gateways read and watch the list, members renew
+// their leases, and members and operators change the list. Clients see a change only once it is durable.
 #ifndef GATEWAY_REGISTRY_SERVICE_HPP_
 #define GATEWAY_REGISTRY_SERVICE_HPP_
 
@@ -24,11 +24,12 @@
 
 namespace gateway::registry {
 
-// Accepts connections and routes their requests to the handlers. In the thread of the io_context, except for
-// the log writer's own thread.
+// Accepts connections and routes their requests to the handlers. Must be used in the thread of the
+// io_context. The log writer has a thread of its own.
 class Service final : private SessionHandler, private CatalogObserver {
  public:
-  // Recovers and listens. Throws std::runtime_error if either fails. `io` and `files` must outlive it.
+  // Recovers the catalog and starts to listen. Throws std::runtime_error if either fails. `io` and `files`
+  // must outlive the service.
   Service(boost::asio::io_context& io, storage::FileSystem& files, ServiceOptions options);
   ~Service() override;
   Service(const Service&) = delete;
@@ -73,7 +74,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer tick_timer_;
   std::unordered_set<SessionPtr> sessions_;
-  ServiceTotals totals_;  // without those that other parts count
+  ServiceTotals totals_;  // excludes the totals that other components count
   const base::Millis started_;
 };
 
--- a/src/registry/service_options.hpp
+++ b/src/registry/service_options.hpp
@@ -1,4 +1,4 @@
-// Options of the registry service, and their TOML form.
+// Options of the registry service, read from a TOML file.
 #ifndef GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
 #define GATEWAY_REGISTRY_SERVICE_OPTIONS_HPP_
 
@@ -15,22 +15,21 @@
 struct ServiceOptions {
   boost::asio::ip::tcp::endpoint listen;
   std::string state_folder;
-  std::string owner = "registry";  // written into the state folder, which no other owner may open
-  std::string program;             // version of the program, written beside it
+  std::string owner = "registry";  // stored in the state folder, which no other owner may open
+  std::string program;             // version of the program, stored in the state folder
   RetentionLimits retention;
   LeaseOptions leases;
-  std::size_t max_clients = 8000;                // connections of gateways and members
-  std::size_t max_operators = 64;                // connections beyond these, for operators
-  double full_lists_per_second = 500;            // full lists sent at most
-  std::uint64_t snapshot_after_bytes = 8 << 20;  // of log since the last snapshot
-  // Used only if the folder holds no state: epoch of the new history, and the revision before its first
-  // change.
+  std::size_t max_clients = 8000;                // maximum connections of gateways and members
+  std::size_t max_operators = 64;                // additional connections for operators
+  double full_lists_per_second = 500;            // maximum rate of full lists
+  std::uint64_t snapshot_after_bytes = 8 << 20;  // size of the log that triggers a snapshot
+  // Epoch of a new history and the revision before its first change. Used only if the folder has no state.
   std::string epoch;
   Revision initial_revision = 0;
 };
 
-// Reads the options from a TOML file. Throws base::ConfigError. Leaves `program`, `epoch` and
-// `initial_revision` to the caller.
+// Reads the options from a TOML file. Throws base::ConfigError. The caller must set `program`, `epoch` and
+// `initial_revision`.
 ServiceOptions ReadServiceOptions(const std::string& path);
 
 }  // namespace gateway::registry
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -39,7 +39,7 @@
   return zones;
 }
 
-// Writes metrics in Prometheus' text exposition format.
+// Writes metrics in the Prometheus text exposition format.
 class MetricsWriter {
  public:
   template <typename Value>
@@ -65,41 +65,50 @@
 
 void AddStateMetrics(const ServiceView& view, MetricsWriter& metrics) {
   const Catalog& catalog = view.durable_catalog.catalog();
-  metrics.Gauge("revision", "Newest revision", catalog.revision());
-  metrics.Gauge("oldest_revision", "Oldest that a watch can go on from", catalog.oldest());
-  metrics.Gauge("members", "Members listed", catalog.members().size());
-  metrics.Gauge("leases_overdue", "Members whose lease has lapsed", view.leases.CountLapsed(view.now));
-  metrics.Gauge("holds", "Zones (or all) in which removals are held", view.leases.preserved_zones().size());
-  metrics.Counter("absences_total", "Times that this service was stopped or starved", view.leases.pauses());
-  metrics.Gauge("watches", "Watches that wait", view.watches);
-  metrics.Gauge("connections", "Connections", view.connections);
-  metrics.Gauge("storage_ok", "0 while the disk takes no writes",
+  metrics.Gauge("revision", "Newest revision of the list", catalog.revision());
+  metrics.Gauge("oldest_revision", "Oldest revision from which a watch can continue", catalog.oldest());
+  metrics.Gauge("members", "Listed members", catalog.members().size());
+  metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
+  metrics.Gauge("holds", "Zones, or all zones together, in which removals are suspended",
+                view.leases.preserved_zones().size());
+  metrics.Counter("absences_total", "Times that this service was suspended or starved of CPU",
+                  view.leases.pauses());
+  metrics.Gauge("watches", "Pending watches", view.watches);
+  metrics.Gauge("connections", "Open connections", view.connections);
+  metrics.Gauge("storage_ok", "1 if the storage accepts writes, otherwise 0",
                 view.durable_catalog.storage_error().empty() ? 1 : 0);
 }
 
 void AddTotals(const ServiceView& view, MetricsWriter& metrics) {
-  metrics.Counter("calls_total", "Requests", view.totals.all.requests);
-  metrics.Counter("renewals_total", "Renewals", view.totals.renewals);
-  metrics.Counter("writes_total", "Commands kept", view.durable_catalog.commands_written());
-  metrics.Counter("syncs_total", "Syncs of the log", view.durable_catalog.batches_written());
-  metrics.Counter("whole_lists_total", "Whole lists told", view.totals.full_lists);
-  metrics.Counter("list_calls_total", "Requests for the list, watches among them", view.totals.list.requests);
-  metrics.Counter("bytes_received_total", "Bytes of requests", view.totals.all.bytes_received);
-  metrics.Counter("bytes_sent_total", "Bytes of answers begun", view.totals.all.bytes_sent);
-  metrics.Counter("list_bytes_received_total", "The same, of requests for the list",
+  metrics.Counter("calls_total", "Requests received", view.totals.all.requests);
+  metrics.Counter("renewals_total", "Lease renewals received", view.totals.renewals);
+  metrics.Counter("writes_total", "Commands written to the log", view.durable_catalog.commands_written());
+  metrics.Counter("syncs_total", "Batches written to the log, each with one sync",
+                  view.durable_catalog.batches_written());
+  metrics.Counter("whole_lists_total", "Full lists sent", view.totals.full_lists);
+  metrics.Counter("list_calls_total", "Requests for the list, including watches", view.totals.list.requests);
+  metrics.Counter("bytes_received_total", "Bytes of requests received", view.totals.all.bytes_received);
+  metrics.Counter("bytes_sent_total", "Bytes of responses whose sending has begun",
+                  view.totals.all.bytes_sent);
+  metrics.Counter("list_bytes_received_total", "Bytes of requests for the list",
                   view.totals.list.bytes_received);
-  metrics.Counter("list_bytes_sent_total", "The same, of answers to them", view.totals.list.bytes_sent);
-  metrics.Counter("encoded_total", "Bodies encoded", view.totals.encoded_bodies);
-  metrics.Counter("turned_away_total", "Callers told to come back", view.totals.rejected);
-  metrics.Counter("cut_off_total", "Readers that were too slow", view.totals.slow_readers_closed);
+  metrics.Counter("list_bytes_sent_total",
+                  "Bytes of responses to requests for the list whose sending has begun",
+                  view.totals.list.bytes_sent);
+  metrics.Counter("encoded_total", "Bodies of lists encoded", view.totals.encoded_bodies);
+  metrics.Counter("turned_away_total", "Requests and connections rejected by admission control",
+                  view.totals.rejected);
+  metrics.Counter("cut_off_total", "Connections closed because the client read too slowly",
+                  view.totals.slow_readers_closed);
 }
 
 void AddCommitTimes(const base::Histogram& times_us, MetricsWriter& metrics) {
   const auto seconds = [&](double quantile) {
     return static_cast<double>(times_us.Quantile(quantile)) / kMicrosPerSecond;
   };
-  metrics.Gauge("sync_seconds_p50", "Median of a batch on its way to the disk", seconds(0.5));
-  metrics.Gauge("sync_seconds_p99", "99th percentile of the same", seconds(0.99));
+  metrics.Gauge("sync_seconds_p50", "Median duration of writing a batch to the log", seconds(0.5));
+  metrics.Gauge("sync_seconds_p99", "99th percentile of the duration of writing a batch to the log",
+                seconds(0.99));
 }
 
 }  // namespace
--- a/src/registry/service_report.hpp
+++ b/src/registry/service_report.hpp
@@ -1,4 +1,4 @@
-// Reports of the registry service: its status as JSON, its metrics in Prometheus' text format.
+// Reports of the registry service: its status as JSON, and its metrics in the Prometheus text format.
 #ifndef GATEWAY_REGISTRY_SERVICE_REPORT_HPP_
 #define GATEWAY_REGISTRY_SERVICE_REPORT_HPP_
 
@@ -12,10 +12,10 @@
 
 namespace gateway::registry {
 
-// Totals since the service's start.
+// Totals since the start of the service.
 struct ServiceTotals {
   TrafficTotals all;
-  TrafficTotals list;  // requests for the list, watches included
+  TrafficTotals list;  // requests for the list, including watches
   std::uint64_t renewals = 0;
   std::uint64_t full_lists = 0;
   std::uint64_t encoded_bodies = 0;
@@ -23,7 +23,7 @@
   std::uint64_t slow_readers_closed = 0;
 };
 
-// What a report is made of; valid while the service does not change.
+// Data for the reports. Valid until the service changes.
 struct ServiceView {
   const DurableCatalog& durable_catalog;
   const LeaseTable& leases;
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -16,7 +16,7 @@
 using base::TimerDuration;
 using boost::system::error_code;
 
-constexpr Millis kFirstRequestTimeout = 10000;  // from accept to a complete request
+constexpr Millis kFirstRequestTimeout = 10000;  // from accept to the first complete request
 constexpr Millis kIdleTimeout = 75000;          // from a response to the next complete request
 constexpr Millis kWriteTimeout = 5000;          // for a client to read a complete response
 constexpr std::size_t kMaxBodyBytes = 64 << 10;
@@ -46,9 +46,9 @@
   handler_.OnTraffic(bytes, 0);
   if (error == http::error::end_of_stream || (error && !parser_->got_some())) return Close();
   if (error == http::error::body_limit || error == http::error::header_limit) {
-    return RejectMalformed("the request is too long");
+    return RejectMalformed("the request exceeds the size limit");
   }
-  if (error) return RejectMalformed("no proper HTTP request");
+  if (error) return RejectMalformed("malformed HTTP request");
   keep_alive_ = parser_->get().keep_alive();
   handler_.OnRequest(shared_from_this());
 }
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -1,4 +1,5 @@
-// One HTTP/1.1 connection of the registry service: reads a request, hands it over, writes the response.
+// HTTP/1.1 connection of the registry service: reads a request, passes it to a handler, and writes the
+// response.
 #ifndef GATEWAY_REGISTRY_SESSION_HPP_
 #define GATEWAY_REGISTRY_SESSION_HPP_
 
@@ -21,43 +22,45 @@
 
 class Session;
 
-// Totals of requests and their bytes, heads included.
+// Totals of requests and their bytes, including headers.
 struct TrafficTotals {
   std::uint64_t requests = 0;
   std::uint64_t bytes_received = 0;
-  std::uint64_t bytes_sent = 0;  // of responses whose writing has begun
+  std::uint64_t bytes_sent = 0;  // of responses whose sending has begun
 };
 
-// The owner of sessions. Called in the thread of their io_context.
+// Handler of the events of sessions. Called in the thread of their io_context.
 class SessionHandler {
  public:
   enum class CloseReason { kOrdinary, kSlowReader };
 
   virtual ~SessionHandler() = default;
-  // Bytes of a request were read, or the writing of a response of so many bytes has begun.
+  // Called when bytes of a request were received, or when the sending of a response of `sent` bytes has
+  // begun.
   virtual void OnTraffic(std::size_t received, std::size_t sent) = 0;
-  // A complete request was read. Expects exactly one Respond(), at once or later.
+  // Called when a complete request was read. The handler must call Respond() exactly once, at once or later.
   virtual void OnRequest(const std::shared_ptr<Session>& session) = 0;
-  // Called once, when the session has closed its socket.
+  // Called once when the session has closed its socket.
   virtual void OnClosed(const std::shared_ptr<Session>& session, CloseReason reason) = 0;
 };
 
-// Handles one request at a time, so a slow reader holds at most one response body. Keeps itself alive while
-// an operation is pending; `io` must outlive it, and `handler` the open session. In the thread of `io`.
+// Handles one request at a time, so a slow client occupies at most one response body. Keeps itself alive
+// while an operation is pending. `io` must outlive the session, and `handler` the open session. Must be used
+// in the thread of `io`.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket, SessionHandler& handler);
 
-  // Reads the first request; closes the connection if it does not arrive in time.
+  // Starts to read the first request. Closes the connection if the request does not arrive in time.
   void Start();
   const boost::beast::http::request<boost::beast::http::string_body>& request() const {
     return parser_->get();
   }
-  // Counts the request that was read, and the response to it, in `totals`, which must outlive the session.
+  // Adds the current request and its response to `totals`, which must outlive the session.
   void CountIn(TrafficTotals& totals);
-  // Sends the response, then reads the next request. No effect on a closed session.
+  // Sends the response, then reads the next request. Has no effect on a closed session.
   void Respond(Response response);
-  // Calls `on_timeout` unless a response is sent or the session is closed before.
+  // Calls `on_timeout` after the timeout unless a response is sent or the session is closed before.
   void SetTimeout(base::Millis timeout, std::function<void()> on_timeout);
   void Close();
 
@@ -78,7 +81,7 @@
   std::string response_head_;
   Body response_body_;
   std::size_t request_bytes_ = 0;
-  TrafficTotals* extra_totals_ = nullptr;  // set by CountIn() until the response
+  TrafficTotals* extra_totals_ = nullptr;  // set from CountIn() until the response
   bool open_ = true;
   bool keep_alive_ = true;
 };
--- a/tests/registry/catalog_test.cpp
+++ b/tests/registry/catalog_test.cpp
@@ -1,4 +1,4 @@
-// The catalog against a reference, and over crashes of the storage.
+// Tests of the catalog against a reference implementation, and across crashes of the storage.
 #include "registry/catalog.hpp"
 
 #include <gtest/gtest.h>
@@ -24,32 +24,33 @@
   RC_ASSERT(catalog.members() == reference.ListAt(reference.revision()));
 }
 
-// The delta from `after`, applied to the list of that revision, gives the newest list: in order, each member
-// once.
+// Requires that the delta from `after`, applied to the list of that revision, results in the newest list. The
+// delta must be in order and contain each member once.
 void RequireDelta(const Catalog& catalog, Revision after, std::map<std::string, Member> list,
-                  const std::map<std::string, Member>& now) {
+                  const std::map<std::string, Member>& newest) {
   const auto changed = catalog.ChangedSince(after);
   RC_ASSERT(changed.has_value());
-  std::set<std::string> named;
+  std::set<std::string> ids;
   Revision last = after;
   for (const Member* member : *changed) {
     RC_ASSERT(member->revision > last);
     last = member->revision;
-    RC_ASSERT(named.insert(member->id).second);
+    RC_ASSERT(ids.insert(member->id).second);
     list.erase(member->id);
     if (!member->removed) list[member->id] = *member;
   }
-  RC_ASSERT(list == now);
+  RC_ASSERT(list == newest);
 }
 
-// Every result is the reference's, each accepted change makes one revision, and a watch from any revision
-// gets exactly the changes. RC_PARAMS="seed=... max_success=100000" plays more or plays again.
+// Every result must equal that of the reference, each accepted change must create one revision, and a watch
+// from any revision must get exactly the changes. RC_PARAMS="seed=... max_success=100000" runs more cases or
+// repeats a run.
 RC_GTEST_PROP(Catalog, MatchesTheReference, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   Catalog catalog("e", kInitialRevision);
   ReferenceCatalog reference;
-  reference.first = kInitialRevision;
-  Revision watcher = kInitialRevision;
+  reference.initial_revision = kInitialRevision;
+  Revision watched_revision = kInitialRevision;
   for (std::size_t i = 0; i < commands.size(); ++i) {
     const Revision before = catalog.revision();
     const CommandResult result = catalog.Apply(commands[i]);
@@ -57,8 +58,8 @@
     RC_ASSERT(catalog.revision() - before == (result.changed ? 1 : 0));
     RequireSame(catalog, reference);
     if (i % 3 == 2) {
-      RequireDelta(catalog, watcher, reference.ListAt(watcher), catalog.members());
-      watcher = catalog.revision();
+      RequireDelta(catalog, watched_revision, reference.ListAt(watched_revision), catalog.members());
+      watched_revision = catalog.revision();
     }
     std::string error;
     const auto copy = Catalog::FromSnapshot(catalog.Snapshot(), {}, error);
@@ -71,14 +72,14 @@
   RC_ASSERT(!catalog.ChangedSince(catalog.revision() + 1).has_value());
 }
 
-// The history is bounded: a watch from the oldest revision gets its changes, one from before it the full
-// list.
-RC_GTEST_PROP(Catalog, CompactsItsHistory, ()) {
+// The history must stay within its limit. A watch from the oldest retained revision must still get its
+// changes; a watch from an older revision must not get an incomplete delta.
+RC_GTEST_PROP(Catalog, CompactsHistoryBeyondItsLimit, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   Catalog catalog("e", kInitialRevision, {5, 3});
   std::map<Revision, std::map<std::string, Member>> lists{{kInitialRevision, {}}};
-  for (const Command& c : commands) {
-    catalog.Apply(c);
+  for (const Command& command : commands) {
+    catalog.Apply(command);
     lists[catalog.revision()] = catalog.members();
     RC_ASSERT(catalog.history().size() <= 5u);
     RC_ASSERT(!catalog.ChangedSince(catalog.oldest() - 1).has_value());
@@ -88,49 +89,51 @@
   }
 }
 
-// Commands are written to the log in batches, with a snapshot now and then; the machine loses power, or the
-// process dies, at any call to the file system. All acknowledged commands are recovered, and what is
-// recovered is a prefix of the commands.
-RC_GTEST_PROP(Catalog, SurvivesACrashAtAnyCall, ()) {
+// Writes commands to the log in batches, with snapshots in between. The machine loses power or the process
+// dies at any call to the file system. All acknowledged commands must be recovered, and the recovered
+// commands must be a prefix of the written ones.
+RC_GTEST_PROP(Catalog, RecoversAcknowledgedCommandsAfterCrashAtAnyCall, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   const auto crash_at = *rc::gen::inRange<int>(0, 60);
-  const auto power = *rc::gen::arbitrary<bool>();
-  const auto keep = *rc::gen::inRange<int>(0, 3);
+  const auto power_loss = *rc::gen::arbitrary<bool>();
+  const auto kept_halves = *rc::gen::inRange<int>(0, 3);
   storage::MemoryFileSystem disk;
-  std::unique_ptr<storage::MemoryFileSystem> after;
+  std::unique_ptr<storage::MemoryFileSystem> crashed;
   int calls = 0;
   const auto crash = [&] {
-    if (!power) return after = disk.AfterProcessDeath(), void();
-    after = disk.AfterPowerLoss(
-        {[keep](std::size_t change) { return keep == 2 || (keep == 1 && change % 2 == 0); },
-         [keep](std::string tail) { return tail.substr(0, tail.size() * keep / 2); }});
+    if (!power_loss) return crashed = disk.AfterProcessDeath(), void();
+    crashed = disk.AfterPowerLoss(
+        {[kept_halves](std::size_t change) {
+           return kept_halves == 2 || (kept_halves == 1 && change % 2 == 0);
+         },
+         [kept_halves](std::string tail) { return tail.substr(0, tail.size() * kept_halves / 2); }});
   };
   storage::FaultyFileSystem files(disk, [&](storage::FaultyFileSystem::Call, const std::string&) {
-    if (++calls == crash_at + 1 && !after) crash();
+    if (++calls == crash_at + 1 && !crashed) crash();
     return storage::FaultyFileSystem::Fault{};
   });
   std::size_t acknowledged = 0;
   {
-    std::unique_ptr<storage::Store> log;
+    std::unique_ptr<storage::Store> store;
     storage::Examination found;
-    RC_ASSERT(storage::Store::Open(files, "r", {"registry", "test", 600}, log, found).ok());
+    RC_ASSERT(storage::Store::Open(files, "r", {"registry", "test", 600}, store, found).ok());
     Catalog catalog("e", kInitialRevision);
     for (std::size_t i = 0; i < commands.size();) {
-      const std::size_t group = 1 + i % 3;
-      if (i % 7 == 3) RC_ASSERT(log->TakeSnapshot(kSnapshotVersion, catalog.Snapshot()).ok());
-      const std::size_t end = std::min(commands.size(), i + group);
-      for (std::size_t at = i; at < end; ++at)
-        RC_ASSERT(log->Append(1, 1, EncodeCommand(commands[at])) == at + 1);
-      RC_ASSERT(log->Commit().ok());
+      const std::size_t batch_size = 1 + i % 3;
+      if (i % 7 == 3) RC_ASSERT(store->TakeSnapshot(kSnapshotVersion, catalog.Snapshot()).ok());
+      const std::size_t end = std::min(commands.size(), i + batch_size);
+      for (std::size_t next = i; next < end; ++next)
+        RC_ASSERT(store->Append(1, 1, EncodeCommand(commands[next])) == next + 1);
+      RC_ASSERT(store->Commit().ok());
       for (; i < end; ++i) catalog.Apply(commands[i]);
-      if (!after) acknowledged = i;
+      if (!crashed) acknowledged = i;
     }
-    if (!after) crash();
+    if (!crashed) crash();
   }
-  for (int recovery = 0; recovery < 2; ++recovery) {  // a second recovery gives the same
-    std::unique_ptr<storage::Store> log;
+  for (int recovery = 0; recovery < 2; ++recovery) {  // a second recovery must have the same result
+    std::unique_ptr<storage::Store> store;
     storage::Examination found;
-    RC_ASSERT(storage::Store::Open(*after, "r", {"registry", "test", 600}, log, found).ok());
+    RC_ASSERT(storage::Store::Open(*crashed, "r", {"registry", "test", 600}, store, found).ok());
     std::string error;
     std::size_t recovered = 0;
     std::optional<Catalog> catalog;
@@ -150,20 +153,21 @@
     }
     RC_ASSERT(recovered >= acknowledged);
     ReferenceCatalog reference;
-    reference.first = kInitialRevision;
+    reference.initial_revision = kInitialRevision;
     for (std::size_t i = 0; i < recovered; ++i) reference.Apply(commands[i]);
     RequireSame(*catalog, reference);
   }
 }
 
-TEST(Catalog, RejectsSnapshotsOfAnotherLength) {
+// A truncated snapshot or one with trailing bytes must not be accepted as a shorter list.
+TEST(Catalog, RejectsTruncatedOrExtendedSnapshots) {
   Catalog catalog("e", kInitialRevision);
   for (int i = 0; i < 4; ++i) {
-    Command c;
-    c.idempotency_key = "k" + std::to_string(i);
-    c.member.id = "m" + std::to_string(i % 2);
-    c.member.incarnation = i;
-    catalog.Apply(c);
+    Command command;
+    command.idempotency_key = "k" + std::to_string(i);
+    command.member.id = "m" + std::to_string(i % 2);
+    command.member.incarnation = i;
+    catalog.Apply(command);
   }
   const std::string bytes = catalog.Snapshot();
   std::string error;
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -1,4 +1,4 @@
-// Leases and self-preservation in simulated time.
+// Tests of leases and self-preservation in simulated time.
 #include "registry/lease_table.hpp"
 
 #include <gtest/gtest.h>
@@ -15,43 +15,43 @@
 
 constexpr Revision kInitialRevision = 100;
 
-// A catalog and its leases with a tick every 200 ms, and members that renew.
+// Simulates a catalog and its lease table with a tick every 200 ms, and members that renew their leases.
 struct LeaseSimulation {
-  explicit LeaseSimulation(int members, LeaseOptions options = {}) : leases(options) {
-    for (int i = 0; i < members; ++i) {
-      Command c;
-      c.member.id = "m" + std::to_string(i);
-      c.member.zone = std::string(1, static_cast<char>('a' + i % 3));
-      c.member.lease_duration = 10000;
-      c.member.incarnation = 1;
-      Apply(c);
+  explicit LeaseSimulation(int member_count, LeaseOptions options = {}) : leases(options) {
+    for (int i = 0; i < member_count; ++i) {
+      Command command;
+      command.member.id = "m" + std::to_string(i);
+      command.member.zone = std::string(1, static_cast<char>('a' + i % 3));
+      command.member.lease_duration = 10000;
+      command.member.incarnation = 1;
+      Apply(command);
     }
   }
-  void Apply(const Command& c) {
-    const CommandResult result = catalog.Apply(c);
-    if (!result.ok()) return leases.OnProposalFailed(c);
-    const Member* const member = catalog.Find(c.member.id);
+  void Apply(const Command& command) {
+    const CommandResult result = catalog.Apply(command);
+    if (!result.ok()) return leases.OnProposalFailed(command);
+    const Member* const member = catalog.Find(command.member.id);
     leases.OnMemberChanged(member != nullptr ? *member : catalog.history().back(), now);
   }
-  // Members for which `renews` is true renew every 3.2 s, each at its own time.
-  void Run(Millis time, const std::function<bool(int)>& renews) {
-    for (const Millis until = now + time; now < until;) {
+  // Members for which `renews` returns true renew every 3.2 s at different times.
+  void Run(Millis duration, const std::function<bool(int)>& renews) {
+    for (const Millis until = now + duration; now < until;) {
       now += 200;
       for (int i = 0; i < 200; ++i) {
         const std::string id = "m" + std::to_string(i);
         if (!catalog.Find(id) || !renews(i) || static_cast<int>(now / 200 + i) % 16 != 0) continue;
         if (leases.Renew(id, 1, now) == RenewalResult::kRecovered) {
-          Command c;
-          c.action = Action::kRecover;
-          c.member.id = id;
-          Apply(c);
+          Command recover;
+          recover.action = Action::kRecover;
+          recover.member.id = id;
+          Apply(recover);
         }
       }
-      for (const Command& c : leases.Tick(now)) Apply(c);
+      for (const Command& proposal : leases.Tick(now)) Apply(proposal);
       if (!leases.preserved_zones().empty()) ++preserved_ticks;
     }
   }
-  int Suspects() const {
+  int CountSuspects() const {
     int count = 0;
     for (const auto& [id, member] : catalog.members()) count += member.suspect;
     return count;
@@ -62,35 +62,38 @@
   int preserved_ticks = 0;
 };
 
+// A dead member must leave the list even though self-preservation suspends removals when many leases expire.
 TEST(LeaseTable, RemovesAFewDeadMembersAfterLeaseGraceAndTick) {
   LeaseSimulation simulation(60);
   const auto dead = [](int i) { return i == 4 || i == 20 || i == 51; };
   simulation.Run(20000, [](int) { return true; });
   simulation.Run(10200, [&](int i) { return !dead(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  EXPECT_EQ(simulation.Suspects(), 3);
+  EXPECT_EQ(simulation.CountSuspects(), 3);
   simulation.Run(5200, [&](int i) { return !dead(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 57u);
   EXPECT_EQ(simulation.preserved_ticks, 0);
 }
 
-TEST(LeaseTable, RemovesNoMemberWhereManyLeasesLapseTogether) {
+// A network failure between the members and the registry must not empty the list.
+TEST(LeaseTable, RemovesNoMemberIfManyLeasesLapseTogether) {
   LeaseSimulation simulation(60);
-  const auto cut = [](int i) { return i % 5 < 3; };  // 36 of 60
+  const auto disconnected = [](int i) { return i % 5 < 3; };  // 36 of 60
   simulation.Run(20000, [](int) { return true; });
-  simulation.Run(600000, [&](int i) { return !cut(i); });
+  simulation.Run(600000, [&](int i) { return !disconnected(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // all, and each zone
-  // It ends without help, and no member is removed for returning last.
+  EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // each zone, and all zones together
+  // Self-preservation ends by itself, and no member is removed for resuming its renewals late.
   simulation.Run(20000, [](int) { return true; });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
   EXPECT_EQ(simulation.leases.preserved_zones().size(), 0u);
-  EXPECT_EQ(simulation.Suspects(), 0);
+  EXPECT_EQ(simulation.CountSuspects(), 0);
 }
 
-// Leases that lapse one after another within the window count together: at most a quarter of a zone is
+// Leases that lapse one after another within the window must count together; otherwise self-preservation
+// would never start and the zone would be removed member by member. At most about a quarter of it may be
 // removed.
-TEST(LeaseTable, RemovesNoZoneGradually) {
+TEST(LeaseTable, RemovesOnlyPartOfAZoneThatFailsGradually) {
   LeaseSimulation simulation(60);
   int dead = 0;
   for (int step = 0; step < 20; ++step, ++dead) {
@@ -101,18 +104,20 @@
   EXPECT_LT(simulation.catalog.members().size(), 60u);
 }
 
+// While the service is suspended it misses renewals, for which no member must be suspected.
 TEST(LeaseTable, ExtendsAllLeasesAfterAPauseOfTheService) {
   LeaseSimulation simulation(60);
   simulation.Run(20000, [](int) { return true; });
-  simulation.now += 60000;  // stopped
+  simulation.now += 60000;  // the service is suspended
   simulation.Run(9800, [](int) { return false; });
-  EXPECT_EQ(simulation.Suspects(), 0);
+  EXPECT_EQ(simulation.CountSuspects(), 0);
   EXPECT_EQ(simulation.leases.pauses(), 1);
   simulation.Run(30000, [](int) { return true; });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
 }
 
-TEST(LeaseTable, EndsSelfPreservationAfterItsMaximum) {
+// Members that are really dead must not stay in the list forever.
+TEST(LeaseTable, EndsSelfPreservationAfterItsMaximumDuration) {
   LeaseOptions options;
   options.self_preservation.max_duration = 60000;
   LeaseSimulation simulation(60, options);
@@ -122,6 +127,7 @@
   EXPECT_EQ(simulation.catalog.members().size(), 30u);
 }
 
+// A renewal that succeeded after the removal was proposed would leave the member believing that it is listed.
 TEST(LeaseTable, RejectsRenewalsOnceTheExpiryIsProposed) {
   LeaseSimulation simulation(10);
   LeaseTable& leases = simulation.leases;
@@ -129,14 +135,14 @@
   std::vector<Command> proposals;
   for (; proposals.size() < 2 && now < 30000; now += 200) {
     for (int i = 1; i < 10; ++i) leases.Renew("m" + std::to_string(i), 1, now);
-    for (const Command& c : leases.Tick(now)) proposals.push_back(c);
+    for (const Command& proposal : leases.Tick(now)) proposals.push_back(proposal);
   }
   ASSERT_EQ(proposals.size(), 2u);
   EXPECT_EQ(proposals[1].action, Action::kExpire);
   EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kExpiring);
   EXPECT_EQ(leases.Renew("m1", 2, now), RenewalResult::kStaleIncarnation);
   EXPECT_EQ(leases.Renew("none", 1, now), RenewalResult::kUnknownMember);
-  leases.OnProposalFailed(proposals[1]);  // not applied: the lease goes on
+  leases.OnProposalFailed(proposals[1]);  // not applied, so the lease continues
   EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kRecovered);
 }
 
--- a/tests/registry/registry_compatibility_test.cpp
+++ b/tests/registry/registry_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// A data folder of the list service that program 0.1.0 wrote (fixtures/registry-0.1.0): its snapshot and the
-// log behind it mean the same to this program, which would write the same bytes.
+// Tests that this program recovers a data folder of the registry service written by version 0.1.0
+// (fixtures/registry-0.1.0), and encodes its snapshot and log records to the same bytes.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -24,12 +24,12 @@
 constexpr const char* kFixture = FIXTURES "/registry-0.1.0";
 constexpr const char* kOwner = "registry fixture";
 constexpr const char* kEpoch = "6040907ebed6cefb";
-constexpr Revision kFirstRevision = 1796285512975;           // before the first change
-constexpr Revision kSnapshotRevision = kFirstRevision + 12;  // of the snapshot
+constexpr Revision kFirstRevision = 1796285512975;           // revision before the first change
+constexpr Revision kSnapshotRevision = kFirstRevision + 12;  // revision of the snapshot
 constexpr Revision kLastRevision = kFirstRevision + 25;
 constexpr base::Millis kHour = 3600000;
 
-// A copy, since a service that opens a folder writes there.
+// Copy of the fixture, because a service writes to the folder that it opens.
 class FolderCopy {
  public:
   FolderCopy() { std::filesystem::copy(kFixture, path); }
@@ -48,7 +48,7 @@
   void OnNewRevision() override {}
 };
 
-// The durable catalog over a copy of the fixture.
+// Opens the durable catalog on a copy of the fixture.
 struct OpenedCatalog {
   OpenedCatalog() {
     ServiceOptions options;
@@ -62,7 +62,7 @@
   const Catalog& catalog() const { return durable->catalog(); }
   CommandResult Propose(const Command& command) {
     std::optional<CommandResult> outcome;
-    durable->Propose(command, [&outcome](const CommandResult& answered) { outcome = answered; });
+    durable->Propose(command, [&outcome](const CommandResult& result) { outcome = result; });
     while (!outcome && io.run_one_for(std::chrono::seconds(10)) > 0) {
     }
     return outcome.value_or(CommandResult::Failed(Error(ErrorCode::kOther, "", "no answer")));
@@ -75,7 +75,7 @@
   std::optional<DurableCatalog> durable;
 };
 
-// What stands in the fixture, read only.
+// Examines the fixture without modifying it.
 storage::Examination ExamineFixture() {
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
@@ -94,7 +94,7 @@
   return member;
 }
 
-// In the order of their names.
+// Sorted by name.
 std::vector<Member> ExpectedMembers() {
   Member web1 = MakeMember("web-1", "10.1.0.1:3001", 1764600000101, 16);
   web1.zone = "a";
@@ -127,9 +127,9 @@
   return {web1, web10, web2, web4, web7};
 }
 
-// A change of the list, as far as it is compared.
+// The compared properties of a change of the list.
 struct HistoryEntry {
-  Revision change = 0;  // counted from the first revision
+  Revision change = 0;  // relative to the first revision
   std::string id;
   MemberPhase phase = MemberPhase::kUp;
   bool suspect = false, expired = false;
@@ -158,6 +158,7 @@
       {25, "web-10", MemberPhase::kUp, true, false}};
 }
 
+// An upgrade must neither lose members nor repeat revisions that clients already know.
 TEST(RegistryCompatibility, RecoversMembersLeasesAndRevisions) {
   const OpenedCatalog opened;
   const Catalog& catalog = opened.catalog();
@@ -176,6 +177,7 @@
   EXPECT_EQ(leases.size(), 5u);
 }
 
+// Watches continue after an upgrade only if the history was recovered.
 TEST(RegistryCompatibility, RecoversHistory) {
   const OpenedCatalog opened;
   std::vector<HistoryEntry> history;
@@ -186,7 +188,8 @@
   EXPECT_EQ(history, ExpectedHistory());
 }
 
-// Results of requests with an idempotency key, from the snapshot and from the log.
+// A request retried after an upgrade must not be executed again, whether its result was in the snapshot or in
+// the log.
 TEST(RegistryCompatibility, RecoversResultsOfIdempotencyKeys) {
   OpenedCatalog opened;
   struct KeyedRequest {
@@ -219,8 +222,9 @@
   EXPECT_EQ(opened.catalog().revision(), kLastRevision);
 }
 
-// Reading and writing again gives the bytes that the older program wrote.
-TEST(RegistryCompatibility, WritesSnapshotAndRecordsInTheSameForm) {
+// Decoding and encoding must reproduce the bytes of the older program; otherwise a rollback could not read
+// the folder.
+TEST(RegistryCompatibility, EncodesSnapshotAndRecordsInTheSameFormat) {
   const storage::Examination found = ExamineFixture();
   EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
   ASSERT_TRUE(found.manifest);
@@ -229,9 +233,9 @@
   ASSERT_TRUE(found.snapshot);
   EXPECT_EQ(found.snapshot->version, 1);
   EXPECT_EQ(kSnapshotVersion, 1);
-  std::string why;
-  const auto catalog = Catalog::FromSnapshot(found.snapshot->payload, {100, 100}, why);
-  ASSERT_TRUE(catalog) << why;
+  std::string error;
+  const auto catalog = Catalog::FromSnapshot(found.snapshot->payload, {100, 100}, error);
+  ASSERT_TRUE(catalog) << error;
   EXPECT_EQ(catalog->revision(), kSnapshotRevision);
   EXPECT_EQ(catalog->Snapshot(), found.snapshot->payload);
   EXPECT_EQ(found.records.size(), 14u);
--- a/tests/registry/service_test.cpp
+++ b/tests/registry/service_test.cpp
@@ -1,4 +1,4 @@
-// The registry service on sockets, over a disk that fails.
+// Tests of the registry service over sockets, with a disk that may be full.
 #include "registry/service.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
           const bool writes = call == storage::FaultyFileSystem::Call::kAppend ||
                               call == storage::FaultyFileSystem::Call::kCreate;
           return storage::FaultyFileSystem::Fault{
-              full && writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code()};
+              disk_full && writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code()};
         }) {
     options.listen = {boost::asio::ip::make_address("127.0.0.1"), 0};
     options.state_folder = "r";
@@ -41,51 +41,54 @@
     service.reset();
     service.emplace(io, files, options);
   }
-  using Done = std::function<void(unsigned, json)>;
+  using ResponseHandler = std::function<void(unsigned, json)>;
   std::shared_ptr<base::ClientConnection> Connect() {
     return std::make_shared<base::ClientConnection>(io, service->address());
   }
-  void Send(const std::shared_ptr<base::ClientConnection>& on, const std::string& method,
-            const std::string& target, const std::string& body, Done done) {
-    on->Exchange(method + " " + target + " HTTP/1.1\r\nHost: r\r\nContent-Length: " +
-                     std::to_string(body.size()) + "\r\n\r\n" + body,
-                 20000, [done = std::move(done)](base::ClientConnection::Result result) {
-                   if (result.failure != base::ClientConnection::Failure::kNone) return done(0, {});
-                   done(result.response.result_int(), json::parse(result.response.body(), nullptr, false));
-                 });
+  void Send(const std::shared_ptr<base::ClientConnection>& connection, const std::string& method,
+            const std::string& target, const std::string& body, ResponseHandler handler) {
+    connection->Exchange(
+        method + " " + target + " HTTP/1.1\r\nHost: r\r\nContent-Length: " + std::to_string(body.size()) +
+            "\r\n\r\n" + body,
+        20000, [handler = std::move(handler)](base::ClientConnection::Result result) {
+          if (result.failure != base::ClientConnection::Failure::kNone) return handler(0, {});
+          handler(result.response.result_int(), json::parse(result.response.body(), nullptr, false));
+        });
   }
-  template <typename Until>
-  bool RunUntil(Until until, Millis most = 20000) {
-    for (const Millis end = base::MonotonicNow() + most; !until() && base::MonotonicNow() < end;) {
+  template <typename Condition>
+  bool RunUntil(Condition condition, Millis timeout = 20000) {
+    for (const Millis end = base::MonotonicNow() + timeout; !condition() && base::MonotonicNow() < end;) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
     }
-    return until();
+    return condition();
   }
   std::pair<unsigned, json> Request(const std::string& method, const std::string& target,
                                     const json& body = nullptr) {
-    std::optional<std::pair<unsigned, json>> answer;
-    Send(Connect(), method, target, body.is_null() ? "" : body.dump(), [&](unsigned status, json text) {
-      answer = {status, std::move(text)};
+    std::optional<std::pair<unsigned, json>> response;
+    Send(Connect(), method, target, body.is_null() ? "" : body.dump(), [&](unsigned status, json body_json) {
+      response = {status, std::move(body_json)};
     });
-    RunUntil([&] { return answer.has_value(); });
-    return answer.value_or(std::pair<unsigned, json>(0, nullptr));
+    RunUntil([&] { return response.has_value(); });
+    return response.value_or(std::pair<unsigned, json>(0, nullptr));
   }
-  std::pair<unsigned, json> Register(const std::string& id, int port, const json& more = json::object()) {
+  std::pair<unsigned, json> Register(const std::string& id, int port,
+                                     const json& additional_fields = json::object()) {
     json body = {{"id", id}, {"address", "10.0.0.1:" + std::to_string(port)}, {"incarnation", 7}};
-    body.update(more);
+    body.update(additional_fields);
     return Request("POST", "/registry/register", body);
   }
 
   storage::MemoryFileSystem disk;
-  bool full = false;
+  bool disk_full = false;
   storage::FaultyFileSystem files;
   boost::asio::io_context io{1};
   ServiceOptions options;
   std::optional<Service> service;
 };
 
-// Guards the published form: the full list, then the delta, for all watches, and after a restart.
+// Covers the published list: the full list, the delta for all watches, and the same delta after a restart. A
+// watch that missed a change would leave its gateway with an outdated list.
 TEST(RegistryService, NotifiesAllWatchesOfDurableChanges) {
   ServiceFixture fixture;
   EXPECT_EQ(fixture.Register("a", 1).first, 200u);
@@ -113,22 +116,23 @@
     EXPECT_EQ(list["members"][0]["phase"], "draining");
   }
   fixture.Restart();
-  const json again =
+  const json delta_after_restart =
       fixture.Request("GET", "/discovery/hosts?after=" + std::to_string(kInitialRevision + 1)).second;
-  EXPECT_EQ(again, notified[0]);
-  // A revision of another epoch, or of the future: the full list.
+  EXPECT_EQ(delta_after_restart, notified[0]);
+  // A client with a revision of another epoch or of the future gets the full list.
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=101&epoch=other").second["complete"], true);
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=999&wait_ms=9000").second["complete"], true);
 }
 
+// A malformed call must get the matching status, code and field, and must not end the service.
 TEST(RegistryService, ReportsErrorsOfCalls) {
   ServiceFixture fixture;
-  struct Row {
+  struct InvalidCall {
     const char *method, *target, *body;
     unsigned status;
     const char *code, *field;
   };
-  for (const Row& row : std::initializer_list<Row>{
+  for (const InvalidCall& invalid_call : std::initializer_list<InvalidCall>{
            {"POST", "/registry/register", "no json", 400, "bad_request", ""},
            {"POST", "/registry/register", R"({"id":""})", 400, "bad_request", "id"},
            {"POST", "/registry/register", R"({"id":"a"})", 400, "bad_request", "address"},
@@ -146,33 +150,34 @@
            {"GET", "/registry/nothing", "", 405, "unknown_call", ""},
            {"GET", "/discovery/hosts?after=-1", "", 400, "bad_request", ""},
            {"GET", "/else", "", 404, "unknown_call", ""}}) {
-    std::optional<json> answer;
+    std::optional<json> response;
     unsigned status = 0;
-    fixture.Send(fixture.Connect(), row.method, row.target, row.body, [&](unsigned s, json text) {
-      status = s;
-      answer = std::move(text);
-    });
-    ASSERT_TRUE(fixture.RunUntil([&] { return answer.has_value(); }));
-    EXPECT_EQ(status, row.status) << row.target << row.body;
-    ASSERT_TRUE(answer->contains("error")) << *answer;
-    EXPECT_EQ((*answer)["error"]["code"], row.code) << row.body;
-    EXPECT_EQ((*answer)["error"].value("field", ""), row.field) << row.body;
+    fixture.Send(fixture.Connect(), invalid_call.method, invalid_call.target, invalid_call.body,
+                 [&](unsigned response_status, json body) {
+                   status = response_status;
+                   response = std::move(body);
+                 });
+    ASSERT_TRUE(fixture.RunUntil([&] { return response.has_value(); }));
+    EXPECT_EQ(status, invalid_call.status) << invalid_call.target << invalid_call.body;
+    ASSERT_TRUE(response->contains("error")) << *response;
+    EXPECT_EQ((*response)["error"]["code"], invalid_call.code) << invalid_call.body;
+    EXPECT_EQ((*response)["error"].value("field", ""), invalid_call.field) << invalid_call.body;
   }
 }
 
-// Guards a full disk: lists and renewals go on, writes are rejected, and no client sees what is not durable.
-// Writes succeed again once there is space.
+// A full disk must not stop lists and renewals. Writes are rejected, no client sees a change that is not
+// durable, and writes succeed again once there is space.
 TEST(RegistryService, ServesListsWhileTheDiskIsFull) {
   ServiceFixture fixture;
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
-  fixture.full = true;
+  fixture.disk_full = true;
   const auto [status, error] = fixture.Register("b", 2, {{"key", "k"}});
   EXPECT_EQ(status, 503u);
   EXPECT_EQ(error["error"]["code"], "storage_failed");
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts").second["members"].size(), 1u);
   EXPECT_EQ(fixture.Request("POST", "/registry/renew", {{"id", "a"}, {"incarnation", 7}}).first, 200u);
   EXPECT_NE(fixture.Request("GET", "/registry/status").second["storage"], "ok");
-  fixture.full = false;
+  fixture.disk_full = false;
   ASSERT_TRUE(
       fixture.RunUntil([&] { return fixture.Request("GET", "/registry/status").second["storage"] == "ok"; }));
   EXPECT_EQ(fixture.Register("b", 2, {{"key", "k"}}).first, 200u);
@@ -181,7 +186,8 @@
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts").second["members"].size(), 2u);
 }
 
-// Guards admission: clients beyond the limit are rejected at once; pending watches and operators are not.
+// Clients beyond the limit must be rejected at once, without affecting pending watches or operators;
+// otherwise an overload of clients would lock out the operators.
 TEST(RegistryService, RejectsClientsAndReservesConnectionsForOperators) {
   ServiceFixture fixture(/*max_clients=*/3);
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
@@ -199,6 +205,7 @@
   EXPECT_TRUE(fixture.RunUntil([&] { return notified == 3; }));
 }
 
+// Many gateways that request the full list at once, as after an outage, must not overload the service.
 TEST(RegistryService, LimitsTheRateOfFullLists) {
   ServiceFixture fixture(/*max_clients=*/100, /*full_lists_per_second=*/5);
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
@@ -211,7 +218,8 @@
   }
   EXPECT_GE(full_lists, 5);
   EXPECT_GE(rejected, 5);
-  EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=101").first, 200u);  // a delta is no full list
+  // A delta does not count as a full list.
+  EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=101").first, 200u);
 }
 
 }  // namespace
