--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -17,8 +17,8 @@
 
  private:
   void MarkCorrupt(const std::string& error);
-  void DoNotUse(const NumberedFile& file);
-  void DoNotUseAny();
+  void ExcludeFile(const NumberedFile& file);
+  void ExcludeAllFiles();
   Status Read(const std::string& name, std::uint64_t max_bytes, std::string& bytes);
 
   Status ExamineManifest(const std::string& owner);
@@ -28,7 +28,7 @@
   Status ExamineSegments();
   Status ExamineSegment(const NumberedFile& file, bool is_last);
   void ReportSegment(const NumberedFile& file, std::size_t bytes, const Segment& segment);
-  void UseSegment(const NumberedFile& file, Segment segment, bool is_last);
+  void ApplySegment(const NumberedFile& file, Segment segment, bool is_last);
   void DropEmptyActiveSegment();
 
   FileSystem& files_;
@@ -41,7 +41,7 @@
 
 Status Examiner::Run(const std::string& owner) {
   std::vector<std::string> names;
-  if (Status status = files_.List(folder_, /*make=*/false, names); !status.ok()) return status;
+  if (Status status = files_.List(folder_, /*create_missing=*/false, names); !status.ok()) return status;
   snapshots_ = FindNumberedFiles(names, kSnapshotStem);
   segments_ = FindNumberedFiles(names, kLogStem);
   for (const std::string& name : names) {
@@ -50,14 +50,14 @@
   if (std::find(names.begin(), names.end(), kManifestName) == names.end()) {
     // The manifest is durable before any other file is created.
     if (snapshots_.empty() && segments_.empty()) return {};
-    DoNotUseAny();
+    ExcludeAllFiles();
     MarkCorrupt("found log or snapshot files but no manifest");
     return {};
   }
   if (Status status = ExamineManifest(owner); !status.ok()) return status;
   if (result_.is_foreign()) return {};
   if (result_.condition == StoreCondition::kCorrupt) {
-    DoNotUseAny();
+    ExcludeAllFiles();
     return {};
   }
   result_.condition = StoreCondition::kComplete;
@@ -70,14 +70,14 @@
   result_.condition = StoreCondition::kCorrupt;
 }
 
-void Examiner::DoNotUse(const NumberedFile& file) {
+void Examiner::ExcludeFile(const NumberedFile& file) {
   result_.corrupt_files.push_back(file.name);
   result_.highest_sequence = std::max(result_.highest_sequence, file.sequence);
 }
 
-void Examiner::DoNotUseAny() {
-  for (const NumberedFile& file : snapshots_) DoNotUse(file);
-  for (const NumberedFile& file : segments_) DoNotUse(file);
+void Examiner::ExcludeAllFiles() {
+  for (const NumberedFile& file : snapshots_) ExcludeFile(file);
+  for (const NumberedFile& file : segments_) ExcludeFile(file);
 }
 
 Status Examiner::Read(const std::string& name, std::uint64_t max_bytes, std::string& bytes) {
@@ -139,16 +139,16 @@
       {file.name, bytes.size(), "snapshot up to " + std::to_string(file.sequence), error});
   if (!result_.snapshot) {
     MarkCorrupt(file.name + ": " + error);
-    DoNotUse(file);
+    ExcludeFile(file);
   }
   return {};
 }
 
 Status Examiner::ExamineSegments() {
-  const Sequence covered = result_.last();  // last record that the snapshot replaces
+  const Sequence last_replaced = result_.last();  // last record that the snapshot replaces
   for (std::size_t i = 0; i < segments_.size(); ++i) {
     const bool is_last = i + 1 == segments_.size();
-    if (!is_last && segments_[i + 1].sequence <= covered + 1) {
+    if (!is_last && segments_[i + 1].sequence <= last_replaced + 1) {
       result_.obsolete_files.push_back(segments_[i].name);
       continue;
     }
@@ -171,7 +171,7 @@
     segment.records.clear();
   }
   ReportSegment(file, bytes.size(), segment);
-  UseSegment(file, std::move(segment), is_last);
+  ApplySegment(file, std::move(segment), is_last);
   return {};
 }
 
@@ -187,13 +187,13 @@
   result_.files.push_back(std::move(report));
 }
 
-void Examiner::UseSegment(const NumberedFile& file, Segment segment, bool is_last) {
-  if (!log_intact_) return DoNotUse(file);
+void Examiner::ApplySegment(const NumberedFile& file, Segment segment, bool is_last) {
+  if (!log_intact_) return ExcludeFile(file);
   if (file.sequence > result_.last() + 1) {
     MarkCorrupt(file.name + ": records " + std::to_string(result_.last() + 1) + " to " +
                 std::to_string(file.sequence - 1) + " are missing");
     log_intact_ = false;
-    return DoNotUse(file);
+    return ExcludeFile(file);
   }
   for (Record& record : segment.records) {
     if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
@@ -203,7 +203,7 @@
   if (!segment.complete && (segment.corrupt || !is_last)) {
     MarkCorrupt(file.name + ": " + segment.error);
     log_intact_ = false;
-    DoNotUse(file);
+    ExcludeFile(file);
   }
 }
 
--- a/src/storage/faulty_file_system.hpp
+++ b/src/storage/faulty_file_system.hpp
@@ -27,23 +27,23 @@
   // Invoked before each call. May block to simulate a slow disk.
   using Hook = std::function<Fault(Call call, const std::string& path)>;
 
-  // `below` must outlive this object.
-  FaultyFileSystem(FileSystem& below, Hook hook) : below_(below), hook_(std::move(hook)) {}
+  // `underlying` must outlive this object.
+  FaultyFileSystem(FileSystem& underlying, Hook hook) : underlying_(underlying), hook_(std::move(hook)) {}
 
   Status Create(const std::string& path, std::unique_ptr<File>& file) override;
   Status Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) override;
   Status Rename(const std::string& from, const std::string& to) override;
   Status Remove(const std::string& path) override;
   Status SyncFolder(const std::string& folder) override;
-  Status List(const std::string& folder, bool make, std::vector<std::string>& names) override;
-  Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
+  Status List(const std::string& folder, bool create_missing, std::vector<std::string>& names) override;
+  Status AcquireLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
 
  private:
   class FaultyFile;
   template <typename Forward>
   Status Run(Call call, const std::string& path, Forward forward);
 
-  FileSystem& below_;
+  FileSystem& underlying_;
   const Hook hook_;
 };
 
--- a/src/storage/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -42,15 +42,15 @@
   virtual Status Remove(const std::string& path) = 0;
   // Makes all created, renamed and removed names in the folder durable.
   virtual Status SyncFolder(const std::string& folder) = 0;
-  // Lists the names in the folder, sorted. Creates a missing folder if `make` is set.
-  virtual Status List(const std::string& folder, bool make, std::vector<std::string>& names) = 0;
+  // Lists the names in the folder, sorted. Creates a missing folder if `create_missing` is set.
+  virtual Status List(const std::string& folder, bool create_missing, std::vector<std::string>& names) = 0;
   // Releases the lock on destruction.
   class Lock {
    public:
     virtual ~Lock() = default;
   };
   // Acquires an exclusive lock on the file. Fails without waiting if another process holds the lock.
-  virtual Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) = 0;
+  virtual Status AcquireLock(const std::string& path, std::unique_ptr<Lock>& lock) = 0;
 };
 
 // Returns the operating system's file system. Calls block until the disk has completed them.
--- a/src/storage/manifest.cpp
+++ b/src/storage/manifest.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kChecksumKey = "crc32c ";
 constexpr std::size_t kChecksumLineBytes = 24;  // sufficient for "crc32c ", 8 digits and a newline
-constexpr const char* kNoManifest = "the content is not a valid manifest";
+constexpr const char* kInvalidManifest = "the content is not a valid manifest";
 
 // The keys in the order of their lines.
 enum Line { kFormatLine, kOwnerLine, kProgramLine, kFirstSequenceLine, kLineCount };
@@ -67,17 +67,17 @@
     error = "the checksum line is missing or does not match the content";
     return std::nullopt;
   }
-  std::string_view rest = bytes.substr(0, checksum);
-  const std::vector<std::string_view> values = SplitValues(rest);
+  std::string_view remaining = bytes.substr(0, checksum);
+  const std::vector<std::string_view> values = SplitValues(remaining);
   Manifest manifest;
   if (values.empty() || !ParseNumber(values[kFormatLine], manifest.format)) {
-    error = kNoManifest;
+    error = kInvalidManifest;
     return std::nullopt;
   }
   if (manifest.format > kFormatVersion) return manifest;
-  if (values.size() != kLineCount || !rest.empty() ||
+  if (values.size() != kLineCount || !remaining.empty() ||
       !ParseNumber(values[kFirstSequenceLine], manifest.first_sequence) || manifest.first_sequence == 0) {
-    error = kNoManifest;
+    error = kInvalidManifest;
     return std::nullopt;
   }
   manifest.owner = values[kOwnerLine];
--- a/src/storage/memory_file_system.cpp
+++ b/src/storage/memory_file_system.cpp
@@ -3,7 +3,7 @@
 namespace gateway::storage {
 namespace {
 
-Status Missing(const std::string& path) {
+Status NotFound(const std::string& path) {
   return {std::make_error_code(std::errc::no_such_file_or_directory), path};
 }
 
@@ -36,21 +36,21 @@
   const std::string path_;
 };
 
-void MemoryFileSystem::Change(std::function<void(Names&)> change) {
+void MemoryFileSystem::ApplyChange(std::function<void(Names&)> change) {
   change(names_);
-  pending_.push_back(std::move(change));
+  pending_changes_.push_back(std::move(change));
 }
 
 Status MemoryFileSystem::Create(const std::string& path, std::unique_ptr<File>& file) {
   const auto node = std::make_shared<Node>();
-  Change([path, node](Names& names) { names[path] = node; });
+  ApplyChange([path, node](Names& names) { names[path] = node; });
   file = std::make_unique<OpenFile>(node);
   return {};
 }
 
 Status MemoryFileSystem::Read(const std::string& path, std::uint64_t max_bytes, std::string& bytes) {
   const auto found = names_.find(path);
-  if (found == names_.end()) return Missing(path);
+  if (found == names_.end()) return NotFound(path);
   if (found->second->bytes.size() > max_bytes)
     return {{}, path + " is larger than " + std::to_string(max_bytes) + " bytes"};
   bytes = found->second->bytes;
@@ -58,8 +58,8 @@
 }
 
 Status MemoryFileSystem::Rename(const std::string& from, const std::string& to) {
-  if (!names_.contains(from)) return Missing(from);
-  Change([from, to](Names& names) {
+  if (!names_.contains(from)) return NotFound(from);
+  ApplyChange([from, to](Names& names) {
     const auto found = names.find(from);
     if (found == names.end()) return;
     names[to] = found->second;
@@ -69,14 +69,14 @@
 }
 
 Status MemoryFileSystem::Remove(const std::string& path) {
-  if (!names_.contains(path)) return Missing(path);
-  Change([path](Names& names) { names.erase(path); });
+  if (!names_.contains(path)) return NotFound(path);
+  ApplyChange([path](Names& names) { names.erase(path); });
   return {};
 }
 
 Status MemoryFileSystem::SyncFolder(const std::string&) {
   synced_names_ = names_;
-  pending_.clear();
+  pending_changes_.clear();
   return {};
 }
 
@@ -88,7 +88,7 @@
   return {};
 }
 
-Status MemoryFileSystem::TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) {
+Status MemoryFileSystem::AcquireLock(const std::string& path, std::unique_ptr<Lock>& lock) {
   if (!locks_->insert(path).second) return {{}, path + " is locked by another process"};
   lock = std::make_unique<HeldLock>(locks_, path);
   return {};
@@ -99,7 +99,7 @@
   return found == names_.end() ? nullptr : &found->second->bytes;
 }
 
-std::unique_ptr<MemoryFileSystem> MemoryFileSystem::Copy(const Names& names, const Loss* loss) const {
+std::unique_ptr<MemoryFileSystem> MemoryFileSystem::Copy(const Names& names, const PowerLoss* loss) const {
   auto copy = std::make_unique<MemoryFileSystem>();
   std::map<const Node*, std::shared_ptr<Node>> nodes;  // keeps several names of one file together
   for (const auto& [path, node] : names) {
@@ -109,7 +109,7 @@
       if (loss != nullptr) {
         const std::string tail = copied->bytes.substr(copied->synced);
         copied->bytes.resize(copied->synced);
-        if (loss->tail && !tail.empty()) copied->bytes += loss->tail(tail);
+        if (loss->surviving_tail && !tail.empty()) copied->bytes += loss->surviving_tail(tail);
         copied->synced = copied->bytes.size();
       }
     }
@@ -119,10 +119,10 @@
   return copy;
 }
 
-std::unique_ptr<MemoryFileSystem> MemoryFileSystem::AfterPowerLoss(const Loss& loss) const {
+std::unique_ptr<MemoryFileSystem> MemoryFileSystem::AfterPowerLoss(const PowerLoss& loss) const {
   Names names = synced_names_;
-  for (std::size_t i = 0; i < pending_.size(); ++i) {
-    if (loss.keeps && loss.keeps(i)) pending_[i](names);
+  for (std::size_t i = 0; i < pending_changes_.size(); ++i) {
+    if (loss.keeps_change && loss.keeps_change(i)) pending_changes_[i](names);
   }
   return Copy(names, &loss);
 }
@@ -139,9 +139,9 @@
     if (!copied) copied = std::make_shared<Node>(*node);
     copy->synced_names_[path] = copied;
   }
-  if (!pending_.empty()) {
+  if (!pending_changes_.empty()) {
     const Names now = copy->names_;
-    copy->pending_.push_back([now](Names& names) { names = now; });
+    copy->pending_changes_.push_back([now](Names& names) { names = now; });
   }
   return copy;
 }
--- a/src/storage/memory_file_system.hpp
+++ b/src/storage/memory_file_system.hpp
@@ -24,18 +24,18 @@
   Status Rename(const std::string& from, const std::string& to) override;
   Status Remove(const std::string& path) override;
   Status SyncFolder(const std::string& folder) override;
-  Status List(const std::string& folder, bool make, std::vector<std::string>& names) override;
-  Status TakeLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
+  Status List(const std::string& folder, bool create_missing, std::vector<std::string>& names) override;
+  Status AcquireLock(const std::string& path, std::unique_ptr<Lock>& lock) override;
 
   // Chooses which unsynced changes survive a power loss. An empty function keeps none.
-  struct Loss {
+  struct PowerLoss {
     // Returns whether a change of a name survives.
-    std::function<bool(std::size_t change)> keeps;
+    std::function<bool(std::size_t change)> keeps_change;
     // Returns the bytes that remain in place of a file's unsynced bytes.
-    std::function<std::string(std::string unsynced)> tail;
+    std::function<std::string(std::string unsynced)> surviving_tail;
   };
   // Returns a copy with the state after a power loss.
-  std::unique_ptr<MemoryFileSystem> AfterPowerLoss(const Loss& loss) const;
+  std::unique_ptr<MemoryFileSystem> AfterPowerLoss(const PowerLoss& loss) const;
   // Returns a copy with the state after the process died while the machine kept running.
   std::unique_ptr<MemoryFileSystem> AfterProcessDeath() const;
 
@@ -50,12 +50,12 @@
   using Names = std::map<std::string, std::shared_ptr<Node>>;
   class OpenFile;
   class HeldLock;
-  void Change(std::function<void(Names&)> change);
-  std::unique_ptr<MemoryFileSystem> Copy(const Names& names, const Loss* loss) const;
+  void ApplyChange(std::function<void(Names&)> change);
+  std::unique_ptr<MemoryFileSystem> Copy(const Names& names, const PowerLoss* loss) const;
 
   Names names_;
   Names synced_names_;
-  std::vector<std::function<void(Names&)>> pending_;  // changes of names that are not durable yet
+  std::vector<std::function<void(Names&)>> pending_changes_;  // changes of names that are not durable yet
   std::shared_ptr<std::set<std::string>> locks_ = std::make_shared<std::set<std::string>>();
 };
 
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -10,17 +10,17 @@
 
 class Recoverer {
  public:
-  Recoverer(FileSystem& files, const std::string& folder, const Examination& found, LogState& log)
-      : files_(files), folder_(folder), found_(found), log_(log) {}
+  Recoverer(FileSystem& files, const std::string& folder, const Examination& examination, LogState& log)
+      : files_(files), folder_(folder), examination_(examination), log_(log) {}
 
   Status Run(const std::string& owner, const std::string& program);
 
  private:
   std::string Path(const std::string& name) const { return folder_ + "/" + name; }
-  bool IsCorrupt() const { return found_.condition == StoreCondition::kCorrupt; }
-  bool HasNoState() const { return !found_.snapshot && found_.records.empty(); }
+  bool IsCorrupt() const { return examination_.condition == StoreCondition::kCorrupt; }
+  bool HasNoState() const { return !examination_.snapshot && examination_.records.empty(); }
 
-  Status SetCorruptFilesAside();
+  Status QuarantineCorruptFiles();
   Status RemoveObsoleteFiles();
   Status WriteManifest(const std::string& owner, const std::string& program);
   Status RewriteLastSegment();
@@ -28,34 +28,34 @@
 
   FileSystem& files_;
   const std::string& folder_;
-  const Examination& found_;
+  const Examination& examination_;
   LogState& log_;
 };
 
 Status Recoverer::Run(const std::string& owner, const std::string& program) {
-  if (Status status = SetCorruptFilesAside(); !status.ok()) return status;
+  if (Status status = QuarantineCorruptFiles(); !status.ok()) return status;
   if (Status status = RemoveObsoleteFiles(); !status.ok()) return status;
-  log_.durable = found_.last();
+  log_.durable = examination_.last();
   // A sequence must never be reused.
-  if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, found_.highest_sequence);
+  if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, examination_.highest_sequence);
   if (Status status = WriteManifest(owner, program); !status.ok()) return status;
-  if (!found_.records.empty()) {
+  if (!examination_.records.empty()) {
     if (Status status = RewriteLastSegment(); !status.ok()) return status;
   }
   if (Status status = files_.SyncFolder(folder_); !status.ok()) return status;
   return ListFiles();
 }
 
-Status Recoverer::SetCorruptFilesAside() {
-  for (const std::string& name : found_.corrupt_files) {
-    const std::string aside = std::string(kCorruptPrefix) + name;
-    if (Status status = files_.Rename(Path(name), Path(aside)); !status.ok()) return status;
+Status Recoverer::QuarantineCorruptFiles() {
+  for (const std::string& name : examination_.corrupt_files) {
+    const std::string quarantined = std::string(kCorruptPrefix) + name;
+    if (Status status = files_.Rename(Path(name), Path(quarantined)); !status.ok()) return status;
   }
   return {};
 }
 
 Status Recoverer::RemoveObsoleteFiles() {
-  for (const std::string& name : found_.obsolete_files) {
+  for (const std::string& name : examination_.obsolete_files) {
     if (Status status = files_.Remove(Path(name)); !status.ok()) return status;
   }
   return {};
@@ -63,23 +63,23 @@
 
 // Writes a manifest if the folder has no usable one.
 Status Recoverer::WriteManifest(const std::string& owner, const std::string& program) {
-  const bool is_empty = found_.condition == StoreCondition::kEmpty;
-  const bool is_unusable = IsCorrupt() && (HasNoState() || !found_.manifest);
+  const bool is_empty = examination_.condition == StoreCondition::kEmpty;
+  const bool is_unusable = IsCorrupt() && (HasNoState() || !examination_.manifest);
   if (!is_empty && !is_unusable) return {};
   Manifest manifest;
   manifest.owner = owner;
   manifest.program = program;
-  manifest.first_sequence = found_.first_sequence;
+  manifest.first_sequence = examination_.first_sequence;
   if (IsCorrupt() && HasNoState()) manifest.first_sequence = log_.durable + 1;
   return ReplaceFile(files_, Path(kManifestName), EncodeManifest(manifest));
 }
 
 // Earlier segments are kept unchanged.
 Status Recoverer::RewriteLastSegment() {
-  const Sequence active = *found_.active_segment;
-  const Sequence first = std::max(active, found_.records.front().sequence);
+  const Sequence active = *examination_.active_segment;
+  const Sequence first = std::max(active, examination_.records.front().sequence);
   std::string bytes = EncodeSegmentHeader(first);
-  for (const Record& record : found_.records) {
+  for (const Record& record : examination_.records) {
     if (record.sequence >= first) AppendRecord(bytes, record, first - 1);
   }
   const std::string name = NumberedName(kLogStem, first);
@@ -95,14 +95,14 @@
 
 Status Recoverer::ListFiles() {
   std::vector<std::string> names;
-  if (Status status = files_.List(folder_, /*make=*/false, names); !status.ok()) return status;
+  if (Status status = files_.List(folder_, /*create_missing=*/false, names); !status.ok()) return status;
   for (const std::string_view stem : {kLogStem, kSnapshotStem}) {
     for (const NumberedFile& file : FindNumberedFiles(names, stem)) {
       const bool known = std::find(log_.files.begin(), log_.files.end(), file.name) != log_.files.end();
       if (!known) log_.files.push_back(file.name);
     }
   }
-  for (const Examination::FileReport& file : found_.files) {
+  for (const Examination::FileReport& file : examination_.files) {
     if (ParseNumberedName(kLogStem, file.name)) log_.log_bytes += file.bytes;
   }
   return {};
@@ -111,8 +111,8 @@
 }  // namespace
 
 Status Recover(FileSystem& files, const std::string& folder, const std::string& owner,
-               const std::string& program, const Examination& found, LogState& log) {
-  return Recoverer(files, folder, found, log).Run(owner, program);
+               const std::string& program, const Examination& examination, LogState& log) {
+  return Recoverer(files, folder, examination, log).Run(owner, program);
 }
 
 }  // namespace gateway::storage
--- a/src/storage/recovery.hpp
+++ b/src/storage/recovery.hpp
@@ -26,7 +26,7 @@
 // another sync would not write them. Recovery can be repeated after a crash with the same result. `log` must
 // be empty. `owner` and `program` are written to a new manifest.
 Status Recover(FileSystem& files, const std::string& folder, const std::string& owner,
-               const std::string& program, const Examination& found, LogState& log);
+               const std::string& program, const Examination& examination, LogState& log);
 
 }  // namespace gateway::storage
 
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -94,12 +94,12 @@
   return bytes;
 }
 
-Segment ReadSegment(std::string_view bytes, Sequence named_first) {
+Segment ReadSegment(std::string_view bytes, Sequence expected_first) {
   Segment segment;
   if (!IsHeaderValid(bytes)) {
     segment.error = bytes.size() < kHeaderBytes ? "the segment header is truncated"
                                                 : "the segment header has a wrong magic number or checksum";
-    segment.corrupt = WasSynced(bytes, 0, named_first);
+    segment.corrupt = WasSynced(bytes, 0, expected_first);
     return segment;
   }
   segment.first = ReadLittleEndian<Sequence>(bytes, kFirstOffset);
--- a/src/storage/segment.hpp
+++ b/src/storage/segment.hpp
@@ -42,8 +42,8 @@
   bool corrupt = false;
   std::string error;  // describes the invalid data at `valid_bytes`; empty if complete
 };
-// Decodes a segment. `named_first` is the sequence of the first record according to the file's name.
-Segment ReadSegment(std::string_view bytes, Sequence named_first);
+// Decodes a segment. `expected_first` is the sequence of the first record according to the file's name.
+Segment ReadSegment(std::string_view bytes, Sequence expected_first);
 
 }  // namespace gateway::storage
 
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -11,19 +11,20 @@
     : files_(files), folder_(std::move(folder)), options_(std::move(options)) {}
 
 Status Store::Open(FileSystem& files, const std::string& folder, const StoreOptions& options,
-                   std::unique_ptr<Store>& store, Examination& found) {
+                   std::unique_ptr<Store>& store, Examination& examination) {
   std::vector<std::string> names;
-  if (Status status = files.List(folder, /*make=*/true, names); !status.ok()) return status;
+  if (Status status = files.List(folder, /*create_missing=*/true, names); !status.ok()) return status;
   std::unique_ptr<Store> opened(new Store(files, folder, options));
-  if (Status status = files.TakeLock(opened->Path(kLockName), opened->lock_); !status.ok()) return status;
-  if (Status status = Examine(files, folder, options.owner, found); !status.ok()) return status;
-  const bool is_corrupt = found.condition == StoreCondition::kCorrupt;
-  if (found.is_foreign() || (is_corrupt && !options.open_corrupt)) return {{}, folder + ": " + found.error};
-  if (Status status = Recover(files, folder, options.owner, options.program, found, opened->log_);
+  if (Status status = files.AcquireLock(opened->Path(kLockName), opened->lock_); !status.ok()) return status;
+  if (Status status = Examine(files, folder, options.owner, examination); !status.ok()) return status;
+  const bool is_corrupt = examination.condition == StoreCondition::kCorrupt;
+  if (examination.is_foreign() || (is_corrupt && !options.open_corrupt))
+    return {{}, folder + ": " + examination.error};
+  if (Status status = Recover(files, folder, options.owner, options.program, examination, opened->log_);
       !status.ok()) {
     return status;
   }
-  opened->next_ = opened->log_.durable + 1;
+  opened->next_sequence_ = opened->log_.durable + 1;
   store = std::move(opened);
   return {};
 }
@@ -41,8 +42,8 @@
 Sequence Store::Append(std::uint16_t kind, std::uint16_t version, std::string_view payload) {
   if (read_only() || payload.size() > kMaxPayloadBytes) return 0;
   if (log_.log_bytes + pending_.size() + payload.size() > options_.max_log_bytes) return 0;
-  AppendRecord(pending_, {next_, kind, version, std::string(payload)}, log_.durable);
-  return next_++;
+  AppendRecord(pending_, {next_sequence_, kind, version, std::string(payload)}, log_.durable);
+  return next_sequence_++;
 }
 
 Status Store::Commit() {
@@ -52,7 +53,7 @@
   log_.segment_bytes += pending_.size();
   log_.log_bytes += pending_.size();
   pending_.clear();
-  log_.durable = next_ - 1;
+  log_.durable = next_sequence_ - 1;
   return {};
 }
 
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -29,10 +29,10 @@
 // retried, because the kernel may already have marked the lost pages as clean.
 class Store {
  public:
-  // Locks and recovers the folder, and creates it if it is missing. `found` receives the content of the
+  // Locks and recovers the folder, and creates it if it is missing. `examination` receives the content of the
   // folder, even if the store is not opened. `files` must outlive the store.
   static Status Open(FileSystem& files, const std::string& folder, const StoreOptions& options,
-                     std::unique_ptr<Store>& store, Examination& found);
+                     std::unique_ptr<Store>& store, Examination& examination);
 
   // Adds a record to the next commit. Returns its sequence, or 0 if the log is full until the next snapshot,
   // the payload is too long, or the store is read-only.
@@ -67,7 +67,7 @@
   LogState log_;
   bool folder_needs_sync_ = false;  // a segment was created since the last sync of the folder
   std::string pending_;             // encoded records of the next commit
-  Sequence next_ = 1;
+  Sequence next_sequence_ = 1;
   Status error_;
 };
 
