--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -11,7 +11,7 @@
 constexpr double kPeriodJitter = 0.05;
 // A helper that has not received an ack sends its nack after this fraction of the probe timeout.
 constexpr double kNackAfterTimeouts = 0.8;
-constexpr double kForgetRelayAfterPeriods = 2;
+constexpr double kRelayedProbeLifetimePeriods = 2;
 constexpr int kMaxRoundsPerProbe = 2;
 
 }  // namespace
@@ -43,16 +43,16 @@
 // ---- Probes by this member ------------------------------------------------------------------------
 
 void FailureDetector::StartProbe(Millis now, ProtocolOutput& out) {
-  const int stretch = local_health_.multiplier();
-  next_probe_at_ = now + options_.protocol_period * stretch * Jitter(random_, kPeriodJitter);
+  const int health_multiplier = local_health_.multiplier();
+  next_probe_at_ = now + options_.protocol_period * health_multiplier * Jitter(random_, kPeriodJitter);
   const Member* const target = NextProbeTarget();
   if (target == nullptr) return;
   Probe probe;
   probe.name = target->name;
   probe.address = target->address;
   probe.sequence = ++last_sequence_;
-  probe.direct_deadline = now + options_.probe_timeout * stretch;
-  probe.deadline = now + options_.protocol_period * stretch;
+  probe.direct_deadline = now + options_.probe_timeout * health_multiplier;
+  probe.deadline = now + options_.protocol_period * health_multiplier;
   probe_ = probe;
   delegate_.SendMessage({probe.address, MessageType::kPing, probe.sequence, probe.name, {}}, out);
 }
@@ -141,7 +141,7 @@
   relayed.requester = from;
   relayed.requester_sequence = request.sequence;
   relayed.nack_at = now + kNackAfterTimeouts * options_.probe_timeout;
-  relayed.forget_at = now + kForgetRelayAfterPeriods * options_.protocol_period;
+  relayed.expires_at = now + kRelayedProbeLifetimePeriods * options_.protocol_period;
   relayed_[sequence] = relayed;
   delegate_.SendMessage({request.probe_address, MessageType::kPing, sequence, request.target, {}}, out);
 }
@@ -153,7 +153,7 @@
       relayed.nack_sent = true;
       delegate_.SendMessage({relayed.requester, MessageType::kNack, relayed.requester_sequence, "", {}}, out);
     }
-    entry = now >= relayed.forget_at ? relayed_.erase(entry) : std::next(entry);
+    entry = now >= relayed.expires_at ? relayed_.erase(entry) : std::next(entry);
   }
 }
 
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -70,7 +70,7 @@
     std::uint32_t requester_sequence = 0;
     base::Millis nack_at = 0;
     bool nack_sent = false;
-    base::Millis forget_at = 0;
+    base::Millis expires_at = 0;
   };
 
   void TickRelayedProbes(base::Millis now, ProtocolOutput& out);
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -37,14 +37,14 @@
   Member& member = members_[update.name];
   member.name = update.name;
   const bool newer = PrecedenceOf(update) > PrecedenceOf(member);
-  if (newer) Set(now, member, update, out);
+  if (newer) ApplyUpdate(now, member, update, out);
   const bool is_suspicion = update.status == MemberStatus::kSuspect && !update.suspector.empty();
   const bool is_current = member.status == MemberStatus::kSuspect && member.incarnation == update.incarnation;
   if (!is_suspicion || !is_current) return newer;
   return AddSuspector(member.suspectors, update.suspector, options_.expected_confirmations) || newer;
 }
 
-void MemberTable::Set(Millis now, Member& member, const GossipUpdate& update, ProtocolOutput& out) {
+void MemberTable::ApplyUpdate(Millis now, Member& member, const GossipUpdate& update, ProtocolOutput& out) {
   const bool is_new = member.incarnation == 0;
   const bool was_alive = !is_new && member.IsAlive();
   const bool was_unhealthy = !is_new && member.status != MemberStatus::kAlive;
@@ -57,8 +57,8 @@
   member.status = update.status;
   alive_count_ += (member.IsAlive() ? 1 : 0) - (was_alive ? 1 : 0);
   unhealthy_count_ += (member.status != MemberStatus::kAlive ? 1 : 0) - (was_unhealthy ? 1 : 0);
-  const bool is_new_and_gone = is_new && !member.IsAlive();
-  if (status_changed && !is_new_and_gone) {
+  const bool is_new_and_not_alive = is_new && !member.IsAlive();
+  if (status_changed && !is_new_and_not_alive) {
     out.status_changes.push_back({member.name, member.status, member.incarnation});
   }
 }
@@ -71,12 +71,12 @@
     const Millis timeout = SuspicionTimeout(options_, alive_count_, member.suspectors.size());
     if (now - member.status_since < timeout) continue;
     expired.push_back({name, member.address, member.incarnation, MemberStatus::kDead, own_name_});
-    Set(now, member, expired.back(), out);
+    ApplyUpdate(now, member, expired.back(), out);
   }
   return expired;
 }
 
-void MemberTable::ForgetDead(Millis now) {
+void MemberTable::RemoveExpiredMembers(Millis now) {
   if (all_healthy()) return;
   for (auto entry = members_.begin(); entry != members_.end();) {
     Member& member = entry->second;
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -42,12 +42,12 @@
   // Marks suspects whose suspicion has timed out as dead, and returns the updates about them.
   std::vector<GossipUpdate> ExpireSuspicions(base::Millis now, ProtocolOutput& out);
   // Removes members that have been dead or have left for longer than the retention time.
-  void ForgetDead(base::Millis now);
+  void RemoveExpiredMembers(base::Millis now);
   // Postpones the timeouts that depend on how long each member has had its status.
   void DelayTimeouts(base::Millis delay);
 
  private:
-  void Set(base::Millis now, Member& member, const GossipUpdate& update, ProtocolOutput& out);
+  void ApplyUpdate(base::Millis now, Member& member, const GossipUpdate& update, ProtocolOutput& out);
 
   const MembershipOptions options_;
   const std::string own_name_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -15,8 +15,8 @@
 constexpr int kRandomMembersPerMessage = 2;
 constexpr double kSeedPingPeriods = 10;  // interval between pings of seed addresses, in protocol periods
 constexpr double kIntervalJitter = 0.25;
-constexpr int kEarlySyncs = 4;             // syncs after the start that are made in every protocol period
-constexpr std::size_t kSeedSyncOneIn = 4;  // one of this many syncs goes to a seed address
+constexpr int kEarlySyncs = 4;                // syncs after the start that are made in every protocol period
+constexpr std::size_t kSyncsPerSeedSync = 4;  // one of this many syncs goes to a seed address
 
 std::string CheckedName(std::string name) {
   if (name.empty() || name.size() > kMaxNameBytes) {
@@ -86,9 +86,9 @@
   const Address member = members[RandomIndex(random_, members.size())]->address;
   const bool with_seed =
       !seed_addresses_.empty() &&
-      (!knows_others() || RandomIndex(random_, kSeedSyncOneIn) == 0 || member == self().address);
-  const Address with = with_seed ? RandomSeedAddress() : member;
-  if (with != self().address) out.sync_with = with;
+      (!knows_others() || RandomIndex(random_, kSyncsPerSeedSync) == 0 || member == self().address);
+  const Address partner = with_seed ? RandomSeedAddress() : member;
+  if (partner != self().address) out.sync_with = partner;
   const bool early = !knows_others() || ++syncs_ <= kEarlySyncs;
   const Millis interval = early ? options_.protocol_period : options_.sync_interval;
   next_sync_at_ = now + interval * Jitter(random_, kIntervalJitter);
@@ -100,7 +100,7 @@
 
 void Membership::ExpireSuspicions(Millis now, ProtocolOutput& out) {
   for (const GossipUpdate& dead : members_.ExpireSuspicions(now, out)) dissemination_.Enqueue(dead);
-  members_.ForgetDead(now);
+  members_.RemoveExpiredMembers(now);
 }
 
 void Membership::Leave(ProtocolOutput& out) {
@@ -131,11 +131,11 @@
 // Refutes an update about this member with a higher incarnation.
 void Membership::Refute(const GossipUpdate& update) {
   const Incarnation own = self().incarnation;
-  const bool says_alive = update.status == MemberStatus::kAlive;
-  const bool is_older = update.incarnation < own || (says_alive && update.incarnation == own);
+  const bool reports_alive = update.status == MemberStatus::kAlive;
+  const bool is_older = update.incarnation < own || (reports_alive && update.incarnation == own);
   if (is_older || left_) return;
   // Other members could not reach this member, so its own failed probes may have the same cause.
-  if (!says_alive) local_health_.Worsen(1);
+  if (!reports_alive) local_health_.Worsen(1);
   members_.SetOwnIncarnation(update.incarnation + 1);
   dissemination_.Enqueue(UpdateAbout(self(), ""));
 }
