--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -100,7 +100,7 @@
   using registry::AgentAction;
   Agent& agent = At(host);
   if (!agent.host_up || agent.cut || agent.calling) return;
-  const AgentAction call = agent.state.next();
+  const AgentAction call = agent.state.next_action();
   if (call != AgentAction::kRegister && call != AgentAction::kRenew) return;
   registry::Command registration;
   registration.member = agent.member;
@@ -126,7 +126,7 @@
   const bool outdated = !agent.host_up || agent.member.incarnation != incarnation;
   if (outdated || ShouldRetry(outcome)) return CallLater(host, kRetryDelay);
   agent.state.OnResult(call, outcome.code());
-  const bool registers_next = agent.state.next() == registry::AgentAction::kRegister;
+  const bool registers_next = agent.state.next_action() == registry::AgentAction::kRegister;
   CallLater(host, registers_next ? 0 : agent.member.lease_duration / kRenewalsPerTerm);
 }
 
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -64,19 +64,19 @@
   state_.Stop();
   stop_timer_.expires_after(TimerDuration(options_.drain_grace));
   stop_timer_.async_wait([this](error_code error) {
-    if (!error) OnDrainGraceOver();
+    if (!error) OnDrainGraceElapsed();
   });
-  ScheduleAct(0);
+  ScheduleNextAction(0);
 }
 
 // If no service responds before the lease has expired, the agent finishes without removing the member.
-void Agent::OnDrainGraceOver() {
-  state_.OnDrainGraceOver();
+void Agent::OnDrainGraceElapsed() {
+  state_.OnDrainGraceElapsed();
   stop_timer_.expires_after(TimerDuration(options_.member.lease_duration + 2 * kCallTimeout));
   stop_timer_.async_wait([this](error_code error) {
     if (!error) Finish(kExitDone);
   });
-  ScheduleAct(0);
+  ScheduleNextAction(0);
 }
 
 void Agent::OnHealthCheck(bool passed) {
@@ -86,17 +86,17 @@
   base::Log(was_healthy ? Level::kWarning : Level::kInfo, "member", "health",
             fmt::format("member {}: {}", options_.member.id,
                         was_healthy ? "does not answer; its lease is not renewed" : "answers"));
-  if (!was_healthy) ScheduleAct(0);
+  if (!was_healthy) ScheduleNextAction(0);
 }
 
-void Agent::ScheduleAct(Millis delay) {
+void Agent::ScheduleNextAction(Millis delay) {
   action_timer_.expires_after(TimerDuration(delay));
   action_timer_.async_wait([this](error_code error) {
-    if (!error) Act();
+    if (!error) PerformNextAction();
   });
 }
 
-void Agent::Act() {
+void Agent::PerformNextAction() {
   if (call_pending_ || finished_) return;
   if (state_.done()) return Finish(kExitDone);
   if (state_.replaced()) {
@@ -105,7 +105,7 @@
                           options_.member.id));
     return Finish(kExitReplaced);
   }
-  const AgentAction action = state_.next();
+  const AgentAction action = state_.next_action();
   if (action == AgentAction::kNone) return;
   if (!connection_ || !connection_->usable()) {
     connection_ = std::make_shared<ClientConnection>(io_, options_.services[service_index_]);
@@ -138,10 +138,10 @@
   state_.OnResult(action, result.code());
   const bool stopping = action == AgentAction::kDrain || action == AgentAction::kRemove;
   if (stopping || was_listed != state_.listed()) LogResult(action, result);
-  const AgentAction next = state_.next();
+  const AgentAction next = state_.next_action();
   const bool next_is_due = next != AgentAction::kRenew && next != AgentAction::kNone;
   const bool at_once = next_is_due || state_.done() || state_.replaced();
-  ScheduleAct(at_once ? 0 : RenewalInterval());
+  ScheduleNextAction(at_once ? 0 : RenewalInterval());
 }
 
 void Agent::LogResult(AgentAction action, const CommandResult& result) const {
@@ -155,7 +155,7 @@
   connection_.reset();
   service_index_ = (service_index_ + 1) % options_.services.size();
   const int doublings = std::min(failed_calls_++, kMaxBackoffDoublings);
-  ScheduleAct(std::min(RenewalInterval(), kInitialBackoff * (1 << doublings)));
+  ScheduleNextAction(std::min(RenewalInterval(), kInitialBackoff * (1 << doublings)));
 }
 
 void Agent::Finish(int exit_code) {
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -30,9 +30,9 @@
 
  private:
   void OnHealthCheck(bool passed);
-  void OnDrainGraceOver();
-  void Act();
-  void ScheduleAct(base::Millis delay);
+  void OnDrainGraceElapsed();
+  void PerformNextAction();
+  void ScheduleNextAction(base::Millis delay);
   std::string EncodeAction(AgentAction action) const;
   void OnResponse(AgentAction action, const base::ClientConnection::Result& response);
   void LogResult(AgentAction action, const CommandResult& result) const;
--- a/src/registry/agent_state.cpp
+++ b/src/registry/agent_state.cpp
@@ -2,17 +2,17 @@
 
 namespace gateway::registry {
 
-AgentAction AgentState::next() const {
+AgentAction AgentState::next_action() const {
   if (removed_) return AgentAction::kNone;
-  if (stopping_) return NextWhileStopping();
+  if (stopping_) return NextActionWhileStopping();
   if (!healthy_ || replaced_) return AgentAction::kNone;
   return listed_ ? AgentAction::kRenew : AgentAction::kRegister;
 }
 
-AgentAction AgentState::NextWhileStopping() const {
+AgentAction AgentState::NextActionWhileStopping() const {
   if (!listed_) return AgentAction::kNone;
   if (!drained_) return AgentAction::kDrain;
-  return drain_grace_over_ ? AgentAction::kRemove : AgentAction::kRenew;
+  return drain_grace_elapsed_ ? AgentAction::kRemove : AgentAction::kRenew;
 }
 
 void AgentState::OnResult(AgentAction action, ErrorCode code) {
--- a/src/registry/agent_state.hpp
+++ b/src/registry/agent_state.hpp
@@ -12,7 +12,7 @@
 // no I/O and reads no clock. Not thread-safe.
 class AgentState {
  public:
-  AgentAction next() const;
+  AgentAction next_action() const;
 
   // Handles the registry's result of an action.
   void OnResult(AgentAction action, ErrorCode code);
@@ -21,7 +21,7 @@
   void OnHealthCheck(bool passed, int failure_threshold);
   void Stop() { stopping_ = true; }
   // Called when the time between drain and removal has elapsed.
-  void OnDrainGraceOver() { drain_grace_over_ = true; }
+  void OnDrainGraceElapsed() { drain_grace_elapsed_ = true; }
 
   bool listed() const { return listed_; }
   bool drained() const { return drained_; }
@@ -33,13 +33,13 @@
   bool done() const { return removed_ || (stopping_ && !listed_); }
 
  private:
-  AgentAction NextWhileStopping() const;
+  AgentAction NextActionWhileStopping() const;
 
   bool listed_ = false;
   bool drained_ = false;
   bool removed_ = false;
   bool stopping_ = false;
-  bool drain_grace_over_ = false;
+  bool drain_grace_elapsed_ = false;
   bool healthy_ = false;
   bool replaced_ = false;
   int failed_checks_ = 0;  // consecutive
--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -25,7 +25,7 @@
 }
 
 // Returns an error if a process must not register because its member was removed before.
-std::optional<Error> CheckReturn(const Member& member, const Member& removed) {
+std::optional<Error> CheckReregistration(const Member& member, const Member& removed) {
   // A delayed request from a process that was removed or replaced by a later process.
   if (member.incarnation < removed.incarnation) {
     return Error(ErrorCode::kStaleIncarnation, "incarnation",
@@ -42,7 +42,7 @@
 }
 
 // Returns a text that identifies the action and member of a request with an idempotency key.
-std::string RequestOf(const Command& command) {
+std::string DescribeRequest(const Command& command) {
   return std::to_string(static_cast<int>(command.action)) + " " + command.member.id;
 }
 
@@ -55,7 +55,7 @@
 }
 
 // Returns the member's state after a command other than kRegister.
-Member Changed(Member member, const Command& command) {
+Member ApplyToMember(Member member, const Command& command) {
   switch (command.action) {
     case Action::kDrain: (command.by_operator ? member.drained_by_operator : member.draining) = true; break;
     case Action::kUndrain: member.drained_by_operator = false; break;
@@ -89,13 +89,13 @@
   const std::string& key = command.idempotency_key;
   if (key.empty()) return Execute(command);
   if (const IdempotencyTable::Entry* const executed = results_.Find(key)) {
-    if (executed->request != RequestOf(command)) {
+    if (executed->request != DescribeRequest(command)) {
       return Failed(ErrorCode::kKeyReused, "key", "the idempotency key was already used for another request");
     }
     return CommandResult::Unchanged(executed->revision);
   }
   CommandResult result = Execute(command);
-  if (result.ok()) results_.Insert(key, {RequestOf(command), result.revision});
+  if (result.ok()) results_.Insert(key, {DescribeRequest(command), result.revision});
   return result;
 }
 
@@ -106,7 +106,7 @@
     return Failed(ErrorCode::kUnknownMember, "id", "member '" + command.member.id + "' is not listed");
   }
   if (auto error = CheckPreconditions(command, *listed)) return CommandResult::Failed(*std::move(error));
-  Member member = Changed(*listed, command);
+  Member member = ApplyToMember(*listed, command);
   if (member == *listed) return CommandResult::Unchanged(revision_);
   CommandResult result = Commit(std::move(member));
   if (command.action == Action::kRemove && command.by_operator) last_operator_removal_ = revision_;
@@ -121,7 +121,7 @@
   }
   if (const auto found = removed_.find(member.id); found != removed_.end()) {
     const Member& removed = found->second;
-    if (auto error = CheckReturn(member, removed)) return CommandResult::Failed(*std::move(error));
+    if (auto error = CheckReregistration(member, removed)) return CommandResult::Failed(*std::move(error));
     // An expiry does not end a drain by operators; an explicit removal does.
     member.drained_by_operator = removed.expired && removed.drained_by_operator;
   }
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -40,9 +40,9 @@
   const std::string& epoch() const { return epoch_; }
   Revision revision() const { return revision_; }
   // Returns the oldest revision that ChangedSince() supports; older ones are compacted.
-  Revision oldest() const { return history_.empty() ? revision_ : history_.front().revision - 1; }
+  Revision oldest_revision() const { return history_.empty() ? revision_ : history_.front().revision - 1; }
   // Returns whether ChangedSince() supports this revision.
-  bool HasHistorySince(Revision after) const { return after >= oldest() && after <= revision_; }
+  bool HasHistorySince(Revision after) const { return after >= oldest_revision() && after <= revision_; }
   // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept a list
   // that lost many members only if a removal by operators explains it.
   Revision last_operator_removal() const { return last_operator_removal_; }
--- a/src/registry/commit_notifier.cpp
+++ b/src/registry/commit_notifier.cpp
@@ -21,8 +21,8 @@
     const std::lock_guard lock(mutex_);
     result_ = std::move(result);
   }
-  const std::uint64_t one = 1;
-  [[maybe_unused]] const auto size = ::write(event_.native_handle(), &one, sizeof one);
+  const std::uint64_t increment = 1;
+  [[maybe_unused]] const auto size = ::write(event_.native_handle(), &increment, sizeof increment);
 }
 
 CommitNotifier::Result CommitNotifier::Wait() {
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -55,13 +55,13 @@
   if (const storage::Status status = log_writer_.Open(found); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
-  const Millis begun = MonotonicNow();
+  const Millis start_time = MonotonicNow();
   const bool starting = !catalog_;
   if (starting && found.snapshot) LoadSnapshot(*found.snapshot);
   const bool new_history = !catalog_;
   if (new_history) catalog_.emplace(options_.epoch, options_.initial_revision, options_.retention);
   const std::size_t replayed = Replay(found.records);
-  LogRecovery(replayed, MonotonicNow() - begun);
+  LogRecovery(replayed, MonotonicNow() - start_time);
   if (new_history && found.records.empty()) WriteFirstSnapshot();
 }
 
@@ -130,16 +130,17 @@
 // Writes one batch at a time; commands that arrive meanwhile form the next batch. All earlier commands are
 // therefore applied when a snapshot is taken.
 void DurableCatalog::WriteNextBatch() {
-  if (!being_written_.empty() || queued_.empty() || !storage_error_.empty()) return;
-  being_written_ = std::exchange(queued_, {});
+  if (!batch_in_progress_.empty() || queued_.empty() || !storage_error_.empty()) return;
+  batch_in_progress_ = std::exchange(queued_, {});
   LogWriter::Batch batch;
   if (log_bytes_ > options_.snapshot_after_bytes) batch.snapshot = catalog_->Snapshot();
-  for (const Proposal& proposal : being_written_) batch.records.push_back(EncodeCommand(proposal.command));
+  for (const Proposal& proposal : batch_in_progress_)
+    batch.records.push_back(EncodeCommand(proposal.command));
   log_writer_.Write(std::move(batch));
 }
 
 void DurableCatalog::OnBatchWritten(const LogWriter::BatchResult& result) {
-  const std::vector<Proposal> batch = std::exchange(being_written_, {});
+  const std::vector<Proposal> batch = std::exchange(batch_in_progress_, {});
   if (!result.status.ok()) {
     const Error error(ErrorCode::kStorageFailed, "",
                       "the write may or may not be durable: " + result.status.Text());
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -84,10 +84,10 @@
 
   const ServiceOptions options_;
   CatalogObserver& observer_;
-  std::optional<Catalog> catalog_;       // empty only during the first recovery
-  storage::Sequence applied_ = 0;        // last applied record
-  std::vector<Proposal> queued_;         // commands of the next batch
-  std::vector<Proposal> being_written_;  // commands of the batch that the log writer is writing
+  std::optional<Catalog> catalog_;           // empty only during the first recovery
+  storage::Sequence applied_ = 0;            // last applied record
+  std::vector<Proposal> queued_;             // commands of the next batch
+  std::vector<Proposal> batch_in_progress_;  // commands of the batch that the log writer is writing
   std::string storage_error_;
   std::uint64_t log_bytes_ = 0;
   std::uint64_t commands_written_ = 0;
--- a/src/registry/json_fields.hpp
+++ b/src/registry/json_fields.hpp
@@ -22,7 +22,7 @@
   // Returns the name of the field, or an empty string if the error does not concern a single field.
   const std::string& field() const { return field_; }
   // Returns the field and the message in one sentence.
-  std::string Sentence() const { return field_.empty() ? what() : "'" + field_ + "' " + what(); }
+  std::string FullMessage() const { return field_.empty() ? what() : "'" + field_ + "' " + what(); }
 
  private:
   std::string field_;
--- a/src/registry/list_handler.cpp
+++ b/src/registry/list_handler.cpp
@@ -47,7 +47,7 @@
     return session->Respond(
         ErrorResponse({ErrorCode::kBadRequest, "", "'after' must be a non-negative integer"}));
   }
-  const Revision after = query->after.value_or(catalog_.oldest());
+  const Revision after = query->after.value_or(catalog_.oldest_revision());
   std::vector<const Member*> changes;
   for (const Member& change : catalog_.history()) {
     if (change.revision > after && changes.size() < kMaxHistoryChanges) changes.push_back(&change);
--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -61,9 +61,9 @@
     result.status = {{}, folder_ + ": the store is not open"};
     return result;
   }
-  const base::Millis begun = base::MonotonicNow();
+  const base::Millis start_time = base::MonotonicNow();
   result.status = AppendAndCommit(batch, result.sequences);
-  result.duration_ms = base::MonotonicNow() - begun;
+  result.duration_ms = base::MonotonicNow() - start_time;
   result.log_bytes = store_->log_bytes();
   return result;
 }
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -61,7 +61,7 @@
 // Serializes the value and replaces invalid UTF-8.
 std::string Dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-json ParseLeniently(const std::string& text) {
+json ParseWithoutThrowing(const std::string& text) {
   return json::parse(text, nullptr, /*allow_exceptions=*/false);
 }
 
@@ -189,7 +189,7 @@
                 {"version", member.version},
                 {"changed", member.revision},
                 {"term_ms", member.lease_duration}};
-  entry["cell"] = member.cell.empty() ? json() : ParseLeniently(member.cell);
+  entry["cell"] = member.cell.empty() ? json() : ParseWithoutThrowing(member.cell);
   if (member.suspect) entry["suspect"] = true;
   if (member.drained_by_operator) entry["held_out"] = true;
   if (member.expired) entry["expired"] = true;
@@ -212,13 +212,13 @@
 }
 
 ParsedCall ParseCall(std::string_view call, const std::string& body) {
-  const json parsed = ParseLeniently(body);
+  const json parsed = ParseWithoutThrowing(body);
   if (!parsed.is_object()) return Error(ErrorCode::kBadRequest, "", "the body must be a JSON object");
   try {
     if (call == "renew") return ReadRenewal(parsed);
     return ReadCommand(call, parsed);
   } catch (const FieldError& error) {
-    return Error(ErrorCode::kBadRequest, error.field(), error.Sentence());
+    return Error(ErrorCode::kBadRequest, error.field(), error.FullMessage());
   }
 }
 
@@ -233,7 +233,7 @@
                  {"size", member.size},
                  {"term_ms", member.lease_duration},
                  {"incarnation", member.incarnation}});
-    if (!member.cell.empty()) body["cell"] = ParseLeniently(member.cell);
+    if (!member.cell.empty()) body["cell"] = ParseWithoutThrowing(member.cell);
   }
   if (command.action == Action::kSetSize) body["size"] = member.size;
   if (!command.idempotency_key.empty()) body["key"] = command.idempotency_key;
@@ -258,7 +258,7 @@
 }
 
 CommandResult ParseResult(unsigned status, const std::string& body) {
-  const json parsed = ParseLeniently(body);
+  const json parsed = ParseWithoutThrowing(body);
   const Error unreadable(ErrorCode::kUnreadable, "",
                          "unreadable response with status " + std::to_string(status));
   if (!parsed.is_object()) return CommandResult::Failed(unreadable);
@@ -271,7 +271,7 @@
 }
 
 std::optional<PublishedList> ParseList(const std::string& text, std::string& error) {
-  const json parsed = ParseLeniently(text);
+  const json parsed = ParseWithoutThrowing(text);
   const auto fail = [&error](std::string reason) {
     error = std::move(reason);
     return std::nullopt;
--- a/src/registry/self_preservation.cpp
+++ b/src/registry/self_preservation.cpp
@@ -33,10 +33,10 @@
   const bool many_lapsed =
       leases.lapsed > options_.min_lapsed && leases.lapsed > options_.max_lapsed_share * leases.total;
   if (!many_lapsed) {
-    given_up_.erase(zone);
+    timed_out_zones_.erase(zone);
     return active_.erase(zone) > 0 ? State::kEnded : State::kInactive;
   }
-  if (given_up_.contains(zone)) return State::kInactive;
+  if (timed_out_zones_.contains(zone)) return State::kInactive;
   const auto [entry, added] = active_.try_emplace(zone, ActiveZone{zone, leases, now});
   if (added) return State::kActive;
   return UpdateActive(entry->second, leases, now);
@@ -47,7 +47,7 @@
   active.leases = leases;
   if (now - active.since < options_.max_duration) return State::kActive;
   const std::string zone = active.zone;
-  given_up_.insert(zone);
+  timed_out_zones_.insert(zone);
   active_.erase(zone);
   return State::kInactive;
 }
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -74,8 +74,9 @@
 
   const SelfPreservationOptions options_;
   std::map<std::string, ActiveZone> active_;
-  std::set<std::string> given_up_;  // zones that reached the maximum duration, until fewer leases are expired
-  std::deque<Expiry> expiries_;     // expiries within the window, oldest first
+  // Zones that reached the maximum duration and still have too many expired leases.
+  std::set<std::string> timed_out_zones_;
+  std::deque<Expiry> expiries_;  // expiries within the window, oldest first
 };
 
 }  // namespace gateway::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -108,7 +108,7 @@
   const auto& request = session->request();
   const std::string_view target(request.target().data(), request.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
-  if (path == kListPath) session->CountIn(totals_.list);
+  if (path == kListPath) session->CountRequestIn(totals_.list);
   const bool from_client = path == kListPath || path == kRenewPath;  // all other requests are from operators
   if (from_client && !admission_.AdmitClient(*session)) return RejectClient(session);
   if (path == kListPath) return RouteList(session, target);
@@ -124,9 +124,9 @@
 // Returns false if the path is not that of a report.
 bool Service::RouteReport(const SessionPtr& session, std::string_view path, std::string_view target) {
   if (path == kMetricsPath) {
-    session->Respond(TextResponse(MetricsReport(View()), kMetricsType));
+    session->Respond(TextResponse(MetricsReport(MakeView()), kMetricsType));
   } else if (path == kStatusPath) {
-    session->Respond(TextResponse(StatusReport(View())));
+    session->Respond(TextResponse(StatusReport(MakeView())));
   } else if (path == kMembersPath) {
     list_handler_.HandleMembers(session);
   } else if (path == kHistoryPath) {
@@ -146,7 +146,7 @@
   session->Respond(ErrorResponse({ErrorCode::kUnknownCall, "", "no such call at this path"}, status));
 }
 
-ServiceView Service::View() const {
+ServiceView Service::MakeView() const {
   ServiceTotals totals = totals_;
   totals.renewals = call_handler_.renewals();
   totals.full_lists = list_handler_.full_lists();
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -59,7 +59,7 @@
   void RouteList(const SessionPtr& session, std::string_view target);
   bool RouteReport(const SessionPtr& session, std::string_view path, std::string_view target);
   void RouteCall(const SessionPtr& session, std::string_view path);
-  ServiceView View() const;
+  ServiceView MakeView() const;
 
   void Tick();
   void ScheduleTick();
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -66,7 +66,8 @@
 void AddStateMetrics(const ServiceView& view, MetricsWriter& metrics) {
   const Catalog& catalog = view.durable_catalog.catalog();
   metrics.Gauge("revision", "Newest revision of the list", catalog.revision());
-  metrics.Gauge("oldest_revision", "Oldest revision from which a watch can continue", catalog.oldest());
+  metrics.Gauge("oldest_revision", "Oldest revision from which a watch can continue",
+                catalog.oldest_revision());
   metrics.Gauge("members", "Listed members", catalog.members().size());
   metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
   metrics.Gauge("holds", "Zones, or all zones together, in which removals are suspended",
@@ -118,7 +119,7 @@
   const std::string& storage_error = view.durable_catalog.storage_error();
   return json{{"epoch", catalog.epoch()},
               {"revision", catalog.revision()},
-              {"oldest", catalog.oldest()},
+              {"oldest", catalog.oldest_revision()},
               {"members", CountPhases(catalog)},
               {"leases", view.leases.size()},
               {"overdue", view.leases.CountLapsed(view.now)},
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -33,7 +33,7 @@
   parser_.emplace();
   parser_->body_limit(kMaxBodyBytes);
   parser_->header_limit(kMaxHeaderBytes);
-  CloseAfter(timeout, CloseReason::kOrdinary);
+  CloseAfter(timeout, CloseReason::kNormal);
   http::async_read(
       socket_, buffer_, *parser_,
       [self = shared_from_this()](error_code error, std::size_t bytes) { self->OnRead(error, bytes); });
@@ -59,7 +59,7 @@
   Respond(std::move(response));
 }
 
-void Session::CountIn(TrafficTotals& totals) {
+void Session::CountRequestIn(TrafficTotals& totals) {
   ++totals.requests;
   totals.bytes_received += request_bytes_;
   extra_totals_ = &totals;
@@ -94,12 +94,12 @@
 }
 
 void Session::CloseAfter(Millis timeout, CloseReason reason) {
-  SetTimeout(timeout, [this, reason] { CloseFor(reason); });
+  SetTimeout(timeout, [this, reason] { CloseWithReason(reason); });
 }
 
-void Session::Close() { CloseFor(CloseReason::kOrdinary); }
+void Session::Close() { CloseWithReason(CloseReason::kNormal); }
 
-void Session::CloseFor(CloseReason reason) {
+void Session::CloseWithReason(CloseReason reason) {
   if (!std::exchange(open_, false)) return;
   timer_.cancel();
   error_code ignored;
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -32,7 +32,7 @@
 // Handler of the events of sessions. Called in the thread of their io_context.
 class SessionHandler {
  public:
-  enum class CloseReason { kOrdinary, kSlowReader };
+  enum class CloseReason { kNormal, kSlowReader };
 
   virtual ~SessionHandler() = default;
   // Called when bytes of a request were received, or when the sending of a response of `sent` bytes has
@@ -57,7 +57,7 @@
     return parser_->get();
   }
   // Adds the current request and its response to `totals`, which must outlive the session.
-  void CountIn(TrafficTotals& totals);
+  void CountRequestIn(TrafficTotals& totals);
   // Sends the response, then reads the next request. Has no effect on a closed session.
   void Respond(Response response);
   // Calls `on_timeout` after the timeout unless a response is sent or the session is closed before.
@@ -71,7 +71,7 @@
   void RejectMalformed(const std::string& message);
   void OnWritten(boost::system::error_code error);
   void CloseAfter(base::Millis timeout, CloseReason reason);
-  void CloseFor(CloseReason reason);
+  void CloseWithReason(CloseReason reason);
 
   SessionHandler& handler_;
   boost::asio::ip::tcp::socket socket_;
@@ -81,7 +81,7 @@
   std::string response_head_;
   Body response_body_;
   std::size_t request_bytes_ = 0;
-  TrafficTotals* extra_totals_ = nullptr;  // set from CountIn() until the response
+  TrafficTotals* extra_totals_ = nullptr;  // set from CountRequestIn() until the response
   bool open_ = true;
   bool keep_alive_ = true;
 };
--- a/tests/registry/agent_state_test.cpp
+++ b/tests/registry/agent_state_test.cpp
@@ -10,23 +10,23 @@
 // unhealthy or stopped server in the list.
 TEST(AgentState, ChoosesTheNextAction) {
   AgentState state;
-  EXPECT_EQ(state.next(), AgentAction::kNone);
+  EXPECT_EQ(state.next_action(), AgentAction::kNone);
   state.OnHealthCheck(true, 3);
-  EXPECT_EQ(state.next(), AgentAction::kRegister);
+  EXPECT_EQ(state.next_action(), AgentAction::kRegister);
   state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
-  EXPECT_EQ(state.next(), AgentAction::kRenew);
+  EXPECT_EQ(state.next_action(), AgentAction::kRenew);
   state.OnResult(AgentAction::kRenew, ErrorCode::kUnknownMember);  // the registry lost its state
-  EXPECT_EQ(state.next(), AgentAction::kRegister);
+  EXPECT_EQ(state.next_action(), AgentAction::kRegister);
   state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
   for (int i = 0; i < 3; ++i) state.OnHealthCheck(false, 3);
-  EXPECT_EQ(state.next(), AgentAction::kNone);  // so that its lease expires
+  EXPECT_EQ(state.next_action(), AgentAction::kNone);  // so that its lease expires
   state.OnHealthCheck(true, 3);
   state.Stop();
-  EXPECT_EQ(state.next(), AgentAction::kDrain);
+  EXPECT_EQ(state.next_action(), AgentAction::kDrain);
   state.OnResult(AgentAction::kDrain, ErrorCode::kNone);
-  EXPECT_EQ(state.next(), AgentAction::kRenew);  // stays listed as draining for the drain grace period
-  state.OnDrainGraceOver();
-  EXPECT_EQ(state.next(), AgentAction::kRemove);
+  EXPECT_EQ(state.next_action(), AgentAction::kRenew);  // stays listed as draining for the drain grace period
+  state.OnDrainGraceElapsed();
+  EXPECT_EQ(state.next_action(), AgentAction::kRemove);
   state.OnResult(AgentAction::kRemove, ErrorCode::kNone);
   EXPECT_TRUE(state.done());
   AgentState replaced_agent;
--- a/tests/registry/catalog_test.cpp
+++ b/tests/registry/catalog_test.cpp
@@ -82,8 +82,8 @@
     catalog.Apply(command);
     lists[catalog.revision()] = catalog.members();
     RC_ASSERT(catalog.history().size() <= 5u);
-    RC_ASSERT(!catalog.ChangedSince(catalog.oldest() - 1).has_value());
-    for (Revision after = catalog.oldest(); after <= catalog.revision(); ++after) {
+    RC_ASSERT(!catalog.ChangedSince(catalog.oldest_revision() - 1).has_value());
+    for (Revision after = catalog.oldest_revision(); after <= catalog.revision(); ++after) {
       RequireDelta(catalog, after, lists.at(after), catalog.members());
     }
   }
--- a/tests/registry/registry_compatibility_test.cpp
+++ b/tests/registry/registry_compatibility_test.cpp
@@ -164,7 +164,7 @@
   const Catalog& catalog = opened.catalog();
   EXPECT_EQ(catalog.epoch(), kEpoch);
   EXPECT_EQ(catalog.revision(), kLastRevision);
-  EXPECT_EQ(catalog.oldest(), kFirstRevision);
+  EXPECT_EQ(catalog.oldest_revision(), kFirstRevision);
   EXPECT_EQ(catalog.last_operator_removal(), kFirstRevision + 14);
   std::vector<Member> members;
   for (const auto& [id, member] : catalog.members()) {
