--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -51,18 +51,18 @@
 // Runs at the start and after a storage failure. In the latter case the log may contain commands that were
 // reported as failed; they are applied.
 void DurableCatalog::Recover() {
-  storage::Examination found;
-  if (const storage::Status status = log_writer_.Open(found); !status.ok()) {
+  storage::Examination examination;
+  if (const storage::Status status = log_writer_.Open(examination); !status.ok()) {
     throw std::runtime_error(status.Text());
   }
   const Millis start_time = MonotonicNow();
   const bool starting = !catalog_;
-  if (starting && found.snapshot) LoadSnapshot(*found.snapshot);
+  if (starting && examination.snapshot) LoadSnapshot(*examination.snapshot);
   const bool new_history = !catalog_;
   if (new_history) catalog_.emplace(options_.epoch, options_.initial_revision, options_.retention);
-  const std::size_t replayed = Replay(found.records);
+  const std::size_t replayed = Replay(examination.records);
   LogRecovery(replayed, MonotonicNow() - start_time);
-  if (new_history && found.records.empty()) WriteFirstSnapshot();
+  if (new_history && examination.records.empty()) WriteFirstSnapshot();
 }
 
 void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -29,15 +29,15 @@
   thread_.join();
 }
 
-storage::Status LogWriter::Open(storage::Examination& found) {
+storage::Status LogWriter::Open(storage::Examination& examination) {
   store_.reset();  // releases the lock on the folder
-  return storage::Store::Open(files_, folder_, options_, store_, found);
+  return storage::Store::Open(files_, folder_, options_, store_, examination);
 }
 
 void LogWriter::Write(Batch batch) {
   {
     const std::lock_guard lock(mutex_);
-    next_ = std::move(batch);
+    next_batch_ = std::move(batch);
   }
   wake_.notify_one();
 }
@@ -47,9 +47,9 @@
     Batch batch;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || next_; });
-      if (!next_) return;
-      batch = std::move(*std::exchange(next_, std::nullopt));
+      wake_.wait(lock, [this] { return stopping_ || next_batch_; });
+      if (!next_batch_) return;
+      batch = std::move(*std::exchange(next_batch_, std::nullopt));
     }
     on_written_(WriteBatch(batch));
   }
--- a/src/registry/log_writer.hpp
+++ b/src/registry/log_writer.hpp
@@ -38,8 +38,8 @@
   LogWriter& operator=(const LogWriter&) = delete;
 
   // Opens and recovers the store in the caller's thread. Must not be called while a batch is being written.
-  // After a failure, `found` may contain records of a failed batch.
-  storage::Status Open(storage::Examination& found);
+  // After a failure, `examination` may contain records of a failed batch.
+  storage::Status Open(storage::Examination& examination);
   // Starts to write a batch and returns at once. Must not be called again before `on_written`.
   void Write(Batch batch);
 
@@ -55,9 +55,9 @@
   std::unique_ptr<storage::Store> store_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::optional<Batch> next_;  // guarded by mutex_
-  bool stopping_ = false;      // guarded by mutex_
-  std::thread thread_;         // last member, because the thread uses the members above
+  std::optional<Batch> next_batch_;  // guarded by mutex_
+  bool stopping_ = false;            // guarded by mutex_
+  std::thread thread_;               // last member, because the thread uses the members above
 };
 
 }  // namespace gateway::registry
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -38,7 +38,7 @@
       call_handler_(durable_catalog_, lease_monitor_, options_.leases.default_duration),
       acceptor_(io),
       tick_timer_(io),
-      started_(MonotonicNow()) {
+      start_time_(MonotonicNow()) {
   Listen();
   Accept();
   Tick();
@@ -152,8 +152,8 @@
   totals.full_lists = list_handler_.full_lists();
   totals.encoded_bodies = list_handler_.encoded_bodies();
   totals.rejected = admission_.rejected();
-  return {durable_catalog_, lease_monitor_.leases(), totals,  list_handler_.watches(),
-          sessions_.size(), MonotonicNow(),          started_};
+  return {durable_catalog_, lease_monitor_.leases(), totals,     list_handler_.watches(),
+          sessions_.size(), MonotonicNow(),          start_time_};
 }
 
 // ---- Changes of the catalog -----------------------------------------------------------------------
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -75,7 +75,7 @@
   boost::asio::steady_timer tick_timer_;
   std::unordered_set<SessionPtr> sessions_;
   ServiceTotals totals_;  // excludes the totals that other components count
-  const base::Millis started_;
+  const base::Millis start_time_;
 };
 
 }  // namespace gateway::registry
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -128,7 +128,7 @@
               {"connections", view.connections},
               {"storage", storage_error.empty() ? "ok" : storage_error},
               {"log_bytes", view.durable_catalog.log_bytes()},
-              {"up_s", (view.now - view.started) / kMillisPerSecond}}
+              {"up_s", (view.now - view.start_time) / kMillisPerSecond}}
       .dump();
 }
 
--- a/src/registry/service_report.hpp
+++ b/src/registry/service_report.hpp
@@ -31,7 +31,7 @@
   std::size_t watches = 0;
   std::size_t connections = 0;
   base::Millis now = 0;
-  base::Millis started = 0;
+  base::Millis start_time = 0;
 };
 
 std::string StatusReport(const ServiceView& view);
