--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -96,8 +96,9 @@
         HandleOutput(datagram.to, out);
       }
       for (std::size_t i = 0; i < nodes.size(); ++i) {
-        const bool tick_due = (step + i) % static_cast<std::size_t>(kTickInterval / kStep) == 0;
-        if (!running[i] || paused[i] || !tick_due) continue;
+        if (!running[i] || paused[i] || (step + i) % static_cast<std::size_t>(kTickInterval / kStep) != 0) {
+          continue;
+        }
         nodes[i]->Tick(now, out);
         HandleOutput(static_cast<int>(i), out);
       }
