--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -29,15 +29,15 @@
   thread_.join();
 }
 
-storage::Status LogWriter::Open(storage::Examination& found) {
-  store_.reset();  // releases its lock on the folder
-  return storage::Store::Open(files_, folder_, options_, store_, found);
+storage::Status LogWriter::Open(storage::Examination& examination) {
+  store_.reset();  // releases the lock on the folder
+  return storage::Store::Open(files_, folder_, options_, store_, examination);
 }
 
 void LogWriter::Write(Batch batch) {
   {
     const std::lock_guard lock(mutex_);
-    next_ = std::move(batch);
+    next_batch_ = std::move(batch);
   }
   wake_.notify_one();
 }
@@ -47,9 +47,9 @@
     Batch batch;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || next_; });
-      if (!next_) return;
-      batch = std::move(*std::exchange(next_, std::nullopt));
+      wake_.wait(lock, [this] { return stopping_ || next_batch_; });
+      if (!next_batch_) return;
+      batch = std::move(*std::exchange(next_batch_, std::nullopt));
     }
     on_written_(WriteBatch(batch));
   }
@@ -58,12 +58,12 @@
 LogWriter::BatchResult LogWriter::WriteBatch(const Batch& batch) {
   BatchResult result;
   if (!store_) {
-    result.status = {{}, folder_ + ": not open"};
+    result.status = {{}, folder_ + ": the store is not open"};
     return result;
   }
-  const base::Millis begun = base::MonotonicNow();
+  const base::Millis start_time = base::MonotonicNow();
   result.status = AppendAndCommit(batch, result.sequences);
-  result.duration_ms = base::MonotonicNow() - begun;
+  result.duration_ms = base::MonotonicNow() - start_time;
   result.log_bytes = store_->log_bytes();
   return result;
 }
@@ -76,7 +76,7 @@
   for (const std::string& record : batch.records) {
     const storage::Sequence sequence = store_->Append(kCommandRecord, kCommandVersion, record);
     sequences.push_back(sequence);
-    if (sequence == 0) return {{}, folder_ + ": no room for a record"};
+    if (sequence == 0) return {{}, folder_ + ": the log is full or a record is too long"};
   }
   return store_->Commit();
 }
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -16,7 +16,7 @@
 using base::TimerDuration;
 using boost::system::error_code;
 
-constexpr Millis kFirstRequestTimeout = 10000;  // from accept to a complete request
+constexpr Millis kFirstRequestTimeout = 10000;  // from accept to the first complete request
 constexpr Millis kIdleTimeout = 75000;          // from a response to the next complete request
 constexpr Millis kWriteTimeout = 5000;          // for a client to read a complete response
 constexpr std::size_t kMaxBodyBytes = 64 << 10;
@@ -33,7 +33,7 @@
   parser_.emplace();
   parser_->body_limit(kMaxBodyBytes);
   parser_->header_limit(kMaxHeaderBytes);
-  CloseAfter(timeout, CloseReason::kOrdinary);
+  CloseAfter(timeout, CloseReason::kNormal);
   http::async_read(
       socket_, buffer_, *parser_,
       [self = shared_from_this()](error_code error, std::size_t bytes) { self->OnRead(error, bytes); });
@@ -46,9 +46,9 @@
   handler_.OnTraffic(bytes, 0);
   if (error == http::error::end_of_stream || (error && !parser_->got_some())) return Close();
   if (error == http::error::body_limit || error == http::error::header_limit) {
-    return RejectMalformed("the request is too long");
+    return RejectMalformed("the request exceeds the size limit");
   }
-  if (error) return RejectMalformed("no proper HTTP request");
+  if (error) return RejectMalformed("malformed HTTP request");
   keep_alive_ = parser_->get().keep_alive();
   handler_.OnRequest(shared_from_this());
 }
@@ -59,7 +59,7 @@
   Respond(std::move(response));
 }
 
-void Session::CountIn(TrafficTotals& totals) {
+void Session::CountRequestIn(TrafficTotals& totals) {
   ++totals.requests;
   totals.bytes_received += request_bytes_;
   extra_totals_ = &totals;
@@ -94,12 +94,12 @@
 }
 
 void Session::CloseAfter(Millis timeout, CloseReason reason) {
-  SetTimeout(timeout, [this, reason] { CloseFor(reason); });
+  SetTimeout(timeout, [this, reason] { CloseWithReason(reason); });
 }
 
-void Session::Close() { CloseFor(CloseReason::kOrdinary); }
+void Session::Close() { CloseWithReason(CloseReason::kNormal); }
 
-void Session::CloseFor(CloseReason reason) {
+void Session::CloseWithReason(CloseReason reason) {
   if (!std::exchange(open_, false)) return;
   timer_.cancel();
   error_code ignored;
