--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -1,5 +1,5 @@
-// The lab without sockets: schedules, the emulated host against closed forms, the rules, figures, files. And
-// the lab as a program: that it catches gateways that do wrong.
+// Tests of the lab: schedules, the host model against closed-form results, the rules, figures and files, all
+// without sockets; the emulated networks; and the gatewayctl program, which has to detect faulty gateways.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -30,7 +30,7 @@
 namespace gateway::lab {
 namespace {
 
-const std::string kSmall = R"(name = "small"
+const std::string kSmallExperiment = R"(name = "small"
 baselines = ["random"]
 [fleet]
 gateways = 2
@@ -48,35 +48,40 @@
 repeatable = false
 )";
 
-Experiment Parse(const std::string& more) { return ParseExperiment(kSmall + more, "test.toml"); }
+// Parses the small experiment with further sections appended.
+Experiment ParseWithSections(const std::string& sections) {
+  return ParseExperiment(kSmallExperiment + sections, "test.toml");
+}
 
-std::string Lines(const Experiment& e, std::uint64_t seed) {
+// The fault timeline and all arrivals of the experiment, one per line.
+std::string ScheduleText(const Experiment& experiment, std::uint64_t seed) {
   std::string text;
-  for (const std::string& line : FaultTimeline(e)) text += line + "\n";
-  Schedule schedule(e, seed);
+  for (const std::string& line : FaultTimeline(experiment)) text += line + "\n";
+  Schedule schedule(experiment, seed);
   while (const auto arrival = schedule.Next()) text += arrival->ToText() + "\n";
   return text;
 }
 
-TEST(Schedule, IsFixedByTheSeedAndOnlyByIt) {
+TEST(Schedule, ProducesSameArrivalsForSameSeedOnly) {
   for (const std::string arrivals : {"poisson", "bursty"}) {
-    const Experiment e = Parse("[traffic]\nrate = 200\nseconds = 20\narrivals = \"" + arrivals +
-                               "\"\n[[faults]]\nwhat = \"kill\"\ngateway = \"1\"\nat_s = 3\nfor_s = 1\n");
-    EXPECT_EQ(Lines(e, 7), Lines(e, 7));
-    EXPECT_NE(Lines(e, 7), Lines(e, 8));
+    const Experiment experiment =
+        ParseWithSections("[traffic]\nrate = 200\nseconds = 20\narrivals = \"" + arrivals +
+                          "\"\n[[faults]]\nwhat = \"kill\"\ngateway = \"1\"\nat_s = 3\nfor_s = 1\n");
+    EXPECT_EQ(ScheduleText(experiment, 7), ScheduleText(experiment, 7));
+    EXPECT_NE(ScheduleText(experiment, 7), ScheduleText(experiment, 8));
   }
 }
 
-TEST(Schedule, HasTheStatedRateSharesAndBursts) {
+TEST(Schedule, MatchesConfiguredRateSharesAndBurstiness) {
   struct Case {
     const char* arrivals;
-    double spread;  // of the count in windows of 1 s, over that of Poisson
+    double spread;  // variance of the count in windows of 1 s, relative to that of Poisson
   };
-  for (const Case& c : {Case{"poisson", 1}, Case{"bursty", 5}}) {
-    const Experiment e =
-        Parse(std::string("[traffic]\nrate = 500\nseconds = 400\nburst_factor = 3\narrivals = \"") +
-              c.arrivals + "\"\n");
-    Schedule schedule(e, 3);
+  for (const Case& test_case : {Case{"poisson", 1}, Case{"bursty", 5}}) {
+    const Experiment experiment = ParseWithSections(
+        std::string("[traffic]\nrate = 500\nseconds = 400\nburst_factor = 3\narrivals = \"") +
+        test_case.arrivals + "\"\n");
+    Schedule schedule(experiment, 3);
     std::vector<double> windows(400);
     double count = 0, pay = 0, work = 0;
     while (const auto arrival = schedule.Next()) {
@@ -85,37 +90,39 @@
       work += arrival->work;
       ++windows[static_cast<std::size_t>(arrival->at / 1000)];
     }
-    EXPECT_NEAR(count / 400, 500, c.spread * 10);
+    EXPECT_NEAR(count / 400, 500, test_case.spread * 10);
     EXPECT_NEAR(pay / count, 0.2, 0.01);
     EXPECT_NEAR(work / count, 24, 0.5);
     double squares = 0;
-    for (const double w : windows) squares += (w - count / 400) * (w - count / 400) / 400;
-    EXPECT_GT(squares / 500, c.spread * 0.8) << c.arrivals;
-    EXPECT_LT(squares / 500, c.spread == 1 ? 1.25 : 1000);
+    for (const double window : windows) squares += (window - count / 400) * (window - count / 400) / 400;
+    EXPECT_GT(squares / 500, test_case.spread * 0.8) << test_case.arrivals;
+    EXPECT_LT(squares / 500, test_case.spread == 1 ? 1.25 : 1000);
   }
 }
 
-TEST(Schedule, BurstsMultiplyTheRateWhileTheyLast) {
-  const Experiment e = Parse(
+TEST(Schedule, MultipliesRateOnlyDuringBurst) {
+  const Experiment experiment = ParseWithSections(
       "[traffic]\nrate = 1000\nseconds = 30\n[[faults]]\nwhat = \"burst\"\nat_s = 10\nfor_s = 10\nsize = "
       "3\n");
-  Schedule schedule(e, 1);
-  double in = 0, out = 0;
-  while (const auto arrival = schedule.Next()) ++(arrival->at >= 10000 && arrival->at < 20000 ? in : out);
-  EXPECT_NEAR(in, 30000, 800);
-  EXPECT_NEAR(out, 20000, 700);
+  Schedule schedule(experiment, 1);
+  double during_burst = 0, outside_burst = 0;
+  while (const auto arrival = schedule.Next()) {
+    ++(arrival->at >= 10000 && arrival->at < 20000 ? during_burst : outside_burst);
+  }
+  EXPECT_NEAR(during_burst, 30000, 800);
+  EXPECT_NEAR(outside_burst, 20000, 700);
 }
 
-// Mean wait before service of M/M/c at this load, over the mean service time (Erlang C).
-double ErlangWait(int c, double load) {
-  const double a = load * c;
+// Mean wait before service in an M/M/c queue at this load, divided by the mean service time (Erlang C).
+double ErlangWait(int servers, double load) {
+  const double offered_load = load * servers;
   double term = 1, sum = 1;
-  for (int k = 1; k < c; ++k) sum += term *= a / k;
-  const double last = term * a / c / (1 - load);
-  return last / (sum + last) / (c * (1 - load));
+  for (int k = 1; k < servers; ++k) sum += term *= offered_load / k;
+  const double last = term * offered_load / servers / (1 - load);
+  return last / (sum + last) / (servers * (1 - load));
 }
 
-TEST(HostModel, WaitsAsMMcDoes) {
+TEST(HostModel, MeanWaitMatchesErlangC) {
   for (const int cores : {1, 2, 4}) {
     for (const double load : {0.5, 0.8, 0.9}) {
       HostGroup group;
@@ -124,37 +131,38 @@
       HostModel host(group, {}, std::nullopt);
       boost::random::mt19937_64 random(17);
       boost::random::exponential_distribution<double> gap(load * cores), work(1);
-      // The nearer to full, the longer the runs of waiting, and the more of them a mean takes.
+      // At a higher load busy periods are longer, so the mean needs more jobs to converge.
       const HostModel::Job count = load < 0.6 ? 100000 : load < 0.85 ? 300000 : 700000;
-      std::unordered_map<HostModel::Job, Millis> came;
+      std::unordered_map<HostModel::Job, Millis> submitted_at;
       std::vector<HostModel::Event> events;
-      double now = 0, waited = 0, begun = 0;
-      const auto settle = [&](Millis until) {  // as a timer would: at each time that it names
+      double now = 0, total_wait = 0, started_jobs = 0;
+      const auto advance_to = [&](Millis until) {  // at each time of an event, as a timer would
         while (host.NextEventAt() && *host.NextEventAt() <= until) {
           const Millis at = *host.NextEventAt();
           events.clear();
           host.Advance(at, events);
           for (const auto& event : events) {
             if (event.kind != HostModel::EventKind::kStarted) continue;
-            waited += at - came[event.job];
-            ++begun;
-            came.erase(event.job);
+            total_wait += at - submitted_at[event.job];
+            ++started_jobs;
+            submitted_at.erase(event.job);
           }
         }
       };
       for (HostModel::Job job = 1; job <= count; ++job) {
         now += gap(random);
-        settle(now);
-        came[job] = now;
+        advance_to(now);
+        submitted_at[job] = now;
         host.Submit(now, job, work(random), 1e12);
-        settle(now);
+        advance_to(now);
       }
-      EXPECT_NEAR(waited / begun / ErlangWait(cores, load), 1, 0.05) << cores << " cores at " << load;
+      EXPECT_NEAR(total_wait / started_jobs / ErlangWait(cores, load), 1, 0.05)
+          << cores << " cores at " << load;
     }
   }
 }
 
-TEST(HostModel, SharesItsCoresAndTurnsAwayWhatFindsNoPlace) {
+TEST(HostModel, SharesCoresAndRejectsWhenQueueIsFull) {
   HostGroup group;
   group.slots = 2;
   group.queue_capacity = 1;
@@ -170,45 +178,48 @@
     if (event.kind != HostModel::EventKind::kStarted) ends.emplace_back(event.job, event.kind);
   }
   using Kind = HostModel::EventKind;
-  // 1 is done at 20, sharing; then 3 begins and its time is over at 25; 2 is done at 32.5.
+  // Job 1 finishes at 20, as it shares the core; then job 3 starts and expires at 25; job 2 finishes at 32.5.
   EXPECT_EQ(ends, (std::vector<std::pair<HostModel::Job, Kind>>{
                       {1, Kind::kFinished}, {3, Kind::kExpired}, {2, Kind::kFinished}}));
 }
 
-TEST(HostModel, WarmsEvenlyAndFallsOverWhenSentTooMuch) {
+TEST(HostModel, WarmsUpLinearlyAndOverloadsAboveLimit) {
   HostGroup group;
   group.slots = 1000;
   const HostWarmUp cold{0.2, 10000, 2.5, 3000};
   HostModel host(group, {0.2, 10000, 1e9, 3000}, 0.0);
   std::vector<HostModel::Event> events;
-  host.Submit(0, 1, 6000, 1e9);  // the integral of the warmth over the first 10 s
+  host.Submit(0, 1, 6000, 1e9);  // the capacity integrated over the warm-up of 10 s
   host.Advance(0, events);
   EXPECT_NEAR(*host.NextEventAt(), 10000, 0.01);
   struct Case {
-    double part;  // of what a cold host is allowed
-    bool falls;
+    double share;  // of the work that a cold host withstands
+    bool overloads;
   };
-  for (const Case& c : {Case{0.9, false}, Case{1.3, true}}) {
+  for (const Case& test_case : {Case{0.9, false}, Case{1.3, true}}) {
     HostModel cold_host(group, cold, 0.0);
     const double allowed = 2.5 * 0.2 * 3000;
     for (int i = 0; i < 10; ++i)
-      cold_host.Submit(i, static_cast<HostModel::Job>(i), c.part * allowed / 10, 1e9);
-    EXPECT_EQ(cold_host.overloaded(), c.falls) << c.part;
+      cold_host.Submit(i, static_cast<HostModel::Job>(i), test_case.share * allowed / 10, 1e9);
+    EXPECT_EQ(cold_host.overloaded(), test_case.overloads) << test_case.share;
   }
 }
 
-// Whatever comes in whatever order, each request ends once, and work is neither made nor lost.
-TEST(HostModel, EndsEachRequestOnce) {
+// For random sequences of submissions, cancellations and speed changes each request ends exactly once. A
+// model that mixes up queue, slots and expiries would end a request twice or never.
+TEST(HostModel, EndsEachRequestExactlyOnce) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     boost::random::mt19937_64 random(seed);
-    const auto draw = [&](int most) { return boost::random::uniform_int_distribution<int>(0, most)(random); };
+    const auto draw = [&](int maximum) {
+      return boost::random::uniform_int_distribution<int>(0, maximum)(random);
+    };
     HostGroup group;
     group.cores = 1 + draw(3);
     group.slots = 1 + draw(8);
     group.queue_capacity = draw(10);
     group.thrash_factor = draw(1) * 0.05;
     HostModel host(group, {}, draw(1) ? std::optional<Millis>(0) : std::nullopt);
-    std::map<HostModel::Job, int> open;
+    std::map<HostModel::Job, int> open_jobs;
     std::vector<HostModel::Event> events;
     Millis now = 0;
     for (HostModel::Job job = 1; job <= 2000; ++job) {
@@ -217,63 +228,65 @@
       host.Advance(now, events);
       for (const auto& event : events) {
         if (event.kind == HostModel::EventKind::kStarted) continue;
-        EXPECT_EQ(open.erase(event.job), 1U) << "seed " << seed;
+        EXPECT_EQ(open_jobs.erase(event.job), 1U) << "seed " << seed;
       }
-      if (!open.empty() && draw(9) == 0) {
-        host.Cancel(now, open.begin()->first);
-        open.erase(open.begin());
+      if (!open_jobs.empty() && draw(9) == 0) {
+        host.Cancel(now, open_jobs.begin()->first);
+        open_jobs.erase(open_jobs.begin());
       }
       if (draw(99) == 0) host.SetSpeed(now, 0.1 + draw(10));
       if (host.Submit(now, job, 1 + draw(60), now + draw(500)) != HostModel::Admission::kRejected)
-        open[job] = 1;
+        open_jobs[job] = 1;
     }
     events.clear();
     host.Advance(now + 1e6, events);
     for (const auto& event : events) {
-      if (event.kind != HostModel::EventKind::kStarted) open.erase(event.job);
+      if (event.kind != HostModel::EventKind::kStarted) open_jobs.erase(event.job);
     }
-    EXPECT_TRUE(open.empty()) << "seed " << seed;
+    EXPECT_TRUE(open_jobs.empty()) << "seed " << seed;
     EXPECT_EQ(host.active_jobs(), 0U) << "seed " << seed;
   }
 }
 
-TEST(RuleChecker, NamesEachViolation) {
+TEST(RuleChecker, CountsOnlyTheViolatedRule) {
   struct Case {
     const char* rule;
     std::function<void(RuleChecker&)> violation;
   };
   const std::vector<Case> cases{
       {"ran_twice",
-       [](RuleChecker& r) { r.OnRequestSent(0, "p", false, 1), r.OnExecution("p"), r.OnExecution("p"); }},
+       [](RuleChecker& rules) {
+         rules.OnRequestSent(0, "p", false, 1), rules.OnExecution("p"), rules.OnExecution("p");
+       }},
       {"attempts_over",
-       [](RuleChecker& r) {
-         for (int i = 0; i < 3; ++i) r.OnAttempt(i, "s", -1);
+       [](RuleChecker& rules) {
+         for (int i = 0; i < 3; ++i) rules.OnAttempt(i, "s", -1);
        }},
-      {"unknown", [](RuleChecker& r) { r.OnAttempt(0, "nobody", -1); }},
-      {"late_sends", [](RuleChecker& r) { r.OnAttempt(1000, "s", 400); }},
-      {"cold_falls", [](RuleChecker& r) { r.OnHostOverloaded("host 1"); }},
-      {"forged", [](RuleChecker& r) { r.OnResponse("s", "made up"); }},
-      {"lost", [](RuleChecker& r) { r.OnRequestLost("s", "never answered"); }},
-      {"crashed", [](RuleChecker& r) { r.OnGatewayCrashed("gateway 0"); }},
+      {"unknown", [](RuleChecker& rules) { rules.OnAttempt(0, "nobody", -1); }},
+      {"late_sends", [](RuleChecker& rules) { rules.OnAttempt(1000, "s", 400); }},
+      {"cold_falls", [](RuleChecker& rules) { rules.OnHostOverloaded("host 1"); }},
+      {"forged", [](RuleChecker& rules) { rules.OnResponse("s", "made up"); }},
+      {"lost", [](RuleChecker& rules) { rules.OnRequestLost("s", "never answered"); }},
+      {"crashed", [](RuleChecker& rules) { rules.OnGatewayCrashed("gateway 0"); }},
   };
-  for (const Case& c : cases) {
+  for (const Case& test_case : cases) {
     RuleChecker rules(3, 500);
     rules.SetSeed(5);
     rules.OnRequestSent(0, "s", true, 1);
     rules.OnExecution("s");
-    rules.OnExecution("s");  // may run again
+    rules.OnExecution("s");  // allowed: the request is idempotent
     rules.OnAttempt(900, "s", 400);
     rules.OnResponse("s", RuleChecker::ResponseMark("s", 5));
     for (const auto& [name, count] : rules.violations().ByName()) EXPECT_EQ(count, 0U) << name;
-    c.violation(rules);
+    test_case.violation(rules);
     for (const auto& [name, count] : rules.violations().ByName())
-      EXPECT_EQ(count, name == c.rule ? 1U : 0U) << name;
+      EXPECT_EQ(count, name == test_case.rule ? 1U : 0U) << name;
     ASSERT_EQ(rules.examples().size(), 1U);
-    EXPECT_EQ(rules.examples()[0].rfind(c.rule, 0), 0U) << rules.examples()[0];
+    EXPECT_EQ(rules.examples()[0].rfind(test_case.rule, 0), 0U) << rules.examples()[0];
   }
 }
 
-TEST(FrontBalancerView, SendsConnectionsFromReadinessToItsLateEnd) {
+TEST(FrontBalancerView, SendsConnectionsUntilDrainOrDetectionDelayEnds) {
   using Probe = FrontBalancerView::Probe;
   FrontBalancerView view(1500);
   EXPECT_FALSE(view.SendsConnections(0));
@@ -289,11 +302,11 @@
   EXPECT_FALSE(view.SendsConnections(2001));
 }
 
-TEST(Recorder, MeasuresTheTimeToRecovery) {
-  const Experiment e = Parse(
+TEST(Recorder, ReportsRecoveryTimeAfterFault) {
+  const Experiment experiment = ParseWithSections(
       "[traffic]\nrate = 100\nseconds = 20\nwarm_up_s = 1\n[[faults]]\nwhat = \"kill\"\ngateway = "
       "\"0\"\nat_s = 8\n");
-  Recorder recorder(e);
+  Recorder recorder(experiment);
   Arrival arrival;
   for (; arrival.at < 20000; arrival.at += 10) {
     recorder.OnArrival(arrival, 0);
@@ -305,10 +318,10 @@
   EXPECT_NEAR(run.figures["recovery_s/1"], 1.5, 0.11);
   EXPECT_NEAR(run.figures["missed_in_aim/1"], 150, 1);
   EXPECT_NEAR(run.figures["p99_ms"], 50, 2);
-  EXPECT_FALSE(run.figures.contains("p999_ms/pay"));  // no request of it: no percentile
+  EXPECT_FALSE(run.figures.contains("p999_ms/pay"));  // the class had no requests, so it has no percentiles
 }
 
-TEST(Histogram, KeepsQuantilesWithinAThirtySecond) {
+TEST(Histogram, QuantileErrorIsAtMostOneThirtySecond) {
   boost::random::mt19937_64 random(2);
   for (const double mean : {3.0, 4e3, 5e7}) {
     base::Histogram histogram;
@@ -329,42 +342,45 @@
   EXPECT_FALSE(base::Histogram().Supports(0.5));
 }
 
-TEST(Files, AreReadStrictly) {
+TEST(ExperimentFile, RejectsInvalidContentWithItsPosition) {
   const std::string traffic = "[traffic]\nrate = 10\nseconds = 5\n";
   struct Case {
-    std::string text, says;
+    std::string text, expected_error;
   };
   const std::vector<Case> cases{
-      {kSmall + "[traffic]\nrate = 10\nsecond = 5\n",
+      {kSmallExperiment + "[traffic]\nrate = 10\nsecond = 5\n",
        "test.toml:19:1: unknown key 'second', did you mean 'seconds'?"},
-      {kSmall, "traffic: missing"},
-      {kSmall + "[traffic]\nrate = \"many\"\nseconds = 5\n", "test.toml:18:8: rate: must be a number"},
-      {kSmall + "[traffic]\nrate = -1\nseconds = 5\n", "is not from"},
-      {kSmall + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
-      {kSmall + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
-      {kSmall + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
+      {kSmallExperiment, "traffic: missing"},
+      {kSmallExperiment + "[traffic]\nrate = \"many\"\nseconds = 5\n",
+       "test.toml:18:8: rate: must be a number"},
+      {kSmallExperiment + "[traffic]\nrate = -1\nseconds = 5\n", "is not from"},
+      {kSmallExperiment + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
+      {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
+      {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
        "'2' is not within 0 to 1"},
-      {kSmall + traffic + "[[faults]]\nwhat = \"slow_host\"\nat_s = 1\nhost = \"x\"\n",
+      {kSmallExperiment + traffic + "[[faults]]\nwhat = \"slow_host\"\nat_s = 1\nhost = \"x\"\n",
        "'x' is not N or N-M"},
-      {kSmall + traffic + "[[bounds]]\nfigure = \"godput\"\nleast = 1\n", "did you mean 'goodput'?"},
-      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
-      {kSmall + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n", "is none of"},
+      {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"godput\"\nleast = 1\n",
+       "did you mean 'goodput'?"},
+      {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
+      {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n",
+       "is none of"},
       {"name = \n", "test.toml:1:"},
   };
-  for (const Case& c : cases) {
+  for (const Case& test_case : cases) {
     try {
-      ParseExperiment(c.text, "test.toml");
-      ADD_FAILURE() << "taken, though: " << c.says;
+      ParseExperiment(test_case.text, "test.toml");
+      ADD_FAILURE() << "accepted; expected error: " << test_case.expected_error;
     } catch (const base::ConfigError& error) {
-      EXPECT_NE(std::string(error.what()).find(c.says), std::string::npos)
-          << error.what() << "\n  lacks: " << c.says;
+      EXPECT_NE(std::string(error.what()).find(test_case.expected_error), std::string::npos)
+          << error.what() << "\n  does not contain: " << test_case.expected_error;
     }
   }
-  EXPECT_EQ(ParseExperiment(kSmall + traffic, "test.toml").HostCount(), 4);
+  EXPECT_EQ(ParseExperiment(kSmallExperiment + traffic, "test.toml").HostCount(), 4);
 }
 
-TEST(Results, SurviveTheirFileAndAreEvaluated) {
-  Experiment e = Parse(
+TEST(Results, RoundTripThroughJsonAndAreEvaluated) {
+  Experiment experiment = ParseWithSections(
       "[traffic]\nrate = 10\nseconds = 5\n[[bounds]]\nfigure = \"goodput\"\nover = \"random\"\nleast = 1.1\n"
       "[[bounds]]\nfigure = \"p99_ms\"\nmost = 5\nspeed = true\n");
   Results results{"small", "about", {}};
@@ -377,15 +393,15 @@
     run.events.emplace_back(12.5, "kill");
     results.runs.push_back(run);
   }
-  const Results again = ResultsFromJson(ToJson(results), "x");
-  EXPECT_EQ(ToJson(again), ToJson(results));
+  const Results parsed = ResultsFromJson(ToJson(results), "x");
+  EXPECT_EQ(ToJson(parsed), ToJson(results));
   using Kind = Verdict::Kind;
   const auto kinds = [&] {
-    std::vector<Kind> all;
-    for (const Verdict& verdict : Evaluate(e, results)) all.push_back(verdict.kind);
-    return all;
+    std::vector<Kind> verdict_kinds;
+    for (const Verdict& verdict : Evaluate(experiment, results)) verdict_kinds.push_back(verdict.kind);
+    return verdict_kinds;
   };
-  // Rules kept, 0.9 / 0.8 is enough, and a lab that ran late blames nobody for the time.
+  // The rules are kept, 0.9 / 0.8 is above the bound, and a lab that ran late makes no verdict on latency.
   EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kPassed, Kind::kPassed, Kind::kInconclusive}));
   results.runs[0].figures["lost"] = 1;
   results.runs[0].figures["lateness_p99_ms"] = 1;
@@ -395,28 +411,28 @@
   EXPECT_THROW(ResultsFromJson("{}", "x"), std::runtime_error);
 }
 
-// Messages over a link: in time, late by the delay and no more than the jitter, held by a cut of their way
-// alone.
-TEST(Link, DelaysJittersAndCutsEachWay) {
+// A link without delay delivers at once; one with delay and jitter delivers late by at least the delay; a cut
+// queues the messages of its own direction only.
+TEST(Link, AppliesDelayJitterAndCutsPerDirection) {
   boost::asio::io_context io;
   Link link(io, 3);
-  std::vector<std::string> passed;
-  const auto send = [&](Link::Direction direction, const char* what) {
-    link.Transmit(direction, [&passed, what] { passed.push_back(what); });
+  std::vector<std::string> delivered;
+  const auto send = [&](Link::Direction direction, const char* message) {
+    link.Transmit(direction, [&delivered, message] { delivered.push_back(message); });
   };
-  const auto settle = [&](int ms) {
+  const auto run_for = [&](int ms) {
     io.run_for(std::chrono::milliseconds(ms));
     io.restart();
   };
   send(Link::Direction::kFromGateway, "at once");
-  EXPECT_EQ(passed.size(), 1U);
+  EXPECT_EQ(delivered.size(), 1U);
   link.AddDelay(20, 30);
   std::vector<Millis> took;
   for (int i = 0; i < 50; ++i) {
     link.Transmit(Link::Direction::kFromGateway,
                   [&took, sent = MonotonicNow()] { took.push_back(MonotonicNow() - sent); });
   }
-  settle(150);
+  run_for(150);
   ASSERT_EQ(took.size(), 50U);
   EXPECT_GE(*std::min_element(took.begin(), took.end()), 20);
   EXPECT_GT(*std::max_element(took.begin(), took.end()) - *std::min_element(took.begin(), took.end()), 10);
@@ -424,51 +440,57 @@
   link.Cut(true, false);
   send(Link::Direction::kFromGateway, "held");
   send(Link::Direction::kToGateway, "back");
-  EXPECT_EQ(passed.back(), "back");
+  EXPECT_EQ(delivered.back(), "back");
   link.Cut(true, true);
   link.Heal(true, true);
-  EXPECT_EQ(passed.back(), "back");  // the first cut is still there
+  EXPECT_EQ(delivered.back(), "back");  // the first cut is still active
   link.Heal(true, false);
-  EXPECT_EQ(passed.back(), "held");
+  EXPECT_EQ(delivered.back(), "held");
 }
 
-// What two gateways receive of each other: all of it in order, then what the conditions leave, then nothing.
-TEST(PeerNetwork, LosesRepeatsReordersAndCuts) {
+// Two gateways receive each other's datagrams completely and in order on a healthy network, with the
+// configured rates of loss, duplication and reordering otherwise, and not at all across a cut or above the
+// size limit.
+TEST(PeerNetwork, LosesDuplicatesReordersAndCutsDatagrams) {
   namespace asio = boost::asio;
   asio::io_context io;
-  const Addresses addresses(io), others(io);  // two runs at the same time
-  EXPECT_NE(addresses.Gateway(0), others.Gateway(0));
+  const Addresses addresses(io), other_run(io);  // two concurrent runs
+  EXPECT_NE(addresses.Gateway(0), other_run.Gateway(0));
   PeerNetwork network(io, addresses, 2, 5);
-  const auto at = [](const Addresses::Endpoint& e) { return asio::ip::udp::endpoint(e.address(), e.port()); };
-  asio::ip::udp::socket a(io, at(addresses.PeerListen(0))), b(io, at(addresses.PeerListen(1)));
-  b.non_blocking(true);
+  const auto to_udp = [](const Addresses::Endpoint& endpoint) {
+    return asio::ip::udp::endpoint(endpoint.address(), endpoint.port());
+  };
+  asio::ip::udp::socket sender(io, to_udp(addresses.PeerListen(0)));
+  asio::ip::udp::socket receiver(io, to_udp(addresses.PeerListen(1)));
+  receiver.non_blocking(true);
   const auto exchange = [&](const std::string& padding) {
     std::vector<int> received;
     for (int i = 0; i < 400; ++i) {
-      a.send_to(asio::buffer(std::to_string(i) + padding), at(addresses.Peer(0, 1)));
+      sender.send_to(asio::buffer(std::to_string(i) + padding), to_udp(addresses.Peer(0, 1)));
       io.run_for(std::chrono::milliseconds(i == 399 ? 60 : 1));
       io.restart();
       char text[600];
       asio::ip::udp::endpoint from;
       boost::system::error_code ec;
-      while (b.receive_from(asio::buffer(text), from, 0, ec) > 0 && !ec) {
+      while (receiver.receive_from(asio::buffer(text), from, 0, ec) > 0 && !ec) {
         received.push_back(std::atoi(text));
-        EXPECT_EQ(from, at(addresses.Peer(1, 0)));  // as b reaches a
+        // The source is the address at which the receiver reaches the sender.
+        EXPECT_EQ(from, to_udp(addresses.Peer(1, 0)));
       }
     }
     return received;
   };
-  const std::vector<int> calm = exchange(" ");
-  EXPECT_EQ(calm.size(), 400U);
-  EXPECT_TRUE(std::is_sorted(calm.begin(), calm.end()));
+  const std::vector<int> unimpaired = exchange(" ");
+  EXPECT_EQ(unimpaired.size(), 400U);
+  EXPECT_TRUE(std::is_sorted(unimpaired.begin(), unimpaired.end()));
   network.SetConditions(1, {0.3, 0, 0, 0});
   EXPECT_NEAR(static_cast<double>(exchange(" ").size()), 280, 40);
   network.SetConditions(1, {0, 0.5, 0, 0});
   EXPECT_NEAR(static_cast<double>(exchange(" ").size()), 600, 45);
   network.SetConditions(1, {0, 0, 0.5, 0});
-  const std::vector<int> shuffled = exchange(" ");
-  EXPECT_EQ(shuffled.size(), 400U);
-  EXPECT_FALSE(std::is_sorted(shuffled.begin(), shuffled.end()));
+  const std::vector<int> reordered = exchange(" ");
+  EXPECT_EQ(reordered.size(), 400U);
+  EXPECT_FALSE(std::is_sorted(reordered.begin(), reordered.end()));
   network.SetConditions(1, {});
   network.SetCut(0, 1, true);
   EXPECT_TRUE(exchange(" ").empty());
@@ -477,34 +499,34 @@
   EXPECT_EQ(network.counts().too_long, 400U);
 }
 
-// The program, with its output.
-std::pair<int, std::string> Gatewayctl(const std::string& arguments) {
+// Runs gatewayctl; returns its exit code (-1 if a signal ended it) and its output.
+std::pair<int, std::string> RunGatewayctl(const std::string& arguments) {
   std::FILE* const pipe = popen((std::string(GATEWAYCTL_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   std::string text;
-  char part[4096];
-  while (const std::size_t got = std::fread(part, 1, sizeof part, pipe)) text.append(part, got);
+  char buffer[4096];
+  while (const std::size_t size = std::fread(buffer, 1, sizeof buffer, pipe)) text.append(buffer, size);
   const int status = pclose(pipe);
   return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, text};
 }
 
-TEST(Program, SaysWhatIsWrongAndEndsAsDocumented) {
+TEST(Program, ReportsUsageErrorsWithDocumentedExitCodes) {
   struct Case {
     const char* arguments;
     int code;
-    const char* says;
+    const char* expected_text;
   };
-  for (const Case& c :
+  for (const Case& test_case :
        {Case{"version", 0, "elderhead "}, Case{"", 2, "subcommand"}, Case{"lab run", 2, "FILE"},
         Case{"lab run /nowhere.toml", 2, "/nowhere.toml"}, Case{"lab run --help", 0, "Example:"},
         Case{"state verify /nowhere", 2, "/nowhere"}, Case{"call 127.0.0.1:9 check", 1, "127.0.0.1:9"},
         Case{"call nobody check", 2, "not an address"}, Case{"call 127.0.0.1:9 chek", 2, "chek"}}) {
-    const auto [code, text] = Gatewayctl(c.arguments);
-    EXPECT_EQ(code, c.code) << c.arguments << "\n" << text;
-    EXPECT_NE(text.find(c.says), std::string::npos) << c.arguments << "\n" << text;
+    const auto [code, text] = RunGatewayctl(test_case.arguments);
+    EXPECT_EQ(code, test_case.code) << test_case.arguments << "\n" << text;
+    EXPECT_NE(text.find(test_case.expected_text), std::string::npos) << test_case.arguments << "\n" << text;
   }
 }
 
-TEST(Program, DrawsAReportThatHoldsAll) {
+TEST(Program, WritesSelfContainedReport) {
   const std::string folder = ::testing::TempDir() + "lab's report",
                     result = ::testing::TempDir() + "result.json";
   Results results{"small", "a <day>", {}};
@@ -517,35 +539,35 @@
     results.runs.push_back(run);
   }
   std::ofstream(result) << ToJson(results);
-  const auto [code, text] = Gatewayctl("lab plot " + result + " \"" + folder + "\"");
+  const auto [code, text] = RunGatewayctl("lab plot " + result + " \"" + folder + "\"");
   EXPECT_EQ(code, 0) << text;
   std::stringstream page;
   page << std::ifstream(folder + "/report.html").rdbuf();
-  std::size_t pictures = 0;
-  for (std::size_t at = 0; (at = page.str().find("<svg", at)) != std::string::npos; ++at) ++pictures;
-  EXPECT_EQ(pictures, 3U);
-  for (const char* part : {"a &lt;day&gt;", "goodput", "the gateway's end"}) {
-    EXPECT_NE(page.str().find(part), std::string::npos) << part;
+  std::size_t plots = 0;
+  for (std::size_t at = 0; (at = page.str().find("<svg", at)) != std::string::npos; ++at) ++plots;
+  EXPECT_EQ(plots, 3U);
+  for (const char* expected : {"a &lt;day&gt;", "goodput", "the gateway's end"}) {
+    EXPECT_NE(page.str().find(expected), std::string::npos) << expected;
   }
-  EXPECT_EQ(page.str().find("http"),
-            page.str().find("http://www.w3.org"));  // names of forms only, nothing to fetch
+  // The only URLs are XML namespaces: the page loads nothing over the network.
+  EXPECT_EQ(page.str().find("http"), page.str().find("http://www.w3.org"));
   std::filesystem::remove_all(folder);
   std::filesystem::remove(result);
 }
 
-TEST(Program, ReadsEveryExperimentOfTheRepository) {
+TEST(Program, AcceptsEveryExperimentOfTheRepository) {
   for (const auto& entry : std::filesystem::directory_iterator(EXPERIMENTS)) {
     if (entry.path().extension() != ".toml") continue;
-    const auto [code, text] = Gatewayctl("config check " + entry.path().string());
+    const auto [code, text] = RunGatewayctl("config check " + entry.path().string());
     EXPECT_EQ(code, 0) << text;
   }
 }
 
-// Small faulty stand-ins: the lab names the rule that each breaks, and passes the one that does nothing
-// wrong.
-TEST(Program, CatchesGatewaysThatDoWrong) {
+// Runs stand-in gateways, each with one built-in defect: the lab has to report the rule that the defect
+// breaks, and has to pass the gateway without a defect.
+TEST(Program, DetectsFaultyGateways) {
   const std::string file = ::testing::TempDir() + "mutant.toml";
-  std::string text = kSmall;
+  std::string text = kSmallExperiment;
   text.replace(text.find("baselines = [\"random\"]\n"), 23, "ends_within_s = 60\n");
   std::ofstream(file) << text + R"([traffic]
 rate = 100
@@ -561,47 +583,48 @@
     const char* fault;
     const char* rule;
   };
-  for (const Case& c :
+  for (const Case& test_case :
        {Case{"none", nullptr}, Case{"twice", "ran_twice"}, Case{"ignores_drain", "late_sends"},
         Case{"loses", "lost"}, Case{"forges", "forged"}, Case{"dies", "crashed"}}) {
-    const auto [code, out] = Gatewayctl("lab run " + file + " --gateway '" + GATEWAYCTL_PROGRAM +
-                                        " lab stand-in --fault " + c.fault + "'");
-    if (c.rule == nullptr) {
+    const auto [code, out] = RunGatewayctl("lab run " + file + " --gateway '" + GATEWAYCTL_PROGRAM +
+                                           " lab stand-in --fault " + test_case.fault + "'");
+    if (test_case.rule == nullptr) {
       EXPECT_EQ(code, 0) << out;
     } else {
-      EXPECT_EQ(code, 1) << c.fault << "\n" << out;
-      EXPECT_NE(out.find(std::string("rule ") + c.rule + " broken"), std::string::npos) << c.fault << "\n"
-                                                                                        << out;
+      EXPECT_EQ(code, 1) << test_case.fault << "\n" << out;
+      EXPECT_NE(out.find(std::string("rule ") + test_case.rule + " broken"), std::string::npos)
+          << test_case.fault << "\n"
+          << out;
     }
   }
   std::filesystem::remove(file);
 }
 
-TEST(Supervisor, StartsAgainWaitsLongerAndGivesUp) {
+TEST(Supervisor, RestartsWithBackoffAndGivesUpAfterCrashLoop) {
   using base::Supervisor;
   using Action = Supervisor::Action;
   struct Step {
-    Millis at, ran;
+    Millis at, run_time;
     bool expected, with_saved_state;
     Action action;
     Millis minimum, maximum;  // of the backoff
   };
-  const std::vector<std::vector<Step>> stories{
-      // Told to end, or ended well: no more.
+  const std::vector<std::vector<Step>> sequences{
+      // An expected end: no restart.
       {{1000, 500, true, true, Action::kStop, 0, 0}},
-      // Long runs: each crash is the first.
+      // After a long run each crash counts as the first.
       {{100000, 90000, false, true, Action::kRestart, 100, 200},
        {300000, 90000, false, true, Action::kRestart, 100, 200}},
-      // Two at once after a start with a state: once without; then with it again.
+      // Two crashes shortly after a start with saved state: one start without it, then with it again.
       {{1000, 900, false, true, Action::kRestart, 100, 200},
        {3000, 900, false, true, Action::kRestartWithoutState, 200, 400},
        {5000, 900, false, false, Action::kRestart, 400, 800},
        {9000, 900, false, true, Action::kRestart, 800, 1600},
-       {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // longer than a state's fault takes
+       {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // too long a run to blame the saved state
        {26000, 900, false, true, Action::kRestart, 3200, 6400},
        {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
        {60000, 900, false, false, Action::kGiveUp, 0, 0}},
-      // The same crashes spread over more time are no loop.
+      // The same crashes spread over more time are not a crash loop.
       {{0, 900, false, false, Action::kRestart, 100, 200},
        {40000, 900, false, false, Action::kRestart, 200, 400},
        {80000, 900, false, false, Action::kRestart, 400, 800},
@@ -611,12 +634,12 @@
        {240000, 900, false, false, Action::kRestart, 6400, 12800},
        {280000, 900, false, false, Action::kRestart, 12800, 25600},
        {320000, 900, false, false, Action::kRestart, 15000, 30000}}};
-  for (const auto& story : stories) {
+  for (const auto& sequence : sequences) {
     for (const double draw : {0.0, 1.0}) {
       Supervisor supervisor({});
-      for (const Step& step : story) {
+      for (const Step& step : sequence) {
         const auto decision =
-            supervisor.OnProcessEnd({step.at, step.ran, step.expected, step.with_saved_state}, draw);
+            supervisor.OnProcessEnd({step.at, step.run_time, step.expected, step.with_saved_state}, draw);
         EXPECT_EQ(decision.action, step.action) << "at " << step.at;
         EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
       }
@@ -624,53 +647,57 @@
   }
 }
 
-// The same with processes: a crash is followed by a start, the third without state, and an end as told ends
-// it all.
-TEST(Program, KeepsACommandRunning) {
+// The supervisor with real processes: it restarts the command after each crash, the second time without saved
+// state, and stops when the command exits cleanly or when it is terminated itself.
+TEST(Program, RestartsCrashedCommandUntilItExitsCleanly) {
   const std::string folder = ::testing::TempDir() + "run-" + std::to_string(getpid());
   std::filesystem::create_directories(folder);
   std::ofstream(folder + "/command")
       << "echo \"start$ELDERHEAD_WITHOUT_STATE\" >> " << folder << "/starts\n"
       << "n=$(wc -l < " << folder << "/starts)\n"
       << "[ $n -eq 1 ] && exit 7\n[ $n -eq 2 ] && kill -9 $$\n[ $n -eq 3 ] && exit 0\n";
-  const auto [code, out] = Gatewayctl("run --command 'sh " + folder + "/command'");
+  const auto [code, out] = RunGatewayctl("run --command 'sh " + folder + "/command'");
   EXPECT_EQ(code, 0) << out;
   EXPECT_NE(out.find("exit code 7"), std::string::npos) << out;
   EXPECT_NE(out.find("signal 9"), std::string::npos) << out;
   std::stringstream starts;
   starts << std::ifstream(folder + "/starts").rdbuf();
   EXPECT_EQ(starts.str(), "start\nstart\nstart1\n");
-  const auto [term, words] =
-      Gatewayctl("run --command 'sleep 20' & sleep 0.5; kill -TERM $!; wait $!; exit $?");
-  EXPECT_EQ(term, 128 + SIGTERM) << words;
+  const auto [terminated_code, terminated_out] =
+      RunGatewayctl("run --command 'sleep 20' & sleep 0.5; kill -TERM $!; wait $!; exit $?");
+  EXPECT_EQ(terminated_code, 128 + SIGTERM) << terminated_out;
   std::filesystem::remove_all(folder);
 }
 
-// A gateway that never becomes ready is named in time; and a lab that is killed leaves no process behind.
-TEST(Program, NamesWhoIsNotReadyAndLeavesNothingBehind) {
+// The lab reports gateways that don't become ready within the limit, and leaves no process running, even if
+// the lab itself is killed.
+TEST(Program, ReportsUnreadyGatewaysAndLeavesNoProcesses) {
   const std::string file = ::testing::TempDir() + "never.toml";
-  std::string text = kSmall;
+  std::string text = kSmallExperiment;
   text.replace(text.find("baselines"), 31, "[fleet]\nready_within_s = 1\n");
   text += "[traffic]\nrate = 10\nseconds = 30\n";
   std::ofstream(file) << text;
-  const std::string sleep = "sleep " + std::to_string(86400 + getpid());  // one of that length is ours
-  const auto [code, out] = Gatewayctl("lab run " + file + " --gateway '" + sleep + "'");
+  const std::string command = "sleep " + std::to_string(86400 + getpid());  // a duration unique to this test
+  const auto [code, out] = RunGatewayctl("lab run " + file + " --gateway '" + command + "'");
   EXPECT_EQ(code, 1) << out;
   EXPECT_NE(out.find("gateway 0 is not ready, gateway 1 is not ready after 1 s"), std::string::npos) << out;
-  const auto left = [&] { return std::system(("pgrep -f '^" + sleep + "' >/dev/null").c_str()) == 0; };
-  EXPECT_FALSE(left());
+  const auto is_running = [&] {
+    return std::system(("pgrep -f '^" + command + "' >/dev/null").c_str()) == 0;
+  };
+  EXPECT_FALSE(is_running());
   std::ofstream(file) << text.replace(text.find("within_s = 1"), 12, "within_s = 60");
   const pid_t lab = fork();
   if (lab == 0) {
-    execl(GATEWAYCTL_PROGRAM, "gatewayctl", "lab", "run", file.c_str(), "--gateway", sleep.c_str(), nullptr);
+    execl(GATEWAYCTL_PROGRAM, "gatewayctl", "lab", "run", file.c_str(), "--gateway", command.c_str(),
+          nullptr);
     _exit(1);
   }
-  for (int i = 0; i < 200 && !left(); ++i) usleep(50000);
-  EXPECT_TRUE(left());
+  for (int i = 0; i < 200 && !is_running(); ++i) usleep(50000);
+  EXPECT_TRUE(is_running());
   kill(lab, SIGKILL);
   waitpid(lab, nullptr, 0);
-  for (int i = 0; i < 200 && left(); ++i) usleep(50000);
-  EXPECT_FALSE(left());
+  for (int i = 0; i < 200 && is_running(); ++i) usleep(50000);
+  EXPECT_FALSE(is_running());
   std::filesystem::remove(file);
 }
 
