--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,5 +1,6 @@
-// The socket addresses of one run. Each run has a block 127.A.B.0/24 to itself. In it each gateway has an
-// address at which it is reached, and at which it alone reaches all others, so that any pair can be cut.
+// The socket addresses of one run. Each run reserves a block 127.A.B.0/24. In it each gateway has an address
+// of its own: clients reach the gateway there, and the lab provides hosts, list service and other gateways to
+// it at that address alone, so that the network between any pair can be cut.
 #ifndef GATEWAY_LAB_ADDRESSES_HPP_
 #define GATEWAY_LAB_ADDRESSES_HPP_
 
@@ -17,7 +18,7 @@
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
 
-  // Takes the first free block, until its own end. Throws std::runtime_error where there is none.
+  // Reserves the first free block until destruction. Throws std::runtime_error if no block is free.
   explicit Addresses(boost::asio::io_context& io) : lock_(io) {
     for (unsigned block = 0; block < kBlocks; ++block) {
       base_ = (127U << 24) | ((kFirstSecondOctet + block / 256) << 16) | ((block % 256) << 8);
@@ -31,27 +32,30 @@
     throw std::runtime_error("no block of loopback addresses is free: too many runs at the same time");
   }
 
-  // Gateways and hosts are numbered from 0. Where clients reach the gateway:
+  // Gateways and hosts are numbered from 0.
+
+  // The address at which clients reach the gateway.
   Endpoint Gateway(int gateway) const { return At(gateway + 1, 3000); }
-  // Where operators reach its process; `start`: number of the start of the process.
+  // The management address of a gateway process. `start` counts the starts of the gateway, so that the old
+  // and the new process of a replacement have different addresses.
   Endpoint Management(int gateway, int start) const {
     return At(gateway + 1, static_cast<std::uint16_t>(3001 + start % kManagementPorts));
   }
-  // Where the gateway reaches the list service.
+  // The address at which the gateway reaches the list service.
   Endpoint List(int gateway) const { return At(gateway + 1, 8500); }
-  // Where the gateway reaches the host.
+  // The address at which the gateway reaches the host.
   Endpoint Host(int gateway, int host) const {
     return At(gateway + 1, static_cast<std::uint16_t>(10000 + host));
   }
 
-  // The project's own list service, where it is a process.
+  // The address of the project's list service, if it runs as a process.
   Endpoint Registry() const { return At(kRegistryAddress, 8500); }
 
-  // Where the gateway reaches another one, and receives its datagrams from.
+  // The address at which the gateway reaches another one and from which it receives that one's datagrams.
   Endpoint Peer(int gateway, int other) const {
     return At(gateway + 1, static_cast<std::uint16_t>(20000 + other));
   }
-  // Where the gateway listens for datagrams of all others.
+  // The address at which the gateway listens for datagrams of all others.
   Endpoint PeerListen(int gateway) const { return At(gateway + 1, 7946); }
 
   static std::string Text(const Endpoint& endpoint) { return base::FormatSocketAddress(endpoint); }
@@ -64,11 +68,11 @@
   static constexpr int kRegistryAddress = 253;
   static constexpr int kManagementPorts = 900;
 
-  Endpoint At(int last, std::uint16_t port) const {
-    return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last)), port};
+  Endpoint At(int last_octet, std::uint16_t port) const {
+    return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last_octet)), port};
   }
 
-  boost::asio::ip::tcp::acceptor lock_;  // listens in the block as long as it is taken
+  boost::asio::ip::tcp::acceptor lock_;  // listens in the block as long as it is reserved
   unsigned base_ = 0;                    // the first address of the block
 };
 
--- a/src/lab/estimate.cpp
+++ b/src/lab/estimate.cpp
@@ -8,8 +8,8 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kUpperQuantile = 0.975;  // of a two-sided interval of 95%
-constexpr double kMaxExactInteger = 1e9;  // integers up to it are printed with all digits
+constexpr double kUpperQuantile = 0.975;  // for a two-sided interval of 95%
+constexpr double kMaxExactInteger = 1e9;  // smaller integers are printed with all digits
 
 }  // namespace
 
@@ -29,10 +29,10 @@
 }
 
 std::string FormatFigure(double value) {
-  const double size = std::abs(value);
-  if (value == std::floor(value) && size < kMaxExactInteger) return fmt::format("{:.0f}", value);
-  if (size >= 100) return fmt::format("{:.0f}", value);
-  if (size >= 1) return fmt::format("{:.2f}", value);
+  const double magnitude = std::abs(value);
+  if (value == std::floor(value) && magnitude < kMaxExactInteger) return fmt::format("{:.0f}", value);
+  if (magnitude >= 100) return fmt::format("{:.0f}", value);
+  if (magnitude >= 1) return fmt::format("{:.2f}", value);
   return fmt::format("{:.4f}", value);
 }
 
--- a/src/lab/estimate.hpp
+++ b/src/lab/estimate.hpp
@@ -11,15 +11,15 @@
 struct Estimate {
   double mean = 0;
   double half_width = 0;  // of the 95% confidence interval (Student's t); 0 for fewer than two values
-  std::size_t count = 0;  // of values
+  std::size_t count = 0;  // number of values
 };
 
 Estimate EstimateMean(const std::vector<double>& values);
 
-// A figure with as many digits as a reader needs.
+// Formats a figure with fewer decimals the larger it is.
 std::string FormatFigure(double value);
 
-// "-" where there is no value.
+// Formats the mean and the half width of its interval, or "-" if there are no values.
 std::string FormatFigure(const Estimate& estimate);
 
 }  // namespace gateway::lab
--- a/src/lab/evaluation.cpp
+++ b/src/lab/evaluation.cpp
@@ -10,9 +10,9 @@
 namespace gateway::lab {
 namespace {
 
-constexpr const char* kUnderTest = "gateway";  // the variant whose rules are judged
+constexpr const char* kVariantUnderTest = "gateway";  // the variant to which the rules apply
 
-// A bound of the file on the figure of a rule takes the place of the rule.
+// Whether the experiment has a bound on the figure of the rule. Such a bound replaces the rule.
 bool HasOwnBound(const Experiment& experiment, const std::string& rule) {
   return std::any_of(experiment.bounds.begin(), experiment.bounds.end(),
                      [&](const Bound& bound) { return bound.figure == rule && bound.baseline.empty(); });
@@ -29,7 +29,7 @@
 }
 
 void EvaluateRun(const Experiment& experiment, const RunResult& run, std::vector<Verdict>& verdicts) {
-  const bool under_test = run.variant == kUnderTest;
+  const bool under_test = run.variant == kVariantUnderTest;
   const std::string run_name = fmt::format("{}, seed {}", run.variant, run.seed);
   if (!run.failure.empty()) {
     verdicts.push_back({under_test ? Verdict::Kind::kViolated : Verdict::Kind::kInconclusive,
@@ -52,13 +52,13 @@
 
 Verdict EvaluateBound(const Experiment& experiment, const Results& results, const Bound& bound) {
   const Estimate estimate = EstimateMean(FigureValues(results, bound.variant, bound.figure));
-  std::string name = (bound.variant == kUnderTest ? "" : bound.variant + "'s ") + bound.figure;
+  std::string name = (bound.variant == kVariantUnderTest ? "" : bound.variant + "'s ") + bound.figure;
   double value = estimate.mean;
   if (!bound.baseline.empty()) {
     const Estimate baseline = EstimateMean(FigureValues(results, bound.baseline, bound.figure));
     name += " over " + bound.baseline + "'s";
     if (baseline.count == 0 || baseline.mean == 0) {
-      return {Verdict::Kind::kInconclusive, name + ": nothing to compare with"};
+      return {Verdict::Kind::kInconclusive, name + ": no baseline value to compare with"};
     }
     value = estimate.mean / baseline.mean;
   }
@@ -79,7 +79,7 @@
   std::vector<Verdict> verdicts;
   for (const RunResult& run : results.runs) EvaluateRun(experiment, run, verdicts);
   if (verdicts.empty()) {
-    verdicts.push_back({Verdict::Kind::kPassed, "all rules kept in every play of the gateway"});
+    verdicts.push_back({Verdict::Kind::kPassed, "all rules kept in every run of the gateway"});
   }
   for (const Bound& bound : experiment.bounds) {
     verdicts.push_back(EvaluateBound(experiment, results, bound));
--- a/src/lab/evaluation.hpp
+++ b/src/lab/evaluation.hpp
@@ -1,4 +1,5 @@
-// Judges the results of an experiment: the rules that no gateway may violate, and the bounds of the file.
+// Evaluates the results of an experiment against the rules that no gateway may violate and the bounds of the
+// experiment's file.
 #ifndef GATEWAY_LAB_EVALUATION_HPP_
 #define GATEWAY_LAB_EVALUATION_HPP_
 
@@ -14,13 +15,13 @@
   enum class Kind {
     kPassed,
     kViolated,
-    kInconclusive,  // nothing to compare with, or the lab itself was too slow for a judgement on speed
+    kInconclusive,  // no baseline to compare with, or the lab itself ran too late to evaluate a speed
   };
   Kind kind = Kind::kPassed;
-  std::string text;  // the rule or the bound with its figure
+  std::string text;  // describes the rule or the bound with its figure
 };
 
-// Judges the rules in every run of the gateway under test, and each bound over the mean of all seeds.
+// Evaluates the rules in every run of the gateway under test, and each bound on the mean over all seeds.
 std::vector<Verdict> Evaluate(const Experiment& experiment, const Results& results);
 
 }  // namespace gateway::lab
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -42,8 +42,7 @@
                                                 "lateness_max_ms",
                                                 "lab_cpu_us_per_request"};
 
-std::vector<std::string> Concatenated(std::vector<std::string> first,
-                                      const std::vector<std::string>& second) {
+std::vector<std::string> Concatenate(std::vector<std::string> first, const std::vector<std::string>& second) {
   first.insert(first.end(), second.begin(), second.end());
   return first;
 }
@@ -53,7 +52,7 @@
 const std::vector<std::string>& RuleFigureNames() { return kRuleFigures; }
 
 const std::vector<std::string>& FigureNames() {
-  static const std::vector<std::string> names = Concatenated(kRuleFigures, kMeasuredFigures);
+  static const std::vector<std::string> names = Concatenate(kRuleFigures, kMeasuredFigures);
   return names;
 }
 
--- a/src/lab/figures.hpp
+++ b/src/lab/figures.hpp
@@ -1,5 +1,5 @@
-// The names of the figures that a run gives. A name may be followed by '/' and the name of a class or the
-// number of a fault, as in "p99_ms/pay".
+// The names of the figures of a run. A name may be followed by '/' and the name of a class or the number of a
+// fault, as in "p99_ms/pay".
 #ifndef GATEWAY_LAB_FIGURES_HPP_
 #define GATEWAY_LAB_FIGURES_HPP_
 
@@ -8,13 +8,13 @@
 
 namespace gateway::lab {
 
-// Counts of violations: each has to be 0 for the gateway unless a bound of the experiment says otherwise.
+// Counts of rule violations: each must be 0 for the gateway unless the experiment has a bound on it.
 const std::vector<std::string>& RuleFigureNames();
 
-// All names in the order of reports, those of the rules first.
+// All names in the order of reports, the rules first.
 const std::vector<std::string>& FigureNames();
 
-// The name without the class or fault behind it.
+// The name without the suffix for a class or fault.
 std::string FigureBaseName(const std::string& name);
 
 bool IsFigure(const std::string& name);
--- a/src/lab/first_answers.hpp
+++ b/src/lab/first_answers.hpp
@@ -1,4 +1,4 @@
-// Measures how long clients wait for the first answer of a gateway after a fault.
+// Measures the time from a fault of a gateway to its first response to a request sent after the fault.
 #ifndef GATEWAY_LAB_FIRST_ANSWERS_HPP_
 #define GATEWAY_LAB_FIRST_ANSWERS_HPP_
 
@@ -13,23 +13,23 @@
 
 namespace gateway::lab {
 
-// No I/O, no clock. `experiment` outlives it.
+// Has no I/O and no clock. `experiment` must outlive this object.
 class FirstAnswers {
  public:
   explicit FirstAnswers(const Experiment& experiment) : experiment_(experiment) {}
 
-  // Arrivals, and the times of faults, begin at `start`.
+  // Sets the start of the traffic, from which the times of faults count.
   void Begin(Millis start) {
     start_ = start;
     waits_.assign(experiment_.faults.size(), -1);
   }
 
-  // A gateway has served a request that was sent at `sent_at`.
+  // Called when a gateway has served a request that was sent at `sent_at`.
   void OnServed(Millis now, int gateway, Millis sent_at) {
     for (std::size_t i = 0; i < waits_.size(); ++i) {
       const Fault& fault = experiment_.faults[i];
-      const bool of_gateway = std::ranges::find(fault.gateways, gateway) != fault.gateways.end();
-      if (waits_[i] >= 0 || !of_gateway || sent_at < start_ + fault.at) continue;
+      const bool affects_gateway = std::ranges::find(fault.gateways, gateway) != fault.gateways.end();
+      if (waits_[i] >= 0 || !affects_gateway || sent_at < start_ + fault.at) continue;
       waits_[i] = now - start_ - fault.at;
     }
   }
@@ -43,7 +43,7 @@
  private:
   const Experiment& experiment_;
   Millis start_ = 0;
-  std::vector<Millis> waits_;  // by fault; negative: no answer yet
+  std::vector<Millis> waits_;  // by fault; negative: no response yet
 };
 
 }  // namespace gateway::lab
--- a/src/lab/front_balancer.cpp
+++ b/src/lab/front_balancer.cpp
@@ -3,7 +3,7 @@
 namespace gateway::lab {
 namespace {
 
-constexpr Millis kDrainDelay = 200;  // between "not ready" and the end of new connections
+constexpr Millis kDrainDelay = 200;  // from "not ready" until the balancer sends no new connections
 
 }  // namespace
 
--- a/src/lab/front_balancer.hpp
+++ b/src/lab/front_balancer.hpp
@@ -1,4 +1,4 @@
-// The balancer in front of the gateways, which spreads clients' connections over them by their readiness.
+// The load balancer in front of the gateways, which distributes clients' connections over the ready ones.
 #ifndef GATEWAY_LAB_FRONT_BALANCER_HPP_
 #define GATEWAY_LAB_FRONT_BALANCER_HPP_
 
@@ -8,18 +8,18 @@
 
 using base::Millis;
 
-// What the balancer knows of one gateway (PROTOCOL, "Clients to gateways"). No I/O, no clock.
+// The balancer's view of one gateway (PROTOCOL, "Clients to gateways"). Has no I/O and no clock.
 class FrontBalancerView {
  public:
   enum class Probe { kReady, kNotReady, kNoAnswer };
 
-  // `detection_delay`: how long a gateway that does not answer keeps its new connections.
+  // `detection_delay`: how long a gateway that does not answer still gets new connections.
   explicit FrontBalancerView(Millis detection_delay) : detection_delay_(detection_delay) {}
 
   void OnProbe(Millis now, Probe probe);
 
-  // Whether new connections go to the gateway: from its first ready answer until it has answered "not ready"
-  // or nothing for some time.
+  // Whether new connections go to the gateway: from its first "ready" answer until it has answered "not
+  // ready" or has not answered for some time.
   bool SendsConnections(Millis now) const;
 
  private:
--- a/src/lab/gnuplot.cpp
+++ b/src/lab/gnuplot.cpp
@@ -8,8 +8,8 @@
 namespace gateway::lab {
 namespace {
 
-// The text as one word of the shell, in single quotes. A quote in it ends the quoted text, is escaped, and
-// begins the text again.
+// Returns the text as one single-quoted shell word. Each quote in it is written as '\'': it closes the quoted
+// text, adds an escaped quote and opens the quoted text again.
 std::string ShellQuoted(const std::string& text) {
   std::string quoted = "'";
   for (const char c : text) quoted += c == '\'' ? "'\\''" : std::string(1, c);
@@ -28,7 +28,7 @@
   std::error_code error;
   std::filesystem::create_directories(folder, error);
   if (error) {
-    throw std::runtime_error("can't make the folder '" + folder.string() + "': " + error.message());
+    throw std::runtime_error("can't create the folder '" + folder.string() + "': " + error.message());
   }
 }
 
@@ -39,8 +39,8 @@
 }
 
 void RunGnuplot(const std::filesystem::path& folder, const std::string& name) {
-  const std::string place = ShellQuoted(std::filesystem::absolute(folder).string());
-  if (std::system(("cd " + place + " && gnuplot " + ShellQuoted(name)).c_str()) == 0) return;
+  const std::string quoted_folder = ShellQuoted(std::filesystem::absolute(folder).string());
+  if (std::system(("cd " + quoted_folder + " && gnuplot " + ShellQuoted(name)).c_str()) == 0) return;
   throw std::runtime_error("gnuplot can't be run (Debian: gnuplot-nox), or failed on " +
                            (folder / name).string());
 }
--- a/src/lab/gnuplot.hpp
+++ b/src/lab/gnuplot.hpp
@@ -7,16 +7,16 @@
 
 namespace gateway::lab {
 
-// The text as a string of gnuplot, in single quotes.
+// Returns the text as a single-quoted gnuplot string.
 std::string GnuplotQuoted(const std::string& text);
 
-// Makes the folder and those above it. Throws std::runtime_error.
+// Creates the folder and its parents. Throws std::runtime_error if that fails.
 void MakeFolder(const std::filesystem::path& folder);
 
-// Throws std::runtime_error where the file can't be written.
+// Throws std::runtime_error if the file can't be written.
 void WriteTextFile(const std::filesystem::path& path, const std::string& text);
 
-// Runs the script FOLDER/NAME in that folder. Throws std::runtime_error where gnuplot is missing or fails.
+// Runs the script FOLDER/NAME in that folder. Throws std::runtime_error if gnuplot is missing or fails.
 void RunGnuplot(const std::filesystem::path& folder, const std::string& name);
 
 }  // namespace gateway::lab
--- a/src/lab/host_emulator.cpp
+++ b/src/lab/host_emulator.cpp
@@ -14,12 +14,12 @@
 using boost::system::error_code;
 
 constexpr Millis kIdleCheckPeriod = 500;
-constexpr Millis kDefaultDeadline = 60000;  // of a request that states none
+constexpr Millis kDefaultDeadline = 60000;  // of a request without Req-Deadline
 constexpr Millis kTimerTolerance = 0.001;
 constexpr double kMicrosPerMilli = 1000;
-constexpr std::uint64_t kRandomStream = 0x686f737473ULL;  // apart from the other draws of the same seed
+constexpr std::uint64_t kSeedMask = 0x686f737473ULL;  // separates these draws from others of the seed
 
-// The deadline of "480m" or "480000u", in ms.
+// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns it in ms.
 Millis ParseDeadline(std::string_view text) {
   double value = 0;
   const char* const last = text.data() + text.size();
@@ -28,7 +28,7 @@
   return end != last && *end == 'u' ? value / kMicrosPerMilli : value;
 }
 
-// A response that says that the request was not executed.
+// Returns a response with the header that marks the request as not executed.
 HttpResponse NotExecuted(unsigned status) {
   HttpResponse response = MakeResponse(status);
   response.set("Srv-Declined", "1");
@@ -38,7 +38,7 @@
 }  // namespace
 
 HostEmulator::HostEmulator(Environment environment)
-    : env_(std::move(environment)), random_(env_.seed ^ kRandomStream), idle_timer_(env_.io) {
+    : env_(std::move(environment)), random_(env_.seed ^ kSeedMask), idle_timer_(env_.io) {
   for (const HostGroup& group : env_.experiment.host_groups) {
     for (int i = 0; i < group.count; ++i) AddHost(group);
   }
@@ -55,7 +55,7 @@
   Open(host, std::nullopt);
 }
 
-bool HostEmulator::Draw(double probability) {
+bool HostEmulator::DrawBernoulli(double probability) {
   return probability > 0 && boost::random::uniform_01<double>()(random_) < probability;
 }
 
@@ -87,12 +87,12 @@
 }
 
 void HostEmulator::ResetConnections(int host, int gateway) {
-  // Closing one removes it from the host's.
-  std::vector<std::shared_ptr<ServerConnection>> between;
+  // Closing a connection removes it from the host, so the loop uses a copy.
+  std::vector<std::shared_ptr<ServerConnection>> gateway_connections;
   for (const auto& connection : At(host).connections) {
-    if (connection->peer == gateway) between.push_back(connection);
+    if (connection->peer == gateway) gateway_connections.push_back(connection);
   }
-  for (const auto& connection : between) connection->Close(/*reset=*/true);
+  for (const auto& connection : gateway_connections) connection->Close(/*reset=*/true);
 }
 
 void HostEmulator::SetSpeed(int host, double factor) {
@@ -122,11 +122,11 @@
   const std::string id(request["Req-Id"]);
   if (id.empty()) return connection->Answer(MakeResponse(404));
   const Millis now = MonotonicNow();
-  const auto work = env_.rules.WorkOf(id);
+  const auto work = env_.rules.FindWork(id);
   ++counts_.attempts;
   env_.rules.OnAttempt(now, id, env_.notified_at(gateway, host.number));
   if (!work) return connection->Answer(MakeResponse(400));
-  if (host.mute || Draw(host.group.no_response_rate)) return;
+  if (host.mute || DrawBernoulli(host.group.no_response_rate)) return;
   const bool too_many_connections = static_cast<int>(host.connections.size()) > host.group.max_connections;
   if (host.draining || too_many_connections) return Reject(connection, 503);
   const auto deadline = request["Req-Deadline"];
@@ -185,7 +185,7 @@
                            const HostModel::Event& event) {
   if (event.kind == HostModel::EventKind::kExpired && !event.was_started) {
     Reject(request.connection, 504);
-  } else if (event.kind == HostModel::EventKind::kExpired || Draw(host.error_rate)) {
+  } else if (event.kind == HostModel::EventKind::kExpired || DrawBernoulli(host.error_rate)) {
     request.connection->Answer(MakeResponse(500));
   } else {
     request.connection->Answer(MakeResponse(200, RuleChecker::ResponseMark(request.id, env_.seed)));
--- a/src/lab/host_emulator.hpp
+++ b/src/lab/host_emulator.hpp
@@ -1,5 +1,5 @@
-// The emulated hosts on their sockets, hundreds in one process. HostModel decides what a host does; this
-// listens and answers.
+// The emulated hosts on their sockets, hundreds in one process. HostModel decides what a host does with each
+// request; the emulator does the network I/O.
 #ifndef GATEWAY_LAB_HOST_EMULATOR_HPP_
 #define GATEWAY_LAB_HOST_EMULATOR_HPP_
 
@@ -23,22 +23,23 @@
 
 namespace gateway::lab {
 
-// Hosts are numbered from 0, over all groups in their order. To be used in the thread of the io_context.
+// Hosts are numbered from 0 across all groups, in the order of the groups. Must be used in the thread of the
+// io_context.
 class HostEmulator {
  public:
-  // All references outlive the emulator.
+  // The referenced objects must outlive the emulator.
   struct Environment {
     boost::asio::io_context& io;
     const Experiment& experiment;
     const Addresses& addresses;
     LinkTable& links;
     RuleChecker& rules;
-    // When the gateway was notified that the host drains or is removed; negative where it was not.
+    // When the gateway was notified that the host drains or is removed; negative if it was not.
     std::function<Millis(int gateway, int host)> notified_at;
     std::uint64_t seed;
-    int gateways;  // that reach the hosts; clients that call hosts directly count as one
+    int gateways;  // number of gateways; 1 if clients call the hosts directly
   };
-  // Starts all hosts, warmed up. Throws std::runtime_error where an address can't be had.
+  // Starts all hosts, already warmed up. Throws std::runtime_error if an address is not available.
   explicit HostEmulator(Environment environment);
 
   int count() const { return static_cast<int>(hosts_.size()); }
@@ -49,9 +50,9 @@
   void SetSpeed(int host, double factor);
   void SetErrorRate(int host, double rate) { At(host).error_rate = rate; }
   void SetMute(int host, bool mute) { At(host).mute = mute; }
-  void Kill(int host);                           // its connections break, new ones are refused
-  void Start(int host);                          // anew: it warms up
-  void ResetConnections(int host, int gateway);  // those between them
+  void Kill(int host);                           // resets its connections and refuses new ones
+  void Start(int host);                          // after Kill; the host warms up again
+  void ResetConnections(int host, int gateway);  // between the host and the gateway
   // A draining host rejects requests.
   void SetDraining(int host, bool draining) { At(host).draining = draining; }
 
@@ -99,7 +100,7 @@
   void Respond(const EmulatedHost& host, const OpenRequest& request, const HostModel::Event& event);
   void SetTimer(EmulatedHost& host);
   void CloseIdleConnections();
-  bool Draw(double probability);
+  bool DrawBernoulli(double probability);
 
   Environment env_;
   std::vector<std::unique_ptr<EmulatedHost>> hosts_;
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -6,7 +6,7 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kOverloadSlack = 1.1;  // for chance
+constexpr double kOverloadTolerance = 1.1;  // for random variation of the work
 constexpr double kThrashFreeJobsPerCore = 2;
 
 }  // namespace
@@ -14,34 +14,34 @@
 HostModel::HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at)
     : group_(group), warm_up_(warm_up), started_at_(started_at), now_(started_at.value_or(0)) {}
 
-// The share of its full capacity that the host has.
+// The capacity at this time as a share of the full capacity.
 double HostModel::WarmUpFraction(Millis time) const {
   if (!started_at_ || time >= *started_at_ + warm_up_.duration) return 1;
-  const double passed = std::max(0.0, time - *started_at_) / warm_up_.duration;
-  return warm_up_.initial_fraction + (1 - warm_up_.initial_fraction) * passed;
+  const double elapsed_share = std::max(0.0, time - *started_at_) / warm_up_.duration;
+  return warm_up_.initial_fraction + (1 - warm_up_.initial_fraction) * elapsed_share;
 }
 
-// The integral of the fraction: how long a host of full capacity takes for the same.
+// The integral of the fraction: the time in which a host of full capacity does the same work.
 Millis HostModel::FullCapacityTime(Millis from, Millis to) const {
   if (!started_at_) return to - from;
-  const Millis warm_at = *started_at_ + warm_up_.duration;
-  const Millis ramp_end = std::clamp(warm_at, from, to);
+  const Millis warm_up_end = *started_at_ + warm_up_.duration;
+  const Millis ramp_end = std::clamp(warm_up_end, from, to);
   return (ramp_end - from) * (WarmUpFraction(from) + WarmUpFraction(ramp_end)) / 2 + (to - ramp_end);
 }
 
-// The inverse: the time at which that much time of full capacity has passed.
+// The inverse of FullCapacityTime: the time at which the host has done that much work since `from`.
 Millis HostModel::TimeAfter(Millis from, Millis full_capacity_time) const {
   if (!started_at_ || from >= *started_at_ + warm_up_.duration) return from + full_capacity_time;
-  const Millis warm_at = *started_at_ + warm_up_.duration;
-  const Millis within_ramp = FullCapacityTime(from, warm_at);
-  if (full_capacity_time >= within_ramp) return warm_at + (full_capacity_time - within_ramp);
+  const Millis warm_up_end = *started_at_ + warm_up_.duration;
+  const Millis within_ramp = FullCapacityTime(from, warm_up_end);
+  if (full_capacity_time >= within_ramp) return warm_up_end + (full_capacity_time - within_ramp);
   // Solves full_capacity_time = fraction * t + slope * t^2 / 2 for t.
   const double fraction = WarmUpFraction(from);
   const double slope = (1 - warm_up_.initial_fraction) / warm_up_.duration;
   return from + (std::sqrt(fraction * fraction + 2 * slope * full_capacity_time) - fraction) / slope;
 }
 
-// Work per ms for each executed job, at full capacity.
+// Work done per ms for each executing job at full capacity.
 double HostModel::RatePerJob() const {
   if (executing_.empty()) return 0;
   const double excess_jobs =
@@ -50,7 +50,7 @@
   return cores_per_job * group_.speed * speed_factor_ / (1 + group_.thrash_factor * excess_jobs);
 }
 
-// When the first of the executed jobs finishes; there is one.
+// When the next executing job finishes. At least one job must be executing.
 Millis HostModel::NextFinishAt() const {
   return TimeAfter(now_, std::max(0.0, executing_.begin()->first - service_) / RatePerJob());
 }
@@ -95,8 +95,8 @@
     warm_up_work_.pop_front();
   }
   const double capacity = group_.cores * group_.speed * WarmUpFraction(now);
-  const double withstood = warm_up_.overload_factor * capacity * warm_up_.overload_window * kOverloadSlack;
-  if (warm_up_work_sum_ > withstood) overloaded_ = true;
+  const double max_work = warm_up_.overload_factor * capacity * warm_up_.overload_window * kOverloadTolerance;
+  if (warm_up_work_sum_ > max_work) overloaded_ = true;
 }
 
 HostModel::Admission HostModel::Submit(Millis now, Job job, Millis work, Millis expires_at) {
@@ -151,7 +151,7 @@
     AdvanceService(std::min(finish, expiry));
     const bool finishes = finish <= expiry;
     const Job job = finishes ? executing_.begin()->second : expiries_.begin()->second;
-    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // against rounding
+    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // avoids a decrease by rounding
     events.push_back({finishes ? EventKind::kFinished : EventKind::kExpired, job, jobs_[job].executing});
     Remove(job);
     FillSlots();
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -1,5 +1,5 @@
-// The model of an emulated host: what it does with the requests that it gets. A state machine without I/O and
-// clock.
+// The model of an emulated host: executes, queues, rejects or expires the requests that it receives. A state
+// machine without I/O and clock.
 #ifndef GATEWAY_LAB_HOST_MODEL_HPP_
 #define GATEWAY_LAB_HOST_MODEL_HPP_
 
@@ -16,10 +16,10 @@
 
 namespace gateway::lab {
 
-// Requests take a slot or wait in order of arrival. Those in slots share the cores evenly, none faster than
-// one core; with as many slots as cores this is the queue M/M/c. A host that has just started has a fraction
-// of its capacity, which rises evenly, and is overloaded when it gets too much work meanwhile. Times are in
-// ms of the caller's clock and never run backwards.
+// A request occupies a slot or waits in a FIFO queue. Requests in slots share the cores evenly, each using at
+// most one core; with as many slots as cores this is an M/M/c queue. A host that has just started has a
+// fraction of its capacity, which rises linearly, and is overloaded if it receives too much work during that
+// time. Times are in ms of the caller's clock and must not decrease.
 class HostModel {
  public:
   using Job = std::uint64_t;  // a request at this host
@@ -31,35 +31,35 @@
     bool was_started;  // kExpired: whether its execution had begun
   };
 
-  // `started_at`: when the host started; nothing: so long ago that it has warmed up.
+  // `started_at`: when the host started; empty: it has already warmed up.
   HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at);
 
-  // Takes a complete request in, which expires at `expires_at` if it has not finished by then. What happens
-  // to other jobs until `now` is reported by the next Advance.
+  // Submits a complete request, which expires at `expires_at` if it has not finished by then. Events of other
+  // jobs up to `now` are reported by the next Advance.
   Admission Submit(Millis now, Job job, Millis work, Millis expires_at);
 
-  // Ends a job without an event. Does nothing for one that has ended.
+  // Ends a job without an event. Does nothing if the job has ended.
   void Cancel(Millis now, Job job);
 
   void SetSpeed(Millis now, double factor);
 
-  // When the next event happens if nothing else does; nothing where none is due.
+  // The time of the next event unless another call changes it; empty if there is none.
   std::optional<Millis> NextEventAt() const;
 
-  // Appends all events up to `now`, in their order.
+  // Appends all events up to `now`, in order of time.
   void Advance(Millis now, std::vector<Event>& events);
 
-  // Jobs that are executed or queued.
+  // Number of executing and queued jobs.
   std::size_t active_jobs() const { return jobs_.size(); }
 
-  // Whether it got more work while it warmed up than a warming host withstands.
+  // Whether the host received more work during its warm-up than its limit.
   bool overloaded() const { return overloaded_; }
 
  private:
   struct JobState {
     Millis work = 0;
     Millis expires_at = 0;
-    double finish_service = 0;  // value of service_ at which it is finished
+    double finish_service = 0;  // value of service_ at which the job finishes
     bool executing = false;
   };
 
@@ -81,12 +81,12 @@
   const std::optional<Millis> started_at_;
   double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_ = 0;  // work done for a job that was executed all the time
+  double service_ = 0;  // work done so far for a job that has executed since the start
   std::unordered_map<Job, JobState> jobs_;
   std::set<std::pair<double, Job>> executing_;  // by finish_service
-  std::deque<Job> queue_;                       // cancelled ones stay until their turn
+  std::deque<Job> queue_;                       // ended jobs are skipped when they reach the front
   std::set<std::pair<Millis, Job>> expiries_;
-  std::vector<Event> pending_events_;  // for the next Advance
+  std::vector<Event> pending_events_;  // reported by the next Advance
   std::deque<std::pair<Millis, Millis>>
       warm_up_work_;  // time and work of requests within the overload window
   Millis warm_up_work_sum_ = 0;
--- a/src/lab/http_server.cpp
+++ b/src/lab/http_server.cpp
@@ -38,7 +38,7 @@
   socket_.set_option(tcp::no_delay(true), ignored);
 }
 
-// Calls `deliver` at once where there is no link.
+// Calls `deliver` synchronously if there is no link.
 void ServerConnection::Transmit(Link::Direction direction, std::function<void()> deliver) {
   if (link_ == nullptr) return deliver();
   link_->Transmit(direction, std::move(deliver));
@@ -64,7 +64,8 @@
   });
 }
 
-// A client that closes while its request is answered wants no answer.
+// Detects that the client closes the connection while its request is being answered, which cancels the
+// request.
 void ServerConnection::WatchForClose() {
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
     if (!ec && self->open_ && self->answering_) self->OnReadable();
@@ -148,8 +149,9 @@
   Accept();
 }
 
-// With a full backlog the kernel drops the first packet of any further connection, as a cut line would. A
-// backlog of 0 holds one connection; the second one fills the queue of those that are not established yet.
+// While the backlog is full, the kernel drops the SYN packet of each further connection, like a cut network
+// link. A backlog of 0 holds one connection; the second one fills the queue of connections not yet
+// established.
 void Listener::FillBacklog() {
   constexpr int kFillers = 2;
   error_code ignored;
--- a/src/lab/http_server.hpp
+++ b/src/lab/http_server.hpp
@@ -1,4 +1,4 @@
-// The server's end of HTTP/1.1, over Beast, behind the links of the lab. The client's end is
+// An HTTP/1.1 server on Boost.Beast whose messages pass the emulated links of the lab. The client is in
 // base/http_client.
 #ifndef GATEWAY_LAB_HTTP_SERVER_HPP_
 #define GATEWAY_LAB_HTTP_SERVER_HPP_
@@ -26,39 +26,39 @@
 
 HttpResponse MakeResponse(unsigned status, std::string body = {});
 
-// A connection from a client, with one request at a time. Owned by shared pointers: what is under way keeps
-// it alive. To be used in the thread that runs the io_context.
+// A connection from a client, which handles one request at a time. Pending operations hold shared pointers
+// that keep it alive. Must be used in the thread that runs the io_context.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   struct Handlers {
-    // A complete request, to be answered once by Answer.
+    // Called with each complete request. The handler must answer it once with Answer.
     std::function<void(const std::shared_ptr<ServerConnection>&, HttpRequest)> request;
-    // The connection was closed, by the client or by Close. Called once.
+    // Called once, when the connection is closed by the client or by Close.
     std::function<void(const std::shared_ptr<ServerConnection>&)> closed;
   };
 
-  // `link` may be null; otherwise it outlives the connection.
+  // `link` may be null; otherwise it must outlive the connection.
   ServerConnection(tcp::socket socket, Link* link, std::shared_ptr<const Handlers> handlers);
 
   // Reads the first request.
   void Begin() { Read(); }
 
-  // Does nothing on a closed connection. `on_write`, where given, is called when the answer has passed the
-  // link, just before it is written.
+  // Sends the response. Does nothing on a closed connection. Calls `on_write`, if given, when the response
+  // has passed the link, just before it is written.
   void Answer(HttpResponse response, std::function<void()> on_write = {});
 
-  // `reset`: with a TCP reset in place of an orderly end.
+  // `reset`: closes with a TCP reset rather than an orderly shutdown.
   void Close(bool reset = false);
 
   bool open() const { return open_; }
 
-  // Requests that have been received.
+  // Number of requests received.
   int requests() const { return requests_; }
 
-  // Since when it has been idle; nothing while a request is answered.
+  // Since when the connection has been idle; empty while a request is being answered.
   std::optional<Millis> idle_since() const { return answering_ ? std::nullopt : std::optional(idle_since_); }
 
-  // For the owner's use.
+  // Set and read by the owner; not used by this class.
   std::uint64_t tag = 0;
   int peer = -1;
 
@@ -83,13 +83,13 @@
   bool keep_alive_ = true;
 };
 
-// Accepts connections at one address. Behind a cut link new connections are not established, as if the
-// network lost their packets.
+// Accepts connections at one address. While the link is cut, new connections are not established, as if the
+// network dropped their packets.
 class Listener {
  public:
   using OnAccept = std::function<void(tcp::socket)>;
 
-  // `link` may be null; otherwise it outlives the listener. Throws std::runtime_error where it can't listen.
+  // `link` may be null; otherwise it must outlive the listener. Throws std::runtime_error if listening fails.
   Listener(boost::asio::io_context& io, const tcp::endpoint& address, Link* link, OnAccept on_accept);
   ~Listener();
 
@@ -104,7 +104,8 @@
   const OnAccept on_accept_;
   bool unreachable_ = false;
   std::vector<tcp::socket> backlog_fillers_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for handlers that come too late
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  // false once the listener is destroyed, for pending handlers
 };
 
 }  // namespace gateway::lab
--- a/src/lab/link.cpp
+++ b/src/lab/link.cpp
@@ -9,17 +9,17 @@
 
 void Link::Transmit(Direction direction, std::function<void()> deliver) {
   Message message{direction, std::move(deliver)};
-  if (IsCut(direction) || (delay_ <= 0 && jitter_ <= 0)) return Arrive(std::move(message));
+  if (IsCut(direction) || (delay_ <= 0 && jitter_ <= 0)) return DeliverOrQueue(std::move(message));
   const Millis random_delay = jitter_ * boost::random::uniform_01<double>()(random_);
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(delay_ + random_delay));
   timer->async_wait([this, timer, message = std::move(message)](boost::system::error_code ec) mutable {
-    if (!ec) Arrive(std::move(message));
+    if (!ec) DeliverOrQueue(std::move(message));
   });
 }
 
-void Link::Arrive(Message message) {
+void Link::DeliverOrQueue(Message message) {
   if (IsCut(message.direction)) {
-    waiting_.push_back(std::move(message));
+    queued_messages_.push_back(std::move(message));
   } else {
     message.deliver();
   }
@@ -36,10 +36,10 @@
   cuts_to_gateway_ -= to_gateway ? 1 : 0;
   healed_at_ = MonotonicNow();
   if (observer_) observer_();
-  // Delivery may cut the link again, so what can arrive is taken out first.
+  // A delivery may cut the link again, so the deliverable messages are removed from the queue first.
   std::vector<Message> arriving;
-  for (Message& message : std::exchange(waiting_, {})) {
-    (IsCut(message.direction) ? waiting_ : arriving).push_back(std::move(message));
+  for (Message& message : std::exchange(queued_messages_, {})) {
+    (IsCut(message.direction) ? queued_messages_ : arriving).push_back(std::move(message));
   }
   for (const Message& message : arriving) message.deliver();
 }
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -1,5 +1,5 @@
-// The network between a gateway and another party, as the lab emulates it: it delays messages and can be cut
-// in either direction.
+// The emulated network link between a gateway and a host or the list service: delays messages and can be cut
+// in each direction.
 #ifndef GATEWAY_LAB_LINK_HPP_
 #define GATEWAY_LAB_LINK_HPP_
 
@@ -19,28 +19,28 @@
 using base::MonotonicNow;
 using base::TimerDuration;
 
-// Works on complete messages. A message that meets a cut waits until the cut is healed, as TCP's
-// retransmissions would bring it; another one is late by the delay. Messages of one connection keep their
-// order, since each waits for the answer to the last. To be used in the thread of the io_context.
+// Transmits complete messages. A message that arrives at a cut is queued until the cut is healed, since TCP
+// would retransmit it; any other message is delayed. Messages of one connection keep their order, since each
+// is sent only after the response to the previous one. Must be used in the thread of the io_context.
 class Link {
  public:
   enum class Direction { kFromGateway, kToGateway };
 
-  // `seed`: of the jitter.
+  // `seed`: for the random jitter.
   explicit Link(boost::asio::io_context& io, std::uint64_t seed = 1) : io_(io), random_(seed) {}
   Link(const Link&) = delete;
 
-  // Calls `deliver` when the message has arrived: at once on a link without delay.
+  // Calls `deliver` when the message has arrived; synchronously on a link without delay.
   void Transmit(Direction direction, std::function<void()> deliver);
 
-  // Cuts the given directions. Cuts are counted, so that several faults may cut the same link.
+  // Cuts the given directions. Cuts are counted, so that several faults can cut the same link.
   void Cut(bool from_gateway, bool to_gateway);
 
-  // Takes one cut back in each of the given directions.
+  // Removes one cut in each of the given directions.
   void Heal(bool from_gateway, bool to_gateway);
 
-  // Adds to the delay, in both directions, and to the largest random delay on top of it; negative values take
-  // back.
+  // Adds to the delay, and to the maximum of the random delay on top of it, in both directions. Negative
+  // values reduce them again.
   void AddDelay(Millis delay, Millis jitter);
 
   bool IsCut(Direction direction) const {
@@ -50,11 +50,11 @@
   // Whether either direction is cut.
   bool IsCut() const { return cuts_from_gateway_ > 0 || cuts_to_gateway_ > 0; }
 
-  // When the last cut was healed; 0 where there was none.
+  // When the last cut was healed; 0 if there was none.
   Millis healed_at() const { return healed_at_; }
 
-  // Sets what is called after every cut and healing; empty: nothing. A listener behind a cut link takes no
-  // new connections.
+  // Sets a callback that is called after every Cut and Heal; empty: none. A listener uses it to refuse new
+  // connections while the link is cut.
   void SetObserver(std::function<void()> observer) { observer_ = std::move(observer); }
 
  private:
@@ -63,7 +63,7 @@
     std::function<void()> deliver;
   };
 
-  void Arrive(Message message);
+  void DeliverOrQueue(Message message);
 
   boost::asio::io_context& io_;
   boost::random::minstd_rand random_;
@@ -72,7 +72,7 @@
   Millis delay_ = 0;
   Millis jitter_ = 0;
   Millis healed_at_ = 0;
-  std::vector<Message> waiting_;  // for the end of a cut
+  std::vector<Message> queued_messages_;  // until the cut is healed
   std::function<void()> observer_;
 };
 
--- a/src/lab/link_table.hpp
+++ b/src/lab/link_table.hpp
@@ -1,4 +1,4 @@
-// The links of one run: from every gateway to every host, and to the list service.
+// The links of one run, from each gateway to each host and to the list service.
 #ifndef GATEWAY_LAB_LINK_TABLE_HPP_
 #define GATEWAY_LAB_LINK_TABLE_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace gateway::lab {
 
-// Gateways and hosts are numbered from 0. The links live as long as the table.
+// Gateways and hosts are numbered from 0. The table owns the links.
 class LinkTable {
  public:
   LinkTable(boost::asio::io_context& io, int gateways, int hosts, std::uint64_t seed)
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -11,11 +11,11 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kMaxWatchTimeout = 60000;  // PROTOCOL
-// PROTOCOL, "Figures": a call that may wait for 5 s, and 2 s after it.
-constexpr Millis kNotifiedWithin = 7000;
+constexpr Millis kMaxWatchTimeout = 60000;  // limit of PROTOCOL
+// PROTOCOL, "Figures": 5 s for a long poll, plus 2 s.
+constexpr Millis kNotificationTimeout = 7000;
 
-// The value of a key of the query; `fallback` where it is absent.
+// The value of a key in the query string; `fallback` if the key is absent.
 std::int64_t QueryValue(const std::string& target, const std::string& key, std::int64_t fallback) {
   for (const char separator : {'?', '&'}) {
     const std::string prefix = separator + key + "=";
@@ -65,7 +65,7 @@
 void ListService::SetDown(bool down) {
   if (std::exchange(down_, down) == down) return;
   if (!down) {
-    up_again_at_ = MonotonicNow();
+    restored_at_ = MonotonicNow();
     return Open();
   }
   listeners_.clear();
@@ -95,7 +95,7 @@
   listed_phase = phase;
 }
 
-// Ends all watches with the change.
+// Publishes the change and answers all watches with it.
 void ListService::Publish(int host, const std::string& phase, double started_at) {
   ListedHost& listed = hosts_[static_cast<std::size_t>(host)];
   listed.phase = phase;
@@ -114,7 +114,7 @@
   const Link& link = env_.links.ToList(gateway);
   if (notified_at >= 0 || listed.phase == "up" || env_.registry != nullptr) return notified_at;
   if (down_ || link.IsCut()) return notified_at;
-  const Millis due = std::max({listed.changed_at, up_again_at_, link.healed_at()}) + kNotifiedWithin;
+  const Millis due = std::max({listed.changed_at, restored_at_, link.healed_at()}) + kNotificationTimeout;
   return MonotonicNow() > due ? due : -1;
 }
 
@@ -167,7 +167,7 @@
   if (!upstream || !upstream->usable()) {
     upstream = std::make_shared<ClientConnection>(env_.io, env_.registry->address());
   }
-  upstream->Exchange(base::GetRequest(target, "registry"), kMaxWatchTimeout + kNotifiedWithin,
+  upstream->Exchange(base::GetRequest(target, "registry"), kMaxWatchTimeout + kNotificationTimeout,
                      [this, gateway, connection](const ClientConnection::Result& result) {
                        if (!connection->open()) return;
                        if (result.failure == ClientConnection::Failure::kNone) {
@@ -190,7 +190,7 @@
   env_.registry->OnRevision(revision);
   std::vector<Readiness> readiness = TranslateAddresses(gateway, list);
   HttpResponse translated = MakeResponse(200, list.dump());
-  if (IsNextTruncated()) return AnswerTruncated(connection, std::move(translated));
+  if (ShouldTruncateNext()) return AnswerTruncated(connection, std::move(translated));
   connection->Answer(std::move(translated), [this, gateway, revision, readiness = std::move(readiness)] {
     RecordNotifications(gateway, readiness);
     std::int64_t& delivered = delivered_revisions_[static_cast<std::size_t>(gateway)];
@@ -198,10 +198,10 @@
   });
 }
 
-// Replaces the hosts' addresses in a list by those of this gateway. Returns what the list says of each host.
+// Replaces the hosts' addresses in a list by those for this gateway. Returns the readiness of each host.
 std::vector<ListService::Readiness> ListService::TranslateAddresses(int gateway, json& list) const {
   const bool complete = list.value("complete", true);
-  std::vector<Readiness> readiness(hosts_.size(), complete ? Readiness::kNotUp : Readiness::kNotNamed);
+  std::vector<Readiness> readiness(hosts_.size(), complete ? Readiness::kNotUp : Readiness::kNotListed);
   for (json& entry : list["members"]) {
     const auto found = std::ranges::find(hosts_, entry.value("id", ""), &ListedHost::id);
     if (found == hosts_.end()) continue;
@@ -212,12 +212,12 @@
   return readiness;
 }
 
-bool ListService::IsNextTruncated() {
+bool ListService::ShouldTruncateNext() {
   if (truncated_share_ <= 0) return false;
   return ++forwarded_ % std::max(1, static_cast<int>(1 / truncated_share_)) == 0;
 }
 
-// Sends half of the body and closes: the length that the header names never comes.
+// Sends half of the body and closes the connection before the announced Content-Length is complete.
 void ListService::AnswerTruncated(const std::shared_ptr<ServerConnection>& connection,
                                   HttpResponse response) {
   response.body().resize(response.body().size() / 2);
--- a/src/lab/list_service.hpp
+++ b/src/lab/list_service.hpp
@@ -1,6 +1,6 @@
-// The list service as each gateway meets it, behind a link of its own: an emulation by the protocol page, or
-// a proxy of the project's own list service. Either way hosts have the addresses at which this gateway
-// reaches them.
+// The list service that each gateway reaches over a link of its own: an emulation according to PROTOCOL, or a
+// proxy in front of the project's list service. In both cases the list that a gateway gets contains the
+// addresses at which that gateway reaches the hosts.
 #ifndef GATEWAY_LAB_LIST_SERVICE_HPP_
 #define GATEWAY_LAB_LIST_SERVICE_HPP_
 
@@ -25,58 +25,58 @@
   std::string id;
   std::string zone;
   std::string machine_type;
-  std::string phase = "up";  // as on the wire: up, draining, removed
+  std::string phase = "up";  // one of up, draining, removed, as on the wire
   double weight = 1;
   double started_at = 0;      // Unix time in ms
   std::int64_t revision = 1;  // of its last change
   Millis changed_at = 0;      // when that change was published
 };
 
-// Gateways and hosts are numbered from 0. To be used in the thread of the io_context.
+// Gateways and hosts are numbered from 0. Must be used in the thread of the io_context.
 class ListService {
  public:
-  // All references outlive the service.
+  // The referenced objects must outlive the service.
   struct Environment {
     boost::asio::io_context& io;
     const Addresses& addresses;
     LinkTable& links;
     int gateways;
-    Millis delay;                         // of the emulation: from a change to its publication
-    RegistryProcess* registry = nullptr;  // null: the emulation
+    Millis delay;                         // emulation only: from a change to its publication
+    RegistryProcess* registry = nullptr;  // null: the service is emulated
   };
-  // Throws std::runtime_error where an address can't be had.
+  // Throws std::runtime_error if an address is not available.
   ListService(Environment environment, std::vector<ListedHost> hosts);
 
-  // A host has changed: published after the delay, or by the list service when it finds out. `started_at`: of
-  // its process, for the phase "up".
+  // Changes the phase of a host. The emulation publishes the change after the delay; the project's list
+  // service when it detects it. `started_at` is the start time of the host's process, for the phase "up".
   void Change(int host, const std::string& phase, double started_at);
 
   // The emulation refuses connections while it is down.
   void SetDown(bool down);
 
-  // This share of the answers of the project's own list service is cut off half-way.
+  // Sets the share of the responses of the project's list service that are truncated.
   void SetTruncatedShare(double share) { truncated_share_ = share; }
 
-  // The complete list as JSON, with the addresses of this gateway.
+  // The complete list as JSON, with the addresses for this gateway.
   std::string CompleteList(int gateway) const { return ListText(gateway, 0, true); }
 
-  // When the gateway was notified that the host drains or is removed; negative where it was not, or where the
-  // host is up again. A change that the gateway could have polled counts as notified some seconds after its
+  // When the gateway was notified that the host drains or is removed; negative if it was not, or if the host
+  // is up again. A change that the gateway could have polled counts as notified some seconds after its
   // publication (PROTOCOL, "Figures").
   Millis NotifiedAt(int gateway, int host) const;
 
-  // The gateway's process starts anew and knows only its configuration.
+  // Called when the gateway's process restarts, since the new process knows only its configuration.
   void ForgetNotifications(int gateway);
 
   std::uint64_t calls() const { return calls_; }
 
-  // The newest revision that has been delivered to this gateway; 0 where there is none.
+  // The newest revision that has been delivered to this gateway; 0 if there is none.
   std::int64_t DeliveredRevision(int gateway) const {
     return delivered_revisions_[static_cast<std::size_t>(gateway)];
   }
 
  private:
-  // A call that waits for the next change.
+  // A long poll that waits for the next change.
   struct Watch {
     explicit Watch(boost::asio::io_context& io) : timer(io) {}
     int gateway = 0;
@@ -84,7 +84,7 @@
     std::shared_ptr<ServerConnection> connection;
     boost::asio::steady_timer timer;
   };
-  enum class Readiness { kNotNamed, kUp, kNotUp };
+  enum class Readiness { kNotListed, kUp, kNotUp };
 
   void Open();
   void OnAccept(int gateway, tcp::socket socket);
@@ -104,23 +104,23 @@
                        const HttpResponse& response);
   std::vector<Readiness> TranslateAddresses(int gateway, nlohmann::json& list) const;
   void AnswerTruncated(const std::shared_ptr<ServerConnection>& connection, HttpResponse response);
-  bool IsNextTruncated();
+  bool ShouldTruncateNext();
   void RecordNotifications(int gateway, const std::vector<Readiness>& readiness);
 
   Environment env_;
   std::vector<ListedHost> hosts_;
   std::int64_t revision_ = 1;
   bool down_ = false;
-  Millis up_again_at_ = 0;
+  Millis restored_at_ = 0;
   std::vector<std::unique_ptr<Listener>> listeners_;  // by gateway
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
   std::vector<std::shared_ptr<Watch>> watches_;
-  std::vector<std::vector<Millis>> notified_at_;  // by gateway and host; negative: not
+  std::vector<std::vector<Millis>> notified_at_;  // by gateway and host; negative: not notified
   std::uint64_t calls_ = 0;
   std::vector<std::int64_t> delivered_revisions_;  // by gateway
   std::map<std::shared_ptr<ServerConnection>, std::shared_ptr<ClientConnection>> upstreams_;
   double truncated_share_ = 0;
-  int forwarded_ = 0;  // responses while some are truncated
+  int forwarded_ = 0;  // number of responses forwarded while some are truncated
 };
 
 }  // namespace gateway::lab
--- a/src/lab/management_check.hpp
+++ b/src/lab/management_check.hpp
@@ -1,4 +1,4 @@
-// The call 'check' to the management address of a gateway.
+// Sends the command 'check' to the management address of a gateway.
 #ifndef GATEWAY_LAB_MANAGEMENT_CHECK_HPP_
 #define GATEWAY_LAB_MANAGEMENT_CHECK_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace gateway::lab {
 
-// Calls `done` once, in the thread of the io_context: with true where the gateway answers SUCCESS, with false
-// for any other answer and where it can't be reached.
+// Calls `done` once, in the thread of the io_context: with true if the gateway answers SUCCESS, with false
+// for any other answer and if the gateway can't be reached.
 void CheckGateway(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& management,
                   std::function<void(bool success)> done);
 
--- a/src/lab/peer_network.cpp
+++ b/src/lab/peer_network.cpp
@@ -15,7 +15,7 @@
 using udp = boost::asio::ip::udp;
 
 constexpr Millis kMaxReorderingDelay = 20;
-constexpr std::uint64_t kRandomStream = 0x7065657273ULL;  // apart from the other draws of the same seed
+constexpr std::uint64_t kSeedMask = 0x7065657273ULL;  // separates these draws from others of the seed
 
 udp::endpoint ToUdp(const Addresses::Endpoint& endpoint) { return {endpoint.address(), endpoint.port()}; }
 
@@ -26,10 +26,10 @@
     : io_(io),
       addresses_(addresses),
       gateways_(gateways),
-      random_(seed ^ kRandomStream),
+      random_(seed ^ kSeedMask),
       conditions_(static_cast<std::size_t>(gateways)),
       cuts_(static_cast<std::size_t>(gateways) * static_cast<std::size_t>(gateways)),
-      ends_(cuts_.size()) {
+      sockets_(cuts_.size()) {
   for (int owner = 0; owner < gateways; ++owner) {
     for (int other = 0; other < gateways; ++other) {
       if (owner != other) Open(owner, other);
@@ -38,39 +38,39 @@
 }
 
 void PeerNetwork::Open(int owner, int other) {
-  auto& end = ends_[Pair(owner, other)];
-  end = std::make_unique<PairEnd>(io_);
-  end->owner = owner;
-  end->other = other;
+  auto& peer_socket = sockets_[PairIndex(owner, other)];
+  peer_socket = std::make_unique<PeerSocket>(io_);
+  peer_socket->owner = owner;
+  peer_socket->other = other;
   const udp::endpoint address = ToUdp(addresses_.Peer(owner, other));
   error_code ec;
-  end->socket.open(address.protocol(), ec);
-  if (!ec) end->socket.bind(address, ec);
-  if (!ec) end->socket.non_blocking(true, ec);
-  if (ec) throw std::runtime_error("no socket between gateways: " + ec.message());
-  Receive(*end);
+  peer_socket->socket.open(address.protocol(), ec);
+  if (!ec) peer_socket->socket.bind(address, ec);
+  if (!ec) peer_socket->socket.non_blocking(true, ec);
+  if (ec) throw std::runtime_error("can't open a socket between gateways: " + ec.message());
+  Receive(*peer_socket);
 }
 
 double PeerNetwork::Uniform() { return boost::random::uniform_01<double>()(random_); }
 
-void PeerNetwork::Receive(PairEnd& end) {
-  end.socket.async_receive_from(boost::asio::buffer(end.buffer), end.from,
-                                [this, &end](error_code ec, std::size_t size) {
-                                  if (ec == boost::asio::error::operation_aborted) return;
-                                  if (!ec) OnDatagram(end, size);
-                                  Receive(end);
-                                });
+void PeerNetwork::Receive(PeerSocket& peer_socket) {
+  peer_socket.socket.async_receive_from(boost::asio::buffer(peer_socket.buffer), peer_socket.from,
+                                        [this, &peer_socket](error_code ec, std::size_t size) {
+                                          if (ec == boost::asio::error::operation_aborted) return;
+                                          if (!ec) OnDatagram(peer_socket, size);
+                                          Receive(peer_socket);
+                                        });
 }
 
-void PeerNetwork::OnDatagram(const PairEnd& end, std::size_t size) {
+void PeerNetwork::OnDatagram(const PeerSocket& peer_socket, std::size_t size) {
   ++counts_.sent;
   if (size > kMaxDatagramBytes) {
     ++counts_.too_long;
     return;
   }
-  const NetworkConditions& sender = conditions_[static_cast<std::size_t>(end.owner)];
-  const NetworkConditions& receiver = conditions_[static_cast<std::size_t>(end.other)];
-  const auto datagram = std::make_shared<const std::string>(end.buffer.data(), size);
+  const NetworkConditions& sender = conditions_[static_cast<std::size_t>(peer_socket.owner)];
+  const NetworkConditions& receiver = conditions_[static_cast<std::size_t>(peer_socket.other)];
+  const auto datagram = std::make_shared<const std::string>(peer_socket.buffer.data(), size);
   const auto draw = [&](double NetworkConditions::*rate) {
     return Uniform() < std::max(sender.*rate, receiver.*rate);
   };
@@ -81,7 +81,7 @@
       continue;
     }
     const Millis reordering = draw(&NetworkConditions::reordering_rate) ? Uniform() * kMaxReorderingDelay : 0;
-    Transmit(end.owner, end.other, sender.delay + receiver.delay + reordering, datagram);
+    Transmit(peer_socket.owner, peer_socket.other, sender.delay + receiver.delay + reordering, datagram);
   }
 }
 
@@ -95,14 +95,14 @@
 }
 
 void PeerNetwork::Deliver(int from, int to, const std::string& datagram) {
-  if (cuts_[Pair(from, to)] > 0) {
+  if (cuts_[PairIndex(from, to)] > 0) {
     ++counts_.lost;
     return;
   }
   ++counts_.delivered;
-  error_code ignored;  // a gateway that is down receives nothing
-  ends_[Pair(to, from)]->socket.send_to(boost::asio::buffer(datagram), ToUdp(addresses_.PeerListen(to)), 0,
-                                        ignored);
+  error_code ignored;  // a gateway that is not running receives nothing
+  sockets_[PairIndex(to, from)]->socket.send_to(boost::asio::buffer(datagram),
+                                                ToUdp(addresses_.PeerListen(to)), 0, ignored);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/peer_network.hpp
+++ b/src/lab/peer_network.hpp
@@ -1,5 +1,5 @@
-// The network between gateways: datagrams pass through the lab, which loses, duplicates, reorders and delays
-// them.
+// The emulated network between gateways: the lab forwards their datagrams and drops, duplicates, reorders and
+// delays them.
 #ifndef GATEWAY_LAB_PEER_NETWORK_HPP_
 #define GATEWAY_LAB_PEER_NETWORK_HPP_
 
@@ -18,27 +18,27 @@
 namespace gateway::lab {
 
 // Each gateway reaches another one at a port of its own address, and receives the other's datagrams from
-// there: a pair has a socket at either end. Gateways are numbered from 0. To be used in the thread of the
-// io_context.
+// there, so the lab has two sockets for each pair of gateways. Gateways are numbered from 0. Must be used in
+// the thread of the io_context.
 class PeerNetwork {
  public:
-  // `addresses` outlives the network. Throws std::runtime_error where a socket can't be had.
+  // `addresses` must outlive the network. Throws std::runtime_error if a socket can't be opened.
   PeerNetwork(boost::asio::io_context& io, const Addresses& addresses, int gateways, std::uint64_t seed);
 
-  // The conditions of every datagram that the gateway sends or receives. Where both ends of a pair have
-  // conditions, the higher rate counts, and the delays add up.
+  // Sets the conditions for every datagram that the gateway sends or receives. If both gateways of a pair
+  // have conditions, the higher rate applies, and the delays add up.
   void SetConditions(int gateway, const NetworkConditions& conditions) {
     conditions_[static_cast<std::size_t>(gateway)] = conditions;
   }
 
-  // Cuts or heals one direction of a pair. Cuts are counted, so that several faults may cut the same pair.
-  void SetCut(int from, int to, bool cut) { cuts_[Pair(from, to)] += cut ? 1 : -1; }
+  // Cuts or heals one direction of a pair. Cuts are counted, so that several faults can cut the same pair.
+  void SetCut(int from, int to, bool cut) { cuts_[PairIndex(from, to)] += cut ? 1 : -1; }
 
   struct Counts {
     std::uint64_t sent = 0;
     std::uint64_t delivered = 0;
     std::uint64_t lost = 0;
-    std::uint64_t too_long = 0;  // beyond the protocol's limit: not delivered
+    std::uint64_t too_long = 0;  // above the protocol's limit; not delivered
   };
   const Counts& counts() const { return counts_; }
 
@@ -46,22 +46,22 @@
   static constexpr std::size_t kMaxDatagramBytes = 256;  // PROTOCOL, "Between gateways"
   static constexpr std::size_t kBufferBytes = 2048;
 
-  // One end of a pair, on the owner's address.
-  struct PairEnd {
-    explicit PairEnd(boost::asio::io_context& io) : socket(io) {}
+  // The socket at the owner's address that stands for the other gateway.
+  struct PeerSocket {
+    explicit PeerSocket(boost::asio::io_context& io) : socket(io) {}
     int owner = 0;
     int other = 0;
     boost::asio::ip::udp::socket socket;
     boost::asio::ip::udp::endpoint from;
     std::array<char, kBufferBytes> buffer;
   };
-  std::size_t Pair(int from, int to) const {
+  std::size_t PairIndex(int from, int to) const {
     return static_cast<std::size_t>(from) * static_cast<std::size_t>(gateways_) +
            static_cast<std::size_t>(to);
   }
   void Open(int owner, int other);
-  void Receive(PairEnd& end);
-  void OnDatagram(const PairEnd& end, std::size_t size);
+  void Receive(PeerSocket& peer_socket);
+  void OnDatagram(const PeerSocket& peer_socket, std::size_t size);
   void Transmit(int from, int to, Millis delay, const std::shared_ptr<const std::string>& datagram);
   void Deliver(int from, int to, const std::string& datagram);
   double Uniform();
@@ -70,9 +70,9 @@
   const Addresses& addresses_;
   const int gateways_;
   boost::random::mt19937_64 random_;
-  std::vector<NetworkConditions> conditions_;   // by gateway
-  std::vector<int> cuts_;                       // by Pair()
-  std::vector<std::unique_ptr<PairEnd>> ends_;  // by Pair(); none from a gateway to itself
+  std::vector<NetworkConditions> conditions_;         // by gateway
+  std::vector<int> cuts_;                             // by PairIndex()
+  std::vector<std::unique_ptr<PeerSocket>> sockets_;  // by PairIndex(); null for a gateway and itself
   Counts counts_;
 };
 
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -10,11 +10,11 @@
 
 constexpr Millis kFineWindow = 100;
 constexpr Millis kMinCoarseWindow = 500;
-constexpr double kMaxCoarseWindows = 400;  // each has a histogram: 4 MB in all
-constexpr Millis kBaselineLength = 5000;   // before a fault: what recovery is measured against
-constexpr Millis kRecoveryWindow = 1000;   // recovered: so long at the share below of the baseline
-constexpr double kRecoveredShare = 0.95;
-constexpr std::uint64_t kMinArrivals = 20;  // that a share is taken of
+constexpr double kMaxCoarseWindows = 400;   // each has a histogram; 4 MB in total
+constexpr Millis kBaselineLength = 5000;    // time before a fault that gives the baseline for its recovery
+constexpr Millis kRecoveryWindow = 1000;    // window in which the recovered share is measured
+constexpr double kRecoveredShare = 0.95;    // of the baseline
+constexpr std::uint64_t kMinArrivals = 20;  // below which no share is computed
 constexpr double kMicrosPerMilli = 1000;
 
 std::uint64_t ToMicros(Millis time) {
@@ -23,11 +23,11 @@
 
 double ToMillis(std::uint64_t micros) { return static_cast<double>(micros) / kMicrosPerMilli; }
 
-double Ratio(std::uint64_t part, std::uint64_t all) {
-  return static_cast<double>(part) / static_cast<double>(all);
+double Ratio(std::uint64_t part, std::uint64_t total) {
+  return static_cast<double>(part) / static_cast<double>(total);
 }
 
-// Leaves out the percentiles for which there are too few values.
+// Writes the mean and those percentiles for which there are enough values.
 void WriteLatency(const base::Histogram& latency, const std::string& suffix, RunResult& run) {
   if (latency.count() == 0) return;
   run.figures["mean_ms" + suffix] = latency.mean() / kMicrosPerMilli;
@@ -71,26 +71,26 @@
   for (auto& window : coarse_windows_) window = std::make_unique<CountsWithLatency>();
 }
 
-Recorder::Counts& Recorder::FineWindowOf(const Arrival& arrival) {
+Recorder::Counts& Recorder::FineWindowFor(const Arrival& arrival) {
   return fine_windows_[static_cast<std::size_t>(arrival.at / kFineWindow)];
 }
 
-Recorder::CountsWithLatency& Recorder::CoarseWindowOf(const Arrival& arrival) {
+Recorder::CountsWithLatency& Recorder::CoarseWindowFor(const Arrival& arrival) {
   return *coarse_windows_[static_cast<std::size_t>(arrival.at / coarse_window_)];
 }
 
-void Recorder::OnArrival(const Arrival& arrival, Millis late_by) {
+void Recorder::OnArrival(const Arrival& arrival, Millis lateness) {
   ++arrived_;
-  lateness_.Add(ToMicros(late_by));
-  ++FineWindowOf(arrival).arrived;
-  ++CoarseWindowOf(arrival).counts.arrived;
+  lateness_.Add(ToMicros(lateness));
+  ++FineWindowFor(arrival).arrived;
+  ++CoarseWindowFor(arrival).counts.arrived;
   if (arrival.at < experiment_.traffic.warm_up) return;
   ++classes_[static_cast<std::size_t>(arrival.class_index)].counts.arrived;
 }
 
 void Recorder::OnRequestEnd(const Arrival& arrival, RequestResult result, Millis latency) {
-  FineWindowOf(arrival).Add(result);
-  CountsWithLatency& window = CoarseWindowOf(arrival);
+  FineWindowFor(arrival).Add(result);
+  CountsWithLatency& window = CoarseWindowFor(arrival);
   window.counts.Add(result);
   if (IsServed(result)) window.latency.Add(ToMicros(latency));
   if (arrival.at < experiment_.traffic.warm_up) return;
@@ -99,8 +99,8 @@
   if (IsServed(result)) traffic_class.latency.Add(ToMicros(latency));
 }
 
-// The share of the requests of that time that were served within their objective; negative where too few
-// arrived.
+// The share of the requests that arrived in that time and were served within their objective; negative if too
+// few arrived.
 double Recorder::ShareInObjective(Millis from, Millis to) const {
   Counts sum;
   const auto first = static_cast<std::size_t>(std::max(0.0, from / kFineWindow));
@@ -115,8 +115,8 @@
   });
 }
 
-// The end of the last window after the fault in which the share was too low: the dip may begin later than the
-// fault. What follows the next fault is left to that fault.
+// Returns the end of the last window after the fault in which the share was too low, since the dip may begin
+// later than the fault. Stops at the next fault, which has a recovery figure of its own.
 Millis Recorder::RecoveredAt(const Fault& fault, Millis start, double share_before) const {
   Millis recovered = start;
   for (Millis at = start; at + kRecoveryWindow <= experiment_.traffic.duration; at += kFineWindow) {
@@ -127,7 +127,7 @@
   return recovered;
 }
 
-// How many more requests would have been served within their objective at the share before the fault.
+// The number of further requests that would have met their objective at the share before the fault.
 double Recorder::MissedInObjective(Millis start, Millis end, double share_before) const {
   double missed = 0;
   for (auto i = static_cast<std::size_t>(start / kFineWindow); i < fine_windows_.size(); ++i) {
@@ -160,25 +160,26 @@
   }
 }
 
-// Over all classes. Goodput is the weight that was earned, as a share of the weight of all requests.
+// Writes the figures over all classes. Goodput is the earned weight as a share of the weight of all requests.
 void Recorder::WriteTotals(RunResult& run) const {
   base::Histogram latency;
   Counts sum;
-  double weight = 0;
-  double earned = 0;
+  double total_weight = 0;
+  double earned_weight = 0;
   for (std::size_t i = 0; i < classes_.size(); ++i) {
     const TrafficClass& traffic_class = experiment_.classes[i];
     const Counts& counts = classes_[i].counts;
     latency.Merge(classes_[i].latency);
     sum.Add(counts);
-    weight += traffic_class.priority_weight * static_cast<double>(counts.arrived);
-    earned += traffic_class.priority_weight * (static_cast<double>(counts.in_objective) +
-                                               traffic_class.late_weight * static_cast<double>(counts.late));
+    total_weight += traffic_class.priority_weight * static_cast<double>(counts.arrived);
+    earned_weight +=
+        traffic_class.priority_weight * (static_cast<double>(counts.in_objective) +
+                                         traffic_class.late_weight * static_cast<double>(counts.late));
   }
   WriteLatency(latency, "", run);
   run.figures["requests"] = static_cast<double>(arrived_);
   if (sum.arrived == 0) return;
-  run.figures["goodput"] = earned / weight;
+  run.figures["goodput"] = earned_weight / total_weight;
   run.figures["in_aim"] = Ratio(sum.in_objective, sum.arrived);
   run.figures["late"] = Ratio(sum.late, sum.arrived);
   run.figures["refused"] = Ratio(sum.rejected, sum.arrived);
--- a/src/lab/recorder.hpp
+++ b/src/lab/recorder.hpp
@@ -1,4 +1,5 @@
-// Counts what became of the requests of one run, in bounded memory whatever their number. No I/O, no clock.
+// Records the results of the requests of one run, in memory that doesn't grow with their number. Has no I/O
+// and no clock.
 #ifndef GATEWAY_LAB_RECORDER_HPP_
 #define GATEWAY_LAB_RECORDER_HPP_
 
@@ -13,23 +14,23 @@
 
 namespace gateway::lab {
 
-// What became of a client's request, with its retries.
+// The final result of a client's request, after its retries.
 enum class RequestResult { kInObjective, kLate, kRejected, kFailed };
 
 class Recorder {
  public:
-  // `experiment` outlives the recorder.
+  // `experiment` must outlive the recorder.
   explicit Recorder(const Experiment& experiment);
 
-  // `late_by`: how far the lab itself is behind the schedule, in ms.
-  void OnArrival(const Arrival& arrival, Millis late_by);
+  // `lateness`: how far the lab itself lags behind the schedule.
+  void OnArrival(const Arrival& arrival, Millis lateness);
 
-  // `latency`: from the scheduled time of the request to the last byte of its response, where it was served.
+  // `latency`: from the scheduled time of the request to the last byte of its response, if it was served.
   void OnRequestEnd(const Arrival& arrival, RequestResult result, Millis latency);
 
   std::uint64_t arrived() const { return arrived_; }
 
-  // Adds the figures of the run without its warm-up, those of each fault, and the time series.
+  // Adds the figures of the run excluding its warm-up, those of each fault, and the time series.
   void WriteTo(RunResult& run) const;
 
  private:
@@ -45,11 +46,11 @@
   };
   struct CountsWithLatency {
     Counts counts;
-    base::Histogram latency;  // of those served, in microseconds
+    base::Histogram latency;  // of served requests, in microseconds
   };
 
-  Counts& FineWindowOf(const Arrival& arrival);
-  CountsWithLatency& CoarseWindowOf(const Arrival& arrival);
+  Counts& FineWindowFor(const Arrival& arrival);
+  CountsWithLatency& CoarseWindowFor(const Arrival& arrival);
   double ShareInObjective(Millis from, Millis to) const;
   bool NextFaultBegins(const Fault& fault, Millis by) const;
   Millis RecoveredAt(const Fault& fault, Millis start, double share_before) const;
@@ -61,9 +62,9 @@
   void WriteWindows(RunResult& run) const;
 
   const Experiment& experiment_;
-  std::vector<CountsWithLatency> classes_;  // without the warm-up
+  std::vector<CountsWithLatency> classes_;  // excluding the warm-up
   std::vector<Counts> fine_windows_;
-  Millis coarse_window_;  // length
+  Millis coarse_window_;  // length of each
   std::vector<std::unique_ptr<CountsWithLatency>> coarse_windows_;
   base::Histogram lateness_;  // of the lab itself, in microseconds
   std::uint64_t arrived_ = 0;
--- a/src/lab/report_page.cpp
+++ b/src/lab/report_page.cpp
@@ -1,4 +1,4 @@
-// Results as a page with plots.
+// The report of results as an HTML page with plots.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -22,7 +22,8 @@
   const char* title;
   const char* axis;
   bool logarithmic;
-  std::vector<std::pair<int, const char*>> columns;  // of the data, and their suffix in the legend
+  std::vector<std::pair<int, const char*>>
+      columns;  // column number in the data file and suffix in the legend
 };
 
 const std::vector<Chart> kCharts{
@@ -30,7 +31,7 @@
     {"latency", "Latency of what was served", "ms", true, {{6, " p50"}, {7, " p99"}}},
     {"lost-chances", "Refused and failed", "share of arrivals", false, {{4, " refused"}, {5, " failed"}}}};
 
-// Columns: time in s, arrivals, shares and percentiles, each the mean over the runs of the variant.
+// Returns rows of time in s, arrivals, shares and percentiles, each averaged over the runs of the variant.
 std::string PlotData(const Results& results, const std::string& variant) {
   std::map<double, std::pair<int, std::array<double, 6>>> rows;
   for (const RunResult& run : results.runs) {
@@ -63,16 +64,16 @@
   return text.str();
 }
 
-// The text with the characters escaped that HTML reserves.
+// Escapes the reserved characters of HTML.
 std::string HtmlEscaped(const std::string& text) {
-  std::string out;
+  std::string escaped;
   for (const char c : text) {
-    out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : std::string(1, c);
+    escaped += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : std::string(1, c);
   }
-  return out;
+  return escaped;
 }
 
-// Marks the events of the first run in every plot.
+// Returns gnuplot commands that mark the events in a plot.
 std::string EventMarks(const std::vector<std::pair<Millis, std::string>>& events) {
   constexpr int kLabelRows = 5;
   std::string script;
@@ -118,7 +119,7 @@
   return script;
 }
 
-// The drawing without the XML declaration, which has no place within a page.
+// Reads an SVG file without its XML declaration, which is not allowed inside an HTML page.
 std::string InlineSvg(const std::filesystem::path& path) {
   std::string svg = ReadFile(path);
   svg.erase(0, svg.find("<svg"));
@@ -150,7 +151,7 @@
 }  // namespace
 
 void WriteReport(const Results& results, const std::string& folder_path) {
-  if (results.runs.empty()) throw std::runtime_error("the result holds no play");
+  if (results.runs.empty()) throw std::runtime_error("the results contain no run");
   const std::filesystem::path folder(folder_path);
   MakeFolder(folder);
   const std::vector<std::string> variants = Variants(results);
--- a/src/lab/report_tables.cpp
+++ b/src/lab/report_tables.cpp
@@ -1,4 +1,4 @@
-// Results as tables of text.
+// The report of results as text tables.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 using Row = std::vector<std::string>;
 
-// All figures of any run, in the known order; those of a class or a fault follow the figure itself.
+// The figures of all runs in the order of FigureNames(); those of a class or fault follow the figure itself.
 std::vector<std::string> PresentFigures(const Results& results) {
   std::set<std::string> present;
   for (const RunResult& run : results.runs) {
@@ -30,23 +30,23 @@
   return ordered;
 }
 
-// The number of characters: continuation bytes of UTF-8 do not count.
-std::size_t Width(const std::string& text) {
+// The number of characters; continuation bytes of UTF-8 do not count.
+std::size_t DisplayWidth(const std::string& text) {
   return static_cast<std::size_t>(std::count_if(
       text.begin(), text.end(), [](char c) { return (static_cast<unsigned char>(c) & 0xc0) != 0x80; }));
 }
 
-// The first column is aligned to the left, the others to the right.
+// Aligns the first column to the left and the others to the right.
 std::string FormatTable(const std::vector<Row>& rows) {
   std::vector<std::size_t> widths;
   for (const Row& row : rows) {
     widths.resize(std::max(widths.size(), row.size()));
-    for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], Width(row[i]));
+    for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], DisplayWidth(row[i]));
   }
   std::string text;
   for (const Row& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i) {
-      const std::string padding(widths[i] - Width(row[i]), ' ');
+      const std::string padding(widths[i] - DisplayWidth(row[i]), ' ');
       text += i == 0 ? "  " + row[i] + padding : "  " + padding + row[i];
     }
     text += "\n";
@@ -58,7 +58,7 @@
   return std::abs(a.mean - b.mean) <= a.half_width + b.half_width;
 }
 
-// "*" marks a difference beyond chance.
+// Marks the ratio with "*" if the confidence intervals do not overlap.
 std::string FormatRatio(const Estimate& a, const Estimate& b) {
   if (a.mean == 0) return "-";
   const bool differ = a.count > 1 && b.count > 1 && !IntervalsOverlap(a, b);
@@ -83,16 +83,16 @@
 
 std::string Compare(const Results& a, const Results& b) {
   std::string text = fmt::format(
-      "A: {}, B: {}; mean ± half of the 95% interval over the plays; B/A with '*' where the intervals do not "
-      "meet\n",
+      "A: {}, B: {}; mean ± half of the 95% interval over the runs; B/A with '*' if the intervals do not "
+      "overlap\n",
       a.experiment, b.experiment);
   for (const std::string& variant : Variants(a)) {
     std::vector<Row> rows{{variant, "A", "B", "B/A"}};
     for (const std::string& figure : PresentFigures(a)) {
-      const Estimate of_a = EstimateMean(FigureValues(a, variant, figure));
-      const Estimate of_b = EstimateMean(FigureValues(b, variant, figure));
-      if (of_a.count == 0 || of_b.count == 0) continue;
-      rows.push_back({figure, FormatFigure(of_a), FormatFigure(of_b), FormatRatio(of_a, of_b)});
+      const Estimate mean_a = EstimateMean(FigureValues(a, variant, figure));
+      const Estimate mean_b = EstimateMean(FigureValues(b, variant, figure));
+      if (mean_a.count == 0 || mean_b.count == 0) continue;
+      rows.push_back({figure, FormatFigure(mean_a), FormatFigure(mean_b), FormatRatio(mean_a, mean_b)});
     }
     if (rows.size() > 1) text += "\n" + FormatTable(rows);
   }
--- a/src/lab/results.cpp
+++ b/src/lab/results.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr int kFormat = 1;  // version of the form
+constexpr int kFormatVersion = 1;  // version of the JSON format
 
 json WindowToJson(const Window& window) {
   return {{"at_ms", window.at},   {"arrived", window.arrived},  {"in_aim", window.in_objective},
@@ -17,9 +17,9 @@
           {"p50_ms", window.p50}, {"p99_ms", window.p99}};
 }
 
-Window WindowFromJson(const json& form) {
-  return {form.at("at_ms"),   form.at("arrived"), form.at("in_aim"), form.at("late"),
-          form.at("refused"), form.at("failed"),  form.at("p50_ms"), form.at("p99_ms")};
+Window WindowFromJson(const json& object) {
+  return {object.at("at_ms"),   object.at("arrived"), object.at("in_aim"), object.at("late"),
+          object.at("refused"), object.at("failed"),  object.at("p50_ms"), object.at("p99_ms")};
 }
 
 json RunToJson(const RunResult& run) {
@@ -32,15 +32,15 @@
           {"failure", run.failure}};
 }
 
-RunResult RunFromJson(const json& form) {
+RunResult RunFromJson(const json& object) {
   RunResult run;
-  run.variant = form.at("variant").get<std::string>();
-  run.seed = form.at("seed").get<std::uint64_t>();
-  run.figures = form.at("figures").get<std::map<std::string, double>>();
-  run.violations = form.at("breaches").get<std::vector<std::string>>();
-  run.failure = form.at("failure").get<std::string>();
-  for (const json& window : form.at("windows")) run.windows.push_back(WindowFromJson(window));
-  for (const json& event : form.at("events")) {
+  run.variant = object.at("variant").get<std::string>();
+  run.seed = object.at("seed").get<std::uint64_t>();
+  run.figures = object.at("figures").get<std::map<std::string, double>>();
+  run.violations = object.at("breaches").get<std::vector<std::string>>();
+  run.failure = object.at("failure").get<std::string>();
+  for (const json& window : object.at("windows")) run.windows.push_back(WindowFromJson(window));
+  for (const json& event : object.at("events")) {
     run.events.emplace_back(event.at("at_ms").get<double>(), event.at("what").get<std::string>());
   }
   return run;
@@ -70,22 +70,26 @@
 std::string ToJson(const Results& results) {
   json runs = json::array();
   for (const RunResult& run : results.runs) runs.push_back(RunToJson(run));
-  return json{
-      {"format", kFormat}, {"experiment", results.experiment}, {"about", results.about}, {"plays", runs}}
+  return json{{"format", kFormatVersion},
+              {"experiment", results.experiment},
+              {"about", results.about},
+              {"plays", runs}}
       .dump(1);
 }
 
 Results ResultsFromJson(const std::string& text, const std::string& name) {
   try {
-    const json form = json::parse(text);
-    if (form.at("format").get<int>() != kFormat) throw std::runtime_error(name + ": of another format");
+    const json object = json::parse(text);
+    if (object.at("format").get<int>() != kFormatVersion) {
+      throw std::runtime_error(name + ": unsupported format version");
+    }
     Results results;
-    results.experiment = form.at("experiment").get<std::string>();
-    results.about = form.at("about").get<std::string>();
-    for (const json& run : form.at("plays")) results.runs.push_back(RunFromJson(run));
+    results.experiment = object.at("experiment").get<std::string>();
+    results.about = object.at("about").get<std::string>();
+    for (const json& run : object.at("plays")) results.runs.push_back(RunFromJson(run));
     return results;
   } catch (const json::exception& error) {
-    throw std::runtime_error(name + ": no result of the lab: " + error.what());
+    throw std::runtime_error(name + ": not a result file of the lab: " + error.what());
   }
 }
 
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -1,4 +1,4 @@
-// The results of the runs of an experiment, and their form as JSON (docs/design/lab.md).
+// The results of the runs of an experiment, and their JSON format (docs/design/lab.md).
 #ifndef GATEWAY_LAB_RESULTS_HPP_
 #define GATEWAY_LAB_RESULTS_HPP_
 
@@ -14,15 +14,15 @@
 
 using base::Millis;
 
-// A stretch of a run, by the arrivals in it.
+// A time window of a run. A request counts in the window of its arrival.
 struct Window {
-  Millis at = 0;  // its start, from the start of arrivals
+  Millis at = 0;  // start of the window, from the start of the traffic
   std::uint64_t arrived = 0;
   std::uint64_t in_objective = 0;
   std::uint64_t late = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  double p50 = 0;  // latency of those served, in ms
+  double p50 = 0;  // latency of served requests, in ms
   double p99 = 0;
 };
 
@@ -32,9 +32,9 @@
   std::uint64_t seed = 0;
   std::map<std::string, double> figures;
   std::vector<Window> windows;
-  std::vector<std::pair<Millis, std::string>> events;  // in ms from the start of arrivals
-  std::vector<std::string> violations;                 // descriptions of the first ones
-  std::string failure;                                 // why the run did not complete; empty: it did
+  std::vector<std::pair<Millis, std::string>> events;  // in ms from the start of the traffic
+  std::vector<std::string> violations;                 // descriptions of the first violations
+  std::string failure;                                 // why the run failed; empty: it completed
 };
 
 struct Results {
@@ -43,16 +43,16 @@
   std::vector<RunResult> runs;
 };
 
-// The names of the variants that were run, in their order.
+// The names of the variants that were run, in the order of their first runs.
 std::vector<std::string> Variants(const Results& results);
 
-// The values of a figure over the runs of a variant, without the runs that do not have it.
+// The values of a figure over the runs of a variant. Runs without the figure are skipped.
 std::vector<double> FigureValues(const Results& results, const std::string& variant,
                                  const std::string& figure);
 
 std::string ToJson(const Results& results);
 
-// `name`: of the file, for errors. Throws std::runtime_error, which says what is wrong.
+// `name` is the file name for error messages. Throws std::runtime_error with a description of the problem.
 Results ResultsFromJson(const std::string& text, const std::string& name);
 
 }  // namespace gateway::lab
--- a/src/lab/rule_checker.cpp
+++ b/src/lab/rule_checker.cpp
@@ -5,8 +5,8 @@
 namespace gateway::lab {
 namespace {
 
-constexpr Millis kRequestMemory = 60000;  // longer than any deadline and any queue of a host
-constexpr Millis kSocketSlack = 50;       // the protocol grants each time limit so much on sockets
+constexpr Millis kRequestRetention = 60000;  // longer than any deadline and any time in a host's queue
+constexpr Millis kSocketTolerance = 50;      // the protocol adds this tolerance to each time limit on sockets
 constexpr std::size_t kMaxExamples = 10;
 
 }  // namespace
@@ -27,23 +27,23 @@
   if (examples_.size() < kMaxExamples) examples_.push_back(description);
 }
 
-void RuleChecker::ForgetOld(Millis now) {
-  while (forgotten_ < sent_.size() && sent_[forgotten_].first < now - kRequestMemory) {
-    requests_.erase(sent_[forgotten_++].second);
+void RuleChecker::RemoveOldRequests(Millis now) {
+  while (removed_count_ < sent_.size() && sent_[removed_count_].first < now - kRequestRetention) {
+    requests_.erase(sent_[removed_count_++].second);
   }
-  if (forgotten_ > sent_.size() / 2) {
-    sent_.erase(sent_.begin(), sent_.begin() + static_cast<std::ptrdiff_t>(forgotten_));
-    forgotten_ = 0;
+  if (removed_count_ > sent_.size() / 2) {
+    sent_.erase(sent_.begin(), sent_.begin() + static_cast<std::ptrdiff_t>(removed_count_));
+    removed_count_ = 0;
   }
 }
 
 void RuleChecker::OnRequestSent(Millis now, const std::string& id, bool idempotent, Millis work) {
-  ForgetOld(now);
+  RemoveOldRequests(now);
   requests_[id] = {idempotent, work, 0, 0};
   sent_.emplace_back(now, id);
 }
 
-std::optional<Millis> RuleChecker::WorkOf(const std::string& id) const {
+std::optional<Millis> RuleChecker::FindWork(const std::string& id) const {
   const auto found = requests_.find(id);
   return found == requests_.end() ? std::nullopt : std::optional(found->second.work);
 }
@@ -56,16 +56,17 @@
 void RuleChecker::OnAttempt(Millis now, const std::string& id, Millis notified_at) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
-    return AddViolation(violations_.unknown, "unknown: " + id + " was sent by no client");
+    return AddViolation(violations_.unknown, "unknown: no client sent " + id);
   }
   RequestRecord& request = found->second;
   if (++request.attempts > max_attempts_) {
     AddViolation(violations_.attempts_over,
-                 fmt::format("attempts_over: {} was tried {} times", id, request.attempts));
+                 fmt::format("attempts_over: {} was attempted {} times", id, request.attempts));
   }
-  if (notified_at >= 0 && now > notified_at + drain_grace_ + kSocketSlack) {
-    AddViolation(violations_.late_sends, fmt::format("late_sends: {} reached a host {:.0f} ms after the news",
-                                                     id, now - notified_at));
+  if (notified_at >= 0 && now > notified_at + drain_grace_ + kSocketTolerance) {
+    AddViolation(
+        violations_.late_sends,
+        fmt::format("late_sends: {} reached a host {:.0f} ms after the notification", id, now - notified_at));
   }
 }
 
@@ -74,7 +75,8 @@
   if (found == requests_.end()) return;
   RequestRecord& request = found->second;
   if (++request.executions > 1 && !request.idempotent) {
-    AddViolation(violations_.ran_twice, fmt::format("ran_twice: {} began {} times", id, request.executions));
+    AddViolation(violations_.ran_twice,
+                 fmt::format("ran_twice: {} was executed {} times", id, request.executions));
   }
 }
 
@@ -89,7 +91,7 @@
 
 void RuleChecker::OnResponse(const std::string& id, const std::string& body) {
   if (!body.starts_with(ResponseMark(id, seed_))) {
-    AddViolation(violations_.forged, "forged: " + id + " got what no host made for it");
+    AddViolation(violations_.forged, "forged: the response to " + id + " was not produced by a host");
   }
 }
 
@@ -98,7 +100,7 @@
 }
 
 void RuleChecker::OnHostOverloaded(const std::string& host) {
-  AddViolation(violations_.cold_falls, "cold_falls: " + host + " was pushed over");
+  AddViolation(violations_.cold_falls, "cold_falls: " + host + " was overloaded during its warm-up");
 }
 
 void RuleChecker::OnGatewayCrashed(const std::string& description) {
--- a/src/lab/rule_checker.hpp
+++ b/src/lab/rule_checker.hpp
@@ -1,5 +1,5 @@
-// Checks the rules that no gateway may violate, from what hosts and clients see. A state machine without I/O
-// and clock.
+// Checks the rules that no gateway may violate, based on the observations of hosts and clients. A state
+// machine without I/O and clock.
 #ifndef GATEWAY_LAB_RULE_CHECKER_HPP_
 #define GATEWAY_LAB_RULE_CHECKER_HPP_
 
@@ -18,56 +18,56 @@
 
 using base::Millis;
 
-// Violations by rule.
+// Number of violations by rule.
 struct ViolationCounts {
   std::uint64_t ran_twice = 0;      // a request that is not idempotent was executed again
   std::uint64_t attempts_over = 0;  // more attempts than the settings allow
   std::uint64_t unknown = 0;        // an attempt of a request that no client sent
-  std::uint64_t late_sends = 0;     // an attempt to a host that drained or was removed, beyond the grace
-  std::uint64_t cold_falls = 0;     // a host that warmed up was overloaded
-  std::uint64_t forged = 0;         // a response that no host made for the request
-  std::uint64_t lost = 0;           // a request without a final answer
-  std::uint64_t crashed = 0;        // a gateway process ended though no fault ended it
+  std::uint64_t late_sends = 0;     // an attempt to a draining or removed host after the grace period
+  std::uint64_t cold_falls = 0;     // a host was overloaded while it warmed up
+  std::uint64_t forged = 0;         // a response that no host produced for the request
+  std::uint64_t lost = 0;           // a request without a final response
+  std::uint64_t crashed = 0;        // a gateway process ended without a fault that ends it
 
-  // By the names that results use.
+  // The counts by the names of their figures.
   std::map<std::string, std::uint64_t> ByName() const;
 };
 
-// Forgets a request some time after it was sent, so that memory grows with the rate of requests and not with
-// the length of the run. Times never run backwards. To be used in one thread at a time.
+// Removes a request some time after it was sent, so that memory grows with the rate of requests and not with
+// the length of the run. Times must not decrease. Must be used in one thread at a time.
 class RuleChecker {
  public:
-  // `drain_grace`: how long after its notification a gateway may still send to a host that drains.
+  // `drain_grace`: how long after its notification a gateway may still send to a draining host.
   RuleChecker(int max_attempts, Millis drain_grace)
       : max_attempts_(max_attempts), drain_grace_(drain_grace) {}
 
-  // Of the marks that hosts write; to be called before the first response.
+  // Sets the seed of the marks in responses. Must be called before the first response.
   void SetSeed(std::uint64_t seed) { seed_ = seed; }
 
-  // A client has sent a request. `work` is what it costs a host, in ms.
+  // Called when a client has sent a request. `work` is its cost for a host, in ms.
   void OnRequestSent(Millis now, const std::string& id, bool idempotent, Millis work);
 
-  // An attempt has arrived at a host. `notified_at` is when its gateway was notified that the host drains or
-  // is removed; negative where it was not.
+  // Called when an attempt has arrived at a host. `notified_at` is when its gateway was notified that the
+  // host drains or is removed; negative if it was not.
   void OnAttempt(Millis now, const std::string& id, Millis notified_at);
 
-  // A host has begun to execute an attempt.
+  // Called when a host has begun to execute an attempt.
   void OnExecution(const std::string& id);
 
-  // A client has received a response with status 200.
+  // Called when a client has received a response with status 200.
   void OnResponse(const std::string& id, const std::string& body);
 
   void OnRequestLost(const std::string& id, const std::string& description);
   void OnHostOverloaded(const std::string& host);
   void OnGatewayCrashed(const std::string& description);
 
-  // The work that a request costs; nothing where no client sent it.
-  std::optional<Millis> WorkOf(const std::string& id) const;
+  // The cost of a request for a host; empty if no client sent it.
+  std::optional<Millis> FindWork(const std::string& id) const;
 
   // Whether any attempt of the request has arrived at a host.
   bool HasArrived(const std::string& id) const;
 
-  // The mark at the start of a host's response to this request, which no gateway can make up.
+  // The mark with which a host's response to this request begins. A gateway can't forge it without the seed.
   static std::string ResponseMark(const std::string& id, std::uint64_t seed);
 
   const ViolationCounts& violations() const { return violations_; }
@@ -84,14 +84,14 @@
   };
 
   void AddViolation(std::uint64_t& count, const std::string& description);
-  void ForgetOld(Millis now);
+  void RemoveOldRequests(Millis now);
 
   const int max_attempts_;
   const Millis drain_grace_;
   std::uint64_t seed_ = 0;
   std::unordered_map<std::string, RequestRecord> requests_;
-  std::vector<std::pair<Millis, std::string>> sent_;  // requests by the time at which they were sent
-  std::size_t forgotten_ = 0;                         // of `sent_`, from its start
+  std::vector<std::pair<Millis, std::string>> sent_;  // requests in the order in which they were sent
+  std::size_t removed_count_ = 0;  // entries at the start of `sent_` that were removed from `requests_`
   ViolationCounts violations_;
   std::vector<std::string> examples_;
 };
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -9,22 +9,23 @@
 namespace gateway::lab {
 namespace {
 
-// The index that a uniform draw from 0 to 1 picks, each with its share.
+// Returns the index that a uniform draw from 0 to 1 selects, with probabilities in proportion to the shares.
 int PickByShare(const std::vector<double>& shares, double draw) {
   double sum = 0;
   for (const double share : shares) sum += share;
-  double rest = draw * sum;
+  double remaining = draw * sum;
   for (std::size_t i = 0; i + 1 < shares.size(); ++i) {
-    if (rest < shares[i]) return static_cast<int>(i);
-    rest -= shares[i];
+    if (remaining < shares[i]) return static_cast<int>(i);
+    remaining -= shares[i];
   }
   return static_cast<int>(shares.size()) - 1;
 }
 
-constexpr double kLowRateShare = 0.5;  // the low rate of bursty traffic over its mean rate
-constexpr double kMinLowStretch = 0.01;
+constexpr double kLowRateShare = 0.5;  // low rate of bursty traffic relative to its mean rate
+constexpr double kMinLowToHighRatio = 0.01;
 constexpr double kMillisPerSecond = 1000;
-constexpr std::uint64_t kDetailStream = 0x9e3779b97f4a7c15ULL;  // apart from the draws of the times
+constexpr std::uint64_t kDetailSeedMask =
+    0x9e3779b97f4a7c15ULL;  // separates these draws from those of the times
 
 }  // namespace
 
@@ -34,7 +35,7 @@
 }
 
 Schedule::Schedule(const Experiment& experiment, std::uint64_t seed)
-    : experiment_(experiment), arrival_random_(seed), detail_random_(seed ^ kDetailStream) {
+    : experiment_(experiment), arrival_random_(seed), detail_random_(seed ^ kDetailSeedMask) {
   for (const TrafficClass& item : experiment.classes) class_shares_.push_back(item.share);
   for (const auto& [name, share] : experiment.traffic.tenants) {
     tenants_.push_back(name);
@@ -49,12 +50,13 @@
 
 double Schedule::Uniform() { return boost::random::uniform_01<double>()(detail_random_); }
 
-// The low rate lasts so much longer than the high one that the mean is the stated rate.
+// Draws the time of the next switch. The low rate lasts longer than the high one, so that the mean is the
+// configured rate.
 void Schedule::DrawBurstChange() {
   const Traffic& traffic = experiment_.traffic;
-  const double low_stretch = (traffic.burst_factor - 1) / (1 - kLowRateShare);
-  const Millis mean =
-      burst_on_ ? traffic.burst_length : traffic.burst_length * std::max(kMinLowStretch, low_stretch);
+  const double low_to_high_ratio = (traffic.burst_factor - 1) / (1 - kLowRateShare);
+  const Millis mean = burst_on_ ? traffic.burst_length
+                                : traffic.burst_length * std::max(kMinLowToHighRatio, low_to_high_ratio);
   burst_changes_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
 }
 
@@ -69,7 +71,7 @@
   return rate;
 }
 
-// When the rate changes next.
+// The time of the next change of the rate, or the end of the schedule.
 Millis Schedule::NextRateChange() const {
   Millis next = experiment_.traffic.duration;
   if (experiment_.traffic.bursty) next = std::min(next, burst_changes_at_);
@@ -82,8 +84,8 @@
   return next;
 }
 
-// Moves the time to the next arrival; false where the schedule ends before. An exponential amount of expected
-// arrivals is spent at the rates in force, piece by piece.
+// Advances the time to the next arrival; returns false if the schedule ends before it. Draws an exponential
+// number of expected arrivals and consumes it at the current rate, interval by interval.
 bool Schedule::AdvanceToNextArrival() {
   double expected = boost::random::exponential_distribution<double>(1)(arrival_random_);
   for (;;) {
@@ -106,7 +108,7 @@
 Arrival Schedule::DrawArrival() {
   const int zones = static_cast<int>(experiment_.fleet.zones.size());
   Arrival arrival;
-  arrival.number = number_++;
+  arrival.number = next_number_++;
   arrival.at = now_;
   arrival.class_index = PickByShare(class_shares_, Uniform());
   arrival.tenant = PickByShare(tenant_shares_, Uniform());
@@ -134,8 +136,8 @@
                    [](const auto& a, const auto& b) { return a.first < b.first; });
   std::vector<std::string> text;
   text.reserve(lines.size());
-  for (const auto& [at, what] : lines)
-    text.push_back(fmt::format("{:.3f} s {}", at / kMillisPerSecond, what));
+  for (const auto& [at, description] : lines)
+    text.push_back(fmt::format("{:.3f} s {}", at / kMillisPerSecond, description));
   return text;
 }
 
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -1,4 +1,4 @@
-// The schedule of arrivals: fixed by the experiment and the seed, whatever the answers are.
+// The schedule of arrivals, which depends only on the experiment and the seed, not on the responses.
 #ifndef GATEWAY_LAB_SCHEDULE_HPP_
 #define GATEWAY_LAB_SCHEDULE_HPP_
 
@@ -15,24 +15,24 @@
 // One request.
 struct Arrival {
   std::uint64_t number = 0;  // from 0
-  Millis at = 0;             // from the start of arrivals
+  Millis at = 0;             // from the start of the traffic
   int class_index = 0;
   int tenant = 0;
   int zone = 0;
-  double gateway_draw = 0;  // uniform from 0 to 1: which gateway of the zone gets it
-  Millis work = 0;          // of a core of speed 1
+  double gateway_draw = 0;  // uniform from 0 to 1; selects the gateway in the zone
+  Millis work = 0;          // CPU time on a core of speed 1
 
   std::string ToText() const;
 };
 
-// An open-loop schedule in constant memory. The engine and the distributions are those of Boost, which give
-// the same numbers with every compiler; the standard library's distributions do not.
+// An open-loop schedule in constant memory. It uses the random engine and distributions of Boost, which give
+// the same numbers with every compiler, unlike those of the standard library.
 class Schedule {
  public:
-  // `experiment` outlives the schedule.
+  // `experiment` must outlive the schedule.
   Schedule(const Experiment& experiment, std::uint64_t seed);
 
-  // The next arrival in the order of time; nothing after the last.
+  // Returns the next arrival in order of time; empty after the last one.
   std::optional<Arrival> Next();
 
   const std::vector<std::string>& tenants() const { return tenants_; }
@@ -51,13 +51,13 @@
   std::vector<std::string> tenants_;
   std::vector<double> tenant_shares_;
   std::vector<double> class_shares_;
-  std::uint64_t number_ = 0;
+  std::uint64_t next_number_ = 0;
   Millis now_ = 0;
   bool burst_on_ = false;
   Millis burst_changes_at_ = 0;
 };
 
-// A line for the start and one for the end of each fault, in the order of time.
+// Returns one line for the start and one for the end of each fault, in order of time.
 std::vector<std::string> FaultTimeline(const Experiment& experiment);
 
 }  // namespace gateway::lab
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -25,14 +25,14 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kDeadlineMargin = 20;  // an answer has to be ready so long before the client's timeout
+constexpr Millis kDeadlineMargin = 20;  // for the response to reach the client before its timeout
 constexpr int kMaxAttempts = 3;
 constexpr Millis kWatchTimeout = 5000;
 constexpr Millis kWatchGrace = 2000;
 constexpr Millis kPollBackoff = 300;
-constexpr std::uint64_t kRequestsPerFault = 50;
-constexpr std::uint64_t kRequestsUntilDeath = 200;
-constexpr int kDeathExitCode = 3;
+constexpr std::uint64_t kRequestsPerDefect = 50;
+constexpr std::uint64_t kRequestsBeforeExit = 200;
+constexpr int kDefectExitCode = 3;
 constexpr Millis kDrainTime = 3500;
 
 tcp::endpoint ParseAddress(const std::string& text) {
@@ -62,7 +62,7 @@
     Poll();
   }
 
-  // Answers that it is not ready, and takes no new connections.
+  // Reports that the gateway is not ready, and stops accepting connections.
   void Drain() {
     draining_ = true;
     listener_.reset();
@@ -116,14 +116,14 @@
         });
   }
 
-  // Null where no endpoint is up.
+  // Selects an endpoint by the policy; null if no endpoint is up.
   Endpoint* Pick() {
     std::vector<Endpoint*> up;
     for (auto& [id, endpoint] : endpoints_) {
       if (endpoint.up) up.push_back(&endpoint);
     }
     if (up.empty()) return nullptr;
-    if (options_.policy == "round_robin") return up[next_turn_++ % up.size()];
+    if (options_.policy == "round_robin") return up[next_endpoint_++ % up.size()];
     const std::size_t draw = boost::random::uniform_int_distribution<std::size_t>(0, up.size() - 1)(random_);
     if (options_.policy == "random") return up[draw];
     std::rotate(up.begin(), up.begin() + static_cast<std::ptrdiff_t>(draw), up.end());
@@ -134,10 +134,10 @@
 
   void OnRequest(const std::shared_ptr<ServerConnection>& client, HttpRequest message) {
     if (message.target() == "/up") return client->Answer(MakeResponse(draining_ ? 503 : 200));
-    const bool is_faulty = ++requests_ % kRequestsPerFault == 0;
-    if (options_.fault == "dies" && requests_ > kRequestsUntilDeath) std::_Exit(kDeathExitCode);
-    if (options_.fault == "loses" && is_faulty) return;
-    if (options_.fault == "forges" && is_faulty) return client->Answer(MakeResponse(200, "done"));
+    const bool triggers_defect = ++requests_ % kRequestsPerDefect == 0;
+    if (options_.fault == "dies" && requests_ > kRequestsBeforeExit) std::_Exit(kDefectExitCode);
+    if (options_.fault == "loses" && triggers_defect) return;
+    if (options_.fault == "forges" && triggers_defect) return client->Answer(MakeResponse(200, "done"));
     const auto request = std::make_shared<ActiveRequest>();
     request->client = client;
     request->idempotent = message.method() == boost::beast::http::verb::get;
@@ -152,8 +152,8 @@
     if (!std::exchange(request->answered, true)) request->client->Answer(std::move(response));
   }
 
-  // An idle connection to the endpoint, or a new one.
-  std::shared_ptr<ClientConnection> TakeConnection(Endpoint& endpoint) {
+  // Returns an idle connection to the endpoint, or a new one.
+  std::shared_ptr<ClientConnection> AcquireConnection(Endpoint& endpoint) {
     while (!endpoint.idle.empty()) {
       auto connection = endpoint.idle.back();
       endpoint.idle.pop_back();
@@ -189,7 +189,7 @@
     }
     ++request->attempts;
     ++endpoint->in_flight;
-    const auto connection = TakeConnection(*endpoint);
+    const auto connection = AcquireConnection(*endpoint);
     connection->Exchange(RequestText(request->message, time_left), time_left,
                          [this, request, endpoint, connection](ClientConnection::Result result) {
                            --endpoint->in_flight;
@@ -203,9 +203,9 @@
     if (result.failure == Failure::kNone && result.response.result_int() == 200) {
       return Answer(request, MakeResponse(200, std::move(result.response.body())));
     }
-    const bool never_ran = result.failure == Failure::kConnectFailed ||
-                           (result.failure == Failure::kNone && !result.response["Srv-Declined"].empty());
-    if (never_ran || request->idempotent) return Send(request);
+    const bool not_executed = result.failure == Failure::kConnectFailed ||
+                              (result.failure == Failure::kNone && !result.response["Srv-Declined"].empty());
+    if (not_executed || request->idempotent) return Send(request);
     Answer(request, MakeResponse(502));
   }
 
@@ -217,7 +217,7 @@
   std::shared_ptr<ClientConnection> list_connection_;
   std::int64_t revision_ = 0;
   std::map<std::string, Endpoint> endpoints_;
-  std::size_t next_turn_ = 0;
+  std::size_t next_endpoint_ = 0;
   std::uint64_t requests_ = 0;
   bool draining_ = false;
   std::shared_ptr<const ServerConnection::Handlers> handlers_;
@@ -238,7 +238,7 @@
   std::ifstream stream(path);
   const json config = json::parse(stream, nullptr, /*allow_exceptions=*/false);
   if (!config.is_object()) {
-    throw std::runtime_error(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
+    throw std::runtime_error(std::string("NODE_CONFIG: '") + path + "' is not a JSON object");
   }
   asio::io_context io(1);
   StandInGateway gateway(io, options, config);
--- a/src/lab/stand_in.hpp
+++ b/src/lab/stand_in.hpp
@@ -1,5 +1,5 @@
-// The simplest gateway, as a baseline for the lab: it learns nothing, queues nothing and has one balancing
-// policy. With a defect built in it shows that the lab detects that defect.
+// A minimal gateway as a baseline for the lab: it has one balancing policy, no queue and no adaptation to the
+// hosts. With a built-in defect it is used to test that the lab detects that defect.
 #ifndef GATEWAY_LAB_STAND_IN_HPP_
 #define GATEWAY_LAB_STAND_IN_HPP_
 
@@ -9,19 +9,20 @@
 namespace gateway::lab {
 
 struct StandInOptions {
-  std::string policy = "random";  // of StandInPolicies
-  std::string fault = "none";     // of StandInFaults
+  std::string policy = "random";  // one of StandInPolicies()
+  std::string fault = "none";     // one of StandInFaults()
 };
 
-// random, round_robin, least_inflight
+// Returns random, round_robin, least_inflight.
 std::vector<std::string> StandInPolicies();
 
-// none; twice: sends each request to two hosts; ignores_drain: never updates its list; loses: leaves one
-// request in 50 unanswered; forges: answers one in 50 itself; dies: ends after 200 requests.
+// Returns the names of the defects. none: no defect; twice: sends each request to two hosts; ignores_drain:
+// never updates its list of hosts; loses: leaves one request in 50 unanswered; forges: answers one request in
+// 50 itself; dies: exits after 200 requests.
 std::vector<std::string> StandInFaults();
 
-// Serves by the configuration that NODE_CONFIG names until SIGTERM. Returns the exit code. Throws
-// std::runtime_error where the configuration can't be read or an address can't be had.
+// Serves until SIGTERM with the configuration file that NODE_CONFIG names. Returns the exit code. Throws
+// std::runtime_error if the configuration can't be read or an address is not available.
 int ServeStandIn(const StandInOptions& options);
 
 }  // namespace gateway::lab
--- a/src/lab/temporary_folder.hpp
+++ b/src/lab/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A temporary folder.
+// A temporary folder that is removed on destruction.
 #ifndef GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
 #define GATEWAY_LAB_TEMPORARY_FOLDER_HPP_
 
@@ -10,13 +10,14 @@
 
 namespace gateway::lab {
 
-// Makes an empty folder in the system's folder for temporary files, and removes it with all that is in it at
-// the end. Throws std::runtime_error where it can't be made.
+// Creates an empty folder in the system's folder for temporary files. The destructor removes it with its
+// content. The constructor throws std::runtime_error if the folder can't be created.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
     std::string path = (std::filesystem::temp_directory_path() / "elderhead-lab-XXXXXX").string();
-    if (mkdtemp(path.data()) == nullptr) throw std::runtime_error("can't make a folder like " + path);
+    if (mkdtemp(path.data()) == nullptr)
+      throw std::runtime_error("can't create a folder with the template " + path);
     path_ = path;
   }
   ~TemporaryFolder() {
