--- a/src/lab/client_targets.hpp
+++ b/src/lab/client_targets.hpp
@@ -1,4 +1,4 @@
-// What the emulated clients send their requests to.
+// The interface of the servers that the emulated clients call.
 #ifndef GATEWAY_LAB_CLIENT_TARGETS_HPP_
 #define GATEWAY_LAB_CLIENT_TARGETS_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace gateway::lab {
 
-// The gateways of a run, or its hosts where clients call them directly. Targets are numbered from 0. Times
-// are of base::MonotonicNow.
+// The gateways of a run, or its hosts if clients call them directly. Targets are numbered from 0. Times are
+// those of base::MonotonicNow.
 class ClientTargets {
  public:
   virtual ~ClientTargets() = default;
@@ -19,12 +19,12 @@
   virtual int Zone(int target) const = 0;
 
   // Whether the front balancer sends new connections to the target.
-  virtual bool TakesConnections(int target, base::Millis now) const = 0;
+  virtual bool AcceptsConnections(int target, base::Millis now) const = 0;
 
-  // Whether a fault ended or stopped the target at any time since `since`, so that it may lose requests.
+  // Whether a fault had killed or stopped the target at any time since `since`, so that it may lose requests.
   virtual bool IsExcused(int target, base::Millis since) const = 0;
 
-  // The target has served a request that was sent to it at `sent_at`.
+  // Called when the target has served a request that was sent to it at `sent_at`.
   virtual void OnServed(int target, base::Millis sent_at) = 0;
 };
 
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -13,16 +13,16 @@
 using boost::system::error_code;
 using Failure = ClientConnection::Failure;
 
-constexpr Millis kLateAnswerGrace = 500;  // after the timeout: an answer earns nothing, but is not lost yet
+constexpr Millis kLateAnswerGrace = 500;  // after the timeout; a response in this time fails but isn't lost
 constexpr double kMillisPerSecond = 1000;
-constexpr std::uint64_t kRandomStream = 0x636c69656e7473ULL;  // apart from the other draws of the same seed
+constexpr std::uint64_t kSeedMask = 0x636c69656e7473ULL;  // separates these draws from others of the seed
 
 bool IsRejection(const ClientConnection::Result& result) {
   const unsigned status = result.response.result_int();
   return result.failure == Failure::kNone && (status == 429 || status == 503);
 }
 
-Millis RetryAfterOf(const ClientConnection::Result& result) {
+Millis RetryAfterDelay(const ClientConnection::Result& result) {
   const auto value = result.response[boost::beast::http::field::retry_after];
   return value.empty() ? 0 : std::atof(std::string(value).c_str()) * kMillisPerSecond;
 }
@@ -32,7 +32,7 @@
 Clients::Clients(Environment environment)
     : env_(environment),
       schedule_(env_.experiment, env_.seed),
-      random_(env_.seed ^ kRandomStream),
+      random_(env_.seed ^ kSeedMask),
       arrival_timer_(env_.io),
       idle_(static_cast<std::size_t>(env_.targets.count())) {}
 
@@ -53,7 +53,7 @@
   });
 }
 
-// Sends all requests that are due, so that a lab that runs late catches up, and records how late it is.
+// Sends all requests that are due, so that the lab catches up if it runs late, and records its lateness.
 void Clients::SendDue() {
   while (next_arrival_ && start_ + next_arrival_->at <= MonotonicNow()) {
     const auto request = std::make_shared<ClientRequest>();
@@ -67,12 +67,12 @@
   WaitForNextArrival();
 }
 
-const TrafficClass& Clients::ClassOf(const ClientRequest& request) const {
+const TrafficClass& Clients::TrafficClassFor(const ClientRequest& request) const {
   return env_.experiment.classes[static_cast<std::size_t>(request.arrival.class_index)];
 }
 
-// A target of the arrival's zone, by its draw, among those that take connections or have an idle one; -1
-// where there is none.
+// Returns a target in the arrival's zone, selected by its draw among those that accept connections or have an
+// idle one; -1 if there is none.
 int Clients::ChooseTarget(const Arrival& arrival, Millis now) const {
   struct Candidate {
     int target;
@@ -86,14 +86,14 @@
     const double weight = first_of_zone ? 1 + env_.experiment.traffic.skew : 1;
     first_of_zone = false;
     const bool has_idle = !idle_[static_cast<std::size_t>(target)].empty();
-    if (!env_.targets.TakesConnections(target, now) && !has_idle) continue;
+    if (!env_.targets.AcceptsConnections(target, now) && !has_idle) continue;
     candidates.push_back({target, weight});
     total_weight += weight;
   }
-  double rest = arrival.gateway_draw * total_weight;
+  double remaining = arrival.gateway_draw * total_weight;
   for (const Candidate& candidate : candidates) {
-    if (rest < candidate.weight) return candidate.target;
-    rest -= candidate.weight;
+    if (remaining < candidate.weight) return candidate.target;
+    remaining -= candidate.weight;
   }
   return candidates.empty() ? -1 : candidates.back().target;
 }
@@ -106,7 +106,7 @@
     return Retry(request, RequestResult::kFailed, 0, true);
   }
   const auto attempt = MakeAttempt(request, target);
-  env_.rules.OnRequestSent(attempt->sent_at, attempt->id, ClassOf(*request).idempotent,
+  env_.rules.OnRequestSent(attempt->sent_at, attempt->id, TrafficClassFor(*request).idempotent,
                            request->arrival.work);
   ++open_attempts_;
   attempt->disconnect_timer.expires_after(TimerDuration(attempt->timeout));
@@ -124,13 +124,13 @@
   attempt->id = fmt::format("{:08x}{:08x}", static_cast<std::uint32_t>(env_.seed), ++attempts_);
   attempt->target = target;
   attempt->sent_at = MonotonicNow();
-  attempt->timeout = ClassOf(*request).deadline * env_.experiment.traffic.client_timeout_share;
+  attempt->timeout = TrafficClassFor(*request).deadline * env_.experiment.traffic.client_timeout_share;
   return attempt;
 }
 
 std::string Clients::RequestText(const Attempt& attempt) const {
   const Arrival& arrival = attempt.request->arrival;
-  const TrafficClass& traffic_class = ClassOf(*attempt.request);
+  const TrafficClass& traffic_class = TrafficClassFor(*attempt.request);
   return fmt::format(
       "{} /api HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {}\r\nReq-Kind: {}\r\nReq-Owner: {}\r\n"
       "Req-Deadline: {:.0f}m\r\n{}{}\r\n{}",
@@ -164,7 +164,7 @@
 
 void Clients::OnResult(const std::shared_ptr<Attempt>& attempt, const ClientConnection::Result& result) {
   const auto connection = std::exchange(attempt->connection, nullptr);
-  // The gateway closed an idle connection while this request was on its way to it.
+  // The gateway closed the idle connection while this request was in transit.
   const bool closed_while_idle = result.failure == Failure::kNoResponse && connection->exchanges() > 1;
   if (closed_while_idle && !attempt->resent && attempt->request &&
       !env_.targets.IsExcused(attempt->target, attempt->sent_at)) {
@@ -178,7 +178,7 @@
   if (!request) return;  // the client has disconnected
   if (result.ok()) return OnServed(request);
   const bool rejected = IsRejection(result);
-  Retry(request, rejected ? RequestResult::kRejected : RequestResult::kFailed, RetryAfterOf(result),
+  Retry(request, rejected ? RequestResult::kRejected : RequestResult::kFailed, RetryAfterDelay(result),
         rejected || result.failure == Failure::kConnectFailed);
 }
 
@@ -191,16 +191,18 @@
         env_.targets.OnServed(attempt.target, attempt.sent_at);
       }
       return ReuseLater(attempt.target, connection);
-    case Failure::kTimedOut: return OnNoResponse(attempt, "no answer half a second after its time", false);
+    case Failure::kTimedOut:
+      return OnNoResponse(attempt, "no response within half a second after its timeout", false);
     case Failure::kNoResponse:
     case Failure::kIncompleteResponse:
-      return OnNoResponse(attempt, "its connection ended with no whole answer", connection->exchanges() == 1);
+      return OnNoResponse(attempt, "its connection closed before a complete response",
+                          connection->exchanges() == 1);
     case Failure::kConnectFailed: return;
   }
 }
 
-// The first request on a connection that the gateway closes without passing it on has failed, and is not lost
-// (TERMS).
+// If the gateway closes a new connection without forwarding its first request, the request has failed, but
+// does not count as lost (TERMS).
 void Clients::OnNoResponse(const Attempt& attempt, const std::string& description, bool first_on_connection) {
   const bool unprocessed = first_on_connection && !env_.rules.HasArrived(attempt.id);
   if (env_.targets.IsExcused(attempt.target, attempt.sent_at)) {
@@ -213,7 +215,7 @@
 }
 
 void Clients::OnServed(const std::shared_ptr<ClientRequest>& request) {
-  const TrafficClass& traffic_class = ClassOf(*request);
+  const TrafficClass& traffic_class = TrafficClassFor(*request);
   const Millis latency = MonotonicNow() - request->scheduled_at;
   const RequestResult result = latency <= traffic_class.latency_objective ? RequestResult::kInObjective
                                : latency <= traffic_class.deadline        ? RequestResult::kLate
@@ -221,11 +223,11 @@
   Finish(request, result, latency);
 }
 
-// A client repeats a request that is not idempotent only where it was certainly not executed.
+// A client retries a request that is not idempotent only if it was certainly not executed.
 void Clients::Retry(const std::shared_ptr<ClientRequest>& request, RequestResult result_if_last,
                     Millis retry_after, bool not_executed) {
   const Traffic& traffic = env_.experiment.traffic;
-  const TrafficClass& traffic_class = ClassOf(*request);
+  const TrafficClass& traffic_class = TrafficClassFor(*request);
   const double jitter = 0.5 + boost::random::uniform_01<double>()(random_);
   const Millis backoff = std::max(retry_after, traffic.backoff * (1 << (request->attempts - 1)) * jitter);
   const bool in_time = MonotonicNow() + backoff < request->scheduled_at + traffic_class.deadline;
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -1,4 +1,5 @@
-// The emulated clients: send requests by the schedule, whatever the answers are, and check what they get.
+// The emulated clients: an open-loop load generator that sends requests according to the schedule, whether or
+// not earlier ones have been answered, and checks the responses.
 #ifndef GATEWAY_LAB_CLIENTS_HPP_
 #define GATEWAY_LAB_CLIENTS_HPP_
 
@@ -20,10 +21,10 @@
 
 namespace gateway::lab {
 
-// To be used in the thread of the io_context.
+// Must be used in the thread of the io_context.
 class Clients {
  public:
-  // All references outlive the clients.
+  // The referenced objects must outlive the clients.
   struct Environment {
     boost::asio::io_context& io;
     const Experiment& experiment;
@@ -34,7 +35,7 @@
   };
   explicit Clients(Environment environment);
 
-  // Sends the first request of the schedule `start` from now on; `start` is of base::MonotonicNow.
+  // Starts the schedule, whose time 0 is `start` on the clock of base::MonotonicNow.
   void Begin(Millis start);
 
   // Whether the schedule has ended and every request has its result.
@@ -43,13 +44,13 @@
   std::size_t open_requests() const { return open_requests_; }
   std::uint64_t attempts() const { return attempts_; }
 
-  // Attempts for which no target took connections.
+  // Attempts for which no target accepted connections.
   std::uint64_t unroutable() const { return unroutable_; }
 
-  // Attempts that were the first on their connection and that the gateway closed without passing them on.
+  // Attempts that were the first on their connection, which the gateway closed without forwarding them.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
-  // Attempts that had no answer from a gateway that a fault had ended or stopped.
+  // Attempts without a response from a gateway that a fault had killed or stopped.
   std::uint64_t excused() const { return excused_; }
 
  private:
@@ -66,7 +67,7 @@
     int target = 0;
     Millis sent_at = 0;
     Millis timeout = 0;
-    bool resent = false;  // on a new connection, after an idle one had been closed
+    bool resent = false;  // on a new connection, because the gateway had closed the reused one
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer disconnect_timer;
   };
@@ -86,7 +87,7 @@
   void Finish(const std::shared_ptr<ClientRequest>& request, RequestResult result, Millis latency);
   int ChooseTarget(const Arrival& arrival, Millis now) const;
   void ReuseLater(int target, std::shared_ptr<ClientConnection> connection);
-  const TrafficClass& ClassOf(const ClientRequest& request) const;
+  const TrafficClass& TrafficClassFor(const ClientRequest& request) const;
   std::string RequestText(const Attempt& attempt) const;
 
   Environment env_;
@@ -102,7 +103,8 @@
   std::uint64_t unroutable_ = 0;
   std::uint64_t excused_ = 0;
   std::uint64_t closed_unprocessed_ = 0;
-  std::vector<std::vector<std::shared_ptr<ClientConnection>>> idle_;  // by target; the last used is last
+  std::vector<std::vector<std::shared_ptr<ClientConnection>>>
+      idle_;  // by target, the most recently used one last
 };
 
 }  // namespace gateway::lab
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -1,4 +1,5 @@
-// An experiment as its file states it (docs/design/lab.md): fleet, traffic, faults and bounds.
+// The definition of an experiment as read from its file (docs/design/lab.md): fleet, traffic, faults and
+// bounds.
 #ifndef GATEWAY_LAB_EXPERIMENT_HPP_
 #define GATEWAY_LAB_EXPERIMENT_HPP_
 
@@ -14,78 +15,79 @@
 
 using base::Millis;
 
-// Emulated hosts of one machine type. Work is in ms of a core of speed 1.
+// Emulated hosts of one machine type. Work is measured in ms of CPU time on a core of speed 1.
 struct HostGroup {
   std::string name = "standard";
   int count = 1;
-  std::string zone;  // empty: spread over all zones in turn
+  std::string zone;  // empty: spread over all zones, round robin
   double cores = 1;
   double speed = 1;
-  int slots = 8;                // requests that are executed concurrently
-  int queue_capacity = 24;      // requests that wait beyond those; further ones are rejected
+  int slots = 8;                // limit on concurrently executed requests
+  int queue_capacity = 24;      // limit on queued requests; further ones are rejected
   double thrash_factor = 0;     // capacity lost for each request beyond twice the cores
   Millis handshake_work = 0;    // work for each new connection
-  int max_connections = 200;    // requests on further ones are rejected
-  Millis idle_timeout = 15000;  // a connection that was idle for so long is closed
-  double error_rate = 0;        // share of requests that end as 500 after their work
+  int max_connections = 200;    // requests on further connections are rejected
+  Millis idle_timeout = 15000;  // after which the host closes an idle connection
+  double error_rate = 0;        // share of requests that are answered with 500 after their work
   double no_response_rate = 0;  // share of requests that are never answered
 };
 
-// How a host that has just started warms up.
+// The warm-up of a host that has just started.
 struct HostWarmUp {
-  double initial_fraction = 0.2;  // of the capacity at the start
-  Millis duration = 10000;        // until it has its full capacity
-  double overload_factor = 2.5;   // multiple of its capacity that fells it
-  Millis overload_window = 3000;  // over which that is counted
+  double initial_fraction = 0.2;  // capacity at the start, as a share of the full capacity
+  Millis duration = 10000;        // until the host has its full capacity
+  double overload_factor = 2.5;   // received work over capacity at which the host crashes
+  Millis overload_window = 3000;  // over which the received work is summed
 };
 
-// Requests that share their cost, their weight and their idempotency.
+// A class of requests with the same mean cost, objectives, weight and idempotency.
 struct TrafficClass {
   std::string name;
   double share = 1;  // of the traffic, relative to the other classes
   Millis work = 40;  // mean of an exponential distribution
   Millis latency_objective = 500;
-  Millis deadline = 1000;  // over all attempts of the client
+  Millis deadline = 1000;  // from the scheduled time, including the client's retries
   double priority_weight = 1;
-  double late_weight = 0.3;  // of the weight, for a response between objective and deadline
+  double late_weight = 0.3;  // share of the weight that a response between objective and deadline earns
   bool idempotent = true;
 };
 
 struct Traffic {
-  double rate = 0;            // requests per second over the fleet, clients' retries not counted
-  Millis duration = 10000;    // of arrivals
-  Millis warm_up = 2000;      // at the start: not counted in goodput and latency
-  bool bursty = false;        // Poisson at a rate that switches between high and low at random times
-  double burst_factor = 2;    // high rate over mean rate
-  Millis burst_length = 500;  // mean time at the high rate; that at the low rate keeps the mean
-  std::map<std::string, double> tenants;  // shares; empty: one tenant
+  double rate = 0;          // requests per second to the fleet, not counting clients' retries
+  Millis duration = 10000;  // of the arrivals
+  Millis warm_up = 2000;    // initial time that is excluded from goodput and latency
+  bool bursty = false;      // Poisson at a rate that switches between high and low at random times
+  double burst_factor = 2;  // high rate over mean rate
+  Millis burst_length =
+      500;  // mean time at the high rate; the time at the low rate follows from the mean rate
+  std::map<std::string, double> tenants;  // traffic share by name; empty: one tenant
   double skew = 0;       // the first gateway of each zone gets 1 + skew times the traffic of the others
-  int max_retries = 2;   // by the client
-  Millis backoff = 100;  // before the first retry; doubles; a longer Retry-After is obeyed
-  double client_timeout_share = 1;  // of the deadline, after which a client disconnects
+  int max_retries = 2;   // by the client, for each request
+  Millis backoff = 100;  // before the first retry; doubles with each; a longer Retry-After is respected
+  double client_timeout_share = 1;  // share of the deadline after which a client disconnects
 };
 
 struct Fleet {
   int gateways = 3;
   std::vector<std::string> zones{"a"};
-  Millis list_delay = 500;              // from a change to its watch event
-  Millis front_detection_delay = 1500;  // until the front balancer notices that a gateway has died
+  Millis list_delay = 500;              // from a change of the list to its watch event
+  Millis front_detection_delay = 1500;  // until the front balancer detects that a gateway does not respond
   Millis drain_grace = 500;
   int max_attempts = 3;
   int sockets = 1024;
   int memory_mb = 192;
   bool retry_after = true;
-  int file_kb = 0;            // limit on a file that a gateway writes, as of a full disk; 0: none
-  bool saves_state = false;   // each gateway has a folder for its state, which survives restarts
-  Millis sync_delay = 0;      // added to each sync of a gateway's state
-  bool own_registry = false;  // the list service is the project's own, as a process
+  int file_kb = 0;           // size limit of a file that a gateway writes, emulates a full disk; 0: none
+  bool saves_state = false;  // each gateway has a state folder that is kept over restarts
+  Millis sync_delay = 0;     // added to each sync of a gateway's state
+  bool uses_registry_process = false;  // run the project's list service instead of emulating one
   Millis lease_term = 3000;
   Millis lease_grace = 1500;
-  bool peer_network = false;    // gateways may send each other datagrams
-  Millis ready_within = 30000;  // the run fails where a gateway is not ready by then
+  bool peer_network = false;    // gateways can send each other datagrams
+  Millis ready_within = 30000;  // the run fails if a gateway is not ready by then
 };
 
-// What happens to datagrams between gateways.
+// Impairments of the network between gateways.
 struct NetworkConditions {
   double loss_rate = 0;
   double duplication_rate = 0;
@@ -93,38 +95,38 @@
   Millis delay = 0;
 };
 
-// `own`: of the project's own list service, as a process.
+// "registry" means the project's list service, run as a process.
 enum class FaultKind {
   kKillGateway,       // SIGKILL; started again after the duration
   kStopGateway,       // SIGSTOP, then SIGCONT after the duration
-  kTerminateGateway,  // SIGTERM; started again when it has ended, after the duration
-  kReplaceGateway,    // a new process beside it; SIGTERM to the old one when the new one is ready
-  kListDown,          // the emulated list service
-  kListKill,          // own: SIGKILL; started again after the duration
-  kListStop,          // own: SIGSTOP, then SIGCONT
-  kListDiskFull,      // own: no file may grow
-  kListCut,           // own: between gateways and it
-  kListTruncate,      // own: the share `magnitude` of its answers is cut off half-way
-  kMemberCut,         // own: between hosts and it; the hosts serve, and can't renew their leases
-  kZoneCut,           // a zone from all others, in both directions
-  kCut,               // gateways from hosts
-  kReset,             // all connections between gateways and hosts break, once
-  kSlowHost,          // executes at `magnitude` times its speed
-  kFailingHost,       // the share `magnitude` of requests ends as 500
-  kMuteHost,          // answers nothing
-  kKillHost,          // its connections break and new ones are refused; starts anew after the duration
-  kVanishHost,        // its machine is gone: nothing answers and nothing is refused; starts anew as above
-  kDrainHost,         // drains for the duration, then is removed
-  kDelay,             // all links of a gateway: `magnitude` ms more each way, and up to `jitter`
-  kPeerConditions,    // datagrams from and to a gateway
-  kPeerCut,           // datagrams between a gateway and `peers` are lost
-  kBurst,             // traffic times `magnitude`
+  kTerminateGateway,  // SIGTERM; started again the duration after the process has ended
+  kReplaceGateway,    // starts a second process; SIGTERM to the old one when the new one is ready
+  kListDown,          // the emulated list service refuses connections
+  kListKill,          // registry: SIGKILL; started again after the duration
+  kListStop,          // registry: SIGSTOP, then SIGCONT after the duration
+  kListDiskFull,      // registry: its files can't grow
+  kListCut,           // registry: cuts its network to gateways
+  kListTruncate,      // registry: the share `magnitude` of its responses is truncated
+  kMemberCut,         // registry: cuts its network to hosts, which serve but can't renew their leases
+  kZoneCut,           // cuts the network between a zone and all others, in both directions
+  kCut,               // cuts the network between gateways and hosts
+  kReset,             // resets all connections between gateways and hosts, once
+  kSlowHost,          // executes requests at `magnitude` times its speed
+  kFailingHost,       // answers the share `magnitude` of requests with 500
+  kMuteHost,          // never answers a request
+  kKillHost,          // resets its connections and refuses new ones; restarts after the duration
+  kVanishHost,        // its machine drops all packets; restarts after the duration
+  kDrainHost,         // drains for the duration, then is removed from the list
+  kDelay,             // adds `magnitude` ms and up to `jitter` ms per direction to all links of a gateway
+  kPeerConditions,    // impairs datagrams from and to a gateway
+  kPeerCut,           // drops datagrams between a gateway and `peers`
+  kBurst,             // multiplies the traffic by `magnitude`
 };
 
 struct Fault {
   FaultKind kind;
   Millis at = 0;
-  Millis duration = 0;  // 0: to the end of the run
+  Millis duration = 0;  // 0: until the end of the run
   std::vector<int> gateways;
   std::vector<int> hosts;
   std::string zone;
@@ -137,40 +139,40 @@
   std::string description;  // for reports
 };
 
-// A figure of one variant that has to lie within bounds, as it is or as a ratio to that of another variant.
+// Limits on a figure of one variant, or on the ratio of that figure to the one of another variant.
 struct Bound {
   std::string figure;
   std::string variant = "gateway";
-  std::string baseline;  // the variant that it is divided by; empty: none
+  std::string baseline;  // the variant whose figure is the divisor; empty: none
   std::optional<double> minimum;
   std::optional<double> maximum;
-  bool is_speed = false;  // depends on the machine: inconclusive where the lab itself ran late
+  bool is_speed = false;  // depends on the machine: inconclusive if the lab itself ran late
 };
 
 struct Experiment {
   std::string name;
   std::string about;
-  Millis ends_within = 120000;  // real time for one run of one variant
-  Millis max_lateness = 5;      // of the lab itself at p99, beyond which speeds are inconclusive
+  Millis ends_within = 120000;  // limit on the wall-clock time of one run of one variant
+  Millis max_lateness = 5;      // p99 lateness of the lab itself above which speeds are inconclusive
   Fleet fleet;
   std::vector<HostGroup> host_groups;
   HostWarmUp host_warm_up;
   std::vector<TrafficClass> classes;
   Traffic traffic;
-  std::vector<Fault> faults;           // in the order of their times
+  std::vector<Fault> faults;           // ordered by time
   std::vector<std::string> baselines;  // random, round_robin, least_inflight, direct, no_fault, no_state
   std::vector<Bound> bounds;
 
-  // The same experiment with no faults but bursts of the traffic.
+  // Returns the experiment without its faults except traffic bursts.
   Experiment WithoutFaults() const;
 
   int HostCount() const;
 
-  // Requests per second that all hosts together can serve, warmed up and at full speed.
+  // Requests per second that all hosts together can serve after warm-up, at full speed.
   double Capacity() const;
 };
 
-// Throw base::ConfigError with file, line and column.
+// Both throw base::ConfigError with file, line and column.
 Experiment ReadExperiment(const std::string& path);
 Experiment ParseExperiment(std::string_view text, const std::string& name);
 
--- a/src/lab/experiment_reader.cpp
+++ b/src/lab/experiment_reader.cpp
@@ -1,4 +1,4 @@
-// Reads the file of an experiment.
+// Reads the TOML file of an experiment.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 using base::TomlTable;
 
 constexpr double kMillisPerSecond = 1000;
-constexpr int kMaxGateways = 200;      // each has an address of its own in the run's block of 254
+constexpr int kMaxGateways = 200;      // limited by the addresses in the block of a run
 constexpr int kMaxPeerGateways = 100;  // the peer network has two sockets for each pair
 constexpr int kMaxHosts = 600;
 constexpr int kMaxSlots = 1 << 20;
@@ -29,7 +29,7 @@
   std::string name = table.Text("name");
   if (name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-_.") != std::string::npos ||
       name.empty()) {
-    table.Fail("name", "must be of the letters a-z, 0-9, '-', '_' and '.'");
+    table.Fail("name", "must consist of the characters a-z, 0-9, '-', '_' and '.'");
   }
   return name;
 }
@@ -38,7 +38,7 @@
   Fleet fleet;
   fleet.gateways = table.Integer("gateways", fleet.gateways, 1, kMaxGateways);
   if (table.Has("zones")) fleet.zones = table.TextList("zones");
-  if (fleet.zones.empty()) table.Fail("zones", "names none");
+  if (fleet.zones.empty()) table.Fail("zones", "must name at least one zone");
   fleet.list_delay = table.Number("list_delay_ms", fleet.list_delay, kNotNegative);
   fleet.front_detection_delay = table.Number("front_notices_ms", fleet.front_detection_delay, kNotNegative);
   fleet.drain_grace = table.Number("drain_grace_ms", fleet.drain_grace, kAboveZero);
@@ -49,12 +49,13 @@
   fleet.file_kb = table.Integer("file_kb", fleet.file_kb, 0, 1 << 30);
   fleet.sync_delay = table.Number("slow_sync_ms", fleet.sync_delay, {0, 60000});
   fleet.saves_state = table.Flag("state", fleet.saves_state);
-  fleet.own_registry = table.Flag("registry", fleet.own_registry);
+  fleet.uses_registry_process = table.Flag("registry", fleet.uses_registry_process);
   fleet.lease_term = table.Seconds("lease_term_s", fleet.lease_term, {0.5, 3600});
   fleet.lease_grace = table.Seconds("lease_grace_s", fleet.lease_grace, kNotNegative);
   fleet.peer_network = table.Flag("peers", fleet.peer_network);
   if (fleet.peer_network && fleet.gateways > kMaxPeerGateways) {
-    table.Fail("peers", fmt::format("takes a socket for each pair: {} gateways at most", kMaxPeerGateways));
+    table.Fail("peers", fmt::format("needs a socket for each pair of gateways; the limit is {} gateways",
+                                    kMaxPeerGateways));
   }
   fleet.ready_within = table.Seconds("ready_within_s", fleet.ready_within, {0.1, 600});
   table.RejectUnknownKeys();
@@ -84,8 +85,9 @@
   for (TomlTable& group : table.Tables("hosts")) {
     experiment.host_groups.push_back(ReadHostGroup(group, experiment.fleet.zones));
   }
-  if (experiment.host_groups.empty()) table.Fail("hosts", "at least one [[hosts]] is needed");
-  if (experiment.HostCount() > kMaxHosts) table.Fail("hosts", fmt::format("more than {} in all", kMaxHosts));
+  if (experiment.host_groups.empty()) table.Fail("hosts", "at least one [[hosts]] table is needed");
+  if (experiment.HostCount() > kMaxHosts)
+    table.Fail("hosts", fmt::format("more than {} hosts in total", kMaxHosts));
 }
 
 HostWarmUp ReadHostWarmUp(TomlTable& table) {
@@ -106,7 +108,7 @@
   traffic_class.latency_objective = table.Number("aim_ms", traffic_class.latency_objective, kAboveZero);
   traffic_class.deadline = table.Number("deadline_ms", traffic_class.deadline, kAboveZero);
   if (traffic_class.deadline < traffic_class.latency_objective) {
-    table.Fail("deadline_ms", "is before aim_ms");
+    table.Fail("deadline_ms", "must not be less than aim_ms");
   }
   traffic_class.priority_weight = table.Number("worth", traffic_class.priority_weight, kAboveZero);
   traffic_class.late_weight = table.Number("late_worth", traffic_class.late_weight, kShare);
@@ -115,7 +117,7 @@
   return traffic_class;
 }
 
-// `capacity` of the hosts, in requests per second.
+// `capacity` is that of all hosts, in requests per second.
 Traffic ReadTraffic(TomlTable& table, double capacity) {
   Traffic traffic;
   if (table.Has("load") == table.Has("rate")) table.Fail("rate", "give one of 'rate' and 'load'");
@@ -159,9 +161,10 @@
   std::string figure = table.Text("figure");
   if (IsFigure(figure)) return figure;
   const std::string nearest = base::NearestWord(figure, FigureNames());
-  const std::string hint = nearest.empty() ? fmt::format("; known: {}", fmt::join(FigureNames(), ", "))
-                                           : fmt::format(", did you mean '{}'?", nearest);
-  table.Fail("figure", fmt::format("no figure '{}'{}", figure, hint));
+  const std::string hint = nearest.empty()
+                               ? fmt::format("; known figures: {}", fmt::join(FigureNames(), ", "))
+                               : fmt::format(", did you mean '{}'?", nearest);
+  table.Fail("figure", fmt::format("unknown figure '{}'{}", figure, hint));
 }
 
 Bound ReadBound(TomlTable& table, const std::vector<std::string>& variants) {
@@ -193,7 +196,7 @@
   ReadHostGroups(table, experiment);
   if (auto cold_start = table.Table("cold_start")) experiment.host_warm_up = ReadHostWarmUp(*cold_start);
   for (TomlTable& item : table.Tables("classes")) experiment.classes.push_back(ReadClass(item));
-  if (experiment.classes.empty()) table.Fail("classes", "at least one [[classes]] is needed");
+  if (experiment.classes.empty()) table.Fail("classes", "at least one [[classes]] table is needed");
   auto traffic = table.Table("traffic");
   if (!traffic) table.Fail("traffic", "missing");
   experiment.traffic = ReadTraffic(*traffic, experiment.Capacity());
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -20,11 +20,11 @@
 constexpr Millis kTrafficDelay = 300;  // from the gateways' readiness to the first arrival
 constexpr Millis kTickPeriod = 50;
 constexpr Millis kProgressPeriod = 1000;
-constexpr Millis kBeforeTraffic = 1e6;  // events before the traffic are shown so much earlier
+constexpr Millis kPreTrafficOffset = 1e6;  // subtracted from the times of events before the traffic
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
-// The protocol lets a gateway close this share of requests on new connections unprocessed; more count as
-// lost.
+// The protocol allows a gateway to close new connections without processing their first request for this
+// share of all requests; the excess counts as lost.
 constexpr double kMaxClosedUnprocessed = 1.0 / 200;
 
 std::atomic<bool> interrupted{false};
@@ -34,7 +34,7 @@
          static_cast<double>(time.tv_usec) / kMicrosPerMilli;
 }
 
-// CPU time of the lab itself.
+// CPU time used by the lab itself.
 Millis OwnCpuTime() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -43,7 +43,7 @@
 
 std::string HostId(int host) { return fmt::format("s-{:04x}", host); }
 
-// Clients call the gateways, as the front balancer spreads them.
+// The targets of clients that call the gateways, as distributed by the front balancer.
 class GatewayTargets : public ClientTargets {
  public:
   GatewayTargets(const Experiment& experiment, const Addresses& addresses, const GatewayProcesses& gateways,
@@ -52,9 +52,9 @@
 
   int count() const override { return gateways_.count(); }
   tcp::endpoint Address(int target) const override { return addresses_.Gateway(target); }
-  int Zone(int target) const override { return ZoneOfGateway(experiment_, target); }
-  bool TakesConnections(int target, Millis now) const override {
-    return gateways_.TakesConnections(target, now);
+  int Zone(int target) const override { return GatewayZoneIndex(experiment_, target); }
+  bool AcceptsConnections(int target, Millis now) const override {
+    return gateways_.AcceptsConnections(target, now);
   }
   bool IsExcused(int target, Millis since) const override { return gateways_.IsExcused(target, since); }
   void OnServed(int target, Millis sent_at) override {
@@ -68,7 +68,7 @@
   FirstAnswers& first_answers_;
 };
 
-// Clients call the hosts.
+// The targets of clients that call the hosts directly.
 class HostTargets : public ClientTargets {
  public:
   HostTargets(const Experiment& experiment, const Addresses& addresses, FirstAnswers& first_answers)
@@ -77,7 +77,7 @@
   int count() const override { return experiment_.HostCount(); }
   tcp::endpoint Address(int target) const override { return addresses_.Host(0, target); }
   int Zone(int target) const override { return target % static_cast<int>(experiment_.fleet.zones.size()); }
-  bool TakesConnections(int, Millis) const override { return true; }
+  bool AcceptsConnections(int, Millis) const override { return true; }
   bool IsExcused(int, Millis) const override { return false; }
   void OnServed(int target, Millis sent_at) override {
     first_answers_.OnServed(MonotonicNow(), target, sent_at);
@@ -128,7 +128,7 @@
     member.machine_type = listed.machine_type;
     member.cell = "0";
   }
-  if (!direct_ && experiment_.fleet.own_registry) {
+  if (!direct_ && experiment_.fleet.uses_registry_process) {
     const std::string log = options_.log_folder.empty() ? "/dev/null" : options_.log_folder + "/registry.log";
     registry_ = std::make_unique<RegistryProcess>(
         RegistryProcess::Environment{io_, addresses_.Registry(), options_.gatewayctl, folder_.path(), log,
@@ -155,8 +155,8 @@
                                     folder_.path(), options_.log_folder, std::move(known_lists),
                                     [this](int gateway) { list_->ForgetNotifications(gateway); },
                                     [this](const std::string& text) { AddEvent(text); }});
-  faults_.emplace(experiment_,
-                  FaultInjector::Parties{*gateways_, *hosts_, *list_, links_, peers_.get(), registry_.get()});
+  faults_.emplace(experiment_, FaultInjector::Components{*gateways_, *hosts_, *list_, links_, peers_.get(),
+                                                         registry_.get()});
 }
 
 void ExperimentRun::MakeClients() {
@@ -174,7 +174,7 @@
 bool ExperimentRun::IsInterrupted() { return interrupted; }
 
 RunResult ExperimentRun::Run() {
-  run_began_ = MonotonicNow();
+  run_started_at_ = MonotonicNow();
   own_cpu_before_ = OwnCpuTime();
   if (registry_) {
     registry_->Start();
@@ -183,15 +183,16 @@
   }
   Tick();
   io_.run();
-  if (gateways_) gateways_->EndAll();
-  if (registry_) registry_->EndAll();
+  if (gateways_) gateways_->KillAll();
+  if (registry_) registry_->KillAll();
   WriteFigures();
   return std::move(result_);
 }
 
 void ExperimentRun::AddEvent(const std::string& text) {
   const Millis now = MonotonicNow();
-  result_.events.emplace_back(has_begun() ? now - start_ : now - run_began_ - kBeforeTraffic, text);
+  result_.events.emplace_back(
+      traffic_started() ? now - traffic_start_ : now - run_started_at_ - kPreTrafficOffset, text);
 }
 
 void ExperimentRun::StartGateways() {
@@ -204,17 +205,17 @@
   io_.stop();
 }
 
-// Called periodically: lets the traffic begin, and notices the end.
+// Called periodically: starts the traffic when everything is ready, and detects the end of the run.
 void ExperimentRun::Tick() {
   const Millis now = MonotonicNow();
   if (interrupted) return Fail("interrupted");
-  if (now > run_began_ + experiment_.ends_within) {
-    return Fail(fmt::format("not over within {:g} s: {} requests were still out",
+  if (now > run_started_at_ + experiment_.ends_within) {
+    return Fail(fmt::format("did not finish within {:g} s: {} requests were still open",
                             experiment_.ends_within / kMillisPerSecond, clients_->open_requests()));
   }
   MeasureListLag(now);
-  if (!has_begun()) {
-    WaitForParties(now);
+  if (!traffic_started()) {
+    WaitForReadiness(now);
     if (!result_.failure.empty()) return;
   } else if (clients_->done()) {
     return io_.stop();
@@ -226,12 +227,12 @@
   });
 }
 
-// Hosts have to be listed before the gateways start, and the gateways to be ready before the traffic begins.
-void ExperimentRun::WaitForParties(Millis now) {
-  const bool too_late = now > run_began_ + experiment_.fleet.ready_within;
+// The hosts must be listed before the gateways start, and the gateways ready before the traffic starts.
+void ExperimentRun::WaitForReadiness(Millis now) {
+  const bool too_late = now > run_started_at_ + experiment_.fleet.ready_within;
   if (registry_ && !gateways_started_) {
     if (registry_->ready()) StartGateways();
-    if (too_late) Fail("the list service did not take all hosts in time");
+    if (too_late) Fail("the list service did not register all hosts in time");
   } else if (!gateways_ || gateways_->AllReady()) {
     BeginTraffic(now + kTrafficDelay);
   } else if (too_late) {
@@ -241,7 +242,7 @@
 }
 
 void ExperimentRun::BeginTraffic(Millis start) {
-  start_ = start;
+  traffic_start_ = start;
   clients_->Begin(start);
   first_answers_.Begin(start);
   if (faults_) ScheduleFaults();
@@ -249,30 +250,30 @@
 
 void ExperimentRun::ScheduleFaults() {
   for (const Fault& fault : experiment_.faults) {
-    CallAt(start_ + fault.at, [this, &fault] {
+    ScheduleAt(traffic_start_ + fault.at, [this, &fault] {
       AddEvent(fault.description);
       faults_->Begin(fault);
     });
     if (fault.duration <= 0) continue;
-    CallAt(start_ + fault.at + fault.duration, [this, &fault] {
+    ScheduleAt(traffic_start_ + fault.at + fault.duration, [this, &fault] {
       AddEvent("end of " + fault.description);
       faults_->End(fault);
     });
   }
 }
 
-void ExperimentRun::CallAt(Millis time, std::function<void()> callback) {
+void ExperimentRun::ScheduleAt(Millis time, std::function<void()> callback) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, TimerDuration(time - MonotonicNow()));
   timer->async_wait([timer, callback = std::move(callback)](error_code ec) {
     if (!ec) callback();
   });
 }
 
-// How long any gateway has been without the newest list, since its change or since the end of the last fault
-// that kept it from the gateway.
+// Records the longest time that any gateway has been without the newest list, measured from the change or
+// from the end of the last fault that kept the list from the gateway.
 void ExperimentRun::MeasureListLag(Millis now) {
   if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
-  if (!has_begun() || now < start_ + experiment_.traffic.warm_up) return;
+  if (!traffic_started() || now < traffic_start_ + experiment_.traffic.warm_up) return;
   for (int gateway = 0; gateway < gateways_->count(); ++gateway) {
     const bool is_current = list_->DeliveredRevision(gateway) >= registry_->newest_revision();
     if (is_current || gateways_->IsExcused(gateway, now)) continue;
@@ -284,9 +285,9 @@
 void ExperimentRun::PrintProgress(Millis now) {
   if (now <= next_progress_at_) return;
   next_progress_at_ = now + kProgressPeriod;
-  std::fprintf(stderr, "\r%-14s seed %llu: %5.1f of %.0f s, %llu requests, %zu out   ",
+  std::fprintf(stderr, "\r%-14s seed %llu: %5.1f of %.0f s, %llu requests, %zu open   ",
                result_.variant.c_str(), static_cast<unsigned long long>(result_.seed),
-               std::max(0.0, has_begun() ? now - start_ : 0) / kMillisPerSecond,
+               std::max(0.0, traffic_started() ? now - traffic_start_ : 0) / kMillisPerSecond,
                experiment_.traffic.duration / kMillisPerSecond,
                static_cast<unsigned long long>(recorder_.arrived()), clients_->open_requests());
 }
--- a/src/lab/experiment_run.hpp
+++ b/src/lab/experiment_run.hpp
@@ -1,5 +1,5 @@
-// One run of one variant of an experiment: sets the parties up, waits for the gateways, lets clients and
-// faults begin, and collects the figures.
+// One run of one variant of an experiment: creates hosts, list service, gateways and clients, waits until the
+// gateways are ready, starts traffic and faults, and collects the figures.
 #ifndef GATEWAY_LAB_EXPERIMENT_RUN_HPP_
 #define GATEWAY_LAB_EXPERIMENT_RUN_HPP_
 
@@ -32,20 +32,21 @@
  public:
   struct Options {
     std::string variant;     // "direct": clients call the hosts, without gateways
-    std::string command;     // of the gateways
-    std::string gatewayctl;  // command of this program, for the list service
+    std::string command;     // starts a gateway
+    std::string gatewayctl;  // starts this program, for the list service
     std::uint64_t seed = 1;
     std::string log_folder;  // empty: logs are dropped
     bool progress = false;
   };
 
-  // `experiment` outlives the run. Throws std::runtime_error where an address can't be had.
+  // `experiment` must outlive the run. Throws std::runtime_error if an address is not available.
   ExperimentRun(const Experiment& experiment, Options options);
 
-  // To be called once. Returns when all requests have ended or the run has failed; no process is left then.
+  // Must be called only once. Returns when all requests have ended or the run has failed; all processes have
+  // ended by then.
   RunResult Run();
 
-  // Ends the current run and all later ones. May be called from a signal handler.
+  // Aborts the current run and all later ones. Async-signal-safe.
   static void Interrupt();
   static bool IsInterrupted();
 
@@ -55,15 +56,15 @@
   void MakeClients();
   void AddEvent(const std::string& text);
   void Tick();
-  void WaitForParties(Millis now);
+  void WaitForReadiness(Millis now);
   void StartGateways();
   void BeginTraffic(Millis start);
   void ScheduleFaults();
-  void CallAt(Millis time, std::function<void()> callback);
+  void ScheduleAt(Millis time, std::function<void()> callback);
   void MeasureListLag(Millis now);
   void PrintProgress(Millis now);
   void Fail(const std::string& reason);
-  bool has_begun() const { return start_ >= 0; }
+  bool traffic_started() const { return traffic_start_ >= 0; }
 
   void WriteFigures();
   void WriteRuleFigures();
@@ -83,17 +84,17 @@
   RuleChecker rules_;
   Recorder recorder_;
   FirstAnswers first_answers_;
-  std::unique_ptr<PeerNetwork> peers_;         // null: gateways send each other nothing
+  std::unique_ptr<PeerNetwork> peers_;         // null: gateways have no peer network
   std::unique_ptr<RegistryProcess> registry_;  // null: the list service is emulated
   std::unique_ptr<ListService> list_;
   std::unique_ptr<HostEmulator> hosts_;
   std::unique_ptr<GatewayProcesses> gateways_;  // null: direct
   std::unique_ptr<ClientTargets> targets_;
   std::unique_ptr<Clients> clients_;
-  std::optional<FaultInjector> faults_;  // nothing: direct
+  std::optional<FaultInjector> faults_;  // empty: direct
   boost::asio::steady_timer tick_timer_;
-  Millis run_began_ = 0;
-  Millis start_ = -1;  // of arrivals; negative: not yet
+  Millis run_started_at_ = 0;
+  Millis traffic_start_ = -1;  // negative: traffic has not started
   bool gateways_started_ = false;
   Millis own_cpu_before_ = 0;
   Millis next_progress_at_ = 0;
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -12,11 +12,12 @@
 
 struct Variant {
   std::string name;
-  std::string command;    // of its gateways
+  std::string command;    // starts a gateway of this variant
   Experiment experiment;  // as this variant runs it
 };
 
-Variant BaselineOf(const std::string& name, const Experiment& experiment, const RunOptions& options) {
+Variant MakeBaselineVariant(const std::string& name, const Experiment& experiment,
+                            const RunOptions& options) {
   if (name == "no_fault") return {name, options.gateway, experiment.WithoutFaults()};
   if (name == "no_state") {
     Variant variant{name, options.gateway, experiment};
@@ -26,16 +27,16 @@
   return {name, options.gatewayctl + " lab stand-in --policy " + name, experiment};
 }
 
-std::vector<Variant> VariantsOf(const Experiment& experiment, const RunOptions& options) {
+std::vector<Variant> MakeVariants(const Experiment& experiment, const RunOptions& options) {
   std::vector<Variant> variants{{"gateway", options.gateway, experiment}};
   if (!options.earlier.empty()) variants.push_back({"earlier", options.earlier, experiment});
   for (const std::string& name : experiment.baselines) {
-    variants.push_back(BaselineOf(name, experiment, options));
+    variants.push_back(MakeBaselineVariant(name, experiment, options));
   }
   return variants;
 }
 
-// Empty where logs are dropped.
+// Creates the log folder of a run and returns its path; empty if logs are dropped.
 std::string MakeLogFolder(const RunOptions& options, const std::string& experiment, std::uint64_t seed,
                           const std::string& variant) {
   if (options.log_folder.empty()) return "";
@@ -49,7 +50,7 @@
 void Interrupt() { ExperimentRun::Interrupt(); }
 
 Results RunExperiment(const Experiment& experiment, const RunOptions& options) {
-  const std::vector<Variant> variants = VariantsOf(experiment, options);
+  const std::vector<Variant> variants = MakeVariants(experiment, options);
   Results results{experiment.name, experiment.about, {}};
   for (int repeat = 0; repeat < options.repeats; ++repeat) {
     const std::uint64_t seed = options.seed + static_cast<std::uint64_t>(repeat);
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -1,8 +1,9 @@
 // Runs experiments: fleets of gateway processes on loopback sockets, with emulated hosts, clients, front
-// balancer and list service around them, and faults.
+// balancer and list service, and with faults.
 //
-// What decides in the lab (schedule, host model, rules, the balancer's view) has no sockets and no clock and
-// is handed the time; thin shells around it do the I/O. The gateway is met on its sockets alone.
+// The decision logic of the lab (schedule, host model, rules, the balancer's view) uses neither sockets nor a
+// clock and gets the time as an argument; thin adapters do the I/O. The lab interacts with gateways only over
+// their sockets and by signals.
 #ifndef GATEWAY_LAB_EXPERIMENT_RUNNER_HPP_
 #define GATEWAY_LAB_EXPERIMENT_RUNNER_HPP_
 
@@ -16,20 +17,20 @@
 
 struct RunOptions {
   std::uint64_t seed = 1;
-  int repeats = 1;         // runs of each variant, with the seeds seed, seed + 1, ...
-  std::string gateway;     // command of the program under test
+  int repeats = 1;         // number of runs of each variant, with the seeds seed, seed + 1, ...
+  std::string gateway;     // command that starts the gateway under test
   std::string earlier;     // command of another build, run as the variant "earlier"; empty: none
-  std::string gatewayctl;  // command of this program, which serves as list service and baselines
-  std::string log_folder;  // for the logs of the processes; empty: they are dropped
-  bool progress = false;   // prints a line each second on standard error
+  std::string gatewayctl;  // command that starts this program, as list service or as baseline gateway
+  std::string log_folder;  // for the logs of the processes; empty: logs are dropped
+  bool progress = false;   // prints the progress on standard error once per second
 };
 
 // Runs the experiment for each seed and variant, one after the other, and ends every process that it has
-// started. Blocks; uses SIGCHLD. Throws std::runtime_error where a run can't be set up, as for lack of an
-// address or of a process.
+// started. Blocks; handles SIGCHLD. Throws std::runtime_error if a run can't be set up, for example because
+// no address is free or a process can't be started.
 Results RunExperiment(const Experiment& experiment, const RunOptions& options);
 
-// Ends the current run, and with it RunExperiment, as soon as possible. May be called from a signal handler.
+// Makes RunExperiment return as soon as possible. Async-signal-safe.
 void Interrupt();
 
 }  // namespace gateway::lab
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -1,4 +1,4 @@
-// Carries out the faults of an experiment on the parties of one run.
+// Injects the faults of an experiment into the components of one run.
 #ifndef GATEWAY_LAB_FAULT_INJECTOR_HPP_
 #define GATEWAY_LAB_FAULT_INJECTOR_HPP_
 
@@ -15,11 +15,11 @@
 
 namespace gateway::lab {
 
-// Begin and End are called at the times of the fault, in the thread of the io_context.
+// The caller calls Begin and End at the times of each fault, in the thread of the io_context.
 class FaultInjector {
  public:
-  // All parties outlive the injector. The pointers may be null where the experiment does without.
-  struct Parties {
+  // All components must outlive the injector. A pointer is null if the experiment doesn't use the component.
+  struct Components {
     GatewayProcesses& gateways;
     HostEmulator& hosts;
     ListService& list;
@@ -27,17 +27,18 @@
     PeerNetwork* peers;
     RegistryProcess* registry;
   };
-  FaultInjector(const Experiment& experiment, Parties parties) : experiment_(experiment), parties_(parties) {}
+  FaultInjector(const Experiment& experiment, Components components)
+      : experiment_(experiment), components_(components) {}
 
   void Begin(const Fault& fault);
 
   // Only for faults with a duration.
   void End(const Fault& fault);
 
-  // Whether any fault is on that keeps list changes from the gateways.
+  // Whether a fault is active that can keep list changes from the gateways.
   bool list_disturbed() const { return list_faults_ > 0; }
 
-  // When the last of these faults began or ended; 0 where there was none.
+  // When such a fault last began or ended; 0 if there was none.
   Millis list_disturbed_at() const { return list_disturbed_at_; }
 
  private:
@@ -51,10 +52,10 @@
   void AddDelay(int gateway, Millis delay, Millis jitter);
   void SetPeerCut(int gateway, const std::vector<int>& others, bool cut);
   void SetZoneCut(const std::string& zone, bool cut);
-  const std::string& ZoneOf(int gateway) const;
+  const std::string& GatewayZone(int gateway) const;
 
   const Experiment& experiment_;
-  const Parties parties_;
+  const Components components_;
   int list_faults_ = 0;
   Millis list_disturbed_at_ = 0;
 };
--- a/src/lab/fault_reader.cpp
+++ b/src/lab/fault_reader.cpp
@@ -18,16 +18,16 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-// What the file has to name for a fault.
+// The targets that a fault must specify in the file.
 enum class Target { kNothing, kGateways, kHosts, kGatewaysAndHosts, kZone };
 
-struct FaultWord {
-  const char* word;
+struct FaultName {
+  const char* name;
   FaultKind kind;
   Target target;
 };
 
-constexpr FaultWord kFaultWords[] = {
+constexpr FaultName kFaultNames[] = {
     {"kill", FaultKind::kKillGateway, Target::kGateways},
     {"stop", FaultKind::kStopGateway, Target::kGateways},
     {"term", FaultKind::kTerminateGateway, Target::kGateways},
@@ -54,17 +54,17 @@
     {"burst", FaultKind::kBurst, Target::kNothing},
 };
 
-const FaultWord& ReadFaultWord(TomlTable& table) {
-  std::vector<std::string> words;
-  words.reserve(std::size(kFaultWords));
-  for (const FaultWord& known : kFaultWords) words.emplace_back(known.word);
+const FaultName& ReadFaultName(TomlTable& table) {
+  std::vector<std::string> names;
+  names.reserve(std::size(kFaultNames));
+  for (const FaultName& known : kFaultNames) names.emplace_back(known.name);
   if (!table.Has("what")) table.Fail("what", "missing");
-  const std::string word = table.OneOf("what", "", words);
-  return *std::find_if(std::begin(kFaultWords), std::end(kFaultWords),
-                       [&](const FaultWord& known) { return known.word == word; });
+  const std::string name = table.OneOf("what", "", names);
+  return *std::find_if(std::begin(kFaultNames), std::end(kFaultNames),
+                       [&](const FaultName& known) { return known.name == name; });
 }
 
-// The numbers of "2" or "0-4", below `count`.
+// Parses "2" or "0-4" and appends the numbers, which must be less than `count`.
 void AppendRange(const TomlTable& table, const std::string& key, const std::string& text, int count,
                  std::vector<int>& numbers) {
   int first = 0;
@@ -81,7 +81,7 @@
   for (int number = first; number <= last; ++number) numbers.push_back(number);
 }
 
-// Ranges with commas between them.
+// Reads a comma-separated list of numbers and ranges.
 std::vector<int> ReadNumbers(TomlTable& table, const std::string& key, int count) {
   std::vector<int> numbers;
   const std::string text = table.Text(key);
@@ -91,7 +91,7 @@
     AppendRange(table, key, text.substr(start, end - start), count, numbers);
     start = end + 1;
   }
-  if (numbers.empty()) table.Fail(key, "names none");
+  if (numbers.empty()) table.Fail(key, "must have at least one number");
   return numbers;
 }
 
@@ -121,10 +121,10 @@
 }
 
 void ReadCutDirections(TomlTable& table, Fault& fault) {
-  const std::string way = table.OneOf("way", "both", {"both", "there", "back"});
-  fault.cuts_from_gateway = way != "back";
-  fault.cuts_to_gateway = way != "there";
-  if (way != "both") fault.description += " " + way;
+  const std::string direction = table.OneOf("way", "both", {"both", "there", "back"});
+  fault.cuts_from_gateway = direction != "back";
+  fault.cuts_to_gateway = direction != "there";
+  if (direction != "both") fault.description += " " + direction;
 }
 
 void ReadConditions(TomlTable& table, Fault& fault) {
@@ -134,7 +134,7 @@
   fault.conditions.delay = table.Number("delay_ms", 0, kNotNegative);
 }
 
-// The keys that only some faults have.
+// Reads the keys that only some faults have.
 void ReadParameters(TomlTable& table, const Experiment& experiment, Fault& fault) {
   switch (fault.kind) {
     case FaultKind::kSlowHost:
@@ -155,7 +155,7 @@
   }
 }
 
-bool NeedsOwnRegistry(FaultKind kind) {
+bool NeedsRegistryProcess(FaultKind kind) {
   switch (kind) {
     case FaultKind::kListKill:
     case FaultKind::kListStop:
@@ -168,29 +168,30 @@
 }
 
 void CheckAgainstFleet(const TomlTable& table, const Fleet& fleet, const Fault& fault) {
-  if (NeedsOwnRegistry(fault.kind) && !fleet.own_registry) {
+  if (NeedsRegistryProcess(fault.kind) && !fleet.uses_registry_process) {
     table.Fail("what", "needs registry = true in [fleet]");
   }
-  if (fault.kind == FaultKind::kListDown && fleet.own_registry) {
-    table.Fail("what", "is of the stand-in; use list_kill");
+  if (fault.kind == FaultKind::kListDown && fleet.uses_registry_process) {
+    table.Fail("what", "applies only to the emulated list service; use list_kill with registry = true");
   }
   if (fault.kind == FaultKind::kListKill && fault.duration <= 0) {
-    table.Fail("for_s", "missing: when it is started again");
+    table.Fail("for_s", "missing: list_kill needs the time until the restart");
   }
-  const bool is_of_peers = fault.kind == FaultKind::kPeerConditions || fault.kind == FaultKind::kPeerCut;
-  if (is_of_peers && !fleet.peer_network) table.Fail("what", "needs peers = true in [fleet]");
+  const bool uses_peer_network =
+      fault.kind == FaultKind::kPeerConditions || fault.kind == FaultKind::kPeerCut;
+  if (uses_peer_network && !fleet.peer_network) table.Fail("what", "needs peers = true in [fleet]");
 }
 
 }  // namespace
 
 Fault ReadFault(TomlTable& table, const Experiment& experiment) {
-  const FaultWord& word = ReadFaultWord(table);
+  const FaultName& fault_name = ReadFaultName(table);
   Fault fault;
-  fault.kind = word.kind;
+  fault.kind = fault_name.kind;
   fault.at = kMillisPerSecond * table.Number("at_s", {0, experiment.traffic.duration / kMillisPerSecond});
   fault.duration = table.Seconds("for_s", 0, kNotNegative);
-  fault.description = word.word;
-  ReadTarget(table, experiment, word.target, fault);
+  fault.description = fault_name.name;
+  ReadTarget(table, experiment, fault_name.target, fault);
   ReadParameters(table, experiment, fault);
   CheckAgainstFleet(table, experiment.fleet, fault);
   table.RejectUnknownKeys();
--- a/src/lab/fault_reader.hpp
+++ b/src/lab/fault_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the [[faults]] of an experiment's file.
+// Reads the [[faults]] tables of an experiment's file.
 #ifndef GATEWAY_LAB_FAULT_READER_HPP_
 #define GATEWAY_LAB_FAULT_READER_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace gateway::lab {
 
-// Reads one fault. `experiment` has to have its fleet, hosts and traffic. Throws base::ConfigError.
+// Reads one fault. Fleet, hosts and traffic of `experiment` must already be set. Throws base::ConfigError.
 Fault ReadFault(base::TomlTable& table, const Experiment& experiment);
 
 }  // namespace gateway::lab
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kSeedsPerGateway = 1000;
-constexpr int kSeedShift = 20;  // seeds of different runs never meet
+constexpr int kSeedShift = 20;  // keeps the seeds of different runs apart
 
 json Classes(const Experiment& experiment) {
   json classes = json::array();
@@ -28,7 +28,7 @@
   return classes;
 }
 
-// Each tenant's quota is its share of the capacity of all hosts.
+// The quota of each tenant is its share of the capacity of all hosts.
 json Tenants(const Experiment& experiment) {
   double shares = 0;
   for (const auto& [name, share] : experiment.traffic.tenants) shares += share;
@@ -42,7 +42,7 @@
 json Settings(const Experiment& experiment, int gateway) {
   const Fleet& fleet = experiment.fleet;
   const HostWarmUp& warm_up = experiment.host_warm_up;
-  return {{"zone", fleet.zones[static_cast<std::size_t>(ZoneOfGateway(experiment, gateway))]},
+  return {{"zone", fleet.zones[static_cast<std::size_t>(GatewayZoneIndex(experiment, gateway))]},
           {"peersTotal", fleet.gateways},
           {"selfIndex", gateway},
           {"membershipMode", "ask"},
@@ -62,7 +62,7 @@
             {"fallMultiple", warm_up.overload_factor}}}};
 }
 
-// Where the gateway reaches each other one; its own address at its own place.
+// The addresses at which the gateway reaches each other one; its own entry is its own listen address.
 json Peers(const Experiment& experiment, const Addresses& addresses, int gateway) {
   json peers = json::array();
   if (!experiment.fleet.peer_network) return peers;
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-int ZoneOfGateway(const Experiment& experiment, int gateway) {
+int GatewayZoneIndex(const Experiment& experiment, int gateway) {
   return gateway % static_cast<int>(experiment.fleet.zones.size());
 }
 
@@ -96,7 +96,7 @@
               {"limits", {{"cores", 1.0}, {"memory_mb", fleet.memory_mb}, {"sockets", fleet.sockets}}},
               {"known", json::parse(start.known_list)},
               {"settings", Settings(experiment, gateway)}};
-  if (fleet.own_registry) config["discovery_endpoints"] = {list};
+  if (fleet.uses_registry_process) config["discovery_endpoints"] = {list};
   if (!start.state_folder.empty()) config["state_dir"] = start.state_folder;
   return config.dump();
 }
--- a/src/lab/gateway_config.hpp
+++ b/src/lab/gateway_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file of a gateway of an experiment: what NODE_CONFIG names.
+// The configuration file of a gateway of an experiment, to which NODE_CONFIG points.
 #ifndef GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 #define GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 
@@ -10,19 +10,19 @@
 
 namespace gateway::lab {
 
-// One process of a gateway.
+// The parameters of one start of a gateway process.
 struct GatewayStart {
   int gateway = 0;  // from 0
-  int number = 0;   // of its starts, from 0
+  int number = 0;   // of the start, from 0
   std::uint64_t seed = 0;
-  std::string known_list;    // the list at the start of the run, as JSON
-  std::string state_folder;  // empty: it saves no state
+  std::string known_list;    // the hosts at the start of the run, as JSON
+  std::string state_folder;  // empty: the gateway saves no state
 };
 
-// The zone of a gateway, as an index of Fleet::zones.
-int ZoneOfGateway(const Experiment& experiment, int gateway);
+// The zone of a gateway, as an index into Fleet::zones.
+int GatewayZoneIndex(const Experiment& experiment, int gateway);
 
-// Returns the text of the file, a JSON object.
+// Returns the content of the file, a JSON object.
 std::string GatewayConfigText(const Experiment& experiment, const Addresses& addresses,
                               const GatewayStart& start);
 
--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -22,7 +22,7 @@
 
 constexpr Millis kProbePeriod = 100;  // of the front balancer
 constexpr Millis kProbeTimeout = 1000;
-constexpr Millis kKillDelay = 3700;  // after SIGTERM: the longest deadline, 3 s, and a margin
+constexpr Millis kKillDelay = 3700;  // after SIGTERM: the longest deadline, 3 s, plus a margin
 constexpr Millis kSuccessorReadyWithin = 6000;
 constexpr Millis kSuccessorCheckPeriod = 50;
 constexpr Millis kExcuseAfterFault = 1000;  // after SIGCONT, and after a restarted process is ready
@@ -43,31 +43,31 @@
   }
 }
 
-void GatewayProcesses::EndAll() {
-  ending_ = true;
-  processes_.EndAll();
+void GatewayProcesses::KillAll() {
+  shutting_down_ = true;
+  processes_.KillAll();
 }
 
 pid_t GatewayProcesses::Start(int gateway) {
   const Fleet& fleet = env_.experiment.fleet;
-  const int number = At(gateway).starts++;
+  const int start_number = At(gateway).start_count++;
   const std::filesystem::path folder = env_.folder / fmt::format("g{}", gateway);
   const std::filesystem::path temporary = folder / "tmp";
   std::filesystem::create_directories(temporary);
   GatewayStart start;
   start.gateway = gateway;
-  start.number = number;
+  start.number = start_number;
   start.seed = env_.seed;
   start.known_list = env_.known_lists[static_cast<std::size_t>(gateway)];
   if (fleet.saves_state) start.state_folder = (folder / "state").string();
-  const std::filesystem::path config = folder / fmt::format("config-{}.json", number);
+  const std::filesystem::path config = folder / fmt::format("config-{}.json", start_number);
   std::ofstream(config) << GatewayConfigText(env_.experiment, env_.addresses, start);
   env_.on_start(gateway);
-  return processes_.Start(SpecOf(gateway, number, config, temporary));
+  return processes_.Start(MakeProcessSpec(gateway, start_number, config, temporary));
 }
 
-ProcessSpec GatewayProcesses::SpecOf(int gateway, int start, const std::filesystem::path& config,
-                                     const std::filesystem::path& temporary) const {
+ProcessSpec GatewayProcesses::MakeProcessSpec(int gateway, int start, const std::filesystem::path& config,
+                                              const std::filesystem::path& temporary) const {
   const Fleet& fleet = env_.experiment.fleet;
   ProcessSpec spec;
   spec.command = env_.command;
@@ -107,7 +107,7 @@
   return text;
 }
 
-bool GatewayProcesses::TakesConnections(int gateway, Millis now) const {
+bool GatewayProcesses::AcceptsConnections(int gateway, Millis now) const {
   return At(gateway).balancer_view.SendsConnections(now);
 }
 
@@ -131,14 +131,14 @@
                        });
 }
 
-void GatewayProcesses::OnProbeResult(int number, const ClientConnection::Result& result) {
-  Gateway& gateway = At(number);
+void GatewayProcesses::OnProbeResult(int index, const ClientConnection::Result& result) {
+  Gateway& gateway = At(index);
   const bool answered = result.failure == ClientConnection::Failure::kNone;
   gateway.balancer_view.OnProbe(MonotonicNow(), !answered     ? FrontBalancerView::Probe::kNoAnswer
                                                 : result.ok() ? FrontBalancerView::Probe::kReady
                                                               : FrontBalancerView::Probe::kNotReady);
   if (!result.ok() || gateway.pid == 0 || std::exchange(gateway.ready, true)) return;
-  env_.add_event(fmt::format("gateway {} is ready", number));
+  env_.add_event(fmt::format("gateway {} is ready", index));
   if (gateway.excused_until == kForever) gateway.excused_until = MonotonicNow() + kExcuseAfterFault;
 }
 
@@ -147,10 +147,10 @@
   gateway.excused_until = kForever;
 }
 
-void GatewayProcesses::Kill(int number, Millis restart_delay) {
-  Gateway& gateway = At(number);
+void GatewayProcesses::Kill(int index, Millis restart_delay) {
+  Gateway& gateway = At(index);
   BeginExcuse(gateway);
-  gateway.ends_by_fault = true;
+  gateway.end_expected = true;
   gateway.restart_delay = restart_delay;
   gateway.ready = false;
   processes_.Signal(gateway.pid, SIGKILL);
@@ -173,15 +173,15 @@
   });
 }
 
-void GatewayProcesses::Terminate(int number, Millis restart_delay) {
-  Gateway& gateway = At(number);
-  gateway.ends_by_fault = true;
+void GatewayProcesses::Terminate(int index, Millis restart_delay) {
+  Gateway& gateway = At(index);
+  gateway.end_expected = true;
   gateway.restart_delay = restart_delay;
   gateway.ready = false;
   processes_.Signal(gateway.pid, SIGTERM);
-  KillAfterGrace(gateway, [this, number, pid = gateway.pid] {
-    if (At(number).pid != pid) return;
-    env_.add_event(fmt::format("gateway {} had to be killed after SIGTERM", number));
+  KillAfterGrace(gateway, [this, index, pid = gateway.pid] {
+    if (At(index).pid != pid) return;
+    env_.add_event(fmt::format("gateway {} did not exit after SIGTERM and is killed", index));
     processes_.Signal(pid, SIGKILL);
   });
 }
@@ -193,63 +193,63 @@
 
 // Asks the new process at its management address whether it is ready.
 void GatewayProcesses::CheckSuccessor(int gateway, Millis until) {
-  lab::CheckGateway(env_.io, env_.addresses.Management(gateway, At(gateway).starts - 1),
+  lab::CheckGateway(env_.io, env_.addresses.Management(gateway, At(gateway).start_count - 1),
                     [this, gateway, until](bool success) { OnSuccessorCheck(gateway, until, success); });
 }
 
 // The old process gets SIGTERM when the new one is ready.
-void GatewayProcesses::OnSuccessorCheck(int number, Millis until, bool success) {
-  Gateway& gateway = At(number);
+void GatewayProcesses::OnSuccessorCheck(int index, Millis until, bool success) {
+  Gateway& gateway = At(index);
   if (success && gateway.successor != 0) {
-    env_.add_event(fmt::format("the replacement of gateway {} says yes", number));
+    env_.add_event(fmt::format("the replacement of gateway {} is ready", index));
     const pid_t old = std::exchange(gateway.pid, std::exchange(gateway.successor, 0));
     processes_.Signal(old, SIGTERM);
     return KillAfterGrace(gateway, [this, old] { processes_.Signal(old, SIGKILL); });
   }
   if (MonotonicNow() > until) {
-    env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} did not say yes in time", number));
+    env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} was not ready in time", index));
     return;
   }
   gateway.process_timer.expires_after(TimerDuration(kSuccessorCheckPeriod));
-  gateway.process_timer.async_wait([this, number, until](error_code ec) {
-    if (!ec) CheckSuccessor(number, until);
+  gateway.process_timer.async_wait([this, index, until](error_code ec) {
+    if (!ec) CheckSuccessor(index, until);
   });
 }
 
 void GatewayProcesses::OnProcessEnd(const ProcessEnd& end) {
   cpu_time_ += ToMillis(end.usage.ru_utime) + ToMillis(end.usage.ru_stime);
   max_memory_mb_ = std::max(max_memory_mb_, static_cast<double>(end.usage.ru_maxrss) / kBytesPerKb);
-  if (ending_) return;
-  for (int number = 0; number < count(); ++number) {
-    Gateway& gateway = At(number);
+  if (shutting_down_) return;
+  for (int index = 0; index < count(); ++index) {
+    Gateway& gateway = At(index);
     if (gateway.successor == end.pid) {
       gateway.successor = 0;
       env_.rules.OnGatewayCrashed(
-          fmt::format("the replacement of gateway {} ended with {}", number, end.StatusText()));
+          fmt::format("the replacement of gateway {} ended with {}", index, end.StatusText()));
     }
-    if (gateway.pid == end.pid) return OnGatewayEnd(number, end);
+    if (gateway.pid == end.pid) return OnGatewayEnd(index, end);
   }
 }
 
-void GatewayProcesses::OnGatewayEnd(int number, const ProcessEnd& end) {
-  Gateway& gateway = At(number);
+void GatewayProcesses::OnGatewayEnd(int index, const ProcessEnd& end) {
+  Gateway& gateway = At(index);
   gateway.pid = 0;
   gateway.ready = false;
-  if (!std::exchange(gateway.ends_by_fault, false)) {
-    env_.rules.OnGatewayCrashed(fmt::format("gateway {} ended with {}", number, end.StatusText()));
+  if (!std::exchange(gateway.end_expected, false)) {
+    env_.rules.OnGatewayCrashed(fmt::format("gateway {} ended with {}", index, end.StatusText()));
     return;
   }
-  env_.add_event(fmt::format("gateway {} has ended with {}", number, end.StatusText()));
-  RestartLater(number);
+  env_.add_event(fmt::format("gateway {} has ended with {}", index, end.StatusText()));
+  RestartLater(index);
 }
 
-void GatewayProcesses::RestartLater(int number) {
-  Gateway& gateway = At(number);
+void GatewayProcesses::RestartLater(int index) {
+  Gateway& gateway = At(index);
   gateway.process_timer.expires_after(TimerDuration(gateway.restart_delay));
-  gateway.process_timer.async_wait([this, number](error_code ec) {
+  gateway.process_timer.async_wait([this, index](error_code ec) {
     if (ec) return;
-    At(number).pid = Start(number);
-    env_.add_event(fmt::format("gateway {} is started", number));
+    At(index).pid = Start(index);
+    env_.add_event(fmt::format("gateway {} has been restarted", index));
   });
 }
 
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -1,4 +1,4 @@
-// The gateways of one run as processes: their starts and ends, and what the front balancer sees of them.
+// The gateway processes of one run: starts, stops, replaces and probes them.
 #ifndef GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 #define GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 
@@ -22,11 +22,11 @@
 
 namespace gateway::lab {
 
-// Gateways are numbered from 0. To be used in the thread of the io_context. A process that ends though no
-// fault ended it counts as a violation.
+// Gateways are numbered from 0. Must be used in the thread of the io_context. A process that ends without a
+// fault that ends it counts as a violation.
 class GatewayProcesses {
  public:
-  // All references outlive the processes.
+  // The referenced objects must outlive this object.
   struct Environment {
     boost::asio::io_context& io;
     const Experiment& experiment;
@@ -34,42 +34,42 @@
     RuleChecker& rules;
     std::string command;  // for /bin/sh
     std::uint64_t seed;
-    std::filesystem::path folder;                       // for configurations, states and TMPDIRs
+    std::filesystem::path folder;                       // for configurations, saved states and TMPDIRs
     std::string log_folder;                             // empty: logs are dropped
-    std::vector<std::string> known_lists;               // by gateway, at the start of the run, as JSON
-    std::function<void(int gateway)> on_start;          // a process is about to start
-    std::function<void(const std::string&)> add_event;  // to the events of the run
+    std::vector<std::string> known_lists;               // hosts at the start of the run by gateway, as JSON
+    std::function<void(int gateway)> on_start;          // called before each start of a process
+    std::function<void(const std::string&)> add_event;  // adds to the events of the run
   };
   explicit GatewayProcesses(Environment environment);
-  ~GatewayProcesses() { EndAll(); }
+  ~GatewayProcesses() { KillAll(); }
 
   int count() const { return env_.experiment.fleet.gateways; }
 
-  // Throws std::runtime_error where a process can't be started.
+  // Throws std::runtime_error if a process can't be started.
   void StartAll();
 
   bool AllReady() const;
 
-  // Which gateways are not ready, in words.
+  // Returns a text that lists the gateways that are not ready.
   std::string DescribeNotReady() const;
 
   // Whether the front balancer sends new connections to the gateway.
-  bool TakesConnections(int gateway, Millis now) const;
+  bool AcceptsConnections(int gateway, Millis now) const;
 
-  // Whether a fault ended or stopped the gateway at any time since `since`.
+  // Whether a fault had killed or stopped the gateway at any time since `since`.
   bool IsExcused(int gateway, Millis since) const;
 
-  // Faults. A gateway that is killed or terminated starts again so long after its end.
-  void Kill(int number, Millis restart_delay);
+  // Faults. A gateway that is killed or terminated is restarted `restart_delay` after its process has ended.
+  void Kill(int index, Millis restart_delay);
   void Stop(int gateway);
   void Continue(int gateway);
-  void Terminate(int number, Millis restart_delay);
+  void Terminate(int index, Millis restart_delay);
   void Replace(int gateway);
 
-  // Kills all processes and waits for their ends, which count in the figures.
-  void EndAll();
+  // Kills all processes and waits for them; their resource usage counts in the figures.
+  void KillAll();
 
-  // Of all processes that have ended.
+  // Total CPU time and largest resident memory of the processes that have ended.
   Millis cpu_time() const { return cpu_time_; }
   double max_memory_mb() const { return max_memory_mb_; }
 
@@ -79,39 +79,39 @@
         : balancer_view(detection_delay), probe_timer(io), process_timer(io) {}
     pid_t pid = 0;        // 0: no process
     pid_t successor = 0;  // while the process is being replaced
-    int starts = 0;
-    bool ready = false;  // the process has answered that it is
+    int start_count = 0;
+    bool ready = false;  // the current process has answered a probe with success
     FrontBalancerView balancer_view;
     std::shared_ptr<base::ClientConnection> probe_connection;
     boost::asio::steady_timer probe_timer;
     boost::asio::steady_timer process_timer;  // for a restart, a kill or a check of the successor
-    bool ends_by_fault = false;
+    bool end_expected = false;
     Millis restart_delay = 0;
     Millis excused_from = -1;   // negative: never
-    Millis excused_until = -1;  // infinite while the fault lasts
+    Millis excused_until = -1;  // infinite while the fault is active
   };
 
   Gateway& At(int gateway) { return *gateways_[static_cast<std::size_t>(gateway)]; }
   const Gateway& At(int gateway) const { return *gateways_[static_cast<std::size_t>(gateway)]; }
   pid_t Start(int gateway);
-  ProcessSpec SpecOf(int gateway, int start, const std::filesystem::path& config,
-                     const std::filesystem::path& temporary) const;
+  ProcessSpec MakeProcessSpec(int gateway, int start, const std::filesystem::path& config,
+                              const std::filesystem::path& temporary) const;
   void Probe(int gateway);
-  void OnProbeResult(int number, const base::ClientConnection::Result& result);
+  void OnProbeResult(int index, const base::ClientConnection::Result& result);
   void BeginExcuse(Gateway& gateway);
   void KillAfterGrace(Gateway& gateway, std::function<void()> kill);
   void CheckSuccessor(int gateway, Millis until);
-  void OnSuccessorCheck(int number, Millis until, bool success);
+  void OnSuccessorCheck(int index, Millis until, bool success);
   void OnProcessEnd(const ProcessEnd& end);
-  void OnGatewayEnd(int number, const ProcessEnd& end);
-  void RestartLater(int number);
+  void OnGatewayEnd(int index, const ProcessEnd& end);
+  void RestartLater(int index);
 
   Environment env_;
   std::vector<std::unique_ptr<Gateway>> gateways_;
-  bool ending_ = false;
+  bool shutting_down_ = false;
   Millis cpu_time_ = 0;
   double max_memory_mb_ = 0;
-  Processes processes_;  // last: its end reports the ends of processes
+  Processes processes_;  // last member: its destructor calls OnProcessEnd
 };
 
 }  // namespace gateway::lab
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -29,7 +29,7 @@
 // Runs in the child between fork and exec, where only async-signal-safe calls are allowed.
 [[noreturn]] void ExecChild(const ProcessSpec& spec, char* const* arguments, char* const* environment,
                             pid_t lab) {
-  setpgid(0, 0);  // a Ctrl-C goes to the lab alone
+  setpgid(0, 0);  // so that only the lab gets SIGINT on Ctrl-C
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != lab) _exit(kLabEndedExitCode);
   const int log = open(spec.log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -39,17 +39,18 @@
   dup2(log, 1);
   dup2(log, 2);
   close_range(3, ~0U, 0);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   SetLimit(RLIMIT_NOFILE, spec.max_descriptors);
   SetLimit(RLIMIT_FSIZE, spec.max_file_bytes);
   execve("/bin/sh", arguments, environment);
   _exit(kNoShellExitCode);
 }
 
-// The lab's environment, but for what a platform would set for a gateway, and the variables of the process.
-std::vector<std::string> EnvironmentOf(const ProcessSpec& spec) {
+// Returns the variables of the process and the lab's environment without the variables that configure a
+// gateway.
+std::vector<std::string> BuildEnvironment(const ProcessSpec& spec) {
   std::vector<std::string> variables;
   for (const auto& [name, value] : spec.variables) variables.push_back(name + "=" + value);
   for (char** inherited = environ; *inherited != nullptr; ++inherited) {
@@ -85,7 +86,7 @@
   std::string shell = "sh";
   std::string flag = "-c";
   char* arguments[] = {shell.data(), flag.data(), command.data(), nullptr};
-  std::vector<std::string> variables = EnvironmentOf(spec);
+  std::vector<std::string> variables = BuildEnvironment(spec);
   std::vector<char*> environment;
   environment.reserve(variables.size() + 1);
   for (std::string& variable : variables) environment.push_back(variable.data());
@@ -110,10 +111,10 @@
     if (wait4(pid, &end.status, WNOHANG, &end.usage) == pid) ends.push_back(end);
   }
   for (const ProcessEnd& end : ends) running_.erase(end.pid);
-  for (const ProcessEnd& end : ends) on_end_(end);  // may start a process
+  for (const ProcessEnd& end : ends) on_end_(end);  // may start another process
 }
 
-void Processes::EndAll() {
+void Processes::KillAll() {
   for (const pid_t pid : running_) kill(pid, SIGKILL);
   while (!running_.empty()) {
     ProcessEnd end;
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -1,5 +1,5 @@
-// The processes that the lab starts. They have limits of their own, and the kernel kills them when the lab
-// dies.
+// Starts and reaps the child processes of the lab. They have resource limits of their own, and the kernel
+// kills them if the lab dies.
 #ifndef GATEWAY_LAB_PROCESSES_HPP_
 #define GATEWAY_LAB_PROCESSES_HPP_
 
@@ -22,38 +22,38 @@
 using base::Millis;
 
 struct ProcessSpec {
-  std::string command;                                         // for /bin/sh
-  std::vector<std::pair<std::string, std::string>> variables;  // added to the environment of the lab
-  std::string log;                    // file that standard output and error are appended to
-  std::uint64_t max_descriptors = 0;  // 0: the limit of the lab
-  std::uint64_t max_file_bytes = 0;   // 0: the limit of the lab
+  std::string command;                                         // run by /bin/sh
+  std::vector<std::pair<std::string, std::string>> variables;  // added to the lab's environment
+  std::string log;                    // file to which standard output and error are appended
+  std::uint64_t max_descriptors = 0;  // 0: same limit as the lab
+  std::uint64_t max_file_bytes = 0;   // 0: same limit as the lab
 };
 
 struct ProcessEnd {
   pid_t pid = 0;
-  int status = 0;  // as of wait()
+  int status = 0;  // as returned by wait()
   rusage usage{};
 
-  std::string StatusText() const;  // "exit code 1" or "signal 9"
+  std::string StatusText() const;  // such as "exit code 1" or "signal 9"
 };
 
-// To be used in the thread of the io_context.
+// Must be used in the thread of the io_context.
 class Processes {
  public:
   using OnEnd = std::function<void(const ProcessEnd&)>;
 
-  // `on_end` is called once for each process.
+  // Calls `on_end` once for each process that has ended.
   Processes(boost::asio::io_context& io, OnEnd on_end);
-  ~Processes() { EndAll(); }
+  ~Processes() { KillAll(); }
 
-  // Throws std::runtime_error where no process can be started.
+  // Throws std::runtime_error if the process can't be started.
   pid_t Start(const ProcessSpec& spec);
 
-  // Does nothing for a process that has ended or is not of these.
+  // Does nothing if the process has ended or was not started by this object.
   void Signal(pid_t pid, int signal);
 
-  // Kills all processes and returns when none is left.
-  void EndAll();
+  // Kills all processes and waits until they have ended.
+  void KillAll();
 
  private:
   void Reap();
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -29,19 +29,19 @@
 
 constexpr Millis kCallTimeout = 20000;
 constexpr Millis kChangePeriod = 100;
-constexpr Millis kStepTimeout = 120000;  // of any step of the measurement
+constexpr Millis kStepTimeout = 120000;  // for each step of the measurement
 constexpr Millis kWatchTimeout = 60000;
 constexpr Millis kWatchGrace = 10000;
 constexpr Millis kRenewalTick = 2;
-constexpr Millis kSyncMeasurement = 1000;
-constexpr std::size_t kRecordBytes = 160;  // as large as the records of the service
+constexpr Millis kSyncMeasurementTime = 1000;
+constexpr std::size_t kRecordBytes = 160;  // size of the service's records
 constexpr std::size_t kRenewers = 64;      // connections that renew leases
 constexpr int kRenewalsPerTerm = 3;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
 constexpr double kKilobytesPerMegabyte = 1024;
 
-std::string GetText(const std::string& target) { return base::GetRequest(target, "r"); }
+std::string GetRequestText(const std::string& target) { return base::GetRequest(target, "r"); }
 
 std::uint64_t ToMicros(Millis time) {
   return static_cast<std::uint64_t>(std::max(0.0, kMicrosPerMilli * time));
@@ -54,44 +54,44 @@
 
   std::map<std::string, double> Run() {
     figures_["disk_syncs_per_s"] = MeasureSyncRate();
-    Start();
+    StartService();
     MeasureRegistration();
-    Renew();
-    MeasureWatchers();
-    TimeChanges();
-    StopWatching();
+    RenewDueLeases();
+    MeasureWatcherMemory();
+    MeasureChanges();
+    StopWatchers();
     MeasureWrites();
     MeasureRestart();
-    processes_.EndAll();
+    processes_.KillAll();
     return figures_;
   }
 
  private:
-  // All members register at once.
+  // Registers all members concurrently.
   void MeasureRegistration() {
-    const Millis begun = MonotonicNow();
-    WriteAll(load_.members, [this](int i) { return Register(i); });
-    figures_["register_all_s"] = (MonotonicNow() - begun) / kMillisPerSecond;
+    const Millis started_at = MonotonicNow();
+    SendCommands(load_.members, [this](int i) { return MakeRegistration(i); });
+    figures_["register_all_s"] = (MonotonicNow() - started_at) / kMillisPerSecond;
   }
 
-  void MeasureWatchers() {
+  void MeasureWatcherMemory() {
     const double memory_before = ResidentKilobytes();
-    Watch();
+    StartWatchers();
     figures_["memory_kb_per_watcher"] = (ResidentKilobytes() - memory_before) / std::max(1, load_.watchers);
   }
 
-  void StopWatching() {
+  void StopWatchers() {
     watching_ = false;
     watchers_.clear();
   }
 
-  // Writes beside the renewals, without watchers.
+  // Writes while leases are renewed, without watchers.
   void MeasureWrites() {
     const double syncs_before = Metric("syncs_total");
     const double writes_before = Metric("writes_total");
-    const Millis begun = MonotonicNow();
-    WriteAll(load_.history, [this](int i) { return Change(registry::Action::kSetSize, i); });
-    const double seconds = (MonotonicNow() - begun) / kMillisPerSecond;
+    const Millis started_at = MonotonicNow();
+    SendCommands(load_.history, [this](int i) { return MakeChange(registry::Action::kSetSize, i); });
+    const double seconds = (MonotonicNow() - started_at) / kMillisPerSecond;
     const double syncs = Metric("syncs_total") - syncs_before;
     figures_["writes_per_s"] = load_.history / seconds;
     figures_["writes_per_disk_sync"] = load_.history / seconds / figures_["disk_syncs_per_s"];
@@ -103,15 +103,15 @@
     figures_["renewals_failed"] = renewals_failed_;
     renewing_ = false;
     processes_.Signal(pid_, SIGKILL);
-    const Millis begun = MonotonicNow();
-    Start();
-    figures_["back_after_kill_ms"] = MonotonicNow() - begun;
+    const Millis started_at = MonotonicNow();
+    StartService();
+    figures_["back_after_kill_ms"] = MonotonicNow() - started_at;
     const json list = json::parse(Get("/registry/members"), nullptr, /*allow_exceptions=*/false);
     figures_["members_after_kill"] = static_cast<double>(list["members"].size());
   }
 
   static std::string MemberId(int i) { return fmt::format("m-{:05d}", i); }
-  registry::Command Register(int i) const {
+  registry::Command MakeRegistration(int i) const {
     registry::Command command;
     command.member.id = MemberId(i);
     command.member.address = fmt::format("10.{}.{}.{}:3000", 1 + i / 62500, i / 250 % 250, 1 + i % 250);
@@ -121,7 +121,7 @@
     command.member.lease_duration = load_.term;
     return command;
   }
-  registry::Command Change(registry::Action action, int i) const {
+  registry::Command MakeChange(registry::Action action, int i) const {
     registry::Command command;
     command.action = action;
     command.member.id = MemberId(i % load_.members);
@@ -130,7 +130,7 @@
     return command;
   }
 
-  // Syncs per second of records as large as those of the service.
+  // Returns the syncs per second of records of the same size as the service's.
   double MeasureSyncRate() {
     const auto files = storage::MakePosixFileSystem();
     std::unique_ptr<storage::File> file;
@@ -139,14 +139,16 @@
     }
     const std::string record(kRecordBytes, 'x');
     int syncs = 0;
-    const Millis begun = MonotonicNow();
-    for (; MonotonicNow() < begun + kSyncMeasurement; ++syncs) {
-      if (!file->Append(record).ok() || !file->Sync().ok()) throw std::runtime_error("the disk fails a sync");
+    const Millis started_at = MonotonicNow();
+    for (; MonotonicNow() < started_at + kSyncMeasurementTime; ++syncs) {
+      if (!file->Append(record).ok() || !file->Sync().ok()) {
+        throw std::runtime_error("can't write or sync a file on the disk");
+      }
     }
-    return syncs / ((MonotonicNow() - begun) / kMillisPerSecond);
+    return syncs / ((MonotonicNow() - started_at) / kMillisPerSecond);
   }
 
-  void Start() {
+  void StartService() {
     const auto config = folder_.path() / "registry.toml";
     std::ofstream(config) << "listen = \"" << Addresses::Text(addresses_.Registry()) << "\"\nstate_dir = \""
                           << (folder_.path() / "state").string()
@@ -162,13 +164,14 @@
     while (!up && MonotonicNow() < until) {
       const auto connection = std::make_shared<ClientConnection>(io_, addresses_.Registry());
       bool done = false;
-      connection->Exchange(GetText("/registry/status"), kCallTimeout, [&](ClientConnection::Result result) {
-        done = true;
-        up = result.ok();
-      });
+      connection->Exchange(GetRequestText("/registry/status"), kCallTimeout,
+                           [&](ClientConnection::Result result) {
+                             done = true;
+                             up = result.ok();
+                           });
       RunUntil([&] { return done; });
     }
-    if (!up) throw std::runtime_error("the list service does not answer");
+    if (!up) throw std::runtime_error("the list service does not respond");
   }
 
   template <typename Done>
@@ -183,7 +186,7 @@
   std::string Get(const std::string& target) {
     std::optional<std::string> body;
     std::make_shared<ClientConnection>(io_, addresses_.Registry())
-        ->Exchange(GetText(target), kCallTimeout,
+        ->Exchange(GetRequestText(target), kCallTimeout,
                    [&](ClientConnection::Result result) { body = result.response.body(); });
     RunUntil([&] { return body.has_value(); });
     return *body;
@@ -207,17 +210,17 @@
     return 0;
   }
 
-  // Sends `count` commands over the writers' connections, each of which sends its next one when the last is
-  // answered. `make` returns the i-th command.
-  template <typename Make>
-  void WriteAll(int count, Make make) {
+  // Sends `count` commands over the writers' connections, each of which sends its next command when the
+  // previous one is answered. `make_command` returns the i-th command.
+  template <typename MakeCommand>
+  void SendCommands(int count, MakeCommand make_command) {
     int next = 0;
     int done = 0;
     int failed = 0;
     std::function<void(std::shared_ptr<ClientConnection>)> write =
         [&](std::shared_ptr<ClientConnection> connection) {
           if (next >= count) return;
-          connection->Exchange(EncodeRequest(make(next++)), kCallTimeout,
+          connection->Exchange(EncodeRequest(make_command(next++)), kCallTimeout,
                                [&, connection](ClientConnection::Result result) {
                                  ++done;
                                  failed += result.ok() ? 0 : 1;
@@ -228,26 +231,26 @@
       write(std::make_shared<ClientConnection>(io_, addresses_.Registry()));
     }
     RunUntil([&] { return done >= count || failed > 0; });
-    if (failed > 0) throw std::runtime_error("a write failed");
+    if (failed > 0) throw std::runtime_error("a write to the list service failed");
   }
 
-  // Members renew their leases in turn, evenly spread.
-  void Renew() {
+  // Renews the leases of the members in turn, evenly distributed over time.
+  void RenewDueLeases() {
     if (!renewing_) return;
     const Millis now = MonotonicNow();
     if (renewed_at_ == 0) renewed_at_ = now;
     while (renewed_at_ < now) {
       renewed_at_ += load_.term / kRenewalsPerTerm / load_.members;
-      RenewNext();
+      RenewNextLease();
     }
     renewal_timer_.expires_after(TimerDuration(kRenewalTick));
     renewal_timer_.async_wait([this](error_code ec) {
-      if (!ec) Renew();
+      if (!ec) RenewDueLeases();
     });
   }
 
-  // Leaves a renewal out where the last one on its connection has not been answered.
-  void RenewNext() {
+  // Skips a renewal if the previous one on its connection has not been answered.
+  void RenewNextLease() {
     Renewer& renewer = renewers_[static_cast<std::size_t>(next_renewal_) % kRenewers];
     if (std::exchange(renewer.busy, true)) {
       ++next_renewal_;
@@ -265,61 +268,63 @@
         });
   }
 
-  void Watch() {
+  void StartWatchers() {
     const json list = json::parse(Get("/discovery/hosts"), nullptr, false);
     for (int i = 0; i < load_.watchers; ++i) {
       watchers_.push_back(std::make_shared<ClientConnection>(io_, addresses_.Registry()));
-      Wait(i, list["revision"]);
+      WatchNextRevision(i, list["revision"]);
     }
     RunUntil([this] { return Metric("watches") >= load_.watchers; });
   }
 
-  // Lists begin with {"revision":N, which is enough to read here.
-  static std::int64_t RevisionOf(const std::string& list) {
+  // Reads the revision from the start of a list, which is {"revision":N; the rest is not needed here.
+  static std::int64_t ParseRevision(const std::string& list) {
     constexpr std::string_view kPrefix = "{\"revision\":";
     return std::atoll(list.c_str() + kPrefix.size());
   }
 
-  void Wait(int watcher, std::int64_t after) {
+  void WatchNextRevision(int watcher, std::int64_t after) {
     watchers_[static_cast<std::size_t>(watcher)]->Exchange(
-        GetText(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", after, kWatchTimeout)),
+        GetRequestText(fmt::format("/discovery/hosts?after={}&wait_ms={:.0f}", after, kWatchTimeout)),
         kWatchTimeout + kWatchGrace, [this, watcher, after](ClientConnection::Result result) {
           if (!watching_) return;
           if (result.failure != ClientConnection::Failure::kNone) return void(++watch_failures_);
-          const std::int64_t revision = RevisionOf(result.response.body());
-          if (revision > after && answered_at_ > 0) {
-            delays_.Add(ToMicros(MonotonicNow() - answered_at_));
+          const std::int64_t revision = ParseRevision(result.response.body());
+          if (revision > after && change_answered_at_ > 0) {
+            notification_delays_.Add(ToMicros(MonotonicNow() - change_answered_at_));
             ++notified_;
           } else if (revision > after) {
-            early_.push_back(MonotonicNow());
+            early_events_.push_back(MonotonicNow());
           }
-          Wait(watcher, revision);
+          WatchNextRevision(watcher, revision);
         });
   }
 
-  void TimeChanges() {
+  void MeasureChanges() {
     const auto writer = std::make_shared<ClientConnection>(io_, addresses_.Registry());
     for (int i = 0; i < load_.changes; ++i) {
       notified_ = 0;
-      answered_at_ = 0;
-      early_.clear();
-      writer->Exchange(EncodeRequest(Change(registry::Action::kDrain, i)), kCallTimeout,
+      change_answered_at_ = 0;
+      early_events_.clear();
+      writer->Exchange(EncodeRequest(MakeChange(registry::Action::kDrain, i)), kCallTimeout,
                        [this](ClientConnection::Result) {
-                         answered_at_ = MonotonicNow();  // the service answers when it has synced
-                         for (const Millis at : early_) delays_.Add(ToMicros(at - answered_at_));
-                         notified_ += static_cast<int>(early_.size());
+                         change_answered_at_ = MonotonicNow();  // the service answers when it has synced
+                         for (const Millis at : early_events_) {
+                           notification_delays_.Add(ToMicros(at - change_answered_at_));
+                         }
+                         notified_ += static_cast<int>(early_events_.size());
                        });
-      RunUntil([this] { return answered_at_ > 0 && notified_ + watch_failures_ >= load_.watchers; });
-      const Millis next = answered_at_ + kChangePeriod;
+      RunUntil([this] { return change_answered_at_ > 0 && notified_ + watch_failures_ >= load_.watchers; });
+      const Millis next = change_answered_at_ + kChangePeriod;
       RunUntil([next] { return MonotonicNow() >= next; });
     }
-    WriteDelays();
+    WriteNotificationDelays();
   }
 
-  void WriteDelays() {
+  void WriteNotificationDelays() {
     for (const auto& [name, share] : {std::pair("p50", 0.5), {"p99", 0.99}, {"max", 1.0}}) {
       figures_[fmt::format("change_to_watcher_{}_ms", name)] =
-          static_cast<double>(delays_.Quantile(share)) / kMicrosPerMilli;
+          static_cast<double>(notification_delays_.Quantile(share)) / kMicrosPerMilli;
     }
     figures_["watches_failed"] = watch_failures_;
   }
@@ -337,13 +342,13 @@
   std::array<Renewer, kRenewers> renewers_;
   std::vector<std::shared_ptr<ClientConnection>> watchers_;
   std::map<std::string, double> figures_;
-  base::Histogram delays_;     // from the answer to a change to its watch event, in microseconds
-  std::vector<Millis> early_;  // watch events that came before the answer to the change
-  Millis renewed_at_ = 0;      // when the last renewal was due
-  Millis answered_at_ = 0;     // when the current change was answered; 0: not yet
+  base::Histogram notification_delays_;  // from the response to a change to its watch event, in microseconds
+  std::vector<Millis> early_events_;     // watch events that arrived before the response to the change
+  Millis renewed_at_ = 0;                // when the latest renewal was due
+  Millis change_answered_at_ = 0;        // when the current change was answered; 0: not yet
   int next_renewal_ = 0;
   int renewals_failed_ = 0;
-  int notified_ = 0;  // watchers of the current change
+  int notified_ = 0;  // watchers that have received the current change
   int watch_failures_ = 0;
   bool renewing_ = true;
   bool watching_ = true;
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -1,6 +1,6 @@
-// Measures how much load the project's own list service takes: many members that renew, many watchers,
-// changes, and a crash of its process, against a real process on this machine's loopback and disk. The rate
-// at which the disk syncs is measured in the same run.
+// Measures the capacity of the project's list service: renewals of many members, many watchers, changes, and
+// a crash of its process. It runs a real process on this machine's loopback interface and disk, and measures
+// the sync rate of the disk in the same run.
 #ifndef GATEWAY_LAB_REGISTRY_LOAD_HPP_
 #define GATEWAY_LAB_REGISTRY_LOAD_HPP_
 
@@ -12,16 +12,16 @@
 namespace gateway::lab {
 
 struct RegistryLoad {
-  std::string program;  // command of gatewayctl
+  std::string program;  // command that starts gatewayctl
   int members = 2000;   // each renews its lease three times in a term
   base::Millis term = 10000;
   int watchers = 1000;
-  int changes = 50;      // whose way to all watchers is timed, ten per second
-  int history = 100000;  // changes before the crash
-  int writers = 256;     // connections that write concurrently
+  int changes = 50;      // changes whose propagation to all watchers is measured, ten per second
+  int history = 100000;  // number of changes before the crash
+  int writers = 256;     // number of concurrent connections that write
 };
 
-// Returns the figures by name; names end with the unit. Blocks; uses SIGCHLD. Throws std::runtime_error where
+// Returns the figures by name; names end with the unit. Blocks; handles SIGCHLD. Throws std::runtime_error if
 // the service can't be started or is too slow for the load.
 std::map<std::string, double> MeasureRegistry(const RegistryLoad& load);
 
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -23,15 +23,15 @@
 constexpr int kRenewalsPerTerm = 3;
 constexpr double kMillisPerSecond = 1000;
 
-// kUnreadable where there was no response.
-registry::CommandResult ResultOf(const ClientConnection::Result& result) {
+// Returns the error kUnreadable if there was no response.
+registry::CommandResult ParseCommandResult(const ClientConnection::Result& result) {
   if (result.failure != ClientConnection::Failure::kNone) {
     return registry::CommandResult::Failed({registry::ErrorCode::kUnreadable, "", "no response"});
   }
   return registry::ParseResult(result.response.result_int(), result.response.body());
 }
 
-// Whether the result is unknown, or the service is not available now.
+// Whether the result is unknown or the service is temporarily unavailable.
 bool ShouldRetry(const registry::CommandResult& result) {
   constexpr unsigned kServiceUnavailable = 503;
   return result.code() == registry::ErrorCode::kUnreadable ||
@@ -51,9 +51,9 @@
   }
 }
 
-void RegistryProcess::EndAll() {
-  ending_ = true;
-  processes_.EndAll();
+void RegistryProcess::KillAll() {
+  shutting_down_ = true;
+  processes_.KillAll();
 }
 
 void RegistryProcess::WriteConfig(const std::filesystem::path& path) const {
@@ -68,7 +68,7 @@
   const std::filesystem::path config = env_.folder / "registry.toml";
   if (starts_++ == 0) {
     WriteConfig(config);
-    // One after the other, 1 ms apart.
+    // Hosts register one after the other, 1 ms apart.
     for (int host = 0; host < static_cast<int>(agents_.size()); ++host) CallLater(host, kRetryDelay + host);
   }
   ProcessSpec spec;
@@ -121,7 +121,7 @@
                                const ClientConnection::Result& result) {
   Agent& agent = At(host);
   agent.calling = false;
-  const registry::CommandResult outcome = ResultOf(result);
+  const registry::CommandResult outcome = ParseCommandResult(result);
   OnRevision(outcome.revision);
   const bool outdated = !agent.host_up || agent.member.incarnation != incarnation;
   if (outdated || ShouldRetry(outcome)) return CallLater(host, kRetryDelay);
@@ -149,10 +149,10 @@
 
 void RegistryProcess::OnOperatorResult(const registry::Command& command,
                                        const ClientConnection::Result& result) {
-  const registry::CommandResult outcome = ResultOf(result);
+  const registry::CommandResult outcome = ParseCommandResult(result);
   OnRevision(outcome.revision);
   if (!ShouldRetry(outcome)) {
-    env_.add_event(fmt::format("{} of {} kept{}", CallName(command.action), command.member.id,
+    env_.add_event(fmt::format("{} of {} answered{}", CallName(command.action), command.member.id,
                                outcome.error ? ": " + ErrorCodeName(*outcome.error) : ""));
     return;
   }
@@ -189,7 +189,7 @@
 }
 
 void RegistryProcess::Kill(Millis restart_delay) {
-  ends_by_fault_ = true;
+  end_expected_ = true;
   restart_delay_ = restart_delay;
   processes_.Signal(pid_, SIGKILL);
 }
@@ -212,15 +212,15 @@
 }
 
 void RegistryProcess::OnProcessEnd(const ProcessEnd& end) {
-  if (end.pid != pid_ || ending_) return;
+  if (end.pid != pid_ || shutting_down_) return;
   pid_ = 0;
   env_.add_event("the list service has ended with " + end.StatusText());
-  if (!std::exchange(ends_by_fault_, false)) return;  // the gateways' lists show it
+  if (!std::exchange(end_expected_, false)) return;  // an unexpected end shows in the gateways' lists
   const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(restart_delay_));
   timer->async_wait([this, timer](error_code ec) {
-    if (ec || ending_) return;
+    if (ec || shutting_down_) return;
     Start();
-    env_.add_event("the list service is started");
+    env_.add_event("the list service has been restarted");
   });
 }
 
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -1,5 +1,5 @@
-// The project's own list service in a run: its process, and the agents of the emulated hosts, which register
-// with it and renew their leases.
+// The project's list service in a run: its process, and the agents of the emulated hosts, which register with
+// it and renew their leases.
 #ifndef GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 #define GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 
@@ -18,23 +18,23 @@
 
 namespace gateway::lab {
 
-// Hosts are numbered from 0. To be used in the thread of the io_context.
+// Hosts are numbered from 0. Must be used in the thread of the io_context.
 class RegistryProcess {
  public:
   struct Environment {
     boost::asio::io_context& io;
     tcp::endpoint address;
-    std::string program;           // `gatewayctl`
+    std::string program;           // command that starts gatewayctl
     std::filesystem::path folder;  // for its configuration and state
     std::string log;
     Millis lease_term;
     Millis lease_grace;
-    std::function<void(const std::string&)> add_event;  // to the events of the run
+    std::function<void(const std::string&)> add_event;  // adds to the events of the run
   };
   RegistryProcess(Environment environment, std::vector<registry::Member> hosts);
-  ~RegistryProcess() { EndAll(); }
+  ~RegistryProcess() { KillAll(); }
 
-  // Throws std::runtime_error where no process can be started.
+  // Throws std::runtime_error if the process can't be started.
   void Start();
 
   // Whether every host has been registered.
@@ -46,26 +46,26 @@
   void Kill(Millis restart_delay);
   void Stop();
   void Continue();
-  void SetDiskFull(bool full);            // no file of the service may grow
-  void SetMemberCut(int host, bool cut);  // the host serves, and can't reach the service
+  void SetDiskFull(bool full);            // the service's files can't grow
+  void SetMemberCut(int host, bool cut);  // the host serves, but can't reach the service
 
   // Changes of a host.
-  void StopRenewing(int host);  // its process has ended; its lease expires
+  void StopRenewing(int host);  // its process has ended, so its lease expires
   void Restart(int host, std::int64_t incarnation);
-  void Drain(int host);   // by an operator's call, repeated until the service has answered it
-  void Remove(int host);  // the same
+  void Drain(int host);   // by an operator's request, retried until the service answers it
+  void Remove(int host);  // likewise
 
-  // Takes note of a revision of the list that any party has got from the service.
+  // Records a revision of the list that a gateway, an agent or an operator has received from the service.
   void OnRevision(std::int64_t revision);
 
-  // The newest of these, and when it was seen first.
+  // The newest recorded revision, and when it was first received.
   std::int64_t newest_revision() const { return newest_revision_; }
   Millis newest_revision_at() const { return newest_revision_at_; }
 
   bool up() const { return pid_ != 0 && !stopped_; }
 
-  // Kills the process and waits for its end.
-  void EndAll();
+  // Kills the process and waits until it has ended.
+  void KillAll();
 
  private:
   // The agent of an emulated host.
@@ -96,8 +96,8 @@
   int starts_ = 0;
   int operator_calls_ = 0;
   bool stopped_ = false;
-  bool ends_by_fault_ = false;
-  bool ending_ = false;
+  bool end_expected_ = false;
+  bool shutting_down_ = false;
   Millis restart_delay_ = 0;
   std::int64_t newest_revision_ = 0;
   Millis newest_revision_at_ = 0;
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -73,7 +73,7 @@
 
 ScaleFleet::~ScaleFleet() {
   logs_.clear();  // they end as they should
-  processes_.EndAll();
+  processes_.KillAll();
 }
 
 void ScaleFleet::Write(const std::filesystem::path& path, const std::string& text) const {
