--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -10,17 +10,18 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMinimumAttemptTimeout = 1;
+constexpr Millis kMinimumAttemptTimeoutMs = 1;
 
 Millis ValidTimeLeft(Millis time_left) { return std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0; }
 
-// Replaces a latency that is no number or negative by the time since the attempt was sent.
+// Returns the reported latency, or the time since the attempt was sent if the report is negative or not
+// finite.
 Millis ValidLatency(Millis reported, const Attempt& attempt, Millis now) {
   const bool valid = std::isfinite(reported) && reported >= 0;
   return valid ? reported : now - attempt.sent_at;
 }
 
-// Never 0, which stands for no key.
+// Returns the hash of the routing key. The hash of a key is never 0, which stands for no key.
 std::uint64_t KeyHash(const std::string& key) { return key.empty() ? 0 : Hash(key) | 1; }
 
 }  // namespace
@@ -47,18 +48,18 @@
   ActiveRequest& active = *requests_.Add(request.id);
   Begin(active, request, found->second, context.now);
   ++log_.counters().arrived;
-  const Millis waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
-  // A client's retry whose objective has passed counts as beyond quota. Else an overload would feed on
-  // responses that come too late.
+  const Millis client_waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
+  // A client's retry after its latency objective counts as beyond quota. Otherwise an overload would sustain
+  // itself with responses that are late.
   const TrafficClassSettings& traffic_class = ClassOf(active);
-  const bool late = waited >= traffic_class.latency_objective;
+  const bool late = client_waited >= traffic_class.latency_objective;
   active.within_quota = !late && quotas_.TakeToken(request.tenant, context.now);
   retry_budget_.RecordRequest();
   upstream_.RecordRequest();
   const bool worthless = late && traffic_class.late_weight <= 0;
-  const bool too_late = context.now >= active.deadline_at - kQueueAnswerMargin;
+  const bool too_late = context.now >= active.deadline_at - kQueueAnswerMarginMs;
   if (worthless || too_late) {
-    ++log_.counters().rejected_late;
+    ++log_.counters().rejected_too_late;
     return Answer(context, active);
   }
   if (queues_.size() == 0 && rate_.HasToken()) {
@@ -76,7 +77,7 @@
   active.key_hash = KeyHash(request.key);
   active.arrived_at = now;
   active.deadline_at = now + ValidTimeLeft(request.time_left);
-  active.objective_at = std::min(now + ClassOf(active).latency_objective, active.deadline_at);
+  active.objective_ends_at = std::min(now + ClassOf(active).latency_objective, active.deadline_at);
 }
 
 void RequestController::Handle(EventContext& context, const RequestComplete& complete) {
@@ -84,7 +85,8 @@
   if (request == nullptr || request->answered) return;
   request->arrived_at = context.now;
   request->deadline_at = context.now + ValidTimeLeft(complete.time_left);
-  request->objective_at = std::min(context.now + ClassOf(*request).latency_objective, request->deadline_at);
+  request->objective_ends_at =
+      std::min(context.now + ClassOf(*request).latency_objective, request->deadline_at);
   for (Attempt& attempt : request->attempts) {
     if (attempt.in_flight) attempt.sent_at = context.now;
   }
@@ -92,7 +94,7 @@
 
 void RequestController::Enqueue(EventContext& context, ActiveRequest& request) {
   if (queues_.IsFull(request.class_index, rate_.SentPerSecond())) {
-    ++log_.counters().rejected_full;
+    ++log_.counters().rejected_queue_full;
     ActiveRequest* const evicted = queues_.LastBeyondQuota(request.class_index);
     if (!request.within_quota || evicted == nullptr) return Answer(context, request);
     queues_.Remove(*evicted);
@@ -105,14 +107,14 @@
   expired_.clear();
   queues_.CollectExpired(context.now, expired_);
   for (ActiveRequest* const request : expired_) {
-    ++log_.counters().rejected_waited;
+    ++log_.counters().rejected_queue_timeout;
     queues_.Remove(*request);
     Answer(context, *request);
   }
 }
 
 void RequestController::ReleaseQueued(EventContext& context) {
-  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can take now
+  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can accept now
   while (queues_.size() > 0 && rate_.HasToken()) {
     const std::optional<std::size_t> class_index = queues_.NextClass(blocked);
     if (!class_index) return;
@@ -122,7 +124,7 @@
       blocked |= ClassQueues::MaskOf(*class_index);
       continue;
     }
-    queues_.SettleCredit(*class_index);
+    queues_.RecordRelease(*class_index);
     queues_.Remove(request);
     ++log_.counters().released;
     log_.counters().time_in_queue += context.now - request.arrived_at;
@@ -132,16 +134,17 @@
 
 void RequestController::Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint) {
   const Millis now = context.now;
-  Millis answer_by = ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_at;
+  Millis response_deadline =
+      ClassOf(request).late_weight > 0 ? request.deadline_at : request.objective_ends_at;
   const bool is_probe = request.attempts.empty() && upstream_.IsUnhealthy(endpoint);
   if (is_probe && upstream_.many_gateways_per_endpoint()) {
-    answer_by = upstream_.ProbeDeadline(now, request.objective_at);
+    response_deadline = upstream_.ProbeDeadline(now, request.objective_ends_at);
   }
   rate_.TakeToken(GetFleet());
   upstream_.RecordSend(endpoint, now);
   request.attempts.push_back({&endpoint, now});
-  const Millis timeout = std::max(kMinimumAttemptTimeout, answer_by - now);
-  context.Emit(policy::Send{request.id, endpoint.info.id, timeout, request.repeat_by - now});
+  const Millis timeout = std::max(kMinimumAttemptTimeoutMs, response_deadline - now);
+  context.Emit(policy::Send{request.id, endpoint.info.id, timeout, request.repeat_deadline_at - now});
 }
 
 void RequestController::Handle(EventContext& context, const AttemptOutcome& outcome) {
@@ -152,7 +155,8 @@
   attempt->may_have_executed = MayHaveExecuted(outcome.result);
   const TrafficClassSettings& traffic_class = ClassOf(*request);
   if (attempt->may_have_executed && traffic_class.idempotency == Idempotency::kIdempotencyKey) {
-    request->repeat_by = std::min(request->repeat_by, RepeatDeadline(traffic_class, attempt->sent_at));
+    request->repeat_deadline_at =
+        std::min(request->repeat_deadline_at, RepeatDeadline(traffic_class, attempt->sent_at));
   }
   request->buffered = outcome.request_buffered;
   if (attempt->streaming) {
@@ -160,7 +164,7 @@
     return EraseIfEnded(*request);
   }
   upstream_.RecordResponse(*attempt->endpoint);
-  RecordEnd(context, *request, *attempt, outcome);
+  RecordAttemptEnd(context, *request, *attempt, outcome);
   if (outcome.request_finished || outcome.result == AttemptResult::kServed) request->answered = true;
   if (!request->answered && !request->HasAttemptInFlight() && !request->queued) {
     return RetryOrAnswer(context, *request, outcome.result);
@@ -168,37 +172,39 @@
   EraseIfEnded(*request);
 }
 
-// The response was judged when it began; one that breaks off counts against the endpoint all the same.
+// The attempt was recorded as served when its response started. If the response breaks off later, the
+// endpoint is charged with a failure in addition.
 void RequestController::RecordStreamEnd(EventContext& context, const ActiveRequest& request,
                                         const Attempt& attempt, AttemptResult result) {
   if (result != AttemptResult::kReset && result != AttemptResult::kTimedOut) return;
   upstream_.RecordOutcome(context, *attempt.endpoint, {AttemptResult::kReset, 0, request.class_index});
 }
 
-// Records what the end of an attempt shows of the class, of the admission rate and of the endpoint.
-void RequestController::RecordEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
-                                  const AttemptOutcome& outcome) {
+// Updates the statistics of the class, the admission rate and the endpoint after the end of an attempt.
+void RequestController::RecordAttemptEnd(EventContext& context, const ActiveRequest& request,
+                                         const Attempt& attempt, const AttemptOutcome& outcome) {
   const bool served = outcome.result == AttemptResult::kServed;
   const Millis latency = ValidLatency(outcome.latency, attempt, context.now);
   log_.counters().Count(outcome.result);
-  if (served && context.now > request.objective_at) ++log_.counters().served_late;
+  if (served && context.now > request.objective_ends_at) ++log_.counters().served_late;
   if (served) traffic_.RecordLatency(request.class_index, latency);
   const bool ended_by_gateway =
       outcome.result == AttemptResult::kCancelled || outcome.result == AttemptResult::kNotSent;
   if (ended_by_gateway) return;
-  // Must run before RecordOutcome, which may eject the endpoint: the rate counts only outcomes of endpoints
-  // that were healthy when the attempt ended.
-  RecordForRate(context, request, attempt, outcome.result);
+  // Must run before RecordOutcome, which may eject the endpoint: the admission rate depends only on outcomes
+  // of endpoints that were healthy when the attempt ended.
+  UpdateAdmissionRate(context, request, attempt, outcome.result);
   upstream_.RecordLoadReport(*attempt.endpoint, outcome.load);
   upstream_.RecordOutcome(context, *attempt.endpoint, {outcome.result, latency, request.class_index});
 }
 
-// Failures that one endpoint explains eject it, and a broken connection shows no overload: neither moves the
-// admission rate.
-void RequestController::RecordForRate(EventContext& context, const ActiveRequest& request,
-                                      const Attempt& attempt, AttemptResult result) {
+// Updates the admission rate after the end of an attempt. Outcomes of unhealthy endpoints are ignored, since
+// failures of a single endpoint lead to its ejection. Broken connections are ignored, since they do not
+// indicate overload.
+void RequestController::UpdateAdmissionRate(EventContext& context, const ActiveRequest& request,
+                                            const Attempt& attempt, AttemptResult result) {
   if (upstream_.IsUnhealthy(*attempt.endpoint) || result == AttemptResult::kReset) return;
-  const bool within_objective = result == AttemptResult::kServed && context.now <= request.objective_at;
+  const bool within_objective = result == AttemptResult::kServed && context.now <= request.objective_ends_at;
   const AdmissionRate::Fleet fleet = GetFleet();
   if (!rate_.RecordOutcome(within_objective, attempt.sent_at, context.now, fleet)) return;
   rate_.Decrease(context.now, upstream_.MedianLatency(), fleet);
@@ -232,16 +238,16 @@
   EraseIfEnded(request);
 }
 
-// The time in which the queued requests are sent.
+// Returns the estimated time until the queued requests are sent, which is the delay recommended to clients.
 Millis RequestController::RetryAfter() const {
   if (!settings_.send_retry_after) return 0;
-  const Millis time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
-  return std::min(settings_.maximum_retry_after, time);
+  const Millis drain_time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
+  return std::min(settings_.maximum_retry_after, drain_time);
 }
 
 void RequestController::EraseIfEnded(ActiveRequest& request) {
   if (!request.answered || request.queued || request.HasAttemptInFlight()) return;
-  for (const Attempt& attempt : request.attempts) upstream_.Release(*attempt.endpoint);
+  for (const Attempt& attempt : request.attempts) upstream_.ReleaseReference(*attempt.endpoint);
   requests_.Erase(request.id);
 }
 
@@ -270,12 +276,12 @@
   outcome.result = AttemptResult::kServed;
   outcome.request_finished = true;
   outcome.latency = context.now - attempt->sent_at;
-  RecordEnd(context, *request, *attempt, outcome);
+  RecordAttemptEnd(context, *request, *attempt, outcome);
 }
 
 void RequestController::FillStatus(PolicyStatus& status) const {
   status.rate = rate_.rate();
-  status.sent_rate = rate_.sent_sum();
+  status.sent_rate = rate_.sent_decayed_sum();
   status.tokens = rate_.tokens();
   status.failure_rate = rate_.failure_rate();
   status.queued = queues_.size();
