--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -53,13 +53,12 @@
 };
 
 struct Traffic {
-  double rate = 0;          // requests per second to the fleet, not counting clients' retries
-  Millis duration = 10000;  // of the arrivals
-  Millis warm_up = 2000;    // initial time that is excluded from goodput and latency
-  bool bursty = false;      // Poisson at a rate that switches between high and low at random times
-  double burst_factor = 2;  // high rate over mean rate
-  Millis burst_length =
-      500;  // mean time at the high rate; the time at the low rate follows from the mean rate
+  double rate = 0;            // requests per second to the fleet, not counting clients' retries
+  Millis duration = 10000;    // of the arrivals
+  Millis warm_up = 2000;      // initial time that is excluded from goodput and latency
+  bool bursty = false;        // Poisson at a rate that switches between high and low at random times
+  double burst_factor = 2;    // high rate over mean rate
+  Millis burst_length = 500;  // mean time at the high rate; that at the low rate follows from the mean
   std::map<std::string, double> tenants;  // traffic share by name; empty: one tenant
   double skew = 0;       // the first gateway of each zone gets 1 + skew times the traffic of the others
   int max_retries = 2;   // by the client, for each request
@@ -99,7 +98,7 @@
 enum class FaultKind {
   kKillGateway,       // SIGKILL; started again after the duration
   kStopGateway,       // SIGSTOP, then SIGCONT after the duration
-  kTerminateGateway,  // SIGTERM; started again the duration after the process has ended
+  kTerminateGateway,  // SIGTERM; started again once the process has ended and the duration has passed
   kReplaceGateway,    // starts a second process; SIGTERM to the old one when the new one is ready
   kListDown,          // the emulated list service refuses connections
   kListKill,          // registry: SIGKILL; started again after the duration
