--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -339,7 +339,7 @@
     }
   }
   EXPECT_EQ(base::Histogram().Quantile(0.5), 0U);
-  EXPECT_FALSE(base::Histogram().Supports(0.5));
+  EXPECT_FALSE(base::Histogram().SupportsQuantile(0.5));
 }
 
 TEST(ExperimentFile, RejectsInvalidContentWithItsPosition) {
@@ -353,7 +353,7 @@
       {kSmallExperiment, "traffic: missing"},
       {kSmallExperiment + "[traffic]\nrate = \"many\"\nseconds = 5\n",
        "test.toml:18:8: rate: must be a number"},
-      {kSmallExperiment + "[traffic]\nrate = -1\nseconds = 5\n", "is not from"},
+      {kSmallExperiment + "[traffic]\nrate = -1\nseconds = 5\n", "is out of range"},
       {kSmallExperiment + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
       {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
       {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
@@ -364,7 +364,7 @@
        "did you mean 'goodput'?"},
       {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
       {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n",
-       "is none of"},
+       "is not one of"},
       {"name = \n", "test.toml:1:"},
   };
   for (const Case& test_case : cases) {
@@ -623,7 +623,7 @@
        {19000, 8000, false, true, Action::kRestart, 1600, 3200},  // too long a run to blame the saved state
        {26000, 900, false, true, Action::kRestart, 3200, 6400},
        {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
-       {60000, 900, false, false, Action::kGiveUp, 0, 0}},
+       {60000, 900, false, false, Action::kStopCrashLoop, 0, 0}},
       // The same crashes spread over more time are not a crash loop.
       {{0, 900, false, false, Action::kRestart, 100, 200},
        {40000, 900, false, false, Action::kRestart, 200, 400},
@@ -639,7 +639,7 @@
       Supervisor supervisor({});
       for (const Step& step : sequence) {
         const auto decision =
-            supervisor.OnProcessEnd({step.at, step.run_time, step.expected, step.with_saved_state}, draw);
+            supervisor.OnProcessExit({step.at, step.run_time, step.expected, step.with_saved_state}, draw);
         EXPECT_EQ(decision.action, step.action) << "at " << step.at;
         EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
       }
