--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,8 +9,9 @@
 using base::Millis;
 
 constexpr double kPeriodJitter = 0.05;
-constexpr double kNackAfterTimeouts = 0.8;  // a helper without an ack sends its nack after this
-constexpr double kForgetRelayAfterPeriods = 2;
+// A helper that has not received an ack sends its nack after this fraction of the probe timeout.
+constexpr double kNackAfterTimeouts = 0.8;
+constexpr double kRelayedProbeLifetimePeriods = 2;
 constexpr int kMaxRoundsPerProbe = 2;
 
 }  // namespace
@@ -39,24 +40,24 @@
   delegate_.SendMessage({to, MessageType::kPing, ++last_sequence_, target, {}}, out);
 }
 
-// ---- Own probes -----------------------------------------------------------------------------------
+// ---- Probes by this member ------------------------------------------------------------------------
 
 void FailureDetector::StartProbe(Millis now, ProtocolOutput& out) {
-  const int stretch = local_health_.multiplier();
-  next_probe_at_ = now + options_.protocol_period * stretch * Jitter(random_, kPeriodJitter);
+  const int health_multiplier = local_health_.multiplier();
+  next_probe_at_ = now + options_.protocol_period * health_multiplier * Jitter(random_, kPeriodJitter);
   const Member* const target = NextProbeTarget();
   if (target == nullptr) return;
   Probe probe;
   probe.name = target->name;
   probe.address = target->address;
   probe.sequence = ++last_sequence_;
-  probe.direct_deadline = now + options_.probe_timeout * stretch;
-  probe.deadline = now + options_.protocol_period * stretch;
+  probe.direct_deadline = now + options_.probe_timeout * health_multiplier;
+  probe.deadline = now + options_.protocol_period * health_multiplier;
   probe_ = probe;
   delegate_.SendMessage({probe.address, MessageType::kPing, probe.sequence, probe.name, {}}, out);
 }
 
-// Probes each member once a round, in a new order each time, so that no member waits longer than two rounds.
+// Probes each member once per round, in a new random order, so that no member waits longer than two rounds.
 const Member* FailureDetector::NextProbeTarget() {
   for (int rounds = 0; rounds < kMaxRoundsPerProbe;) {
     if (round_.empty()) {
@@ -98,7 +99,7 @@
   }
 }
 
-// A helper that sent neither ack nor nack is a sign that the fault is on this side.
+// A helper that sent neither an ack nor a nack indicates that the fault is on the side of this member.
 void FailureDetector::FailProbe(Millis now, ProtocolOutput& out) {
   if (probe_->missing_nacks > 0) {
     local_health_.Worsen(probe_->missing_nacks);
@@ -127,7 +128,7 @@
   relayed_.erase(found);
 }
 
-// ---- Probes of others -----------------------------------------------------------------------------
+// ---- Probes by other members ----------------------------------------------------------------------
 
 void FailureDetector::OnPing(Address from, const MessageHeader& ping, ProtocolOutput& out) {
   const bool is_for_this_member = ping.target.empty() || ping.target == members_.self().name;
@@ -140,7 +141,7 @@
   relayed.requester = from;
   relayed.requester_sequence = request.sequence;
   relayed.nack_at = now + kNackAfterTimeouts * options_.probe_timeout;
-  relayed.forget_at = now + kForgetRelayAfterPeriods * options_.protocol_period;
+  relayed.expires_at = now + kRelayedProbeLifetimePeriods * options_.protocol_period;
   relayed_[sequence] = relayed;
   delegate_.SendMessage({request.probe_address, MessageType::kPing, sequence, request.target, {}}, out);
 }
@@ -152,7 +153,7 @@
       relayed.nack_sent = true;
       delegate_.SendMessage({relayed.requester, MessageType::kNack, relayed.requester_sequence, "", {}}, out);
     }
-    entry = now >= relayed.forget_at ? relayed_.erase(entry) : std::next(entry);
+    entry = now >= relayed.expires_at ? relayed_.erase(entry) : std::next(entry);
   }
 }
 
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -30,27 +30,27 @@
   };
   for (const auto& [text, listen, expected_name] : cases) {
     SCOPED_TRACE(expected_name + ": " + text);
-    const File file(text);
+    const ConfigFile file(text);
     Process process({{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
     EXPECT_EQ(process.Wait(), 1);
-    const std::string errors = process.Errors();
+    const std::string errors = process.StandardError();
     EXPECT_NE(errors.find(expected_name), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
   Process process({{"NODE_LISTEN", "127.0.0.1:0"}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("NODE_CONFIG"), std::string::npos);
+  EXPECT_NE(process.StandardError().find("NODE_CONFIG"), std::string::npos);
 }
 
 // In a planned restart the platform sends SIGTERM while requests are in flight. The program must respond to
 // them and then exit with code 0.
 TEST(Program, CompletesRequestsOnSigtermAndExitsCleanly) {
   asio::io_context io;
-  Peer host(io), discovery(io);
+  FakeServer host(io), discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
@@ -68,10 +68,10 @@
     stopping = probe.Await().result() == http::status::service_unavailable;
   }
   EXPECT_TRUE(stopping);
-  host.requests[0].Answer(200, "done");
+  host.requests[0].Respond(200, "done");
   EXPECT_EQ(client.Await().body(), "done");
   EXPECT_FALSE(client.Await().keep_alive());
-  EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
+  EXPECT_TRUE(RunUntil(io, [&] { return process.HasExited(); }));
   EXPECT_EQ(process.Wait(), 0);
 }
 
@@ -79,12 +79,12 @@
 // watch the address in the file and ignore NODE_DISCOVERY. An invalid file must change nothing.
 TEST(Program, WatchesTheDiscoveryAddressOfTheReloadedFile) {
   asio::io_context io;
-  Peer first(io), second(io), discovery(io), new_discovery(io);
+  FakeServer first(io), second(io), discovery(io), new_discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   nlohmann::json config = {{"seed", "1f"},
                            {"known", List(1, true, {Member("h0", first.address())})},
                            {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
@@ -93,21 +93,22 @@
 
   std::ofstream(file.path) << "{";
   process.Reload();
-  ASSERT_TRUE(RunUntil(io, [&] { return process.Errors().find("not reloaded") != std::string::npos; }));
+  ASSERT_TRUE(
+      RunUntil(io, [&] { return process.StandardError().find("not reloaded") != std::string::npos; }));
 
   config["discovery"] = ToText(new_discovery.address());
   std::ofstream(file.path) << config;
   process.Reload();
   ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 1; }));
   EXPECT_NE(std::string(new_discovery.requests[0].http.target()).find("after=1&"), std::string::npos);
-  new_discovery.requests[0].Answer(200, List(2, true, {Member("h1", second.address())}).dump());
+  new_discovery.requests[0].Respond(200, List(2, true, {Member("h1", second.address())}).dump());
   ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 2; }));  // the list was accepted
   Client client(io, listen);
   client.Send(ApiCall("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return second.requests.size() == 1; }));
-  second.requests[0].Answer(200, "from there");
+  second.requests[0].Respond(200, "from there");
   EXPECT_EQ(client.Await().body(), "from there");
-  EXPECT_FALSE(process.Ended());
+  EXPECT_FALSE(process.HasExited());
 }
 
 // If another process listens on the client or management address, the program must exit with one line of
@@ -116,7 +117,7 @@
   asio::io_context io;
   tcp::acceptor occupied(io, Loopback());
   const nlohmann::json config = {{"seed", "1f"}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   for (const bool management : {true, false}) {
     const std::string busy = ToText(occupied.local_endpoint()), free = "127.0.0.1:0";
     std::vector<std::pair<std::string, std::string>> variables = {{"NODE_CONFIG", file.path},
@@ -125,7 +126,7 @@
     if (management) variables.push_back({"NODE_MGMT", busy});
     Process process(variables);
     EXPECT_EQ(process.Wait(), 1);
-    const std::string errors = process.Errors();
+    const std::string errors = process.StandardError();
     EXPECT_NE(errors.find(management ? "NODE_MGMT: " + busy : "NODE_LISTEN: " + busy), std::string::npos)
         << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
@@ -139,7 +140,7 @@
   constexpr int kSockets = 128;
   constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
   asio::io_context io;
-  Peer host(io);
+  FakeServer host(io);
   const tcp::endpoint listen = FreeAddress(io), management = FreeAddress(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // refuses connections because it does not listen
@@ -147,7 +148,7 @@
                                  {"limits", {{"sockets", kSockets}}},
                                  {"known", List(1, true, {Member("h0", host.address())})},
                                  {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_MGMT", ToText(management)},
@@ -195,13 +196,14 @@
     return discovery_connection.has_value();
   }));
   EXPECT_LT(std::chrono::steady_clock::now() - recovered_at, std::chrono::milliseconds(5000));
-  for (const auto& request : std::vector<Peer::Taken>(host.requests)) request.Answer(200, "");
-  host.serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
+  for (const auto& request : std::vector<FakeServer::ReceivedRequest>(host.requests))
+    request.Respond(200, "");
+  host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   for (const auto& client : busy) EXPECT_EQ(client->Await().result(), http::status::ok);
   Client after(io, listen);
   after.Send(ApiCall("after"));
   EXPECT_EQ(after.Await().result(), http::status::ok);
-  EXPECT_FALSE(process.Ended());
+  EXPECT_FALSE(process.HasExited());
 }
 
 constexpr std::chrono::seconds kReadyTimeout{10};
@@ -228,20 +230,23 @@
 // How discovery fails while gateways are restarted.
 struct DiscoveryFailure {
   std::string name;
-  bool listens;                                     // false: connections are refused
-  std::function<void(const Peer::Taken&)> respond;  // empty: it never responds
+  bool listens;                                                     // false: connections are refused
+  std::function<void(const FakeServer::ReceivedRequest&)> respond;  // empty: it never responds
 };
 
 std::vector<DiscoveryFailure> DiscoveryFailures() {
   return {{"IsDown", false, nullptr},
           {"NeverResponds", true, nullptr},
-          {"RespondsWithError", true, [](const Peer::Taken& request) { request.Answer(503, ""); }},
-          {"ResetsConnections", true, [](const Peer::Taken& request) { request.on->Reset(); }},
+          {"RespondsWithError", true,
+           [](const FakeServer::ReceivedRequest& request) { request.Respond(503, ""); }},
+          {"ResetsConnections", true,
+           [](const FakeServer::ReceivedRequest& request) { request.connection->Reset(); }},
           {"StopsWithinAResponse", true,
-           [](const Peer::Taken& request) {
-             request.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
+           [](const FakeServer::ReceivedRequest& request) {
+             request.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
            }},
-          {"SendsAnInvalidList", true, [](const Peer::Taken& request) { request.Answer(200, "{}"); }}};
+          {"SendsAnInvalidList", true,
+           [](const FakeServer::ReceivedRequest& request) { request.Respond(200, "{}"); }}};
 }
 
 class Restart : public ::testing::TestWithParam<DiscoveryFailure> {};
@@ -251,15 +256,15 @@
 TEST_P(Restart, IsReadyWithTheKnownListDespiteFailuresOfDiscovery) {
   const DiscoveryFailure& failure = GetParam();
   asio::io_context io;
-  Peer host(io), discovery(io);
-  host.serve = [](const Peer::Taken& request) { request.Answer(200, "served"); };
+  FakeServer host(io), discovery(io);
+  host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, "served"); };
   discovery.serve = failure.respond;
   if (!failure.listens) discovery.StopListening();
   const tcp::endpoint listen = FreeAddress(io);
   const tcp::endpoint discovery_address = failure.listens ? discovery.address() : FreeAddress(io);
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const ConfigFile file(config.dump());
   const std::vector<std::pair<std::string, std::string>> variables = {
       {"NODE_CONFIG", file.path},
       {"NODE_LISTEN", ToText(listen)},
@@ -269,13 +274,13 @@
     Process before(variables);
     ASSERT_TRUE(BecomesReadyInTime(io, listen));
     killed ? before.Kill() : before.Terminate();
-    ASSERT_TRUE(RunUntil(io, [&] { return before.Ended(); }));
+    ASSERT_TRUE(RunUntil(io, [&] { return before.HasExited(); }));
     Process restarted(variables);
     ASSERT_TRUE(BecomesReadyInTime(io, listen));
     Client client(io, listen);
     client.Send(ApiCall("r1"));
     EXPECT_EQ(client.Await().body(), "served");
-    EXPECT_FALSE(restarted.Ended());
+    EXPECT_FALSE(restarted.HasExited());
   }
 }
 
@@ -286,15 +291,15 @@
 // ready in time after discovery recovers.
 TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryRecovers) {
   asio::io_context io;
-  Peer host(io);
+  FakeServer host(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // refuses connections because it does not listen
   const tcp::endpoint listen = FreeAddress(io);
-  const File file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
+  const ConfigFile file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.local_endpoint())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return process.Errors().find("call failed") != std::string::npos; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return process.StandardError().find("call failed") != std::string::npos; }));
   Client probe(io, listen);
   probe.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(probe.Await().result(), http::status::service_unavailable);
