--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -67,7 +67,7 @@
     }
   }
   for (const lab::RefusedPoint& refused : result.refused) {
-    fmt::print("  {} = {:g} refused: {}\n", result.axis, refused.value, refused.why);
+    fmt::print("  {} = {:g} refused: {}\n", result.axis, refused.value, refused.reason);
   }
   for (const lab::ScaleFit& fit : result.fits) {
     fmt::print("  {:14} {:28} {:8} {:.4g} + {:.4g} x, r2 {:.3f}; at {:g}: {:.4g} ({:.4g} to {:.4g}{})\n",
@@ -84,7 +84,7 @@
   sweep.runs = options.runs;
   sweep.seed = options.seed;
   sweep.deadline = deadline;
-  sweep.note = PrintProgress;
+  sweep.on_progress = PrintProgress;
   lab::ScaleResult result = lab::RunSweep(experiment, measurer, sweep);
   result.revision = options.revision;
   const std::filesystem::path folder(options.json_dir);
@@ -123,7 +123,7 @@
     fmt::print("  {:18} real {:10.6g} hollow {:10.6g} ratio {:.3f}\n", ratio.figure, ratio.real, ratio.hollow,
                ratio.ratio());
   }
-  const bool holds = comparison.Holds(/*speeds=*/true);
+  const bool holds = comparison.IsWithinTolerance(/*include_machine_dependent=*/true);
   fmt::print("{}\n", holds ? "held: each within 10%" : "BROKEN: a ratio is further than 10% from 1");
   return holds ? kSuccess : kFailure;
 }
@@ -161,8 +161,8 @@
   int code = kSuccess;
   for (const lab::ScaleExperiment& experiment : ReadExperiments(options)) {
     const base::Millis started = base::MonotonicNow();
-    SetWatchdog(experiment.ends_within);
-    const base::Millis deadline = started + experiment.ends_within;
+    SetWatchdog(experiment.time_limit);
+    const base::Millis deadline = started + experiment.time_limit;
     code = std::max(code, RunOne(experiment, options, deadline));
     ClearWatchdog();
     fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - started) / 1000);
@@ -170,7 +170,7 @@
   return code;
 }
 
-int ServeHollowGateways(lab::HollowOptions options, const std::string& control) {
+int ServeHollowGateways(lab::HollowProcessOptions options, const std::string& control) {
   const auto address = base::ParseSocketAddress(control);
   if (!address) throw std::invalid_argument("--control: '" + control + "' is not an address and port");
   options.control = *address;
@@ -203,7 +203,7 @@
 }
 
 void AddHollowGateways(CLI::App& lab, Command& selected) {
-  const auto options = std::make_shared<lab::HollowOptions>();
+  const auto options = std::make_shared<lab::HollowProcessOptions>();
   const auto control = std::make_shared<std::string>();
   CLI::App* const hollow =
       lab.add_subcommand("hollow-gateways", "Gateways without a request path, for the lab's own use");
@@ -211,7 +211,7 @@
   hollow->add_option("--count", options->count, "How many")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  hollow->add_option("--first", options->first, "Index of the first one")->capture_default_str();
+  hollow->add_option("--first", options->first_index, "Index of the first one")->capture_default_str();
   hollow->add_option("--control", *control, "Address and port where the tool asks")->required();
   hollow->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
   SelectWhenGiven(*hollow, selected, [options, control] { return ServeHollowGateways(*options, *control); });
--- a/src/lab/scale/event_loop.hpp
+++ b/src/lab/scale/event_loop.hpp
@@ -1,5 +1,5 @@
-// The one event loop of a run: everything that the tool itself does happens in it, and every wait ends by the
-// run's deadline. One thread.
+// The event loop of a scale run. The measuring tool does all of its own work in this loop, and every wait
+// ends at the deadline of the run at the latest. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
 #define GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
 
@@ -15,7 +15,7 @@
 
 using base::Millis;
 
-// Something did not happen in time; what() names it.
+// A wait timed out. what() names the awaited event.
 class ScaleTimeout : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,31 +23,35 @@
 
 class EventLoop {
  public:
-  // No wait lasts beyond `deadline` (base::MonotonicNow).
+  // `deadline` (base::MonotonicNow) bounds every wait.
   explicit EventLoop(Millis deadline) : deadline_(deadline) {}
 
   boost::asio::io_context& io() { return io_; }
 
-  // Runs the loop until `done()`. Throws ScaleTimeout, naming `what`, after `timeout`.
+  // Runs the loop until `done()` returns true. Throws ScaleTimeout, which names `awaited_event`, after
+  // `timeout`.
   template <typename Done>
-  void RunUntil(const std::string& what, Millis timeout, Done done) {
+  void RunUntil(const std::string& awaited_event, Millis timeout, Done done) {
     const Millis until = std::min(deadline_, base::MonotonicNow() + timeout);
     while (!done()) {
-      if (base::MonotonicNow() > until) throw ScaleTimeout(what + " did not happen in time");
-      io_.run_one_for(std::chrono::milliseconds(5));
+      if (base::MonotonicNow() > until) throw ScaleTimeout("timed out waiting for " + awaited_event);
+      io_.run_one_for(kPollPeriod);
     }
   }
 
-  // Runs the loop for so long.
-  void RunFor(Millis time) {
-    const Millis until = base::MonotonicNow() + time;
-    if (until > deadline_) throw ScaleTimeout("the run's deadline is too near for another window");
+  // Runs the loop for `duration`. Throws ScaleTimeout if that would exceed the deadline.
+  void RunFor(Millis duration) {
+    const Millis until = base::MonotonicNow() + duration;
+    if (until > deadline_)
+      throw ScaleTimeout("the time left until the deadline of the run is shorter than the next window");
     while (base::MonotonicNow() < until) {
       io_.run_one_for(std::chrono::microseconds(static_cast<int>(1000 * (until - base::MonotonicNow())) + 1));
     }
   }
 
  private:
+  static constexpr std::chrono::milliseconds kPollPeriod{5};
+
   boost::asio::io_context io_{1};
   const Millis deadline_;
 };
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -15,25 +15,28 @@
 
 using nlohmann::json;
 
-constexpr int kCompleteLists = 8;         // asked for in a row, for the cost of one
-constexpr Millis kWatchCall = 2500;       // a call of a watch that is at rest lasts at most so long
-constexpr Millis kAfterReady = 50;        // what a start costs is read so long after it
-constexpr Millis kLoneStart = 400;        // the same of a gateway that never becomes ready
-constexpr Millis kHollowReady = 60000;    // for all of them to have a list
-constexpr Millis kChangeTimeout = 20000;  // for the last change to come to all
+constexpr int kCompleteListRequests = 8;         // sent in a row; the cost of one list is the mean
+constexpr Millis kMaxWatchCallMs = 2500;         // longest duration of a watch call without changes
+constexpr Millis kStartCostDelayMs = 50;         // from readiness to reading the CPU time of the start
+constexpr Millis kIsolatedStartMs = 400;         // same for a gateway that never becomes ready
+constexpr Millis kHollowReadyTimeoutMs = 60000;  // until all hollow gateways have a list
+constexpr Millis kChangeTimeoutMs = 20000;       // until all gateways have the last change
 
-constexpr double kUs = 1000;  // in a ms
+constexpr double kUsPerMs = 1000;
+constexpr double kUsPerSecond = 1e6;
 
-// CPU times and counters at one moment.
+// CPU times and counters at one time.
 struct Snapshot {
   Millis at = 0;
-  Millis list_service = 0, own = 0, real = 0, lone = 0;
-  std::vector<Millis> hollow;  // by process
+  // CPU times: `tool` is this process, `real` the sum over all real gateways, `isolated` the gateway without
+  // a reachable list service, `hollow` by process.
+  Millis list_service = 0, tool = 0, real = 0, isolated = 0;
+  std::vector<Millis> hollow;
   ListServiceCounts counts;
   RequestCounts requests;
 };
 
-// What happened between two of them.
+// Rates and CPU shares between two snapshots.
 struct Window {
   const Snapshot& from;
   const Snapshot& to;
@@ -58,9 +61,9 @@
   }
 };
 
-// Percent of a core, and how often a second something was done: us for each.
-double CostOf(double percent, double per_second) {
-  return per_second > 0 ? std::max(0.0, percent / 100 * 1e6 / per_second) : 0;
+// CPU time of one operation in us, from the share of a core and the rate of operations.
+double CostPerOperationUs(double percent, double per_second) {
+  return per_second > 0 ? std::max(0.0, percent / 100 * kUsPerSecond / per_second) : 0;
 }
 
 // One run of a fleet of one size.
@@ -74,7 +77,7 @@
     StartListService();
     MeasureCompleteLists();
     MeasureListServiceAlone();
-    StartLoneGateways();
+    StartIsolatedGateways();
     StartGateways();
     MeasureRest();
     MeasureChanges();
@@ -86,227 +89,240 @@
 
  private:
   using Figures = std::map<std::string, double>;
-  Figures& Service() { return roles_["list_service"]; }
-  Figures& Real() { return roles_["gateway"]; }
-  Figures& Hollow() { return roles_["hollow_gateway"]; }
+  Figures& ListServiceFigures() { return roles_["list_service"]; }
+  Figures& RealGatewayFigures() { return roles_["gateway"]; }
+  Figures& HollowGatewayFigures() { return roles_["hollow_gateway"]; }
   bool has_real() const { return size_.gateways_real > 0; }
   bool has_hollow() const { return size_.gateways_hollow > 0; }
   double gateways() const { return size_.gateways_real + size_.gateways_hollow; }
 
   Snapshot TakeSnapshot() {
-    Snapshot s;
-    s.counts = fleet_.Counts();
-    s.at = base::MonotonicNow();
-    s.list_service = CpuTimeOf(fleet_.list_service());
-    s.own = CpuTimeOf(getpid());
-    for (const RealGateway& gateway : fleet_.real()) s.real += CpuTimeOf(gateway.pid);
-    for (const HollowGroup& group : fleet_.hollow()) s.hollow.push_back(CpuTimeOf(group.pid));
-    if (lone_ != 0) s.lone = CpuTimeOf(lone_);
-    if (has_real() && !fleet_.real().empty()) s.requests = fleet_.requests().counts();
-    return s;
+    Snapshot snapshot;
+    snapshot.counts = fleet_.FetchCounts();
+    snapshot.at = base::MonotonicNow();
+    snapshot.list_service = CpuTimeOf(fleet_.list_service());
+    snapshot.tool = CpuTimeOf(getpid());
+    for (const RealGateway& gateway : fleet_.real()) snapshot.real += CpuTimeOf(gateway.pid);
+    for (const HollowGroup& group : fleet_.hollow()) snapshot.hollow.push_back(CpuTimeOf(group.pid));
+    if (isolated_gateway_pid_ != 0) snapshot.isolated = CpuTimeOf(isolated_gateway_pid_);
+    if (has_real() && !fleet_.real().empty()) snapshot.requests = fleet_.requests().counts();
+    return snapshot;
   }
 
-  std::pair<Snapshot, Snapshot> Watch(Millis time) {
+  std::pair<Snapshot, Snapshot> MeasureWindow(Millis time) {
     Snapshot from = TakeSnapshot();
     fleet_.loop().RunFor(time);
     Snapshot to = TakeSnapshot();
-    NoteLoad({from, to});
+    RecordToolLoad({from, to});
     return {std::move(from), std::move(to)};
   }
 
-  // The tool's own use, so that a saturated one is seen.
-  void NoteLoad(const Window& window) {
+  // Records the CPU load of the measuring tool, to detect that the tool is the bottleneck.
+  void RecordToolLoad(const Window& window) {
     Figures& load = roles_["load"];
-    double& own = load["cpu_busiest_percent"];
+    double& tool = load["cpu_busiest_percent"];
     double& hollow = load["cpu_busiest_hollow_process_percent"];
-    own = std::max(own, window.Percent(&Snapshot::own));
+    tool = std::max(tool, window.Percent(&Snapshot::tool));
     hollow = std::max(hollow, window.BusiestHollowPercent());
-    load["saturated"] = own > kSaturatedPercent || hollow > kSaturatedPercent ? 1 : 0;
+    load["saturated"] = tool > kSaturatedPercent || hollow > kSaturatedPercent ? 1 : 0;
   }
 
   void StartListService() {
-    Service()["ready_ms"] = fleet_.StartListService();
+    ListServiceFigures()["ready_ms"] = fleet_.StartListService();
     fleet_.members().RegisterAll();
   }
 
-  // Before any renewal, so that nothing else costs CPU.
+  // Runs before the first renewal, so that no other work uses CPU.
   void MeasureCompleteLists() {
-    list_ = fleet_.CompleteList();  // the first one is also encoded
+    complete_list_ =
+        fleet_.FetchCompleteList();  // the first request includes the encoding, so it is not measured
     const Millis before = CpuTimeOf(fleet_.list_service());
-    const double bytes = fleet_.Counts().bytes_out;
-    for (int i = 0; i < kCompleteLists; ++i) fleet_.CompleteList();
-    Service()["cpu_per_whole_list_us"] = kUs * (CpuTimeOf(fleet_.list_service()) - before) / kCompleteLists;
-    // The first answer to /metrics is among them.
-    Service()["bytes_per_whole_list"] = (fleet_.Counts().bytes_out - bytes) / kCompleteLists;
+    const double bytes = fleet_.FetchCounts().bytes_out;
+    for (int i = 0; i < kCompleteListRequests; ++i) fleet_.FetchCompleteList();
+    ListServiceFigures()["cpu_per_whole_list_us"] =
+        kUsPerMs * (CpuTimeOf(fleet_.list_service()) - before) / kCompleteListRequests;
+    // Includes the bytes of the first /metrics response.
+    ListServiceFigures()["bytes_per_whole_list"] =
+        (fleet_.FetchCounts().bytes_out - bytes) / kCompleteListRequests;
   }
 
   void MeasureListServiceAlone() {
     fleet_.members().StartRenewing();
-    const auto [from, to] = Watch(windows_.window);
-    Service()["cpu_idle_percent"] = Window{from, to}.Percent(&Snapshot::list_service);
+    const auto [from, to] = MeasureWindow(windows_.window);
+    ListServiceFigures()["cpu_idle_percent"] = Window{from, to}.Percent(&Snapshot::list_service);
   }
 
-  // One tells what a start costs, the other what a gateway costs whose list service never answers.
-  void StartLoneGateways() {
+  // Starts two gateways whose list service never answers. The one without a list gives the CPU time of a
+  // start; the one with the list keeps running and gives the CPU load of an idle gateway.
+  void StartIsolatedGateways() {
     if (!has_real()) return;
-    const pid_t empty = fleet_.StartLoneGateway(nullptr);
-    lone_ = fleet_.StartLoneGateway(json::parse(list_));
-    fleet_.loop().RunFor(kLoneStart);
+    const pid_t gateway_without_list = fleet_.StartIsolatedGateway(nullptr);
+    isolated_gateway_pid_ = fleet_.StartIsolatedGateway(json::parse(complete_list_));
+    fleet_.loop().RunFor(kIsolatedStartMs);
     fleet_.CheckAlive();
-    start_cost_ = CpuTimeOf(empty);
-    fleet_.End(empty);
+    start_cost_ms_ = CpuTimeOf(gateway_without_list);
+    fleet_.Kill(gateway_without_list);
   }
 
   void StartGateways() {
     if (has_real()) {
       fleet_.StartRealGateways();
-      fleet_.loop().RunFor(kAfterReady);
+      fleet_.loop().RunFor(kStartCostDelayMs);
       double cpu = 0, ready = 0;
       for (const RealGateway& gateway : fleet_.real()) {
         cpu += CpuTimeOf(gateway.pid);
         ready = std::max(ready, gateway.ready_at - gateway.started_at);
       }
-      Real()["ready_ms"] = ready;
-      Real()["cpu_per_whole_list_us"] = kUs * std::max(0.0, cpu / size_.gateways_real - start_cost_);
-      Real()["bytes_per_whole_list"] = Service()["bytes_per_whole_list"];
+      RealGatewayFigures()["ready_ms"] = ready;
+      RealGatewayFigures()["cpu_per_whole_list_us"] =
+          kUsPerMs * std::max(0.0, cpu / size_.gateways_real - start_cost_ms_);
+      RealGatewayFigures()["bytes_per_whole_list"] = ListServiceFigures()["bytes_per_whole_list"];
     }
     if (!has_hollow()) return;
-    fleet_.StartHollowGateways(0, size_.gateways_hollow, HollowStartList(size_.gateways_hollow, list_));
-    Hollow()["ready_ms"] = fleet_.WaitForHollowReady(kHollowReady);
+    fleet_.StartHollowGateways(0, size_.gateways_hollow,
+                               InitialHollowList(size_.gateways_hollow, complete_list_));
+    HollowGatewayFigures()["ready_ms"] = fleet_.WaitForHollowReady(kHollowReadyTimeoutMs);
   }
 
   void MeasureRest() {
     if (gateways() == 0) return;
     fleet_.loop().RunFor(windows_.settle);
-    const auto [from, to] = Watch(windows_.rest);
+    const auto [from, to] = MeasureWindow(windows_.rest);
     const Window window{from, to};
-    rest_service_ = Service()["cpu_rest_percent"] = window.Percent(&Snapshot::list_service);
-    // In a shorter window it is chance whether any call of a watch ends.
-    const bool traffic = windows_.rest >= kWatchCall;
-    if (traffic) {
-      Service()["bytes_in_per_s"] = window.Rate(&ListServiceCounts::bytes_in);
-      Service()["bytes_out_per_s"] = window.Rate(&ListServiceCounts::bytes_out);
-      Service()["messages_in_per_s"] = Service()["messages_out_per_s"] =
+    list_service_rest_percent_ = ListServiceFigures()["cpu_rest_percent"] =
+        window.Percent(&Snapshot::list_service);
+    // A shorter window may contain no completed watch call, so its rates would be random.
+    const bool measures_traffic = windows_.rest >= kMaxWatchCallMs;
+    if (measures_traffic) {
+      ListServiceFigures()["bytes_in_per_s"] = window.Rate(&ListServiceCounts::bytes_in);
+      ListServiceFigures()["bytes_out_per_s"] = window.Rate(&ListServiceCounts::bytes_out);
+      ListServiceFigures()["messages_in_per_s"] = ListServiceFigures()["messages_out_per_s"] =
           window.Rate(&ListServiceCounts::calls);
     }
-    rest_list_bytes_ = window.Rate(&ListServiceCounts::list_bytes_out);
+    rest_list_bytes_per_s_ = window.Rate(&ListServiceCounts::list_bytes_out);
     if (has_real()) {
-      rest_real_ = Real()["cpu_rest_percent"] = window.Percent(&Snapshot::real) / size_.gateways_real;
-      Real()["cpu_idle_percent"] = window.Percent(&Snapshot::lone);
-      if (traffic) NoteTraffic(Real(), window);
+      real_rest_percent_ = RealGatewayFigures()["cpu_rest_percent"] =
+          window.Percent(&Snapshot::real) / size_.gateways_real;
+      RealGatewayFigures()["cpu_idle_percent"] = window.Percent(&Snapshot::isolated);
+      if (measures_traffic) RecordTraffic(RealGatewayFigures(), window);
     }
     if (has_hollow()) {
-      rest_hollow_ = Hollow()["cpu_rest_percent"] = window.HollowPercent() / size_.gateways_hollow;
-      if (traffic) NoteTraffic(Hollow(), window);
+      hollow_rest_percent_ = HollowGatewayFigures()["cpu_rest_percent"] =
+          window.HollowPercent() / size_.gateways_hollow;
+      if (measures_traffic) RecordTraffic(HollowGatewayFigures(), window);
     }
   }
 
-  // With the list service, of one gateway: all have the same part in it.
-  void NoteTraffic(Figures& figures, const Window& window) {
+  // Records the traffic between one gateway and the list service. All gateways have an equal share.
+  void RecordTraffic(Figures& figures, const Window& window) {
     figures["bytes_out_per_s"] = window.Rate(&ListServiceCounts::list_bytes_in) / gateways();
     figures["bytes_in_per_s"] = window.Rate(&ListServiceCounts::list_bytes_out) / gateways();
     figures["messages_out_per_s"] = figures["messages_in_per_s"] =
         window.Rate(&ListServiceCounts::list_calls) / gateways();
   }
 
-  // Changes go on from here to the end.
+  // Starts the changes, which continue until MeasureChangeDelays.
   void MeasureChanges() {
     if (gateways() == 0 || size_.changes_per_s <= 0) return;
     FleetMembers& members = fleet_.members();
     if (has_hollow()) fleet_.TakeRevisionArrivals();
     members.StartChanging(size_.changes_per_s);
     const double before = members.changes_committed();
-    const auto [from, to] = Watch(windows_.window);
+    const auto [from, to] = MeasureWindow(windows_.window);
     const Window window{from, to};
-    const double kept = members.changes_committed() - before;
-    if (kept <= 0) throw std::runtime_error("no change was kept in the window");
-    NoteChanges(window, kept / window.seconds());
+    const double committed = members.changes_committed() - before;
+    if (committed <= 0) throw std::runtime_error("no change was committed in the window");
+    RecordChangeCosts(window, committed / window.seconds());
   }
 
-  // Beside the changes.
+  // Runs while changes continue.
   void MeasureRequests() {
     if (!has_real() || size_.requests_per_s <= 0) return;
     fleet_.requests().Start();
     fleet_.loop().RunFor(windows_.settle);
-    fleet_.requests().TakeAdded();
+    fleet_.requests().TakeAddedLatency();
     fleet_.requests().TakeLateness();
-    const auto [from, to] = Watch(windows_.window);
+    const auto [from, to] = MeasureWindow(windows_.window);
     const Window window{from, to};
-    const base::Histogram added = fleet_.requests().TakeAdded();
+    const base::Histogram added = fleet_.requests().TakeAddedLatency();
     const double busy = window.Percent(&Snapshot::real) / size_.gateways_real;
     const double served = static_cast<double>(to.requests.served - from.requests.served);
     const double failed = static_cast<double>(to.requests.not_served - from.requests.not_served);
-    Real()["cpu_busy_percent"] = busy;
-    Real()["cpu_per_request_us"] =
-        CostOf(busy - changing_real_, served / window.seconds() / size_.gateways_real);
-    Real()["added_ms_p50"] = static_cast<double>(added.Quantile(0.5)) / kUs;
-    Real()["added_ms_p99"] = static_cast<double>(added.Quantile(0.99)) / kUs;
-    Real()["served_percent"] = served > 0 ? 100 * served / (served + failed) : 0;
+    RealGatewayFigures()["cpu_busy_percent"] = busy;
+    RealGatewayFigures()["cpu_per_request_us"] =
+        CostPerOperationUs(busy - real_changing_percent_, served / window.seconds() / size_.gateways_real);
+    RealGatewayFigures()["added_ms_p50"] = static_cast<double>(added.Quantile(0.5)) / kUsPerMs;
+    RealGatewayFigures()["added_ms_p99"] = static_cast<double>(added.Quantile(0.99)) / kUsPerMs;
+    RealGatewayFigures()["served_percent"] = served > 0 ? 100 * served / (served + failed) : 0;
     roles_["load"]["lateness_ms_p99"] =
-        static_cast<double>(fleet_.requests().TakeLateness().Quantile(0.99)) / kUs;
+        static_cast<double>(fleet_.requests().TakeLateness().Quantile(0.99)) / kUsPerMs;
     fleet_.requests().Stop();
   }
 
-  void NoteChanges(const Window& window, double per_second) {
+  void RecordChangeCosts(const Window& window, double per_second) {
     const double service = window.Percent(&Snapshot::list_service);
-    Service()["cpu_busy_percent"] = service;
-    Service()["cpu_per_change_us"] = CostOf(service - rest_service_, per_second);
+    ListServiceFigures()["cpu_busy_percent"] = service;
+    ListServiceFigures()["cpu_per_change_us"] =
+        CostPerOperationUs(service - list_service_rest_percent_, per_second);
     const double bytes =
-        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - rest_list_bytes_) / per_second;
-    Service()["bytes_per_change"] = bytes;
+        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - rest_list_bytes_per_s_) / per_second;
+    ListServiceFigures()["bytes_per_change"] = bytes;
     if (has_real()) {
-      changing_real_ = window.Percent(&Snapshot::real) / size_.gateways_real;
-      Real()["cpu_per_change_us"] = CostOf(changing_real_ - rest_real_, per_second);
-      Real()["bytes_per_change"] = bytes / gateways();
+      real_changing_percent_ = window.Percent(&Snapshot::real) / size_.gateways_real;
+      RealGatewayFigures()["cpu_per_change_us"] =
+          CostPerOperationUs(real_changing_percent_ - real_rest_percent_, per_second);
+      RealGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
     if (has_hollow()) {
       const double busy = window.HollowPercent() / size_.gateways_hollow;
-      Hollow()["cpu_busy_percent"] = busy;
-      Hollow()["cpu_per_change_us"] = CostOf(busy - rest_hollow_, per_second);
-      Hollow()["bytes_per_change"] = bytes / gateways();
+      HollowGatewayFigures()["cpu_busy_percent"] = busy;
+      HollowGatewayFigures()["cpu_per_change_us"] =
+          CostPerOperationUs(busy - hollow_rest_percent_, per_second);
+      HollowGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
   }
 
-  // From each change's call to the first list of each hollow gateway that holds it.
+  // Measures the delay from the request of each change to the first list with it at each hollow gateway.
   void MeasureChangeDelays() {
     FleetMembers& members = fleet_.members();
     members.StopChanging();
-    fleet_.loop().RunUntil("the answer to the last change", kChangeTimeout,
+    fleet_.loop().RunUntil("the answer to the last change", kChangeTimeoutMs,
                            [&] { return members.all_changes_answered(); });
-    const std::vector<CommittedChange> kept = members.TakeCommitted();
-    if (!has_hollow() || kept.empty()) return;
+    const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
+    if (!has_hollow() || committed.empty()) return;
     std::int64_t newest = 0;
-    for (const CommittedChange& change : kept) newest = std::max(newest, change.revision);
-    fleet_.WaitForHollowRevision(newest, kChangeTimeout);
+    for (const CommittedChange& change : committed) newest = std::max(newest, change.revision);
+    fleet_.WaitForHollowRevision(newest, kChangeTimeoutMs);
     base::Histogram delays;  // in microseconds
     for (const auto& arrivals : fleet_.TakeRevisionArrivals()) {
-      for (const CommittedChange& change : kept) {
+      for (const CommittedChange& change : committed) {
         const auto found = std::ranges::find_if(
             arrivals, [&](const RevisionArrival& arrival) { return arrival.revision >= change.revision; });
-        if (found == arrivals.end()) throw std::runtime_error("a hollow gateway missed a change");
-        delays.Add(static_cast<std::uint64_t>(std::max(0.0, kUs * (found->at - change.sent_at))));
+        if (found == arrivals.end()) throw std::runtime_error("a hollow gateway did not receive a change");
+        delays.Add(static_cast<std::uint64_t>(std::max(0.0, kUsPerMs * (found->at - change.sent_at))));
       }
     }
-    Hollow()["change_to_gateway_ms_p50"] = static_cast<double>(delays.Quantile(0.5)) / kUs;
-    Hollow()["change_to_gateway_ms_p99"] = static_cast<double>(delays.Quantile(0.99)) / kUs;
-    Hollow()["change_to_gateway_ms_max"] = static_cast<double>(delays.max()) / kUs;
+    HollowGatewayFigures()["change_to_gateway_ms_p50"] = static_cast<double>(delays.Quantile(0.5)) / kUsPerMs;
+    HollowGatewayFigures()["change_to_gateway_ms_p99"] =
+        static_cast<double>(delays.Quantile(0.99)) / kUsPerMs;
+    HollowGatewayFigures()["change_to_gateway_ms_max"] = static_cast<double>(delays.max()) / kUsPerMs;
   }
 
   void MeasureMemory() {
-    Service()["memory_mb"] = ResidentMemoryOf(fleet_.list_service());
+    ListServiceFigures()["memory_mb"] = ResidentMemoryOf(fleet_.list_service());
     roles_["load"]["memory_mb"] = ResidentMemoryOf(getpid());
     if (has_real()) {
       double memory = 0;
       for (const RealGateway& gateway : fleet_.real()) memory += ResidentMemoryOf(gateway.pid);
-      Real()["memory_mb"] = memory / size_.gateways_real;
-      Real()["bytes_per_scrape"] = fleet_.ScrapeBytes(fleet_.real().front());
+      RealGatewayFigures()["memory_mb"] = memory / size_.gateways_real;
+      RealGatewayFigures()["bytes_per_scrape"] = fleet_.ScrapeBytes(fleet_.real().front());
     }
     if (has_hollow()) {
       double memory = 0;
       for (const HollowGroup& group : fleet_.hollow()) memory += ResidentMemoryOf(group.pid);
-      Hollow()["memory_mb"] = memory / size_.gateways_hollow;
+      HollowGatewayFigures()["memory_mb"] = memory / size_.gateways_hollow;
     }
-    roles_["load"]["renewals_late"] = fleet_.members().renewals_late();
+    roles_["load"]["renewals_late"] = fleet_.members().renewals_skipped();
     roles_["load"]["renewals_failed"] = fleet_.members().renewals_failed();
     roles_["load"]["changes_failed"] = fleet_.members().changes_failed();
   }
@@ -315,10 +331,11 @@
   const ScaleWindows windows_;
   ScaleFleet fleet_;
   RoleMeasures roles_;
-  std::string list_;  // the whole one, before the gateways
-  pid_t lone_ = 0;    // knows the list and has no list service
-  Millis start_cost_ = 0;
-  double rest_service_ = 0, rest_real_ = 0, rest_hollow_ = 0, rest_list_bytes_ = 0, changing_real_ = 0;
+  std::string complete_list_;       // as it was before the gateways started
+  pid_t isolated_gateway_pid_ = 0;  // has the list but no reachable list service
+  Millis start_cost_ms_ = 0;
+  double list_service_rest_percent_ = 0, real_rest_percent_ = 0, hollow_rest_percent_ = 0,
+         rest_list_bytes_per_s_ = 0, real_changing_percent_ = 0;
 };
 
 }  // namespace
--- a/src/lab/scale/fleet_measurer.hpp
+++ b/src/lab/scale/fleet_measurer.hpp
@@ -1,5 +1,5 @@
-// Measures one point with real processes: a fleet is started, looked at in windows one after the other (the
-// list service alone, at rest with watches, under changes, under changes and requests), and ended.
+// Measures one point of a sweep with real processes: starts a fleet, measures it in successive windows (list
+// service alone, idle gateways with watches, changes, changes and requests), and stops it.
 #ifndef GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
 #define GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
 
@@ -11,23 +11,24 @@
 
 namespace gateway::lab {
 
-// One run of a fleet of that size. Throws as ScaleMeasurer does.
+// Measures one run of a fleet of this size. Throws the exceptions of ScaleMeasurer::Measure.
 RoleMeasures MeasureFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
                           std::uint64_t seed, Millis deadline);
 
+// Measures the points of an experiment with real processes.
 class FleetMeasurer : public ScaleMeasurer {
  public:
-  // `experiment` outlives it.
+  // `experiment` must outlive this object.
   FleetMeasurer(const ScaleExperiment& experiment, ScalePrograms programs, bool quick, Millis deadline)
-      : e_(experiment), programs_(std::move(programs)), quick_(quick), deadline_(deadline) {}
+      : experiment_(experiment), programs_(std::move(programs)), quick_(quick), deadline_(deadline) {}
 
   RoleMeasures Measure(double value, std::uint64_t seed) override {
-    return MeasureFleet(programs_, SizeAt(e_, value), quick_ ? e_.quick_windows : e_.windows, seed,
-                        deadline_);
+    return MeasureFleet(programs_, SizeAt(experiment_, value),
+                        quick_ ? experiment_.quick_windows : experiment_.windows, seed, deadline_);
   }
 
  private:
-  const ScaleExperiment& e_;
+  const ScaleExperiment& experiment_;
   const ScalePrograms programs_;
   const bool quick_;
   const Millis deadline_;
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -15,13 +15,16 @@
 using base::ClientConnection;
 using boost::system::error_code;
 
-constexpr Millis kCallTimeout = 20000;
-constexpr Millis kRegisterWithin = 60000;
-constexpr int kRegistering = 256;  // connections that register at the same time
-constexpr std::size_t kRenewing = 128;
-constexpr Millis kLeastWait = 1;
+constexpr Millis kRequestTimeoutMs = 20000;
+constexpr Millis kRegistrationTimeoutMs = 60000;
+constexpr int kMaxRegistrationConnections = 256;  // that register hosts concurrently
+constexpr std::size_t kRenewalConnections = 128;
+constexpr Millis kMinTimerDelayMs = 1;
+constexpr double kRenewalsPerTerm = 3;
+constexpr double kMsPerSecond = 1000;
+constexpr int kDistinctSizes = 1000;
 
-std::string IdOf(int host) { return fmt::format("m-{:05d}", host); }
+std::string MemberId(int host) { return fmt::format("m-{:05d}", host); }
 
 }  // namespace
 
@@ -36,13 +39,13 @@
       size_(size),
       host_port_(host_port),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
-      renewing_(loop),
-      changing_(loop),
-      lines_(kRenewing) {}
+      renewal_schedule_(loop),
+      change_schedule_(loop),
+      renewal_connections_(kRenewalConnections) {}
 
 registry::Command FleetMembers::RegistrationOf(int host) const {
   registry::Command command;
-  command.member.id = IdOf(host);
+  command.member.id = MemberId(host);
   command.member.address = fmt::format("{}:{}", HostAddress(host), host_port_);
   command.member.zone = std::string(1, static_cast<char>('a' + host % size_.zones));
   command.member.machine_type = fmt::format("service-{}", host % size_.services);
@@ -52,94 +55,100 @@
 }
 
 void FleetMembers::RegisterAll() {
-  int next = 0, listed = 0, failed = 0;
+  int next_host = 0, registered = 0, failed = 0;
   using Connection = std::shared_ptr<ClientConnection>;
   const std::function<void(const Connection&)> register_next = [&](const Connection& connection) {
-    if (next >= size_.hosts) return;
-    connection->Exchange(EncodeRequest(RegistrationOf(next++)), kCallTimeout,
+    if (next_host >= size_.hosts) return;
+    connection->Exchange(EncodeRequest(RegistrationOf(next_host++)), kRequestTimeoutMs,
                          [&, connection](ClientConnection::Result result) {
-                           ++(result.ok() ? listed : failed);
+                           ++(result.ok() ? registered : failed);
                            if (connection->usable()) register_next(connection);
                          });
   };
   std::vector<Connection> connections;
-  for (int i = 0; i < std::min(kRegistering, size_.hosts); ++i) {
+  for (int i = 0; i < std::min(kMaxRegistrationConnections, size_.hosts); ++i) {
     register_next(connections.emplace_back(std::make_shared<ClientConnection>(loop_.io(), list_service_)));
   }
-  loop_.RunUntil("the registration of all hosts", kRegisterWithin,
-                 [&] { return failed > 0 || listed >= size_.hosts; });
+  loop_.RunUntil("the registration of all hosts", kRegistrationTimeoutMs,
+                 [&] { return failed > 0 || registered >= size_.hosts; });
   for (const Connection& connection : connections) connection->Close();
   if (failed > 0) throw std::runtime_error("the list service refused a registration");
 }
 
-void FleetMembers::Begin(Pace& pace, double per_second, std::function<void()> send) {
-  pace.gap = 1000 / per_second;
-  pace.next = base::MonotonicNow() + pace.gap;
-  pace.on = true;
-  Keep(pace, std::move(send));
+void FleetMembers::StartSchedule(RequestSchedule& schedule, double per_second, std::function<void()> send) {
+  schedule.interval = kMsPerSecond / per_second;
+  schedule.next_at = base::MonotonicNow() + schedule.interval;
+  schedule.active = true;
+  SendDueRequests(schedule, std::move(send));
 }
 
-void FleetMembers::Keep(Pace& pace, std::function<void()> send) {
-  if (!pace.on) return;
-  for (const Millis now = base::MonotonicNow(); pace.next <= now; pace.next += pace.gap) send();
-  pace.timer.expires_after(base::TimerDuration(std::max(kLeastWait, pace.next - base::MonotonicNow())));
-  pace.timer.async_wait([this, &pace, send = std::move(send)](error_code ec) mutable {
-    if (!ec) Keep(pace, std::move(send));
+void FleetMembers::SendDueRequests(RequestSchedule& schedule, std::function<void()> send) {
+  if (!schedule.active) return;
+  for (const Millis now = base::MonotonicNow(); schedule.next_at <= now;
+       schedule.next_at += schedule.interval)
+    send();
+  schedule.timer.expires_after(
+      base::TimerDuration(std::max(kMinTimerDelayMs, schedule.next_at - base::MonotonicNow())));
+  schedule.timer.async_wait([this, &schedule, send = std::move(send)](error_code ec) mutable {
+    if (!ec) SendDueRequests(schedule, std::move(send));
   });
 }
 
 void FleetMembers::StartRenewing() {
-  constexpr double kRenewalsPerTerm = 3;
-  Begin(renewing_, kRenewalsPerTerm * size_.hosts * 1000 / size_.lease_term, [this] { Renew(); });
+  StartSchedule(renewal_schedule_, kRenewalsPerTerm * size_.hosts * kMsPerSecond / size_.lease_term,
+                [this] { SendNextRenewal(); });
 }
 
-void FleetMembers::Renew() {
-  const int host = next_renewal_++ % size_.hosts;
-  Line& line = lines_[static_cast<std::size_t>(host) % lines_.size()];
-  if (std::exchange(line.busy, true)) return void(++renewals_late_);
-  if (!line.connection || !line.connection->usable()) {
-    line.connection = std::make_shared<ClientConnection>(loop_.io(), list_service_);
+void FleetMembers::SendNextRenewal() {
+  const int host = next_renewal_host_++ % size_.hosts;
+  RenewalConnection& renewal =
+      renewal_connections_[static_cast<std::size_t>(host) % renewal_connections_.size()];
+  if (std::exchange(renewal.busy, true)) return void(++renewals_skipped_);
+  if (!renewal.connection || !renewal.connection->usable()) {
+    renewal.connection = std::make_shared<ClientConnection>(loop_.io(), list_service_);
   }
-  line.connection->Exchange(EncodeRequest(registry::RenewalRequest{IdOf(host), 1}), kCallTimeout,
-                            [this, &line](ClientConnection::Result result) {
-                              line.busy = false;
-                              renewals_failed_ += result.ok() ? 0 : 1;
-                            });
+  renewal.connection->Exchange(EncodeRequest(registry::RenewalRequest{MemberId(host), 1}), kRequestTimeoutMs,
+                               [this, &renewal](ClientConnection::Result result) {
+                                 renewal.busy = false;
+                                 renewals_failed_ += result.ok() ? 0 : 1;
+                               });
 }
 
 void FleetMembers::StartChanging(double per_second) {
-  if (per_second > 0) Begin(changing_, per_second, [this] { MakeChange(); });
+  if (per_second > 0) StartSchedule(change_schedule_, per_second, [this] { SendChange(); });
 }
 
 void FleetMembers::StopChanging() {
-  changing_.on = false;
-  changing_.timer.cancel();
+  change_schedule_.active = false;
+  change_schedule_.timer.cancel();
 }
 
-void FleetMembers::MakeChange() {
+void FleetMembers::SendChange() {
   registry::Command command;
   command.action = registry::Action::kSetSize;
   command.by_operator = true;
-  command.member.id = IdOf(std::uniform_int_distribution<int>(0, size_.hosts - 1)(random_));
-  // Never the size that it has.
-  command.member.size = 1 + static_cast<double>(++changes_made_ % 1000) / 1000;
-  if (!operators_ || !operators_->usable()) {
-    operators_ = std::make_shared<ClientConnection>(loop_.io(), list_service_);
+  command.member.id = MemberId(std::uniform_int_distribution<int>(0, size_.hosts - 1)(random_));
+  // The size differs from the host's previous one, so that every request is a change.
+  command.member.size = 1 + static_cast<double>(++changes_sent_ % kDistinctSizes) / kDistinctSizes;
+  if (!operator_connection_ || !operator_connection_->usable()) {
+    operator_connection_ = std::make_shared<ClientConnection>(loop_.io(), list_service_);
   }
-  const auto connection = std::exchange(operators_, nullptr);
-  ++changes_out_;
-  connection->Exchange(EncodeRequest(command), kCallTimeout,
-                       [this, weak = std::weak_ptr(connection),
-                        sent_at = base::MonotonicNow()](ClientConnection::Result result) {
-                         --changes_out_;
-                         operators_ = weak.lock();  // else the connection would hold itself
-                         if (!result.ok()) return void(++changes_failed_);
-                         ++changes_committed_;
-                         const auto outcome = registry::ParseResult(200, result.response.body());
-                         if (outcome.changed) committed_.push_back({outcome.revision, sent_at});
-                       });
+  const auto connection = std::exchange(operator_connection_, nullptr);
+  ++changes_pending_;
+  connection->Exchange(
+      EncodeRequest(command), kRequestTimeoutMs,
+      [this, weak = std::weak_ptr(connection),
+       sent_at = base::MonotonicNow()](ClientConnection::Result result) {
+        --changes_pending_;
+        operator_connection_ =
+            weak.lock();  // a strong reference would keep the connection alive in its own handler
+        if (!result.ok()) return void(++changes_failed_);
+        ++changes_committed_;
+        const auto outcome = registry::ParseResult(200, result.response.body());
+        if (outcome.changed) committed_.push_back({outcome.revision, sent_at});
+      });
 }
 
-std::vector<CommittedChange> FleetMembers::TakeCommitted() { return std::exchange(committed_, {}); }
+std::vector<CommittedChange> FleetMembers::TakeCommittedChanges() { return std::exchange(committed_, {}); }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -1,5 +1,5 @@
-// The hosts of a fleet as the list service meets them: they register, hold leases and renew them, and are
-// changed by operators. Over connections that many of them share. One thread.
+// The hosts of a fleet as clients of the list service: they register, hold leases and renew them, and
+// operators change their attributes. Many hosts share one connection. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
 #define GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
 
@@ -23,65 +23,67 @@
 // A change that the list service has committed.
 struct CommittedChange {
   std::int64_t revision = 0;
-  Millis sent_at = 0;  // when the operator's call left; base::MonotonicNow
+  Millis sent_at = 0;  // when the operator's request was sent; base::MonotonicNow
 };
 
 class FleetMembers {
  public:
-  // Host i is listed at the i-th loopback address of hosts, at `host_port`.
+  // Host i is registered at HostAddress(i) and `host_port`.
   FleetMembers(EventLoop& loop, tcp::endpoint list_service, const FleetSize& size, std::uint16_t host_port,
                std::uint64_t seed);
 
-  // All at once; returns when all are listed. Throws ScaleTimeout, or std::runtime_error if one is refused.
+  // Registers all hosts concurrently and returns when all are registered. Throws ScaleTimeout, or
+  // std::runtime_error if a registration is refused.
   void RegisterAll();
-  // Each three times a term, spread evenly.
+  // Renews each host's lease three times per lease term. Renewals are spread evenly over time.
   void StartRenewing();
-  // Changes of size, spread evenly, each of a host drawn anew.
+  // Starts to change the size of randomly drawn hosts at this rate. Changes are spread evenly over time.
   void StartChanging(double per_second);
   void StopChanging();
-  // One more, at once.
-  void MakeChange();
+  // Sends one change immediately.
+  void SendChange();
 
-  // The changes that were committed since the last call.
-  std::vector<CommittedChange> TakeCommitted();
-  bool all_changes_answered() const { return changes_out_ == 0; }
+  // Returns the changes that were committed since the previous call.
+  std::vector<CommittedChange> TakeCommittedChanges();
+  bool all_changes_answered() const { return changes_pending_ == 0; }
   int changes_failed() const { return changes_failed_; }
   int changes_committed() const { return changes_committed_; }
   int renewals_failed() const { return renewals_failed_; }
-  // Left out, since an earlier one on the same connection was not answered yet.
-  int renewals_late() const { return renewals_late_; }
+  // Renewals that were skipped because an earlier one on the same connection was still pending.
+  int renewals_skipped() const { return renewals_skipped_; }
 
  private:
-  // A call each so many ms, sent when it is due however late the loop is.
-  struct Pace {
-    explicit Pace(EventLoop& loop) : timer(loop.io()) {}
+  // A periodic request. Due requests are sent even if the event loop is late, so the rate is kept.
+  struct RequestSchedule {
+    explicit RequestSchedule(EventLoop& loop) : timer(loop.io()) {}
     boost::asio::steady_timer timer;
-    Millis gap = 0, next = 0;
-    bool on = false;
+    Millis interval = 0;
+    Millis next_at = 0;  // base::MonotonicNow
+    bool active = false;
   };
-  struct Line {
+  struct RenewalConnection {
     std::shared_ptr<base::ClientConnection> connection;
     bool busy = false;
   };
   registry::Command RegistrationOf(int host) const;
-  void Begin(Pace& pace, double per_second, std::function<void()> send);
-  void Keep(Pace& pace, std::function<void()> send);
-  void Renew();
+  void StartSchedule(RequestSchedule& schedule, double per_second, std::function<void()> send);
+  void SendDueRequests(RequestSchedule& schedule, std::function<void()> send);
+  void SendNextRenewal();
 
   EventLoop& loop_;
   const tcp::endpoint list_service_;
   const FleetSize size_;
   const std::uint16_t host_port_;
   std::minstd_rand random_;
-  Pace renewing_, changing_;
-  std::vector<Line> lines_;
-  std::shared_ptr<base::ClientConnection> operators_;
+  RequestSchedule renewal_schedule_, change_schedule_;
+  std::vector<RenewalConnection> renewal_connections_;
+  std::shared_ptr<base::ClientConnection> operator_connection_;
   std::vector<CommittedChange> committed_;
-  int next_renewal_ = 0, renewals_failed_ = 0, renewals_late_ = 0;
-  int changes_out_ = 0, changes_failed_ = 0, changes_committed_ = 0, changes_made_ = 0;
+  int next_renewal_host_ = 0, renewals_failed_ = 0, renewals_skipped_ = 0;
+  int changes_pending_ = 0, changes_failed_ = 0, changes_committed_ = 0, changes_sent_ = 0;
 };
 
-// The address of host i, on the loopback: hosts have addresses of their own.
+// The loopback address of a host. Each host has its own address.
 std::string HostAddress(int host);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/gateway_configuration.cpp
+++ b/src/lab/scale/gateway_configuration.cpp
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-constexpr int kMemoryMb = 2048;
-constexpr int kSockets = 4096;
-constexpr double kIdleMs = 15000;
-constexpr double kTenantQuota = 1000;  // above what any tenant of a run sends
+constexpr int kMemoryLimitMb = 2048;
+constexpr int kSocketLimit = 4096;
+constexpr double kConnectionIdleMs = 15000;
+constexpr double kTenantQuotaPerSecond = 1000;  // above the request rate of any tenant in a run
 
 json Classes(int count) {
   json classes = json::array();
@@ -34,7 +34,7 @@
 json Tenants(int count) {
   json tenants = json::array();
   for (int i = 0; i < count; ++i) {
-    tenants.push_back({{"name", fmt::format("tenant-{}", i)}, {"quotaPerS", kTenantQuota}});
+    tenants.push_back({{"name", fmt::format("tenant-{}", i)}, {"quotaPerS", kTenantQuotaPerSecond}});
   }
   return tenants;
 }
@@ -51,7 +51,7 @@
               {"discovery", list_service},
               {"discovery_endpoints", {list_service}},
               {"seed", fmt::format("{:x}", input.seed)},
-              {"limits", {{"cores", 1.0}, {"memory_mb", kMemoryMb}, {"sockets", kSockets}}},
+              {"limits", {{"cores", 1.0}, {"memory_mb", kMemoryLimitMb}, {"sockets", kSocketLimit}}},
               {"settings",
                {{"zone", zone},
                 {"peersTotal", std::max(1, gateways)},
@@ -65,10 +65,10 @@
                   {"retryAfter", true},
                   {"maxRetryAfterMs", 2000},
                   {"dialTimeoutMs", 250},
-                  {"connIdleMs", kIdleMs}}},
+                  {"connIdleMs", kConnectionIdleMs}}},
                 {"rules", {{"askWithinMs", 10000}, {"coldFrom", 1}, {"coldMs", 0}, {"fallMultiple", 3}}}}}};
   if (input.management) config["mgmt"] = Addresses::Text(*input.management);
-  if (!input.known.is_null()) config["known"] = input.known;
+  if (!input.initial_list.is_null()) config["known"] = input.initial_list;
   return config;
 }
 
--- a/src/lab/scale/gateway_configuration.hpp
+++ b/src/lab/scale/gateway_configuration.hpp
@@ -1,4 +1,4 @@
-// The configuration file of a gateway of a scale run, real or hollow: DEPLOY's NODE_CONFIG.
+// The configuration file (NODE_CONFIG) of a real or hollow gateway of a scale run.
 #ifndef GATEWAY_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
 #define GATEWAY_LAB_SCALE_GATEWAY_CONFIGURATION_HPP_
 
@@ -12,16 +12,17 @@
 
 namespace gateway::lab {
 
+// The settings that differ between the gateways of a run.
 struct GatewayConfigInput {
-  int index = 0;  // in the fleet
+  int index = 0;  // of the gateway in the fleet
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint list_service;
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // for operators; none: no such listener
+  std::optional<boost::asio::ip::tcp::endpoint> management;  // listener for operators; nullopt: none
   std::uint64_t seed = 0;
-  nlohmann::json known;  // a list in the published form; null: none
+  nlohmann::json initial_list;  // endpoint list at the start, in the published form; null: none
 };
 
-// Class i is named "class-i" and tenant i "tenant-i".
+// Builds the configuration. Class i is named "class-i" and tenant i is named "tenant-i".
 nlohmann::json GatewayConfiguration(const FleetSize& size, const GatewayConfigInput& input);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/hollow_comparison.cpp
+++ b/src/lab/scale/hollow_comparison.cpp
@@ -9,49 +9,49 @@
 namespace gateway::lab {
 namespace {
 
-constexpr Millis kReadyWithin = 15000;
+constexpr Millis kReadyTimeoutMs = 15000;
 
-struct Reading {
+struct UsageReading {
   ListServiceCounts counts;
   Millis cpu = 0;
 };
 
-Reading Read(ScaleFleet& fleet) { return {fleet.Counts(), CpuTimeOf(fleet.list_service())}; }
+UsageReading ReadUsage(ScaleFleet& fleet) { return {fleet.FetchCounts(), CpuTimeOf(fleet.list_service())}; }
 
-// One run with gateways of one kind; adds to `use`.
+// Runs one fleet with gateways of one kind and adds its load to `use`.
 void RunFleet(const ScalePrograms& programs, const FleetSize& size, const ScaleWindows& windows,
               std::uint64_t seed, Millis deadline, ListServiceUse& use) {
   ScaleFleet fleet(programs, size, seed, deadline);
   fleet.StartListService();
   fleet.members().RegisterAll();
   fleet.members().StartRenewing();
-  fleet.CompleteList();  // encoded once, before it is counted
-  const Reading begin = Read(fleet);
+  fleet.FetchCompleteList();  // the service encodes the list before the counted requests
+  const UsageReading before = ReadUsage(fleet);
   const Millis rest_until = base::MonotonicNow() + windows.rest;
   fleet.StartRealGateways();
   fleet.StartHollowGateways(0, size.gateways_hollow, nullptr);
-  fleet.WaitForHollowReady(kReadyWithin);
+  fleet.WaitForHollowReady(kReadyTimeoutMs);
   if (rest_until > base::MonotonicNow()) fleet.loop().RunFor(rest_until - base::MonotonicNow());
-  const Reading rested = Read(fleet);
+  const UsageReading after_rest = ReadUsage(fleet);
   fleet.members().StartChanging(size.changes_per_s);
   fleet.loop().RunFor(windows.window);
-  const Reading end = Read(fleet);
-  use.rest_calls += rested.counts.list_calls - begin.counts.list_calls;
-  use.rest_bytes_in += rested.counts.list_bytes_in - begin.counts.list_bytes_in;
-  use.rest_bytes_out += rested.counts.list_bytes_out - begin.counts.list_bytes_out;
-  use.change_calls += end.counts.list_calls - rested.counts.list_calls;
-  use.change_bytes_in += end.counts.list_bytes_in - rested.counts.list_bytes_in;
-  use.change_bytes_out += end.counts.list_bytes_out - rested.counts.list_bytes_out;
-  const Millis cpu = end.cpu - begin.cpu;
-  use.least_cpu_ms = use.least_cpu_ms > 0 ? std::min(use.least_cpu_ms, cpu) : cpu;
+  const UsageReading after_changes = ReadUsage(fleet);
+  use.rest_calls += after_rest.counts.list_calls - before.counts.list_calls;
+  use.rest_bytes_in += after_rest.counts.list_bytes_in - before.counts.list_bytes_in;
+  use.rest_bytes_out += after_rest.counts.list_bytes_out - before.counts.list_bytes_out;
+  use.change_calls += after_changes.counts.list_calls - after_rest.counts.list_calls;
+  use.change_bytes_in += after_changes.counts.list_bytes_in - after_rest.counts.list_bytes_in;
+  use.change_bytes_out += after_changes.counts.list_bytes_out - after_rest.counts.list_bytes_out;
+  const Millis cpu = after_changes.cpu - before.cpu;
+  use.min_cpu_ms = use.min_cpu_ms > 0 ? std::min(use.min_cpu_ms, cpu) : cpu;
 }
 
 }  // namespace
 
-bool HollowComparison::Holds(bool speeds) const {
+bool HollowComparison::IsWithinTolerance(bool include_machine_dependent) const {
   for (const UseRatio& ratio : ratios) {
-    if (ratio.speed && !speeds) continue;
-    if (!(std::abs(ratio.ratio() - 1) <= within)) return false;
+    if (ratio.machine_dependent && !include_machine_dependent) continue;
+    if (!(std::abs(ratio.ratio() - 1) <= tolerance)) return false;
   }
   return !ratios.empty();
 }
@@ -59,27 +59,28 @@
 HollowComparison CompareHollowGateways(const ScalePrograms& programs, const FleetSize& size,
                                        const ScaleWindows& windows, int runs, std::uint64_t seed,
                                        Millis deadline) {
-  FleetSize real = size, hollow = size;
-  real.gateways_real = size.gateways_hollow;
-  real.gateways_hollow = 0;
-  hollow.gateways_real = 0;
-  ListServiceUse of_real, of_hollow;
+  FleetSize real_size = size, hollow_size = size;
+  real_size.gateways_real = size.gateways_hollow;
+  real_size.gateways_hollow = 0;
+  hollow_size.gateways_real = 0;
+  ListServiceUse real_use, hollow_use;
   for (int run = 0; run < runs; ++run) {
-    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(run);
+    const std::uint64_t run_seed = seed + static_cast<std::uint64_t>(run);
     const bool real_first = run % 2 == 0;
-    if (real_first) RunFleet(programs, real, windows, its_seed, deadline, of_real);
-    RunFleet(programs, hollow, windows, its_seed, deadline, of_hollow);
-    if (!real_first) RunFleet(programs, real, windows, its_seed, deadline, of_real);
+    if (real_first) RunFleet(programs, real_size, windows, run_seed, deadline, real_use);
+    RunFleet(programs, hollow_size, windows, run_seed, deadline, hollow_use);
+    if (!real_first) RunFleet(programs, real_size, windows, run_seed, deadline, real_use);
   }
   HollowComparison comparison;
   comparison.gateways = size.gateways_hollow;
-  comparison.ratios = {{"rest_calls", of_real.rest_calls, of_hollow.rest_calls},
-                       {"rest_bytes_in", of_real.rest_bytes_in, of_hollow.rest_bytes_in},
-                       {"rest_bytes_out", of_real.rest_bytes_out, of_hollow.rest_bytes_out},
-                       {"change_calls", of_real.change_calls, of_hollow.change_calls},
-                       {"change_bytes_in", of_real.change_bytes_in, of_hollow.change_bytes_in},
-                       {"change_bytes_out", of_real.change_bytes_out, of_hollow.change_bytes_out},
-                       {"service_cpu_ms", of_real.least_cpu_ms, of_hollow.least_cpu_ms, /*speed=*/true}};
+  comparison.ratios = {
+      {"rest_calls", real_use.rest_calls, hollow_use.rest_calls},
+      {"rest_bytes_in", real_use.rest_bytes_in, hollow_use.rest_bytes_in},
+      {"rest_bytes_out", real_use.rest_bytes_out, hollow_use.rest_bytes_out},
+      {"change_calls", real_use.change_calls, hollow_use.change_calls},
+      {"change_bytes_in", real_use.change_bytes_in, hollow_use.change_bytes_in},
+      {"change_bytes_out", real_use.change_bytes_out, hollow_use.change_bytes_out},
+      {"service_cpu_ms", real_use.min_cpu_ms, hollow_use.min_cpu_ms, /*machine_dependent=*/true}};
   return comparison;
 }
 
@@ -90,8 +91,8 @@
         {{"figure", ratio.figure}, {"real", ratio.real}, {"hollow", ratio.hollow}, {"ratio", ratio.ratio()}});
   }
   return {{"gateways", comparison.gateways},
-          {"within", comparison.within},
-          {"holds", comparison.Holds(/*speeds=*/true)},
+          {"within", comparison.tolerance},
+          {"holds", comparison.IsWithinTolerance(/*include_machine_dependent=*/true)},
           {"ratios", ratios}};
 }
 
--- a/src/lab/scale/hollow_comparison.hpp
+++ b/src/lab/scale/hollow_comparison.hpp
@@ -1,5 +1,5 @@
-// Compares hollow gateways with real ones: the same fleet is run with either, and the load on the list
-// service is compared. Figures of hollow gateways are valid only where both agree.
+// Compares hollow gateways with real ones: runs the same fleet with each kind and compares the load on the
+// list service. Figures of hollow gateways are valid only where both loads agree.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 
@@ -12,30 +12,34 @@
 
 namespace gateway::lab {
 
-// What gateways of one kind made the list service do, over all runs.
+// The load that gateways of one kind caused at the list service, summed over all runs.
 struct ListServiceUse {
-  double rest_calls = 0, rest_bytes_in = 0, rest_bytes_out = 0;        // from their start, no changes
-  double change_calls = 0, change_bytes_in = 0, change_bytes_out = 0;  // while changes came
-  // Of the run that took least: what else runs on the machine only adds.
-  double least_cpu_ms = 0;  // all the time
+  double rest_calls = 0, rest_bytes_in = 0, rest_bytes_out = 0;  // from the gateways' start, without changes
+  double change_calls = 0, change_bytes_in = 0, change_bytes_out = 0;  // during changes
+  // CPU time of the run with the lowest one, since other load on the machine can only increase it.
+  double min_cpu_ms = 0;  // over the complete run
 };
 
+// One figure of the list service's load under real and under hollow gateways.
 struct UseRatio {
   std::string figure;
   double real = 0, hollow = 0;
-  bool speed = false;  // depends on the machine and its load, not on what was sent
+  bool machine_dependent = false;  // depends on the machine and its load, not on the messages sent
   double ratio() const { return real > 0 ? hollow / real : 0; }
 };
 
+// The result of a comparison.
 struct HollowComparison {
   int gateways = 0;
-  double within = 0.1;  // of 1, for each ratio
+  double tolerance = 0.1;  // largest accepted distance of a ratio from 1
   std::vector<UseRatio> ratios;
-  // `speeds`: whether CPU is judged too.
-  bool Holds(bool speeds) const;
+  // Whether there are ratios and all are within the tolerance. Without `include_machine_dependent`, CPU time
+  // is not checked.
+  bool IsWithinTolerance(bool include_machine_dependent) const;
 };
 
-// Runs `gateways_hollow` of both, in turns. Throws as ScaleMeasurer does.
+// Runs fleets of size.gateways_hollow real and hollow gateways alternately. Throws the exceptions of
+// ScaleMeasurer::Measure.
 HollowComparison CompareHollowGateways(const ScalePrograms& programs, const FleetSize& size,
                                        const ScaleWindows& windows, int runs, std::uint64_t seed,
                                        Millis deadline);
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -13,8 +13,8 @@
 using base::Millis;
 using boost::system::error_code;
 
-constexpr Millis kCheckWhileWatching = 250;
-constexpr Millis kCheckAfterFailure = 10;  // the policy's own period
+constexpr Millis kWatchingCheckPeriodMs = 250;
+constexpr Millis kPolicyCheckPeriodMs = 10;  // the policy's own check period
 
 proxy::EndpointListWatcher::Options WatcherOptions(const proxy::Config& config) {
   proxy::EndpointListWatcher::Options options;
@@ -29,50 +29,50 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(boost::asio::io_context& io, const proxy::Config& config, OnList on_list)
+HollowGateway::HollowGateway(boost::asio::io_context& io, const proxy::Config& config, ListCallback on_list)
     : policy_(config.settings, config.seed),
       polls_(config.settings.poll_endpoint_list),
       on_list_(std::move(on_list)),
-      check_(io),
-      list_(io, WatcherOptions(config),
-            {[this] { answered_ = true; },
-             [this](const proxy::EndpointList& list) {
-               Report(proxy::ToListEvent(list));
-               if (answered_) on_list_(list_.revision());
-             },
-             [this](Millis took) {
-               watching_ = false;
-               Report(gateway::policy::EndpointListEvent{
-                   gateway::policy::EndpointListEvent::Kind::kFailure, {}, took});
-               CheckWithin(kCheckAfterFailure);
-             }}) {
-  list_.Apply(config.known);
-  if (!polls_) list_.Watch();
+      check_timer_(io),
+      list_watcher_(io, WatcherOptions(config),
+                    {[this] { answered_ = true; },
+                     [this](const proxy::EndpointList& list) {
+                       HandleEvent(proxy::ToListEvent(list));
+                       if (answered_) on_list_(list_watcher_.revision());
+                     },
+                     [this](Millis duration) {
+                       watching_ = false;
+                       HandleEvent(gateway::policy::EndpointListEvent{
+                           gateway::policy::EndpointListEvent::Kind::kFailure, {}, duration});
+                       ScheduleCheck(kPolicyCheckPeriodMs);
+                     }}) {
+  list_watcher_.Apply(config.known);
+  if (!polls_) list_watcher_.Watch();
 }
 
-void HollowGateway::Report(const gateway::policy::Event& event) {
-  // Nothing that an action does here reports at once, so there is no event within another.
+void HollowGateway::HandleEvent(const gateway::policy::Event& event) {
+  // No action reports an event synchronously, so this function is not reentered.
   actions_.clear();
   policy_.Handle(base::UnixAlignedNow(), event, actions_);
   for (const gateway::policy::Action& action : std::exchange(actions_, {})) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
 }
 
-void HollowGateway::Do(const gateway::policy::SetTimer& timer) {
-  CheckWithin(watching_ ? std::max(timer.delay, kCheckWhileWatching) : timer.delay);
+void HollowGateway::Execute(const gateway::policy::SetTimer& timer) {
+  ScheduleCheck(watching_ ? std::max(timer.delay, kWatchingCheckPeriodMs) : timer.delay);
 }
 
-void HollowGateway::Do(const gateway::policy::WatchEndpointList&) {
+void HollowGateway::Execute(const gateway::policy::WatchEndpointList&) {
   watching_ = true;
-  list_.Watch();
+  list_watcher_.Watch();
 }
 
-// The policy has one timer and sets it again each time, so one is enough here.
-void HollowGateway::CheckWithin(Millis delay) {
-  check_.expires_after(base::TimerDuration(delay));
-  check_.async_wait([this](error_code ec) {
-    if (!ec) Report(gateway::policy::TimerFired{"sweep"});
+// The policy has one timer and rearms it after each expiry, so one timer is sufficient.
+void HollowGateway::ScheduleCheck(Millis delay) {
+  check_timer_.expires_after(base::TimerDuration(delay));
+  check_timer_.async_wait([this](error_code ec) {
+    if (!ec) HandleEvent(gateway::policy::TimerFired{"sweep"});
   });
 }
 
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,10 +1,11 @@
-// A hollow gateway (after the hollow nodes of Kubernetes' kubemark): does towards the list service what a
-// gateway does, and has no request path. It consists of the gateway's own parts: EndpointListWatcher and
-// Policy. Thousands fit in one process. To be used in the thread of the io_context.
+// A hollow gateway (named after the hollow nodes of Kubernetes' kubemark) talks to the list service like a
+// real gateway but has no request path. It uses the real EndpointListWatcher and Policy. Thousands fit in one
+// process. Must be used in the thread of the io_context.
 //
-// While a call is under way, the periodic check of the policy, which serves queued requests, runs four times
-// a second in place of its own period of 10 ms. Before the first call and after a failed one it runs at its
-// own period, so that calls go out when those of a real gateway would. HollowComparison verifies this.
+// While a watch call is pending, the policy's periodic check, which serves queued requests, runs four times a
+// second instead of every 10 ms. Before the first call and after a failed one it runs at the policy's own
+// period, so that calls are sent at the same times as those of a real gateway. HollowComparison verifies
+// this.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 
@@ -23,32 +24,32 @@
 
 class HollowGateway {
  public:
-  // Called after each list that a call has brought, with the revision that is then in force.
-  using OnList = std::function<void(std::int64_t revision)>;
+  // Called after each list that the service returned, with the revision now in use.
+  using ListCallback = std::function<void(std::int64_t revision)>;
 
-  // Begins as a gateway of that configuration does. Throws std::exception where its settings can't work.
-  HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, OnList on_list);
+  // Starts like a real gateway with this configuration. Throws std::exception if the settings are invalid.
+  HollowGateway(boost::asio::io_context& io, const gateway::proxy::Config& config, ListCallback on_list);
 
-  std::int64_t revision() const { return list_.revision(); }
-  std::size_t hosts() const { return list_.endpoints().size(); }
-  // Whether a call has ever been answered.
+  std::int64_t revision() const { return list_watcher_.revision(); }
+  std::size_t hosts() const { return list_watcher_.endpoints().size(); }
+  // Whether the list service has answered at least one call.
   bool answered() const { return answered_; }
 
  private:
-  void Report(const gateway::policy::Event& event);
-  void Do(const gateway::policy::SetTimer& timer);
-  void Do(const gateway::policy::WatchEndpointList&);
-  void Do(const auto&) {}  // logs; what concerns requests never comes
-  void CheckWithin(base::Millis delay);
+  void HandleEvent(const gateway::policy::Event& event);
+  void Execute(const gateway::policy::SetTimer& timer);
+  void Execute(const gateway::policy::WatchEndpointList&);
+  void Execute(const auto&) {}  // log records; actions on requests never occur
+  void ScheduleCheck(base::Millis delay);
 
   gateway::policy::Policy policy_;
-  const bool polls_;  // otherwise the list is watched from the start
-  const OnList on_list_;
+  const bool polls_;  // false: the list is watched from the start
+  const ListCallback on_list_;
   bool answered_ = false;
   bool watching_ = false;
-  boost::asio::steady_timer check_;
+  boost::asio::steady_timer check_timer_;
   std::vector<gateway::policy::Action> actions_;
-  gateway::proxy::EndpointListWatcher list_;
+  gateway::proxy::EndpointListWatcher list_watcher_;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -24,12 +24,14 @@
 
 class HollowFleet {
  public:
-  HollowFleet(boost::asio::io_context& io, const HollowOptions& options)
+  HollowFleet(boost::asio::io_context& io, const HollowProcessOptions& options)
       : arrivals_(static_cast<std::size_t>(options.count)),
         ready_(arrivals_.size(), false),
-        handlers_(std::make_shared<const ServerConnection::Handlers>(ServerConnection::Handlers{
-            [this](const auto& connection, const HttpRequest& request) { Answer(connection, request); },
-            [](const auto&) {}})),
+        handlers_(std::make_shared<const ServerConnection::Handlers>(
+            ServerConnection::Handlers{[this](const auto& connection, const HttpRequest& request) {
+                                         HandleRequest(connection, request);
+                                       },
+                                       [](const auto&) {}})),
         listener_(io, options.control, nullptr, [this](tcp::socket socket) {
           std::make_shared<ServerConnection>(std::move(socket), nullptr, handlers_)->Begin();
         }) {
@@ -37,15 +39,15 @@
       return std::string_view(name) == "NODE_CONFIG" ? options.config.c_str() : nullptr;
     });
     for (std::size_t i = 0; i < arrivals_.size(); ++i) {
-      config.settings.gateway_index = options.first + static_cast<int>(i);
+      config.settings.gateway_index = options.first_index + static_cast<int>(i);
       gateways_.push_back(std::make_unique<HollowGateway>(
-          io, config, [this, i](std::int64_t revision) { OnList(i, revision); }));
+          io, config, [this, i](std::int64_t revision) { RecordList(i, revision); }));
       ++config.seed;
     }
   }
 
  private:
-  void OnList(std::size_t gateway, std::int64_t revision) {
+  void RecordList(std::size_t gateway, std::int64_t revision) {
     auto& arrivals = arrivals_[gateway];
     if (arrivals.empty() || arrivals.back().revision < revision) {
       arrivals.push_back({revision, base::MonotonicNow()});
@@ -68,7 +70,7 @@
     return state;
   }
 
-  void Answer(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request) {
+  void HandleRequest(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request) {
     if (request.target() == "/state") return connection->Answer(MakeResponse(200, ToJson(State()).dump()));
     if (request.target() != "/news") return connection->Answer(MakeResponse(404));
     RevisionArrivals arrivals(arrivals_.size());
@@ -100,9 +102,9 @@
 
 json ToJson(const RevisionArrivals& arrivals) {
   json form = json::array();
-  for (const auto& of_gateway : arrivals) {
+  for (const auto& gateway_arrivals : arrivals) {
     json& list = form.emplace_back(json::array());
-    for (const RevisionArrival& arrival : of_gateway) list.push_back({arrival.revision, arrival.at});
+    for (const RevisionArrival& arrival : gateway_arrivals) list.push_back({arrival.revision, arrival.at});
   }
   return form;
 }
@@ -110,13 +112,13 @@
 RevisionArrivals RevisionArrivalsFromJson(const json& form) {
   RevisionArrivals arrivals;
   for (const json& list : form) {
-    auto& of_gateway = arrivals.emplace_back();
-    for (const json& arrival : list) of_gateway.push_back({arrival.at(0), arrival.at(1)});
+    auto& gateway_arrivals = arrivals.emplace_back();
+    for (const json& arrival : list) gateway_arrivals.push_back({arrival.at(0), arrival.at(1)});
   }
   return arrivals;
 }
 
-int ServeHollowGateways(const HollowOptions& options) {
+int ServeHollowGateways(const HollowProcessOptions& options) {
   std::signal(SIGPIPE, SIG_IGN);
   base::RaiseDescriptorLimit();
   boost::asio::io_context io(1);
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -1,4 +1,4 @@
-// A process of many hollow gateways, and the JSON forms in which it reports to the tool.
+// A process that runs many hollow gateways, and the JSON forms of its reports to the measuring tool.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 
@@ -12,35 +12,37 @@
 
 namespace gateway::lab {
 
-// Of `gatewayctl lab hollow-gateways`.
-struct HollowOptions {
-  std::string config;  // a gateway's, in the form of NODE_CONFIG; `seed` and `selfIndex` are of the first one
+// Options of `gatewayctl lab hollow-gateways`.
+struct HollowProcessOptions {
+  // File in the form of NODE_CONFIG. Its `seed` and `selfIndex` are those of the first gateway.
+  std::string config;
   int count = 1;
-  int first = 0;                           // index of the first one
-  boost::asio::ip::tcp::endpoint control;  // where the tool asks
+  int first_index = 0;                     // index of the first gateway
+  boost::asio::ip::tcp::endpoint control;  // listener for requests of the measuring tool
 };
 
 // Serves until SIGTERM. Returns the exit code. Throws base::ConfigError.
-int ServeHollowGateways(const HollowOptions& options);
+int ServeHollowGateways(const HollowProcessOptions& options);
 
-// The answer to GET /state.
+// The response to GET /state.
 struct HollowState {
-  int gateways = 0, ready = 0;       // ready: a call has been answered and hosts are known
-  std::int64_t oldest_revision = 0;  // of any gateway
-  base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not yet
+  int gateways = 0, ready = 0;       // ready: the list service has answered and hosts are known
+  std::int64_t oldest_revision = 0;  // over all gateways
+  base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all are ready yet
 };
 nlohmann::json ToJson(const HollowState& state);
-HollowState HollowStateFromJson(const nlohmann::json& form);
+HollowState HollowStateFromJson(const nlohmann::json& json);
 
-// When a gateway got a revision of the list; base::MonotonicNow.
+// The time at which a gateway received a revision of the list; base::MonotonicNow.
 struct RevisionArrival {
   std::int64_t revision = 0;
   base::Millis at = 0;
 };
-// By gateway, in the order of time, since the last such question: the answer to GET /news.
+// The response to GET /news: the arrivals since the previous such request, by gateway, in chronological
+// order.
 using RevisionArrivals = std::vector<std::vector<RevisionArrival>>;
 nlohmann::json ToJson(const RevisionArrivals& arrivals);
-RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& form);
+RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& json);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/process_usage.cpp
+++ b/src/lab/scale/process_usage.cpp
@@ -11,14 +11,14 @@
 namespace gateway::lab {
 
 base::Millis CpuTimeOf(pid_t pid) {
-  clockid_t clock{};
-  const int wrong = clock_getcpuclockid(pid, &clock);
-  timespec used{};
-  if (wrong != 0 || clock_gettime(clock, &used) != 0) {
-    throw std::system_error(wrong != 0 ? wrong : errno, std::generic_category(),
-                            fmt::format("no CPU time of process {}", pid));
+  clockid_t clock_id{};
+  const int clock_error = clock_getcpuclockid(pid, &clock_id);
+  timespec cpu_time{};
+  if (clock_error != 0 || clock_gettime(clock_id, &cpu_time) != 0) {
+    throw std::system_error(clock_error != 0 ? clock_error : errno, std::generic_category(),
+                            fmt::format("can't read the CPU time of process {}", pid));
   }
-  return 1000 * static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) / 1e6;
+  return 1000 * static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) / 1e6;
 }
 
 double ResidentMemoryOf(pid_t pid) {
--- a/src/lab/scale/process_usage.hpp
+++ b/src/lab/scale/process_usage.hpp
@@ -1,4 +1,4 @@
-// What a process has used, by the kernel's own accounts. Any thread.
+// Resource usage of a process as accounted by the kernel. Thread-safe.
 #ifndef GATEWAY_LAB_SCALE_PROCESS_USAGE_HPP_
 #define GATEWAY_LAB_SCALE_PROCESS_USAGE_HPP_
 
@@ -8,11 +8,12 @@
 
 namespace gateway::lab {
 
-// CPU time of all its threads since its start, user and system, in ms. The clock that /proc/PID/stat shows in
-// ticks of 10 ms, read to the nanosecond. Throws std::system_error where there is no such process.
+// User and system CPU time of all threads since the start of the process, in ms. Reads the same clock that
+// /proc/PID/stat shows in ticks of 10 ms, but with nanosecond resolution. Throws std::system_error if there
+// is no such process.
 base::Millis CpuTimeOf(pid_t pid);
 
-// Resident memory in MB; 0 where there is no such process.
+// Resident memory in MB; 0 if there is no such process.
 double ResidentMemoryOf(pid_t pid);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/request_load.hpp
+++ b/src/lab/scale/request_load.hpp
@@ -1,5 +1,5 @@
-// Requests to real gateways, and the hosts that answer them: arrivals at random times at a given rate,
-// whatever the answers. Every host of the fleet is behind one listener. One thread.
+// Load on real gateways, and the hosts that answer it: an open-loop arrival process with random gaps at a
+// given rate, independent of the responses. One listener serves all hosts of the fleet. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 #define GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 
@@ -20,72 +20,77 @@
 
 namespace gateway::lab {
 
-// How long each request was at its host, by request id.
-class HostTimes {
+// The time that each request spent at its host, by request id.
+class HostLatencies {
  public:
-  void Add(const std::string& id, Millis held) { host_times_[id] = held; }
-  // 0 for a request that no host has answered.
-  Millis Take(const std::string& id);
+  void Add(const std::string& id, Millis latency) { host_latencies_[id] = latency; }
+  // Removes and returns the time; 0 if no host has answered the request.
+  Millis Remove(const std::string& id);
 
  private:
-  std::unordered_map<std::string, Millis> host_times_;
+  std::unordered_map<std::string, Millis> host_latencies_;
 };
 
-// All hosts, at every loopback address and one port of the kernel's choice. Each answers after a fixed time.
+// All hosts of the fleet: one listener on every loopback address and an ephemeral port. Answers each request
+// after a fixed time.
 class EmulatedHosts {
  public:
-  EmulatedHosts(EventLoop& loop, HostTimes& held);
+  EmulatedHosts(EventLoop& loop, HostLatencies& host_latencies);
   ~EmulatedHosts();
   std::uint16_t port() const { return port_; }
 
  private:
   void Accept();
-  void Answer(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request);
+  void Respond(const std::shared_ptr<ServerConnection>& connection, const HttpRequest& request);
 
   EventLoop& loop_;
-  HostTimes& host_times_;
+  HostLatencies& host_latencies_;
   tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::shared_ptr<const ServerConnection::Handlers> handlers_;
 };
 
+// Requests since the start of the load.
 struct RequestCounts {
   std::uint64_t sent = 0, served = 0, not_served = 0;
 };
 
+// Sends requests to the gateways in turn.
 class RequestLoad {
  public:
-  RequestLoad(EventLoop& loop, HostTimes& held, std::vector<tcp::endpoint> gateways, const FleetSize& size,
-              std::uint64_t seed);
+  RequestLoad(EventLoop& loop, HostLatencies& host_latencies, std::vector<tcp::endpoint> gateways,
+              const FleetSize& size, std::uint64_t seed);
 
   void Start();
   void Stop();
-  // Of the requests answered since the last call of this: their time beyond that at the host, in us.
-  base::Histogram TakeAdded();
-  // Of the requests sent since the last call of this: how far behind their schedule they were, in us.
+  // Returns the latency that the gateways added to the time at the host, in us, for the requests answered
+  // since the previous call.
+  base::Histogram TakeAddedLatency();
+  // Returns the delay of each send after its scheduled time, in us, for the requests sent since the previous
+  // call.
   base::Histogram TakeLateness();
   const RequestCounts& counts() const { return counts_; }
 
  private:
   struct Target {
     tcp::endpoint address;
-    std::vector<std::shared_ptr<base::ClientConnection>> free;
+    std::vector<std::shared_ptr<base::ClientConnection>> idle_connections;
   };
   void SendDue();
   void SendTo(Target& target);
-  std::string Text(const std::string& id);
+  std::string RequestText(const std::string& id);
 
   EventLoop& loop_;
-  HostTimes& host_times_;
+  HostLatencies& host_latencies_;
   const FleetSize size_;
   std::mt19937_64 random_;
   std::vector<Target> targets_;
   std::size_t next_target_ = 0;
   boost::asio::steady_timer timer_;
-  Millis next_ = 0;
+  Millis next_send_at_ = 0;
   std::uint64_t next_id_ = 0;
-  bool on_ = false;
-  base::Histogram added_, lateness_;
+  bool running_ = false;
+  base::Histogram added_latency_, lateness_;
   RequestCounts counts_;
 };
 
--- a/src/lab/scale/request_queue.cpp
+++ b/src/lab/scale/request_queue.cpp
@@ -15,16 +15,18 @@
 namespace gateway::lab {
 namespace {
 
-constexpr std::size_t kBuffer = 256 << 10;
+constexpr std::size_t kReceiveBufferBytes = 256 << 10;
 
-[[noreturn]] void Fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
+[[noreturn]] void ThrowErrno(const char* message) {
+  throw std::system_error(errno, std::generic_category(), message);
+}
 
 struct DumpRequest {
   nlmsghdr header{};
   inet_diag_req_v2 body{};
 };
 
-DumpRequest ListeningAndOpen() {
+DumpRequest MakeDumpRequest() {
   DumpRequest request;
   request.header.nlmsg_len = sizeof request;
   request.header.nlmsg_type = SOCK_DIAG_BY_FAMILY;
@@ -35,8 +37,8 @@
   return request;
 }
 
-// Of one socket at the listener's address: how many requests wait in it.
-int WaitingIn(const inet_diag_msg& socket) {
+// The number of requests that wait in one socket at the listener's address.
+int PendingRequestsIn(const inet_diag_msg& socket) {
   if (socket.idiag_state == TCP_LISTEN) return static_cast<int>(socket.idiag_rqueue);
   return socket.idiag_rqueue > 0 ? 1 : 0;
 }
@@ -45,27 +47,29 @@
 
 RequestQueue::RequestQueue(const boost::asio::ip::tcp::endpoint& listener)
     : listener_(listener), socket_(socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG)) {
-  if (socket_ < 0) Fail("no sock_diag socket");
+  if (socket_ < 0) ThrowErrno("can't open a sock_diag socket");
 }
 
 RequestQueue::~RequestQueue() { close(socket_); }
 
-int RequestQueue::Waiting() {
-  const DumpRequest request = ListeningAndOpen();
-  if (send(socket_, &request, sizeof request, 0) < 0) Fail("can't ask the kernel for its sockets");
+int RequestQueue::PendingRequests() {
+  const DumpRequest request = MakeDumpRequest();
+  if (send(socket_, &request, sizeof request, 0) < 0)
+    ThrowErrno("can't send the sock_diag request to the kernel");
   const in_addr_t address = htonl(listener_.address().to_v4().to_uint());
   const in_port_t port = htons(listener_.port());
-  std::vector<char> buffer(kBuffer);  // aligned for any type
-  int waiting = 0;
+  std::vector<char> buffer(kReceiveBufferBytes);  // allocated storage is aligned for any type
+  int pending = 0;
   for (;;) {
-    const ssize_t got = recv(socket_, buffer.data(), buffer.size(), 0);
-    if (got < 0) Fail("the kernel does not tell its sockets");
-    std::size_t left = static_cast<std::size_t>(got);
-    for (auto* header = reinterpret_cast<const nlmsghdr*>(buffer.data()); NLMSG_OK(header, left);
-         header = NLMSG_NEXT(header, left)) {
-      if (header->nlmsg_type == NLMSG_DONE || header->nlmsg_type == NLMSG_ERROR) return waiting;
-      const auto& found = *static_cast<const inet_diag_msg*>(NLMSG_DATA(header));
-      if (found.id.idiag_sport == port && found.id.idiag_src[0] == address) waiting += WaitingIn(found);
+    const ssize_t received_bytes = recv(socket_, buffer.data(), buffer.size(), 0);
+    if (received_bytes < 0) ThrowErrno("can't receive the kernel's list of sockets");
+    std::size_t remaining_bytes = static_cast<std::size_t>(received_bytes);
+    for (auto* header = reinterpret_cast<const nlmsghdr*>(buffer.data()); NLMSG_OK(header, remaining_bytes);
+         header = NLMSG_NEXT(header, remaining_bytes)) {
+      if (header->nlmsg_type == NLMSG_DONE || header->nlmsg_type == NLMSG_ERROR) return pending;
+      const auto& entry = *static_cast<const inet_diag_msg*>(NLMSG_DATA(header));
+      if (entry.id.idiag_sport == port && entry.id.idiag_src[0] == address)
+        pending += PendingRequestsIn(entry);
     }
   }
 }
--- a/src/lab/scale/request_queue.hpp
+++ b/src/lab/scale/request_queue.hpp
@@ -1,5 +1,5 @@
-// What waits at a listening process, by the kernel's socket tables (sock_diag): no packet is opened and the
-// process is not asked.
+// The number of requests that wait at a listening process, read from the kernel's socket tables (sock_diag).
+// Neither inspects packets nor contacts the process.
 #ifndef GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
 #define GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
 
@@ -9,14 +9,14 @@
 
 class RequestQueue {
  public:
-  // Throws std::system_error where the kernel gives no such socket.
+  // Throws std::system_error if the kernel provides no sock_diag socket.
   explicit RequestQueue(const boost::asio::ip::tcp::endpoint& listener);
   ~RequestQueue();
   RequestQueue(const RequestQueue&) = delete;
 
-  // Connections that were not accepted yet, and accepted ones with bytes that were not read. Throws
+  // Counts the connections not accepted yet, and the accepted ones with unread bytes. Throws
   // std::system_error.
-  int Waiting();
+  int PendingRequests();
 
  private:
   const boost::asio::ip::tcp::endpoint listener_;
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -15,23 +15,24 @@
 using base::kNotNegative;
 using base::TomlTable;
 
-constexpr double kMs = 1000;
-constexpr int kMostOfAnything = 1000000;
-constexpr int kMostReal = 180;  // each has an address of its own in the run's block
-constexpr int kHollowPerProcess = 400;
-constexpr std::size_t kLeastPoints = 4;
-constexpr double kLeastSpan = 100;  // two decades
+constexpr double kMsPerSecond = 1000;
+constexpr double kBytesPerMb = 1 << 20;
+constexpr int kMaxCount = 1000000;
+constexpr int kMaxRealGateways = 180;  // each needs its own address in the address block of the run
+constexpr int kHollowGatewaysPerProcess = 400;
+constexpr std::size_t kMinPoints = 4;
+constexpr double kMinSpanFactor = 100;  // two decades
 
-// For the estimate of memory, in MB; each is above what was measured (docs/design/scale.md).
-constexpr double kToolMb = 60, kToolPerHost = 0.004;
-constexpr double kServiceMb = 40, kServicePerHost = 0.006, kServicePerCaller = 0.1;
-constexpr double kGatewayMb = 12, kGatewayPerHost = 0.004;
-constexpr double kGatewayPerTenant = 0.001, kHollowPerTenant = 0.0005;
-constexpr double kGatewayPerClass = 0.05, kHollowPerClass = 0.01;
-constexpr int kMostClasses = 64;  // more are refused at the gateway's start
-constexpr double kHollowProcessMb = 15, kHollowMb = 0.06, kHollowPerHost = 0.0015;
-constexpr int kSpareDescriptors = 600;  // of any process, connections of members and clients among them
-constexpr int kOwnProcesses = 4;        // this one, the list service, and two gateways for the costs at rest
+// Upper bounds for the memory estimate (docs/design/scale.md).
+constexpr double kToolMemoryMb = 60, kToolMemoryPerHostMb = 0.004;
+constexpr double kServiceMemoryMb = 40, kServiceMemoryPerHostMb = 0.006, kServiceMemoryPerClientMb = 0.1;
+constexpr double kGatewayMemoryMb = 12, kGatewayMemoryPerHostMb = 0.004;
+constexpr double kGatewayMemoryPerTenantMb = 0.001, kHollowMemoryPerTenantMb = 0.0005;
+constexpr double kGatewayMemoryPerClassMb = 0.05, kHollowMemoryPerClassMb = 0.01;
+constexpr int kMaxClasses = 64;  // a gateway with more refuses to start
+constexpr double kHollowProcessMemoryMb = 15, kHollowMemoryMb = 0.06, kHollowMemoryPerHostMb = 0.0015;
+constexpr int kBaseDescriptors = 600;  // per process, including the connections of members and clients
+constexpr int kBaseProcesses = 4;      // this process, the list service and two isolated gateways
 
 const std::vector<std::pair<std::string, ScaleAxis>> kAxes{
     {"hosts", ScaleAxis::kHosts},      {"gateways", ScaleAxis::kGateways}, {"services", ScaleAxis::kServices},
@@ -42,131 +43,135 @@
     {"sweep", ScaleKind::kSweep}, {"storms", ScaleKind::kStorms}, {"comparison", ScaleKind::kComparison}};
 
 template <typename Value>
-std::vector<std::string> Words(const std::vector<std::pair<std::string, Value>>& named) {
-  std::vector<std::string> words;
-  words.reserve(named.size());
-  for (const auto& [word, value] : named) words.push_back(word);
-  return words;
+std::vector<std::string> Names(const std::vector<std::pair<std::string, Value>>& values_by_name) {
+  std::vector<std::string> names;
+  names.reserve(values_by_name.size());
+  for (const auto& [name, value] : values_by_name) names.push_back(name);
+  return names;
 }
 
 template <typename Value>
-Value ValueOf(const std::vector<std::pair<std::string, Value>>& named, const std::string& word) {
-  return std::ranges::find(named, word, &std::pair<std::string, Value>::first)->second;
+Value ValueOf(const std::vector<std::pair<std::string, Value>>& values_by_name, const std::string& name) {
+  return std::ranges::find(values_by_name, name, &std::pair<std::string, Value>::first)->second;
 }
 
-// What the table does not name stays as in `f`.
-FleetSize ReadSize(TomlTable& t, FleetSize f) {
-  const auto whole = [&](const char* key, int& value, int least) {
-    value = t.Integer(key, value, least, kMostOfAnything);
+// Reads the sizes of the table. Keys that it does not have keep their values in `size`.
+FleetSize ReadSize(TomlTable& table, FleetSize size) {
+  const auto read_count = [&](const char* key, int& value, int min) {
+    value = table.Integer(key, value, min, kMaxCount);
   };
-  whole("hosts", f.hosts, 1);
-  f.gateways_real = t.Integer("gateways_real", f.gateways_real, 0, kMostReal);
-  whole("gateways_hollow", f.gateways_hollow, 0);
-  whole("gateways_stated", f.gateways_stated, 0);
-  whole("services", f.services, 1);
-  whole("classes", f.classes, 1);
-  whole("tenants", f.tenants, 0);
-  f.zones = t.Integer("zones", f.zones, 1, 26);
-  f.changes_per_s = t.Number("changes_per_s", f.changes_per_s, {0, 10000});
-  f.requests_per_s = t.Number("requests_per_s", f.requests_per_s, {0, 100000});
-  f.lease_term = t.Number("lease_term_s", f.lease_term / kMs, {0.5, 3600}) * kMs;
-  f.whole_lists_per_s = t.Number("whole_lists_per_s", f.whole_lists_per_s, kAboveZero);
-  t.RejectUnknownKeys();
-  return f;
+  read_count("hosts", size.hosts, 1);
+  size.gateways_real = table.Integer("gateways_real", size.gateways_real, 0, kMaxRealGateways);
+  read_count("gateways_hollow", size.gateways_hollow, 0);
+  read_count("gateways_stated", size.gateways_stated, 0);
+  read_count("services", size.services, 1);
+  read_count("classes", size.classes, 1);
+  read_count("tenants", size.tenants, 0);
+  size.zones = table.Integer("zones", size.zones, 1, 26);
+  size.changes_per_s = table.Number("changes_per_s", size.changes_per_s, {0, 10000});
+  size.requests_per_s = table.Number("requests_per_s", size.requests_per_s, {0, 100000});
+  size.lease_term = table.Number("lease_term_s", size.lease_term / kMsPerSecond, {0.5, 3600}) * kMsPerSecond;
+  size.whole_lists_per_s = table.Number("whole_lists_per_s", size.whole_lists_per_s, kAboveZero);
+  table.RejectUnknownKeys();
+  return size;
 }
 
-ScaleWindows ReadWindows(TomlTable& t, ScaleWindows w) {
-  w.settle = t.Number("settle_ms", w.settle, kNotNegative);
-  w.window = t.Number("window_ms", w.window, {50, 60000});
-  w.rest = t.Number("rest_ms", w.rest, {50, 60000});
-  t.RejectUnknownKeys();
-  return w;
+ScaleWindows ReadWindows(TomlTable& table, ScaleWindows windows) {
+  windows.settle = table.Number("settle_ms", windows.settle, kNotNegative);
+  windows.window = table.Number("window_ms", windows.window, {50, 60000});
+  windows.rest = table.Number("rest_ms", windows.rest, {50, 60000});
+  table.RejectUnknownKeys();
+  return windows;
 }
 
-std::vector<double> ReadPoints(TomlTable& t, const std::string& key) {
-  std::vector<double> points = t.NumberList(key, kNotNegative);
-  if (points.size() < kLeastPoints) t.Fail(key, fmt::format("needs at least {} points", kLeastPoints));
+std::vector<double> ReadPoints(TomlTable& table, const std::string& key) {
+  std::vector<double> points = table.NumberList(key, kNotNegative);
+  if (points.size() < kMinPoints) table.Fail(key, fmt::format("needs at least {} points", kMinPoints));
   for (std::size_t i = 1; i < points.size(); ++i) {
-    if (points[i] <= points[i - 1]) t.Fail(key, "must rise from point to point");
+    if (points[i] <= points[i - 1]) table.Fail(key, "must rise from point to point");
   }
-  // From 0 on any size is decades away.
+  // The step from 0 to any size spans more than two decades.
   const double first = points.front() > 0 ? points.front() : points[1];
-  if (points.back() < kLeastSpan * first && points.front() > 0) {
-    t.Fail(key, fmt::format("must span two decades, not {:g} to {:g}", first, points.back()));
+  if (points.back() < kMinSpanFactor * first && points.front() > 0) {
+    table.Fail(key, fmt::format("must span two decades, not {:g} to {:g}", first, points.back()));
   }
   return points;
 }
 
-// What the machine can't bear is refused before anything is started.
-void CheckNeed(const TomlTable& t, const std::string& field, const std::string& what, const FleetSize& size,
-               const ScaleLimits& limits) {
-  const ScaleNeed need = NeedOf(size);
-  if (need.memory_mb > limits.memory_mb) {
-    t.Fail(field, fmt::format("{} would take about {:.0f} MB of memory; the limit is {:.0f} MB", what,
-                              need.memory_mb, limits.memory_mb));
+// Rejects a fleet that exceeds the limits of the machine, before any process is started.
+void CheckResources(const TomlTable& table, const std::string& field, const std::string& subject,
+                    const FleetSize& size, const ScaleLimits& limits) {
+  const ResourceEstimate estimate = EstimateResources(size);
+  if (estimate.memory_mb > limits.memory_mb) {
+    table.Fail(field, fmt::format("{} would take about {:.0f} MB of memory; the limit is {:.0f} MB", subject,
+                                  estimate.memory_mb, limits.memory_mb));
   }
-  if (need.processes > limits.processes) {
-    t.Fail(field, fmt::format("{} would take {} processes; the limit is {}", what, need.processes,
-                              limits.processes));
+  if (estimate.processes > limits.processes) {
+    table.Fail(field, fmt::format("{} would take {} processes; the limit is {}", subject, estimate.processes,
+                                  limits.processes));
   }
-  if (need.descriptors > limits.descriptors) {
-    t.Fail(field, fmt::format("{} would take about {} descriptors in one process; the limit is {}", what,
-                              need.descriptors, limits.descriptors));
+  if (estimate.descriptors > limits.descriptors) {
+    table.Fail(field, fmt::format("{} would take about {} descriptors in one process; the limit is {}",
+                                  subject, estimate.descriptors, limits.descriptors));
   }
 }
 
-void CheckPoints(const TomlTable& t, const std::string& field, const std::vector<double>& points,
-                 const ScaleExperiment& e, const ScaleLimits& limits) {
+void CheckPoints(const TomlTable& table, const std::string& field, const std::vector<double>& points,
+                 const ScaleExperiment& experiment, const ScaleLimits& limits) {
   for (const double value : points) {
-    CheckNeed(t, field, fmt::format("{} = {:g}", NameOf(e.axis), value), SizeAt(e, value), limits);
+    CheckResources(table, field, fmt::format("{} = {:g}", NameOf(experiment.axis), value),
+                   SizeAt(experiment, value), limits);
   }
 }
 
-void ReadSweep(TomlTable& t, ScaleExperiment& e) {
-  if (!t.Has("axis")) t.Fail("axis", "missing");
-  e.axis = ValueOf(kAxes, t.OneOf("axis", "", Words(kAxes)));
-  e.points = ReadPoints(t, "points");
-  e.quick_points = t.Has("quick_points") ? ReadPoints(t, "quick_points") : e.points;
-  e.full = t.Number("full", kAboveZero);
-  e.limited_by = t.Text("limited_by", "");
-  if (e.limited_by.empty() && e.points.back() < e.full) {
-    t.Fail("limited_by", "missing: why the largest point is below 'full'");
+void ReadSweep(TomlTable& table, ScaleExperiment& experiment) {
+  if (!table.Has("axis")) table.Fail("axis", "missing");
+  experiment.axis = ValueOf(kAxes, table.OneOf("axis", "", Names(kAxes)));
+  experiment.points = ReadPoints(table, "points");
+  experiment.quick_points = table.Has("quick_points") ? ReadPoints(table, "quick_points") : experiment.points;
+  experiment.full = table.Number("full", kAboveZero);
+  experiment.limited_by = table.Text("limited_by", "");
+  if (experiment.limited_by.empty() && experiment.points.back() < experiment.full) {
+    table.Fail("limited_by", "missing: why the largest point is below 'full'");
   }
 }
 
-ScaleExperiment Read(TomlTable t, const std::string& file, const ScaleLimits& limits) {
-  ScaleExperiment e;
-  e.file = file;
-  e.name = t.Text("name");
-  if (e.name.empty() ||
-      e.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-_") != std::string::npos) {
-    t.Fail("name", "must be of the letters a-z, 0-9, '-' and '_'");
+ScaleExperiment Read(TomlTable table, const std::string& file, const ScaleLimits& limits) {
+  ScaleExperiment experiment;
+  experiment.file = file;
+  experiment.name = table.Text("name");
+  if (experiment.name.empty() ||
+      experiment.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-_") != std::string::npos) {
+    table.Fail("name", "must consist of the characters a-z, 0-9, '-' and '_'");
   }
-  e.about = t.Text("about", "");
-  e.kind = ValueOf(kKinds, t.OneOf("kind", "sweep", Words(kKinds)));
-  e.runs = t.Integer("plays", e.runs, 1, 100);
-  e.seed = static_cast<std::uint64_t>(t.Integer("seed", 1, 0, kMostOfAnything));
-  e.ends_within = t.Number("ends_within_s", e.ends_within / kMs, {1, 7200}) * kMs;
-  if (auto fixed = t.Table("fixed")) e.fixed = ReadSize(*fixed, e.fixed);
-  e.quick_fixed = e.fixed;
-  if (e.kind != ScaleKind::kSweep) {
-    if (auto fixed = t.Table("quick_fixed")) e.quick_fixed = ReadSize(*fixed, e.fixed);
+  experiment.about = table.Text("about", "");
+  experiment.kind = ValueOf(kKinds, table.OneOf("kind", "sweep", Names(kKinds)));
+  experiment.runs = table.Integer("plays", experiment.runs, 1, 100);
+  experiment.seed = static_cast<std::uint64_t>(table.Integer("seed", 1, 0, kMaxCount));
+  experiment.time_limit =
+      table.Number("ends_within_s", experiment.time_limit / kMsPerSecond, {1, 7200}) * kMsPerSecond;
+  if (auto fixed = table.Table("fixed")) experiment.fixed = ReadSize(*fixed, experiment.fixed);
+  experiment.quick_fixed = experiment.fixed;
+  if (experiment.kind != ScaleKind::kSweep) {
+    if (auto fixed = table.Table("quick_fixed")) experiment.quick_fixed = ReadSize(*fixed, experiment.fixed);
   }
-  if (auto windows = t.Table("windows")) e.windows = ReadWindows(*windows, e.windows);
-  if (auto windows = t.Table("quick_windows")) e.quick_windows = ReadWindows(*windows, e.quick_windows);
-  if (e.kind == ScaleKind::kStorms) {
-    e.outage = t.Number("outage_s", e.outage / kMs, kAboveZero) * kMs;
-    e.quick_outage = t.Number("quick_outage_s", e.quick_outage / kMs, kAboveZero) * kMs;
+  if (auto windows = table.Table("windows")) experiment.windows = ReadWindows(*windows, experiment.windows);
+  if (auto windows = table.Table("quick_windows"))
+    experiment.quick_windows = ReadWindows(*windows, experiment.quick_windows);
+  if (experiment.kind == ScaleKind::kStorms) {
+    experiment.outage = table.Number("outage_s", experiment.outage / kMsPerSecond, kAboveZero) * kMsPerSecond;
+    experiment.quick_outage =
+        table.Number("quick_outage_s", experiment.quick_outage / kMsPerSecond, kAboveZero) * kMsPerSecond;
   }
-  if (e.kind == ScaleKind::kSweep) ReadSweep(t, e);
-  t.RejectUnknownKeys();
-  CheckNeed(t, "fixed", "the fixed size", e.fixed, limits);
-  CheckNeed(t, "quick_fixed", "the fixed size of a quick run", e.quick_fixed, limits);
-  if (e.kind == ScaleKind::kSweep) {
-    CheckPoints(t, "points", e.points, e, limits);
-    CheckPoints(t, "quick_points", e.quick_points, e, limits);
+  if (experiment.kind == ScaleKind::kSweep) ReadSweep(table, experiment);
+  table.RejectUnknownKeys();
+  CheckResources(table, "fixed", "the fixed size", experiment.fixed, limits);
+  CheckResources(table, "quick_fixed", "the fixed size of a quick run", experiment.quick_fixed, limits);
+  if (experiment.kind == ScaleKind::kSweep) {
+    CheckPoints(table, "points", experiment.points, experiment, limits);
+    CheckPoints(table, "quick_points", experiment.quick_points, experiment, limits);
   }
-  return e;
+  return experiment;
 }
 
 }  // namespace
@@ -185,13 +190,13 @@
 
 FleetSize SizeAt(const ScaleExperiment& experiment, double value) {
   FleetSize size = experiment.fixed;
-  const int whole = static_cast<int>(std::lround(value));
+  const int count = static_cast<int>(std::lround(value));
   switch (experiment.axis) {
-    case ScaleAxis::kHosts: size.hosts = whole; break;
-    case ScaleAxis::kGateways: size.gateways_hollow = whole; break;
-    case ScaleAxis::kServices: size.services = whole; break;
-    case ScaleAxis::kClasses: size.classes = whole; break;
-    case ScaleAxis::kTenants: size.tenants = whole; break;
+    case ScaleAxis::kHosts: size.hosts = count; break;
+    case ScaleAxis::kGateways: size.gateways_hollow = count; break;
+    case ScaleAxis::kServices: size.services = count; break;
+    case ScaleAxis::kClasses: size.classes = count; break;
+    case ScaleAxis::kTenants: size.tenants = count; break;
     case ScaleAxis::kChanges: size.changes_per_s = value; break;
     case ScaleAxis::kRequests: size.requests_per_s = value; break;
   }
@@ -209,7 +214,7 @@
           {"zones", size.zones},
           {"changes_per_s", size.changes_per_s},
           {"requests_per_s", size.requests_per_s},
-          {"lease_term_s", size.lease_term / kMs},
+          {"lease_term_s", size.lease_term / kMsPerSecond},
           {"whole_lists_per_s", size.whole_lists_per_s}};
 }
 
@@ -226,49 +231,51 @@
 ScaleLimits LimitsOfThisMachine() {
   ScaleLimits limits;
   const double pages = static_cast<double>(sysconf(_SC_PHYS_PAGES));
-  limits.memory_mb = pages * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20) / 2;
+  limits.memory_mb = pages * static_cast<double>(sysconf(_SC_PAGESIZE)) / kBytesPerMb / 2;
   rlimit descriptors{};
   if (getrlimit(RLIMIT_NOFILE, &descriptors) == 0 && descriptors.rlim_max != RLIM_INFINITY) {
-    limits.descriptors = static_cast<int>(std::min<rlim_t>(descriptors.rlim_max, kMostOfAnything));
+    limits.descriptors = static_cast<int>(std::min<rlim_t>(descriptors.rlim_max, kMaxCount));
   }
   return limits;
 }
 
 int HollowProcesses(int gateways_hollow) {
-  return (gateways_hollow + kHollowPerProcess - 1) / kHollowPerProcess;
+  return (gateways_hollow + kHollowGatewaysPerProcess - 1) / kHollowGatewaysPerProcess;
 }
 
-ScaleNeed NeedOf(const FleetSize& s) {
-  const double gateways = s.gateways_real + 2;  // two more for the costs at rest
-  const int classes = std::min(s.classes, kMostClasses);
-  const double gateway =
-      kGatewayMb + kGatewayPerHost * s.hosts + kGatewayPerTenant * s.tenants + kGatewayPerClass * classes;
-  const double hollow =
-      kHollowMb + kHollowPerHost * s.hosts + kHollowPerTenant * s.tenants + kHollowPerClass * classes;
-  ScaleNeed need;
-  need.memory_mb = kToolMb + kToolPerHost * s.hosts + kServiceMb + kServicePerHost * s.hosts +
-                   kServicePerCaller * (s.gateways_hollow + s.gateways_real) + gateways * gateway +
-                   kHollowProcessMb * HollowProcesses(s.gateways_hollow) + s.gateways_hollow * hollow;
-  need.processes = kOwnProcesses + s.gateways_real + HollowProcesses(s.gateways_hollow);
-  need.descriptors = kSpareDescriptors + s.gateways_real + s.gateways_hollow;
-  return need;
+ResourceEstimate EstimateResources(const FleetSize& size) {
+  const double gateways = size.gateways_real + 2;  // and the two isolated gateways
+  const int classes = std::min(size.classes, kMaxClasses);
+  const double gateway_mb = kGatewayMemoryMb + kGatewayMemoryPerHostMb * size.hosts +
+                            kGatewayMemoryPerTenantMb * size.tenants + kGatewayMemoryPerClassMb * classes;
+  const double hollow_mb = kHollowMemoryMb + kHollowMemoryPerHostMb * size.hosts +
+                           kHollowMemoryPerTenantMb * size.tenants + kHollowMemoryPerClassMb * classes;
+  ResourceEstimate estimate;
+  estimate.memory_mb =
+      kToolMemoryMb + kToolMemoryPerHostMb * size.hosts + kServiceMemoryMb +
+      kServiceMemoryPerHostMb * size.hosts +
+      kServiceMemoryPerClientMb * (size.gateways_hollow + size.gateways_real) + gateways * gateway_mb +
+      kHollowProcessMemoryMb * HollowProcesses(size.gateways_hollow) + size.gateways_hollow * hollow_mb;
+  estimate.processes = kBaseProcesses + size.gateways_real + HollowProcesses(size.gateways_hollow);
+  estimate.descriptors = kBaseDescriptors + size.gateways_real + size.gateways_hollow;
+  return estimate;
 }
 
 ScaleExperiment StandardComparison() {
-  ScaleExperiment e;
-  e.file = "--compare";
-  e.name = "hollow-against-real";
-  e.about = "Ten hollow gateways ask and cost the list service what ten real ones do.";
-  e.kind = ScaleKind::kComparison;
-  e.runs = 3;
-  e.ends_within = 100000;
-  e.fixed.hosts = 12;
-  e.fixed.gateways_real = e.fixed.gateways_hollow = 10;
-  e.fixed.changes_per_s = 50;
-  e.quick_fixed = e.fixed;
-  e.windows = {300, 4000, 3000};
-  e.quick_windows = {300, 2000, 2500};
-  return e;
+  ScaleExperiment experiment;
+  experiment.file = "--compare";
+  experiment.name = "hollow-against-real";
+  experiment.about = "Ten hollow gateways ask and cost the list service what ten real ones do.";
+  experiment.kind = ScaleKind::kComparison;
+  experiment.runs = 3;
+  experiment.time_limit = 100000;
+  experiment.fixed.hosts = 12;
+  experiment.fixed.gateways_real = experiment.fixed.gateways_hollow = 10;
+  experiment.fixed.changes_per_s = 50;
+  experiment.quick_fixed = experiment.fixed;
+  experiment.windows = {300, 4000, 3000};
+  experiment.quick_windows = {300, 2000, 2500};
+  return experiment;
 }
 
 ScaleExperiment ReadScaleExperiment(const std::string& path, const ScaleLimits& limits) {
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -1,5 +1,5 @@
-// An experiment of `gatewayctl lab scale` as its file states it: which size is swept over which points, what
-// stays fixed, and for how long each point is measured. docs/design/scale.md describes the files.
+// An experiment of `gatewayctl lab scale` as read from its file: the size that is varied and its points, the
+// fixed sizes, and the duration of each measurement. docs/design/scale.md describes the files.
 #ifndef GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
 
@@ -16,89 +16,90 @@
 
 using base::Millis;
 
-// How large the fleet of one point is and what happens in it.
+// The size of the fleet at one point and the load on it.
 struct FleetSize {
-  int hosts = 100;           // that hold leases
+  int hosts = 100;           // with leases
   int gateways_real = 1;     // processes of the gateway program
-  int gateways_hollow = 10;  // without a request path, several in a process
-  int gateways_stated = 0;   // that the gateways' settings name; 0: as many as there are
-  int services = 3;          // kinds that the hosts are split over
+  int gateways_hollow = 10;  // gateways without a request path, several per process
+  int gateways_stated = 0;   // number of gateways in the gateways' settings; 0: the actual number
+  int services = 3;          // the hosts are divided among them
   int classes = 3;
   int tenants = 1;
   int zones = 3;
   double changes_per_s = 20;
   double requests_per_s = 152;  // to each real gateway
   Millis lease_term = 10000;
-  double whole_lists_per_s = 500;  // that the list service admits
+  double whole_lists_per_s = 500;  // complete lists that the list service admits
 };
 
-// Which of the sizes a sweep varies.
+// The size that a sweep varies.
 enum class ScaleAxis { kHosts, kGateways, kServices, kClasses, kTenants, kChanges, kRequests };
 
-// How long the phases of one point last.
+// The durations of the phases at one point.
 struct ScaleWindows {
-  Millis settle = 300;   // before a window in which something new happens
-  Millis window = 1000;  // each
-  Millis rest = 1000;    // the one at rest; a call of a watch waits up to 2500
+  Millis settle = 300;   // waiting time after each change of load, before the next window
+  Millis window = 1000;  // each window except the one at rest
+  Millis rest = 1000;    // the window at rest; a watch call waits up to 2500
 };
 
 enum class ScaleKind {
   kSweep,      // one size over several points
-  kStorms,     // everyone comes at once
-  kComparison  // hollow gateways against real ones
+  kStorms,     // all gateways call the list service at once
+  kComparison  // hollow gateways compared with real ones
 };
 
+// An experiment file. Sizes and points are in the units of the axis.
 struct ScaleExperiment {
   std::string file, name, about;
   ScaleKind kind = ScaleKind::kSweep;
   ScaleAxis axis = ScaleAxis::kHosts;
-  std::vector<double> points;        // rising
-  std::vector<double> quick_points;  // the same for a quick run
-  double full = 0;                   // the size in two years
-  std::string limited_by;            // why the largest point is below it
+  std::vector<double> points;        // ascending
+  std::vector<double> quick_points;  // points of a quick run, ascending
+  double full = 0;                   // the size expected in two years
+  std::string limited_by;            // reason why the largest point is below `full`
   int runs = 3;
   std::uint64_t seed = 1;
-  Millis ends_within = 120000;   // the whole experiment
-  FleetSize fixed, quick_fixed;  // the latter of kStorms and kComparison
+  Millis time_limit = 120000;    // for the complete experiment
+  FleetSize fixed, quick_fixed;  // quick_fixed: only of kStorms and kComparison
   ScaleWindows windows, quick_windows{100, 500, 500};
-  Millis outage = 30000, quick_outage = 3000;  // of kStorms: how long the list service is away
+  Millis outage = 30000, quick_outage = 3000;  // of kStorms: time for which the list service is down
 };
 
-// "hosts", "gateways", ...: as in files.
+// The name of the axis in files: "hosts", "gateways", ...
 const char* NameOf(ScaleAxis axis);
-// What one step of it is: "hosts", "changes/s", ...
+// The unit of the axis: "hosts", "changes/s", ...
 const char* UnitOf(ScaleAxis axis);
-// The fixed sizes with the swept one set to `value`.
+// Returns the fixed sizes with the size of the sweep's axis set to `value`.
 FleetSize SizeAt(const ScaleExperiment& experiment, double value);
-// The sizes by their names in files.
+// Returns the sizes by their names in files.
 std::map<std::string, double> FixedFigures(const FleetSize& size);
-// Those of a sweep, without the swept one.
+// Returns the fixed sizes of a sweep, without the size of its axis.
 std::map<std::string, double> FixedFigures(const ScaleExperiment& experiment);
 
-// What the machine grants to one run.
+// The resources of the machine that one run may use.
 struct ScaleLimits {
   double memory_mb = 12000;
   int processes = 300;
-  int descriptors = 20000;  // of one process
+  int descriptors = 20000;  // per process
 };
-// Half of this machine's memory, and its limit on descriptors.
+// Returns half of this machine's memory and its descriptor limit.
 ScaleLimits LimitsOfThisMachine();
 
-// An upper estimate of what a fleet takes, before anything is started.
-struct ScaleNeed {
+// An upper estimate of the resources that a fleet uses.
+struct ResourceEstimate {
   double memory_mb = 0;
   int processes = 0;
-  int descriptors = 0;  // of the process that holds most
+  int descriptors = 0;  // of the process with the most descriptors
 };
-ScaleNeed NeedOf(const FleetSize& size);
+ResourceEstimate EstimateResources(const FleetSize& size);
 
-// Hollow gateways run in so many processes.
+// Returns the number of processes that run this number of hollow gateways.
 int HollowProcesses(int gateways_hollow);
 
-// What --compare runs.
+// Returns the experiment that --compare runs.
 ScaleExperiment StandardComparison();
 
-// Throws base::ConfigError, which names the field, where the file is wrong or needs more than the limits.
+// Throws base::ConfigError, which names the field, if the file is invalid or exceeds the limits.
 ScaleExperiment ReadScaleExperiment(const std::string& path, const ScaleLimits& limits);
 ScaleExperiment ParseScaleExperiment(std::string_view text, const std::string& name,
                                      const ScaleLimits& limits);
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -1,5 +1,5 @@
-// Least squares of a cost over a size: how a figure grows, and what it comes to at the full size.
-// Pure functions without I/O; safe from any thread.
+// Least-squares fit of a cost over a size: how a figure grows, and its estimate at the full size.
+// Pure functions without I/O; thread-safe.
 #ifndef GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
 
@@ -11,12 +11,12 @@
 
 namespace gateway::lab {
 
-// Why values can't be fitted.
+// The reason why values can't be fitted.
 enum class FitProblem {
-  kTooFewPoints,   // under three
-  kSameSize,       // every point lies at the same x
-  kLengthsDiffer,  // not one list of runs for each x
-  kNoRuns,         // a point without a value
+  kTooFewPoints,   // fewer than three
+  kSameSize,       // all points have the same x
+  kLengthsDiffer,  // the number of lists of runs differs from the number of sizes
+  kNoRuns,         // a point has no values
   kNotFinite       // an infinity or NaN, or a negative x
 };
 
@@ -29,21 +29,22 @@
   FitProblem problem_;
 };
 
-// Fits `runs[i]` (the figure's values at sizes[i], one a run) over `sizes` (from 0 on) and extrapolates to
-// `full`. Leaves role and figure empty. Offset and slope are never negative: a fall is fitted as a constant.
+// Fits `runs[i]` (the figure's values at sizes[i], one per run) over `sizes` (not negative) and extrapolates
+// to `full`. Leaves role and figure empty. Offset and slope are never negative: a decline is fitted as a
+// constant.
 //
-// A straight line is taken unless another form is clearly better: n log n or the square where the line's
-// residual is above 0.5% and theirs below three quarters of it; a constant where the slope is within two
-// standard errors of zero and the line's residual is not below three quarters of the constant's.
+// Chooses a straight line unless another form is clearly better: n log n or the square if the line's residual
+// is above 0.5% and theirs is below three quarters of it; a constant if the slope is within two standard
+// errors of zero and the line's residual is not below three quarters of the constant's.
 //
-// The interval of at_full is that of a prediction (95%, Student's t) for the mean of as many runs. Its
-// variance is the larger of that of the points about the curve and that of the runs about their points, the
-// latter taken as absolute or as relative to the figure, whichever gives more.
-// Throws FitError.
+// The interval of at_full is a prediction interval (95%, Student's t) for the mean of the same number of
+// runs. Its variance is the larger one of the variance of the points about the curve and that of the runs
+// about their points, where the latter is absolute or relative to the figure, whichever is larger. Throws
+// FitError.
 ScaleFit FitFigure(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full);
 
-// The fits of every role's figures over the points of the result that hold them, by role and figure. What
-// can't be fitted is left out.
+// Fits every figure of every role over the points of the result that have it, ordered by role and figure.
+// Omits figures that can't be fitted.
 std::vector<ScaleFit> FitAllFigures(const ScaleResult& result);
 
 // The fitted value at size x, in the figure's unit.
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -18,18 +18,20 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr std::string_view kScrape = "metrics\n";
-constexpr Millis kStartTimeout = 15000;
-constexpr Millis kAnswerTimeout = 20000;
-constexpr Millis kPollPeriod = 20;      // the list service, and hollow processes
-constexpr Millis kReadyPollPeriod = 5;  // a real gateway whether it takes clients
-constexpr int kMaxEmptyStarts = 400;    // hollow gateways that may start without a list
-constexpr int kHollowBlock = 200;       // last numbers of addresses, in the run's block
+constexpr std::string_view kMetricsCommand = "metrics\n";
+constexpr Millis kStartTimeoutMs = 15000;
+constexpr Millis kResponseTimeoutMs = 20000;
+constexpr Millis kPollPeriodMs = 20;                 // of the list service and the hollow processes
+constexpr Millis kReadyPollPeriodMs = 5;             // of real gateways that are starting
+constexpr int kMaxGatewaysWithoutInitialList = 400;  // with more, hollow gateways start with a list
+constexpr int kHollowAddressBase = 200;  // first of their last address octets in the address block of the run
 constexpr std::uint16_t kControlPort = 3900;
-constexpr std::uint16_t kUnusedPort = 9;
+constexpr std::uint16_t kClosedPort = 9;
 constexpr std::uint64_t kSeedsPerRun = 100000;
+constexpr int kSpareWatchSlots = 2000;  // of the list service, above one per gateway
+constexpr std::uint16_t kIsolatedGatewayPort = 3000;
 
-// A counter of Prometheus' text form; 0 where it is missing.
+// Returns the value of a counter in the Prometheus text format; 0 if it is missing.
 double CounterOf(const std::string& text, const std::string& name) {
   const std::string line = "\nelderhead_registry_" + name + " ";
   const std::size_t at = text.find(line);
@@ -40,23 +42,23 @@
 
 ListServiceCounts ParseListServiceCounts(const std::string& metrics) {
   const auto counter = [&](const char* name) { return CounterOf(metrics, name); };
-  ListServiceCounts c;
-  c.calls = counter("calls_total");
-  c.list_calls = counter("list_calls_total");
-  c.whole_lists = counter("whole_lists_total");
-  c.writes = counter("writes_total");
-  c.turned_away = counter("turned_away_total");
-  c.bytes_in = counter("bytes_received_total");
-  c.bytes_out = counter("bytes_sent_total");
-  c.list_bytes_in = counter("list_bytes_received_total");
-  c.list_bytes_out = counter("list_bytes_sent_total");
-  c.watches = counter("watches");
-  c.revision = counter("revision");
-  return c;
+  ListServiceCounts counts;
+  counts.calls = counter("calls_total");
+  counts.list_calls = counter("list_calls_total");
+  counts.whole_lists = counter("whole_lists_total");
+  counts.writes = counter("writes_total");
+  counts.turned_away = counter("turned_away_total");
+  counts.bytes_in = counter("bytes_received_total");
+  counts.bytes_out = counter("bytes_sent_total");
+  counts.list_bytes_in = counter("list_bytes_received_total");
+  counts.list_bytes_out = counter("list_bytes_sent_total");
+  counts.watches = counter("watches");
+  counts.revision = counter("revision");
+  return counts;
 }
 
-json HollowStartList(int gateways, const std::string& list) {
-  return gateways > kMaxEmptyStarts ? json::parse(list) : json();
+json InitialHollowList(int gateways, const std::string& list) {
+  return gateways > kMaxGatewaysWithoutInitialList ? json::parse(list) : json();
 }
 
 ScaleFleet::ScaleFleet(ScalePrograms programs, FleetSize size, std::uint64_t seed, Millis deadline)
@@ -65,18 +67,18 @@
       seed_(seed),
       loop_(deadline),
       addresses_(loop_.io()),
-      hosts_(loop_, host_times_),
+      hosts_(loop_, host_latencies_),
       members_(std::make_unique<FleetMembers>(loop_, addresses_.Registry(), size, hosts_.port(), seed)),
       processes_(loop_.io(), [this](const ProcessEnd& end) {
-        if (logs_.contains(end.pid)) ended_[end.pid] = end.StatusText();
+        if (logs_.contains(end.pid)) unexpected_exits_[end.pid] = end.StatusText();
       }) {}
 
 ScaleFleet::~ScaleFleet() {
-  logs_.clear();  // they end as they should
+  logs_.clear();  // so that these exits are not recorded as unexpected
   processes_.EndAll();
 }
 
-void ScaleFleet::Write(const std::filesystem::path& path, const std::string& text) const {
+void ScaleFleet::WriteFile(const std::filesystem::path& path, const std::string& text) const {
   std::ofstream out(path, std::ios::binary);
   out << text;
   if (!out.flush()) throw std::runtime_error("can't write '" + path.string() + "'");
@@ -91,43 +93,44 @@
   return last;
 }
 
-// A process that ended by itself does not run at this size.
+// The program under test does not run at this size if one of its processes exits on its own.
 void ScaleFleet::CheckAlive() const {
-  if (ended_.empty()) return;
-  const auto& [pid, how] = *ended_.begin();
-  throw PointRefused(fmt::format("refused at the start ({}): {}", how, LastLine(logs_.at(pid))));
+  if (unexpected_exits_.empty()) return;
+  const auto& [pid, status] = *unexpected_exits_.begin();
+  throw PointRefusedError(fmt::format("refused at the start ({}): {}", status, LastLine(logs_.at(pid))));
 }
 
-std::optional<std::string> ScaleFleet::Get(const tcp::endpoint& from, const std::string& target) {
+std::optional<std::string> ScaleFleet::FetchBody(const tcp::endpoint& from, const std::string& target) {
   auto& connection = connections_[from];
   if (!connection || !connection->usable()) connection = std::make_shared<ClientConnection>(loop_.io(), from);
   std::optional<ClientConnection::Result> result;
-  connection->Exchange(base::GetRequest(target, "scale"), kAnswerTimeout,
+  connection->Exchange(base::GetRequest(target, "scale"), kResponseTimeoutMs,
                        [&](ClientConnection::Result got) { result = std::move(got); });
-  loop_.RunUntil("an answer to " + target, 2 * kAnswerTimeout, [&] { return result.has_value(); });
+  loop_.RunUntil("an answer to " + target, 2 * kResponseTimeoutMs, [&] { return result.has_value(); });
   CheckAlive();
   if (!result->ok()) return {};
   return std::move(result->response.body());
 }
 
 Millis ScaleFleet::StartListService() {
-  const std::filesystem::path config = At("registry.toml");
-  Write(config, fmt::format("listen = \"{}\"\nstate_dir = \"{}\"\n[watches]\ncallers = {}\n"
-                            "whole_lists_per_s = {}\n[leases]\nterm_s = {}\n",
-                            Addresses::Text(addresses_.Registry()), At("registry-state").string(),
-                            size_.gateways_real + size_.gateways_hollow + 2000, size_.whole_lists_per_s,
-                            size_.lease_term / 1000));
+  const std::filesystem::path config = PathOf("registry.toml");
+  WriteFile(config, fmt::format("listen = \"{}\"\nstate_dir = \"{}\"\n[watches]\ncallers = {}\n"
+                                "whole_lists_per_s = {}\n[leases]\nterm_s = {}\n",
+                                Addresses::Text(addresses_.Registry()), PathOf("registry-state").string(),
+                                size_.gateways_real + size_.gateways_hollow + kSpareWatchSlots,
+                                size_.whole_lists_per_s, size_.lease_term / 1000));
   ProcessSpec spec;
   spec.command = fmt::format("{} registry serve {}", programs_.gatewayctl, config.string());
-  spec.log = At("registry.log").string();
-  const Millis begun = base::MonotonicNow();
+  spec.log = PathOf("registry.log").string();
+  const Millis started_at = base::MonotonicNow();
   list_service_pid_ = processes_.Start(spec);
   logs_[list_service_pid_] = spec.log;
-  while (!Get(addresses_.Registry(), "/registry/status")) {
-    if (base::MonotonicNow() > begun + kStartTimeout) throw ScaleTimeout("the list service does not answer");
-    loop_.RunFor(kPollPeriod);
+  while (!FetchBody(addresses_.Registry(), "/registry/status")) {
+    if (base::MonotonicNow() > started_at + kStartTimeoutMs)
+      throw ScaleTimeout("timed out waiting for the list service to answer");
+    loop_.RunFor(kPollPeriodMs);
   }
-  return base::MonotonicNow() - begun;
+  return base::MonotonicNow() - started_at;
 }
 
 void ScaleFleet::KillListService() {
@@ -136,24 +139,24 @@
   list_service_pid_ = 0;
 }
 
-ListServiceCounts ScaleFleet::Counts() {
-  return ParseListServiceCounts(Get(addresses_.Registry(), "/metrics").value_or(""));
+ListServiceCounts ScaleFleet::FetchCounts() {
+  return ParseListServiceCounts(FetchBody(addresses_.Registry(), "/metrics").value_or(""));
 }
 
-std::string ScaleFleet::CompleteList() {
-  auto list = Get(addresses_.Registry(), "/discovery/hosts");
-  if (!list) throw std::runtime_error("the list service does not tell its list");
+std::string ScaleFleet::FetchCompleteList() {
+  auto list = FetchBody(addresses_.Registry(), "/discovery/hosts");
+  if (!list) throw std::runtime_error("the list service did not return its endpoint list");
   return std::move(*list);
 }
 
-tcp::endpoint ScaleFleet::Place(int last, std::uint16_t port) const {
+tcp::endpoint ScaleFleet::AddressInBlock(int last, std::uint16_t port) const {
   return {addresses_.Gateway(last - 1).address(), port};
 }
 
 pid_t ScaleFleet::StartGateway(const std::string& name, const GatewayConfigInput& input) {
-  const std::filesystem::path folder = At(name), config = folder / "config.json";
+  const std::filesystem::path folder = PathOf(name), config = folder / "config.json";
   std::filesystem::create_directories(folder);
-  Write(config, GatewayConfiguration(size_, input).dump());
+  WriteFile(config, GatewayConfiguration(size_, input).dump());
   ProcessSpec spec;
   spec.command = programs_.gateway;
   spec.log = (folder / "log").string();
@@ -167,16 +170,16 @@
   return pid;
 }
 
-pid_t ScaleFleet::StartLoneGateway(const json& known) {
+pid_t ScaleFleet::StartIsolatedGateway(const json& initial_list) {
   GatewayConfigInput input;
-  input.listen = Place(kHollowBlock - ++lone_, 3000);
-  input.list_service = Place(kHollowBlock - lone_, kUnusedPort);
+  input.listen = AddressInBlock(kHollowAddressBase - ++isolated_gateways_, kIsolatedGatewayPort);
+  input.list_service = AddressInBlock(kHollowAddressBase - isolated_gateways_, kClosedPort);
   input.seed = seed_ * kSeedsPerRun;
-  input.known = known;
-  return StartGateway(fmt::format("lone-{}", lone_), input);
+  input.initial_list = initial_list;
+  return StartGateway(fmt::format("lone-{}", isolated_gateways_), input);
 }
 
-void ScaleFleet::End(pid_t pid) {
+void ScaleFleet::Kill(pid_t pid) {
   logs_.erase(pid);
   processes_.Signal(pid, SIGKILL);
 }
@@ -197,19 +200,20 @@
     gateway.pid = StartGateway(fmt::format("gateway-{}", g), input);
     addresses.push_back(input.listen);
   }
-  const Millis until = base::MonotonicNow() + kStartTimeout;
-  for (bool all = false; !all;) {
-    all = true;
+  const Millis until = base::MonotonicNow() + kStartTimeoutMs;
+  for (bool all_ready = false; !all_ready;) {
+    all_ready = true;
     for (RealGateway& gateway : real_) {
       if (gateway.ready_at > 0) continue;
-      if (Get(gateway.address, "/up")) gateway.ready_at = base::MonotonicNow();
-      all = all && gateway.ready_at > 0;
+      if (FetchBody(gateway.address, "/up")) gateway.ready_at = base::MonotonicNow();
+      all_ready = all_ready && gateway.ready_at > 0;
     }
-    if (all) break;
-    if (base::MonotonicNow() > until) throw ScaleTimeout("a real gateway does not become ready");
-    loop_.RunFor(kReadyPollPeriod);
+    if (all_ready) break;
+    if (base::MonotonicNow() > until)
+      throw ScaleTimeout("timed out waiting for a real gateway to become ready");
+    loop_.RunFor(kReadyPollPeriodMs);
   }
-  requests_ = std::make_unique<RequestLoad>(loop_, host_times_, std::move(addresses), size_, seed_);
+  requests_ = std::make_unique<RequestLoad>(loop_, host_latencies_, std::move(addresses), size_, seed_);
 }
 
 double ScaleFleet::ScrapeBytes(const RealGateway& gateway) {
@@ -218,48 +222,50 @@
   bool done = false;
   socket.async_connect(gateway.management, [&](error_code connect_ec) {
     if (connect_ec) return void(done = true);
-    boost::asio::async_write(socket, boost::asio::buffer(kScrape), [&](error_code write_ec, std::size_t) {
-      if (write_ec) return void(done = true);
-      boost::asio::async_read(socket, boost::asio::dynamic_buffer(text),
-                              [&](error_code, std::size_t) { done = true; });
-    });
+    boost::asio::async_write(socket, boost::asio::buffer(kMetricsCommand),
+                             [&](error_code write_ec, std::size_t) {
+                               if (write_ec) return void(done = true);
+                               boost::asio::async_read(socket, boost::asio::dynamic_buffer(text),
+                                                       [&](error_code, std::size_t) { done = true; });
+                             });
   });
-  loop_.RunUntil("the gateway's answer to its operators", kAnswerTimeout, [&] { return done; });
+  loop_.RunUntil("the gateway's response to the management command", kResponseTimeoutMs,
+                 [&] { return done; });
   return static_cast<double>(text.size());
 }
 
-void ScaleFleet::StartHollowGateways(int first, int count, const json& known) {
+void ScaleFleet::StartHollowGateways(int first, int count, const json& initial_list) {
   const int processes = HollowProcesses(count);
-  for (int p = 0, begun = 0; p < processes; ++p) {
+  for (int p = 0, started_count = 0; p < processes; ++p) {
     const int number = static_cast<int>(hollow_.size());
     HollowGroup& group = hollow_.emplace_back();
-    group.gateways = (count - begun) / (processes - p);
-    group.control = Place(kHollowBlock + number, kControlPort);
+    group.gateways = (count - started_count) / (processes - p);
+    group.control = AddressInBlock(kHollowAddressBase + number, kControlPort);
     GatewayConfigInput input;
-    input.index = size_.gateways_real + first + begun;
+    input.index = size_.gateways_real + first + started_count;
     input.listen = group.control;
     input.list_service = addresses_.Registry();
     input.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(input.index);
-    input.known = known;
+    input.initial_list = initial_list;
     const std::string name = fmt::format("hollow-{}", number);
-    const std::filesystem::path config = At(name + ".json");
-    Write(config, GatewayConfiguration(size_, input).dump());
+    const std::filesystem::path config = PathOf(name + ".json");
+    WriteFile(config, GatewayConfiguration(size_, input).dump());
     ProcessSpec spec;
     spec.command =
         fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
                     config.string(), group.gateways, input.index, Addresses::Text(group.control));
-    spec.log = At(name + ".log").string();
+    spec.log = PathOf(name + ".log").string();
     group.started_at = base::MonotonicNow();
     group.pid = processes_.Start(spec);
     logs_[group.pid] = spec.log;
-    begun += group.gateways;
+    started_count += group.gateways;
   }
 }
 
 HollowState ScaleFleet::StateOf(const HollowGroup& group) {
-  const json form =
-      json::parse(Get(group.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
-  return form.is_object() ? HollowStateFromJson(form) : HollowState{};
+  const json body =
+      json::parse(FetchBody(group.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
+  return body.is_object() ? HollowStateFromJson(body) : HollowState{};
 }
 
 Millis ScaleFleet::WaitForHollowReady(Millis timeout, std::size_t from) {
@@ -270,10 +276,10 @@
     while ((state = StateOf(hollow_[i])).all_ready_at <= 0) {
       if (base::MonotonicNow() > until) {
         throw ScaleTimeout(
-            fmt::format("the start of all hollow gateways did not happen in time: {} of {} are ready",
-                        state.ready, state.gateways));
+            fmt::format("timed out waiting for all hollow gateways to start: {} of {} are ready", state.ready,
+                        state.gateways));
       }
-      loop_.RunFor(kPollPeriod);
+      loop_.RunFor(kPollPeriodMs);
     }
     last = std::max(last, state.all_ready_at);
   }
@@ -285,21 +291,21 @@
   for (const HollowGroup& group : hollow_) {
     while (StateOf(group).oldest_revision < revision) {
       if (base::MonotonicNow() > until)
-        throw ScaleTimeout("the news of all hollow gateways did not come in time");
-      loop_.RunFor(kPollPeriod);
+        throw ScaleTimeout("timed out waiting for the latest revision at all hollow gateways");
+      loop_.RunFor(kPollPeriodMs);
     }
   }
 }
 
 RevisionArrivals ScaleFleet::TakeRevisionArrivals() {
-  RevisionArrivals all;
+  RevisionArrivals all_arrivals;
   for (const HollowGroup& group : hollow_) {
-    const json form =
-        json::parse(Get(group.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
-    if (!form.is_array()) throw std::runtime_error("a process of hollow gateways does not answer");
-    std::ranges::move(RevisionArrivalsFromJson(form), std::back_inserter(all));
+    const json body =
+        json::parse(FetchBody(group.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
+    if (!body.is_array()) throw std::runtime_error("a process of hollow gateways did not answer");
+    std::ranges::move(RevisionArrivalsFromJson(body), std::back_inserter(all_arrivals));
   }
-  return all;
+  return all_arrivals;
 }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -1,5 +1,6 @@
-// The processes of one point: the list service, real gateways, processes of hollow gateways, and the tool's
-// own side of hosts, operators and clients. All end with the fleet. One thread.
+// The fleet of one point: the processes of the list service, the real gateways and the hollow gateways, and
+// the hosts, operators and clients that the measuring tool emulates. The destructor stops all processes.
+// Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
 
@@ -27,14 +28,15 @@
 
 namespace gateway::lab {
 
-// The program under test does not run at this size; what() is its own message.
-class PointRefused : public std::runtime_error {
+// The program under test does not run at this size. what() contains its last log line.
+class PointRefusedError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Commands of the programs that a fleet starts.
 struct ScalePrograms {
-  std::string gatewayctl;  // this program: the list service and the hollow gateways
+  std::string gatewayctl;  // runs the list service and the hollow gateways
   std::string gateway;     // the gateway under test
 };
 
@@ -45,15 +47,17 @@
   double watches = 0, revision = 0;
 };
 
-// Of its answer to /metrics; 0 where a counter is missing.
+// Parses the response to /metrics. Missing counters are 0.
 ListServiceCounts ParseListServiceCounts(const std::string& metrics);
 
+// A process of the gateway under test.
 struct RealGateway {
   pid_t pid = 0;
   tcp::endpoint address, management;
   Millis started_at = 0, ready_at = 0;  // base::MonotonicNow
 };
 
+// A process of hollow gateways.
 struct HollowGroup {
   pid_t pid = 0;
   tcp::endpoint control;
@@ -61,63 +65,64 @@
   Millis started_at = 0;
 };
 
-// What hollow gateways of a run begin with: a few with nothing, so that they ask for the whole list; more
-// with the list, as gateways do that start again, since the list service admits only so many whole lists a
-// second.
-nlohmann::json HollowStartList(int gateways, const std::string& list);
+// Returns the list that the hollow gateways of a run start with. A small number of gateways starts without a
+// list and requests the complete one. A larger number starts with the list, like restarted gateways, because
+// the list service limits the rate of complete lists.
+nlohmann::json InitialHollowList(int gateways, const std::string& list);
 
 class ScaleFleet {
  public:
-  // No wait goes beyond `deadline` (base::MonotonicNow).
+  // `deadline` (base::MonotonicNow) bounds every wait.
   ScaleFleet(ScalePrograms programs, FleetSize size, std::uint64_t seed, Millis deadline);
   ~ScaleFleet();
 
   EventLoop& loop() { return loop_; }
   const FleetSize& size() const { return size_; }
 
-  // Returns the time until it answered, in ms.
+  // Returns the time until the list service answered.
   Millis StartListService();
   void KillListService();
   tcp::endpoint list_service_address() const { return addresses_.Registry(); }
   pid_t list_service() const { return list_service_pid_; }
-  ListServiceCounts Counts();
-  // The published list as it is now.
-  std::string CompleteList();
+  ListServiceCounts FetchCounts();
+  // Returns the current published list.
+  std::string FetchCompleteList();
   FleetMembers& members() { return *members_; }
 
-  // A gateway outside the fleet whose list service never answers; it has `known` (null: none) as its list.
-  pid_t StartLoneGateway(const nlohmann::json& known);
-  void End(pid_t pid);
-  // Throws PointRefused where a process has ended by itself.
+  // Starts a gateway outside the fleet whose list service never answers. It starts with `known` as its list
+  // (null: without a list).
+  pid_t StartIsolatedGateway(const nlohmann::json& initial_list);
+  void Kill(pid_t pid);
+  // Throws PointRefusedError if a process has exited on its own.
   void CheckAlive() const;
-  // Returns when all take clients.
+  // Returns when all real gateways accept requests.
   void StartRealGateways();
   const std::vector<RealGateway>& real() const { return real_; }
   RequestLoad& requests() { return *requests_; }
-  // What a gateway tells at its operators' call 'metrics', in bytes.
+  // Returns the size of a gateway's response to the management command 'metrics', in bytes.
   double ScrapeBytes(const RealGateway& gateway);
 
-  // Gateways `first` to first + count - 1 of the hollow ones, in processes of their own. `known`: their list
-  // at the start; null: none. Their indices in the fleet follow those of the real ones.
-  void StartHollowGateways(int first, int count, const nlohmann::json& known);
-  // Until all of the processes from number `from` on have got a list. Returns the time from
-  // the first one's start, in ms.
+  // Starts the hollow gateways `first` to first + count - 1 in new processes, with `known` as their list
+  // (null: without a list). Their indices in the fleet follow those of the real gateways.
+  void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
+  // Waits until all gateways of the processes from number `from` on have a list. Returns the time since the
+  // start of the first of these processes. Throws ScaleTimeout.
   Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
-  // Until none has an older revision.
+  // Waits until no hollow gateway has an older revision. Throws ScaleTimeout.
   void WaitForHollowRevision(std::int64_t revision, Millis timeout);
   const std::vector<HollowGroup>& hollow() const { return hollow_; }
-  // When they got which revisions, since the last call.
+  // Returns the revisions that the hollow gateways received since the previous call.
   RevisionArrivals TakeRevisionArrivals();
 
  private:
-  void Write(const std::filesystem::path& path, const std::string& text) const;
-  std::filesystem::path At(const std::string& name) const { return folder_.path() / name; }
+  void WriteFile(const std::filesystem::path& path, const std::string& text) const;
+  std::filesystem::path PathOf(const std::string& name) const { return folder_.path() / name; }
   pid_t StartGateway(const std::string& name, const GatewayConfigInput& input);
   std::string LastLine(const std::string& log) const;
-  // The body of an answer 200; nothing for any other, or for none.
-  std::optional<std::string> Get(const tcp::endpoint& from, const std::string& target);
+  // Returns the body of a successful response; nullopt for another or no response.
+  std::optional<std::string> FetchBody(const tcp::endpoint& from, const std::string& target);
   HollowState StateOf(const HollowGroup& group);
-  tcp::endpoint Place(int last, std::uint16_t port) const;
+  tcp::endpoint AddressInBlock(int last, std::uint16_t port) const;
 
   const ScalePrograms programs_;
   const FleetSize size_;
@@ -125,17 +130,17 @@
   EventLoop loop_;
   TemporaryFolder folder_;
   Addresses addresses_;
-  HostTimes host_times_;
+  HostLatencies host_latencies_;
   EmulatedHosts hosts_;
   std::unique_ptr<FleetMembers> members_;
   std::unique_ptr<RequestLoad> requests_;
   std::vector<RealGateway> real_;
   std::vector<HollowGroup> hollow_;
-  std::map<tcp::endpoint, std::shared_ptr<base::ClientConnection>> connections_;  // for questions
-  std::map<pid_t, std::string> logs_;                                             // of processes that run
-  std::map<pid_t, std::string> ended_;                                            // unasked, and how
+  std::map<tcp::endpoint, std::shared_ptr<base::ClientConnection>> connections_;  // for FetchBody
+  std::map<pid_t, std::string> logs_;              // log files of processes that should be running
+  std::map<pid_t, std::string> unexpected_exits_;  // exit status by process
   pid_t list_service_pid_ = 0;
-  int lone_ = 0;
+  int isolated_gateways_ = 0;
   Processes processes_;
 };
 
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -13,35 +13,35 @@
 namespace gateway::lab {
 namespace {
 
-constexpr std::size_t kColours = 8;  // of gnuplot, before they repeat
+constexpr std::size_t kGnuplotColours = 8;  // colours of gnuplot before they repeat
 
-// Figures that share an axis, by how their names begin and end.
+// Figures that share an axis, selected by prefix and suffix of their names.
 struct FigureGroup {
   std::string_view name;
   std::string_view label;
-  std::string_view beginning;
-  std::vector<std::string_view> endings;
+  std::string_view prefix;
+  std::vector<std::string_view> suffixes;
 };
 
-const std::vector<FigureGroup> kGroups{{"processor", "% of a core", "cpu_", {"_percent"}},
-                                       {"processor-time", "us", "cpu_", {"_us"}},
-                                       {"traffic", "bytes/s", "bytes_", {"_per_s"}},
-                                       {"messages", "messages/s", "messages_", {"_per_s"}},
-                                       {"size", "bytes", "bytes_per_", {"_change", "_whole_list"}},
-                                       {"memory", "MB", "memory_", {"_mb"}},
-                                       {"time", "ms", "", {"_ms", "_ms_p50", "_ms_p99", "_ms_max"}}};
+const std::vector<FigureGroup> kFigureGroups{{"processor", "% of a core", "cpu_", {"_percent"}},
+                                             {"processor-time", "us", "cpu_", {"_us"}},
+                                             {"traffic", "bytes/s", "bytes_", {"_per_s"}},
+                                             {"messages", "messages/s", "messages_", {"_per_s"}},
+                                             {"size", "bytes", "bytes_per_", {"_change", "_whole_list"}},
+                                             {"memory", "MB", "memory_", {"_mb"}},
+                                             {"time", "ms", "", {"_ms", "_ms_p50", "_ms_p99", "_ms_max"}}};
 
-// One figure of one role: a colour of the chart.
+// One figure of one role, drawn in one colour.
 struct Line {
   std::string role, figure;
-  std::string points;  // rows of size and value, one a run
+  std::string points;  // rows of size and value, one per run
   const ScaleFit* fit = nullptr;
 };
 
 bool IsInGroup(const FigureGroup& group, const std::string& figure) {
-  if (!figure.starts_with(group.beginning)) return false;
-  return std::any_of(group.endings.begin(), group.endings.end(),
-                     [&](std::string_view ending) { return figure.ends_with(ending); });
+  if (!figure.starts_with(group.prefix)) return false;
+  return std::any_of(group.suffixes.begin(), group.suffixes.end(),
+                     [&](std::string_view suffix) { return figure.ends_with(suffix); });
 }
 
 const ScaleFit* FitOf(const ScaleResult& result, const std::string& role, const std::string& figure) {
@@ -74,7 +74,7 @@
   return lines;
 }
 
-// As an expression of gnuplot in x.
+// The fitted curve as a gnuplot expression in x.
 std::string Expression(const ScaleFit& fit) {
   switch (fit.form) {
     case FitForm::kConstant: return fmt::format("{:.9g}", fit.offset);
@@ -91,7 +91,7 @@
   return title;
 }
 
-// The sizes that the axis shows. Logarithmic, so from above zero on.
+// The sizes on the axis. The axis is logarithmic, so they are positive.
 struct Range {
   double from = 1, to = 1;
 };
@@ -132,7 +132,7 @@
   for (std::size_t i = 0; i < lines.size(); ++i) {
     script += fmt::format("$line{} << END_OF_POINTS\n{}END_OF_POINTS\n", i, lines[i].points);
     if (i > 0) plot += ", ";
-    const std::size_t colour = 1 + i % kColours, style = 1 + i / kColours;
+    const std::size_t colour = 1 + i % kGnuplotColours, style = 1 + i / kGnuplotColours;
     plot += fmt::format("$line{} using 1:2 with points pt {} ps 0.6 lc {} title {}", i, 2 * style + 5, colour,
                         GnuplotQuoted(Title(lines[i])));
     if (lines[i].fit == nullptr) continue;
@@ -148,7 +148,7 @@
   MakeFolder(folder);
   const TemporaryFolder scripts;
   std::vector<std::filesystem::path> written;
-  for (const FigureGroup& group : kGroups) {
+  for (const FigureGroup& group : kFigureGroups) {
     const std::vector<Line> lines = LinesOf(result, group);
     if (lines.empty()) continue;
     const auto file = std::filesystem::absolute(folder) / fmt::format("{}-{}.svg", result.name, group.name);
--- a/src/lab/scale/scale_plot.hpp
+++ b/src/lab/scale/scale_plot.hpp
@@ -9,9 +9,9 @@
 
 namespace gateway::lab {
 
-// Draws FOLDER/NAME-GROUP.svg for each group of figures (processor, bytes, memory ...) that the result has,
-// by gnuplot, and gives the files written. Blocking; throws std::runtime_error where the folder can't be
-// written or gnuplot can't be run.
+// Draws FOLDER/NAME-GROUP.svg with gnuplot for each group of figures (processor, bytes, memory ...) in the
+// result. Returns the files written. Blocking. Throws std::runtime_error if the folder can't be written or
+// gnuplot can't be run.
 std::vector<std::filesystem::path> WriteScalePlots(const ScaleResult& result,
                                                    const std::filesystem::path& folder);
 
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -15,13 +15,13 @@
                                                                {FitForm::kNLogN, "n log n"},
                                                                {FitForm::kSquare, "square"}};
 
-// A JSON value together with its input in the file, for errors that name the field.
+// A JSON value with its path in the file, for errors that name the field.
 class Field {
  public:
   Field(const json& value, std::string path) : value_(value), path_(std::move(path)) {}
 
-  // A member that has to be there.
-  Field At(const std::string& name) const {
+  // Returns a required member.
+  Field Member(const std::string& name) const {
     RequireObject();
     const auto found = value_.find(name);
     if (found == value_.end()) throw ScaleFormatError(Join(name), "missing");
@@ -36,7 +36,7 @@
   }
 
   std::uint64_t Count() const {
-    if (!value_.is_number_unsigned()) throw ScaleFormatError(path_, "should be a whole number from 0 on");
+    if (!value_.is_number_unsigned()) throw ScaleFormatError(path_, "should be a non-negative integer");
     return value_.get<std::uint64_t>();
   }
 
@@ -102,25 +102,25 @@
 
 ScalePoint ReadPoint(const Field& field) {
   ScalePoint point;
-  point.value = field.At("value").Number();
-  point.roles = field.At("roles").Map(ReadRole);
+  point.value = field.Member("value").Number();
+  point.roles = field.Member("roles").Map(ReadRole);
   return point;
 }
 
 RefusedPoint ReadRefused(const Field& field) {
   RefusedPoint refused;
-  refused.value = field.At("value").Number();
-  refused.why = field.At("why").Text();
+  refused.value = field.Member("value").Number();
+  refused.reason = field.Member("why").Text();
   return refused;
 }
 
 FitEstimate ReadEstimate(const Field& field) {
   FitEstimate estimate;
-  estimate.x = field.At("x").Number();
-  estimate.value = field.At("value").Number();
-  estimate.low = field.At("low").Number();
-  estimate.high = field.At("high").Number();
-  estimate.extrapolated = field.At("extrapolated").Boolean();
+  estimate.x = field.Member("x").Number();
+  estimate.value = field.Member("value").Number();
+  estimate.low = field.Member("low").Number();
+  estimate.high = field.Member("high").Number();
+  estimate.extrapolated = field.Member("extrapolated").Boolean();
   return estimate;
 }
 
@@ -128,7 +128,7 @@
   std::map<FitForm, double> residuals;
   for (const auto& [name, value] : field.Map(ReadNumber)) {
     const auto form = FitFormFromName(name);
-    if (!form) throw ScaleFormatError(field.path() + "." + name, "is no form of a fit");
+    if (!form) throw ScaleFormatError(field.path() + "." + name, "is not a form of a fit");
     residuals.emplace(*form, value);
   }
   return residuals;
@@ -136,42 +136,44 @@
 
 ScaleFit ReadFit(const Field& field) {
   ScaleFit fit;
-  fit.role = field.At("role").Text();
-  fit.figure = field.At("figure").Text();
-  fit.form = field.At("form").Form();
-  fit.offset = field.At("offset").Number();
-  fit.slope = field.At("slope").Number();
-  fit.residual = field.At("residual").Number();
-  fit.r2 = field.At("r2").Number();
-  fit.residuals = ReadResiduals(field.At("residuals"));
-  fit.at_full = ReadEstimate(field.At("at_full"));
+  fit.role = field.Member("role").Text();
+  fit.figure = field.Member("figure").Text();
+  fit.form = field.Member("form").Form();
+  fit.offset = field.Member("offset").Number();
+  fit.slope = field.Member("slope").Number();
+  fit.residual = field.Member("residual").Number();
+  fit.r2 = field.Member("r2").Number();
+  fit.residuals = ReadResiduals(field.Member("residuals"));
+  fit.at_full = ReadEstimate(field.Member("at_full"));
   return fit;
 }
 
 ScaleMachine ReadMachine(const Field& field) {
   ScaleMachine machine;
-  machine.cores = field.At("cores").SmallCount();
-  machine.memory_mb = field.At("memory_mb").Number();
+  machine.cores = field.Member("cores").SmallCount();
+  machine.memory_mb = field.Member("memory_mb").Number();
   return machine;
 }
 
 StormResult ReadStorm(const Field& field) {
   StormResult storm;
-  storm.storm = field.At("storm").Text();
-  storm.experiment = field.At("experiment").Text();
-  storm.seed = field.At("seed").Count();
-  storm.runs = field.At("plays").SmallCount();
-  storm.fixed = field.At("fixed").Map(ReadNumber);
-  storm.peak_bytes_per_s = field.At("peak_bytes_per_s").Number();
-  storm.peak_cpu_percent = field.At("peak_cpu_percent").Number();
-  storm.peak_queue = field.At("peak_queue").Number();
-  storm.all_current_ms = field.At("all_current_ms").Number();
+  storm.storm = field.Member("storm").Text();
+  storm.experiment = field.Member("experiment").Text();
+  storm.seed = field.Member("seed").Count();
+  storm.runs = field.Member("plays").SmallCount();
+  storm.fixed = field.Member("fixed").Map(ReadNumber);
+  storm.peak_bytes_per_s = field.Member("peak_bytes_per_s").Number();
+  storm.peak_cpu_percent = field.Member("peak_cpu_percent").Number();
+  storm.peak_queue = field.Member("peak_queue").Number();
+  storm.all_current_ms = field.Member("all_current_ms").Number();
   return storm;
 }
 
 json PointToJson(const ScalePoint& point) { return {{"value", point.value}, {"roles", point.roles}}; }
 
-json RefusedToJson(const RefusedPoint& refused) { return {{"value", refused.value}, {"why", refused.why}}; }
+json RefusedToJson(const RefusedPoint& refused) {
+  return {{"value", refused.value}, {"why", refused.reason}};
+}
 
 json EstimateToJson(const FitEstimate& estimate) {
   return {{"x", estimate.x},
@@ -246,22 +248,22 @@
 ScaleResult FromJson(const json& json) {
   const Field file(json, "");
   ScaleResult result;
-  result.experiment = file.At("experiment").Text();
-  result.name = file.At("name").Text();
-  result.about = file.At("about").Text();
-  result.axis = file.At("axis").Text();
-  result.unit = file.At("unit").Text();
-  result.full = file.At("full").Number();
-  result.largest = file.At("largest").Number();
-  result.limited_by = file.At("limited_by").Text();
-  result.seed = file.At("seed").Count();
-  result.runs = file.At("plays").SmallCount();
-  result.revision = file.At("revision").Text();
-  result.machine = ReadMachine(file.At("machine"));
-  result.fixed = file.At("fixed").Map(ReadNumber);
-  result.points = file.At("points").List(ReadPoint);
-  result.refused = file.At("refused").List(ReadRefused);
-  result.fits = file.At("fits").List(ReadFit);
+  result.experiment = file.Member("experiment").Text();
+  result.name = file.Member("name").Text();
+  result.about = file.Member("about").Text();
+  result.axis = file.Member("axis").Text();
+  result.unit = file.Member("unit").Text();
+  result.full = file.Member("full").Number();
+  result.largest = file.Member("largest").Number();
+  result.limited_by = file.Member("limited_by").Text();
+  result.seed = file.Member("seed").Count();
+  result.runs = file.Member("plays").SmallCount();
+  result.revision = file.Member("revision").Text();
+  result.machine = ReadMachine(file.Member("machine"));
+  result.fixed = file.Member("fixed").Map(ReadNumber);
+  result.points = file.Member("points").List(ReadPoint);
+  result.refused = file.Member("refused").List(ReadRefused);
+  result.fits = file.Member("fits").List(ReadFit);
   return result;
 }
 
@@ -270,7 +272,7 @@
 }
 
 std::vector<StormResult> StormsFromJson(const json& json) {
-  return Field(json, "").At("storms").List(ReadStorm);
+  return Field(json, "").Member("storms").List(ReadStorm);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -1,5 +1,5 @@
-// The result of a scale sweep: what each role cost at each point of one axis, and the fits over these points.
-// No I/O. Thread-compatible: plain values.
+// The result of a scale sweep: the costs of each role at each point of one axis, and the fits over these
+// points. Plain values without I/O. Thread-compatible.
 #ifndef GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
 
@@ -27,78 +27,81 @@
 
 // The name in files: "constant", "linear", "n log n" or "square".
 std::string_view FitFormName(FitForm form);
-// Nothing for a name that is none of these.
+// Returns nullopt for an unknown name.
 std::optional<FitForm> FitFormFromName(std::string_view name);
 
-// The fitted value at one size, with its prediction interval of 95%. In the figure's unit.
+// The fitted value at one size and its 95% prediction interval, in the figure's unit.
 struct FitEstimate {
   double x = 0;
   double value = 0;
   double low = 0, high = 0;
-  bool extrapolated = false;  // x lies beyond the largest point measured
+  bool extrapolated = false;  // x exceeds the largest measured point
 };
 
-// One figure of one role over the axis.
+// The fit of one figure of one role over the axis.
 struct ScaleFit {
   std::string role, figure;
   FitForm form = FitForm::kLinear;
-  double offset = 0, slope = 0;         // neither is ever negative
-  double residual = 0;                  // root mean square over the mean of the figure
+  double offset = 0, slope = 0;         // never negative
+  double residual = 0;                  // root mean square divided by the mean of the figure
   double r2 = 0;                        // share of the variance that the form explains
-  std::map<FitForm, double> residuals;  // of every form that was tried
+  std::map<FitForm, double> residuals;  // of all forms
   FitEstimate at_full;
 };
 
-// The values of one figure, one a run.
+// The values of one figure, one per run.
 using RunValues = std::vector<double>;
-// The figures of one role by their names, which end with their unit.
+// The figures of one role by name. A name ends with its unit.
 using RoleFigures = std::map<std::string, RunValues>;
 
+// The values of all runs at one point.
 struct ScalePoint {
   double value = 0;  // on the axis
   std::map<std::string, RoleFigures> roles;
 };
 
-// A point of the axis at which the program under test did not run.
+// A point of the axis that was not measured, because the program under test did not run or a step timed out.
 struct RefusedPoint {
   double value = 0;
-  std::string why;
+  std::string reason;
 };
 
+// The machine on which the sweep ran.
 struct ScaleMachine {
   unsigned cores = 0;
   double memory_mb = 0;
 };
 
+// The result of one sweep, as written to its file.
 struct ScaleResult {
   std::string experiment, name, about;
   std::string axis, unit;
-  double full = 0;         // the size in two years
-  double largest = 0;      // the largest point measured
-  std::string limited_by;  // why largest is below full; empty if it is not
+  double full = 0;         // the size expected in two years
+  double largest = 0;      // the largest measured point
+  std::string limited_by;  // reason why `largest` is below `full`; empty if it is not
   std::uint64_t seed = 0;
   unsigned runs = 0;
   std::string revision;
   ScaleMachine machine;
-  std::map<std::string, double> fixed;  // what stayed the same over the points
+  std::map<std::string, double> fixed;  // sizes that are the same at all points
   std::vector<ScalePoint> points;
   std::vector<RefusedPoint> refused;
   std::vector<ScaleFit> fits;
 };
 
-// What one storm (everyone comes at once) cost the role it hit.
+// The load on the list service in one storm, in which all gateways call it at once.
 struct StormResult {
   std::string storm, experiment;
   std::uint64_t seed = 0;
   unsigned runs = 0;
-  std::map<std::string, double> fixed;  // sizes at which it was run
+  std::map<std::string, double> fixed;  // sizes of the run
   double peak_bytes_per_s = 0;
   double peak_cpu_percent = 0;  // of one core
   double peak_queue = 0;
-  double all_current_ms = 0;  // until everyone had the newest state
+  double all_current_ms = 0;  // time until all gateways had the newest state
 };
 
-// A file that is no result. what() names the field, as in "points[2].roles: should be an object".
+// A file that is not a valid result. what() names the field, as in "points[2].roles: should be an object".
 class ScaleFormatError : public std::runtime_error {
  public:
   ScaleFormatError(std::string field, const std::string& problem)
@@ -113,7 +116,7 @@
 // Throws ScaleFormatError.
 ScaleResult FromJson(const nlohmann::json& json);
 
-// The whole of storms.json: {"storms": [...]}.
+// The content of storms.json: {"storms": [...]}.
 nlohmann::json StormsToJson(const std::vector<StormResult>& storms);
 // Throws ScaleFormatError.
 std::vector<StormResult> StormsFromJson(const nlohmann::json& json);
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -25,7 +25,7 @@
   return machine;
 }
 
-void Add(ScalePoint& point, const RoleMeasures& measures) {
+void AddMeasures(ScalePoint& point, const RoleMeasures& measures) {
   for (const auto& [role, figures] : measures) {
     for (const auto& [figure, value] : figures) point.roles[role][figure].push_back(value);
   }
@@ -34,7 +34,7 @@
 class Sweep {
  public:
   Sweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options)
-      : e_(experiment),
+      : experiment_(experiment),
         measurer_(measurer),
         options_(options),
         runs_(options.runs > 0 ? options.runs
@@ -44,9 +44,9 @@
 
   ScaleResult Run() {
     Describe();
-    for (const double value : options_.quick ? e_.quick_points : e_.points) {
+    for (const double value : options_.quick ? experiment_.quick_points : experiment_.points) {
       if (options_.deadline > 0 && base::MonotonicNow() > options_.deadline) {
-        Refuse(value, "the time of the sweep was over");
+        RecordRefusedPoint(value, "the deadline of the sweep had passed");
         continue;
       }
       MeasurePoint(value);
@@ -54,10 +54,11 @@
     if (result_.points.empty()) return std::move(result_);
     result_.largest = result_.points.back().value;
     if (result_.largest < result_.full && !result_.refused.empty()) {
-      result_.limited_by = result_.refused.front().why;
+      result_.limited_by = result_.refused.front().reason;
     } else if (result_.largest < result_.full) {
-      result_.limited_by =
-          options_.quick && e_.points.back() > result_.largest ? "a quick run" : e_.limited_by;
+      result_.limited_by = options_.quick && experiment_.points.back() > result_.largest
+                               ? "a quick run"
+                               : experiment_.limited_by;
     }
     result_.fits = FitAllFigures(result_);
     return std::move(result_);
@@ -65,15 +66,15 @@
 
  private:
   void Describe() {
-    result_.experiment = e_.file;
-    result_.name = e_.name;
-    result_.about = e_.about;
-    result_.axis = NameOf(e_.axis);
-    result_.unit = UnitOf(e_.axis);
-    result_.full = e_.full;
+    result_.experiment = experiment_.file;
+    result_.name = experiment_.name;
+    result_.about = experiment_.about;
+    result_.axis = NameOf(experiment_.axis);
+    result_.unit = UnitOf(experiment_.axis);
+    result_.full = experiment_.full;
     result_.seed = seed_;
     result_.runs = static_cast<unsigned>(runs_);
-    result_.fixed = FixedFigures(e_);
+    result_.fixed = FixedFigures(experiment_);
     result_.machine = ThisMachine();
   }
 
@@ -81,25 +82,25 @@
     ScalePoint point;
     point.value = value;
     for (int run = 0; run < runs_; ++run) {
-      const std::string where =
-          fmt::format("{} = {:g}, play {} of {}", NameOf(e_.axis), value, run + 1, runs_);
+      const std::string run_label =
+          fmt::format("{} = {:g}, run {} of {}", NameOf(experiment_.axis), value, run + 1, runs_);
       try {
-        Add(point, measurer_.Measure(value, seed_ + static_cast<std::uint64_t>(run)));
-        Note(where + Mark(point));
-      } catch (const PointRefused& refused) {
-        Note(where + ": " + refused.what());
-        return Refuse(value, refused.what());
+        AddMeasures(point, measurer_.Measure(value, seed_ + static_cast<std::uint64_t>(run)));
+        ReportProgress(run_label + SaturationNote(point));
+      } catch (const PointRefusedError& refused) {
+        ReportProgress(run_label + ": " + refused.what());
+        return RecordRefusedPoint(value, refused.what());
       } catch (const std::runtime_error& failed) {
-        // Runs before it are whole and stay.
-        Note(where + ": " + failed.what());
-        if (point.roles.empty()) return Refuse(value, failed.what());
+        // The previous runs of this point are complete and are kept.
+        ReportProgress(run_label + ": " + failed.what());
+        if (point.roles.empty()) return RecordRefusedPoint(value, failed.what());
         break;
       }
     }
     result_.points.push_back(std::move(point));
   }
 
-  static std::string Mark(const ScalePoint& point) {
+  static std::string SaturationNote(const ScalePoint& point) {
     const auto load = point.roles.find("load");
     if (load == point.roles.end()) return "";
     const auto saturated = load->second.find("saturated");
@@ -107,12 +108,14 @@
                                                                            : "";
   }
 
-  void Refuse(double value, const std::string& why) { result_.refused.push_back({value, why}); }
-  void Note(const std::string& line) {
-    if (options_.note) options_.note(e_.name + ": " + line);
+  void RecordRefusedPoint(double value, const std::string& reason) {
+    result_.refused.push_back({value, reason});
+  }
+  void ReportProgress(const std::string& line) {
+    if (options_.on_progress) options_.on_progress(experiment_.name + ": " + line);
   }
 
-  const ScaleExperiment& e_;
+  const ScaleExperiment& experiment_;
   ScaleMeasurer& measurer_;
   const SweepOptions& options_;
   const int runs_;
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -1,5 +1,5 @@
-// The sweep of one size over its points: each is measured anew for every run, then every figure is fitted.
-// What measures is an interface, so that the sweep can be tested with planted costs.
+// The sweep of one size over its points: measures each point in every run, then fits every figure. The
+// measurement is an interface, so that the sweep can be tested with synthetic costs.
 #ifndef GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 
@@ -19,24 +19,26 @@
 class ScaleMeasurer {
  public:
   virtual ~ScaleMeasurer() = default;
-  // One run with the swept size at `value`. Throws PointRefused where the program under test does not run at
-  // that size, and ScaleTimeout where something took too long.
+  // Measures one run with the size of the axis set to `value`. Throws PointRefusedError if the program under
+  // test does not run at this size, and ScaleTimeout if a wait times out.
   virtual RoleMeasures Measure(double value, std::uint64_t seed) = 0;
 };
 
 struct SweepOptions {
   bool quick = false;
-  int runs = 0;                                  // 0: as the file says; one where it is quick
-  std::uint64_t seed = 0;                        // of the first run; 0: as the file says
-  Millis deadline = 0;                           // base::MonotonicNow
-  std::function<void(const std::string&)> note;  // a line on each run; may be empty
+  int runs = 0;                                         // 0: as in the file, or one if quick
+  std::uint64_t seed = 0;                               // of the first run; 0: as in the file
+  Millis deadline = 0;                                  // base::MonotonicNow
+  std::function<void(const std::string&)> on_progress;  // receives a line for each run; may be empty
 };
 
-// Measures all points, all runs of one after the other, and fits. A point that is refused or takes too long
-// stands under `refused` and does not end the sweep; the deadline does.
+// Measures the points one after the other, with all runs of each, and fits the figures. A point that is
+// refused or times out is recorded under `refused` and does not end the sweep. Points after the deadline are
+// not measured and are recorded there too.
 ScaleResult RunSweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options);
 
-// The load's share of a core above which a point is marked: the tool itself was in the way.
+// Share of a core above which a process of the measuring tool counts as saturated, so that the point is
+// marked.
 inline constexpr double kSaturatedPercent = 90;
 
 }  // namespace gateway::lab
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -19,46 +19,47 @@
 using base::ClientConnection;
 using boost::system::error_code;
 
-constexpr Millis kSampleEvery = 100;
-constexpr Millis kLeastInterval = 40;  // for a rate
-constexpr Millis kMetricsPatience = 30000;
-constexpr Millis kCurrentWithin = 60000;
-constexpr Millis kBeforeOutage = 1000;
+constexpr Millis kSamplePeriodMs = 100;
+constexpr Millis kMinRateIntervalMs = 40;  // shorter intervals give no reliable rate
+constexpr Millis kMetricsTimeoutMs = 30000;
+constexpr Millis kConvergenceTimeoutMs = 60000;
+constexpr Millis kSettleBeforeOutageMs = 1000;
 
 struct Peaks {
   double bytes_per_s = 0, cpu_percent = 0, queue = 0;
 };
 
-// Looks at the list service ten times a second: its CPU and queue from outside, its bytes by its own
-// counters, with one question out at a time, so that a busy service is not asked more.
+// Samples the list service ten times a second: CPU time and queue from the kernel, bytes from the service's
+// own metrics. At most one metrics request is pending, so that the sampler does not add load to a busy
+// service.
 class StormSampler {
  public:
   explicit StormSampler(ScaleFleet& fleet)
       : fleet_(fleet), queue_(fleet.list_service_address()), timer_(fleet.loop().io()) {}
 
   void Start() {
-    cpu_ = CpuTimeOf(fleet_.list_service());
-    cpu_at_ = base::MonotonicNow();
-    NoteBytes(fleet_.Counts());
+    last_cpu_ = CpuTimeOf(fleet_.list_service());
+    last_cpu_at_ = base::MonotonicNow();
+    RecordBytes(fleet_.FetchCounts());
     Sample();
   }
-  // The last interval counts too, so a storm shorter than a sample is seen.
+  // Includes the last interval, so that a storm shorter than the sample period is measured.
   Peaks Stop() {
-    fleet_.loop().RunFor(kLeastInterval);
-    on_ = false;
+    fleet_.loop().RunFor(kMinRateIntervalMs);
+    running_ = false;
     timer_.cancel();
     SampleCpu();
-    NoteBytes(fleet_.Counts());
+    RecordBytes(fleet_.FetchCounts());
     return peaks_;
   }
 
  private:
   void Sample() {
-    if (!on_) return;
+    if (!running_) return;
     SampleCpu();
-    peaks_.queue = std::max<double>(peaks_.queue, queue_.Waiting());
-    AskBytes();
-    timer_.expires_after(base::TimerDuration(kSampleEvery));
+    peaks_.queue = std::max<double>(peaks_.queue, queue_.PendingRequests());
+    RequestMetrics();
+    timer_.expires_after(base::TimerDuration(kSamplePeriodMs));
     timer_.async_wait([this](error_code ec) {
       if (!ec) Sample();
     });
@@ -66,35 +67,36 @@
 
   void SampleCpu() {
     const Millis now = base::MonotonicNow(), cpu = CpuTimeOf(fleet_.list_service());
-    if (now - cpu_at_ < kLeastInterval) return;
-    peaks_.cpu_percent = std::max(peaks_.cpu_percent, 100 * (cpu - cpu_) / (now - cpu_at_));
-    cpu_ = cpu;
-    cpu_at_ = now;
+    if (now - last_cpu_at_ < kMinRateIntervalMs) return;
+    peaks_.cpu_percent = std::max(peaks_.cpu_percent, 100 * (cpu - last_cpu_) / (now - last_cpu_at_));
+    last_cpu_ = cpu;
+    last_cpu_at_ = now;
   }
 
-  void AskBytes() {
-    if (std::exchange(asking_, true)) return;
+  void RequestMetrics() {
+    if (std::exchange(metrics_pending_, true)) return;
     if (!connection_ || !connection_->usable()) {
       connection_ = std::make_shared<ClientConnection>(fleet_.loop().io(), fleet_.list_service_address());
     }
-    connection_->Exchange(base::GetRequest("/metrics", "scale"), kMetricsPatience,
+    connection_->Exchange(base::GetRequest("/metrics", "scale"), kMetricsTimeoutMs,
                           [this](ClientConnection::Result result) {
-                            asking_ = false;
-                            if (on_ && result.failure == ClientConnection::Failure::kNone) {
-                              NoteBytes(ParseListServiceCounts(result.response.body()));
+                            metrics_pending_ = false;
+                            if (running_ && result.failure == ClientConnection::Failure::kNone) {
+                              RecordBytes(ParseListServiceCounts(result.response.body()));
                             }
                           });
   }
 
-  void NoteBytes(const ListServiceCounts& counts) {
+  void RecordBytes(const ListServiceCounts& counts) {
     const Millis now = base::MonotonicNow();
     const double bytes = counts.bytes_in + counts.bytes_out;
-    if (bytes_at_ > 0 && now - bytes_at_ < kLeastInterval) return;
-    if (bytes_at_ > 0) {
-      peaks_.bytes_per_s = std::max(peaks_.bytes_per_s, 1000 * (bytes - bytes_) / (now - bytes_at_));
+    if (last_bytes_at_ > 0 && now - last_bytes_at_ < kMinRateIntervalMs) return;
+    if (last_bytes_at_ > 0) {
+      peaks_.bytes_per_s =
+          std::max(peaks_.bytes_per_s, 1000 * (bytes - last_bytes_) / (now - last_bytes_at_));
     }
-    bytes_ = bytes;
-    bytes_at_ = now;
+    last_bytes_ = bytes;
+    last_bytes_at_ = now;
   }
 
   ScaleFleet& fleet_;
@@ -102,19 +104,19 @@
   boost::asio::steady_timer timer_;
   std::shared_ptr<ClientConnection> connection_;
   Peaks peaks_;
-  bool on_ = true, asking_ = false;
-  Millis cpu_ = 0, cpu_at_ = 0, bytes_at_ = 0;
-  double bytes_ = 0;
+  bool running_ = true, metrics_pending_ = false;
+  Millis last_cpu_ = 0, last_cpu_at_ = 0, last_bytes_at_ = 0;
+  double last_bytes_ = 0;
 };
 
-struct Outcome {
+struct StormMeasures {
   Peaks peaks;
   Millis all_current = 0;
 };
 
-// A fleet whose hosts are listed and renew.
-std::unique_ptr<ScaleFleet> ListedFleet(const ScalePrograms& programs, const FleetSize& size,
-                                        std::uint64_t seed, Millis deadline) {
+// Starts a fleet whose hosts are registered and renew their leases.
+std::unique_ptr<ScaleFleet> StartRegisteredFleet(const ScalePrograms& programs, const FleetSize& size,
+                                                 std::uint64_t seed, Millis deadline) {
   auto fleet = std::make_unique<ScaleFleet>(programs, size, seed, deadline);
   fleet->StartListService();
   fleet->members().RegisterAll();
@@ -122,86 +124,89 @@
   return fleet;
 }
 
-void StartAndWait(ScaleFleet& fleet, int gateways) {
-  fleet.StartHollowGateways(0, gateways, HollowStartList(gateways, fleet.CompleteList()));
-  fleet.WaitForHollowReady(kCurrentWithin);
+void StartHollowGatewaysAndWait(ScaleFleet& fleet, int gateways) {
+  fleet.StartHollowGateways(0, gateways, InitialHollowList(gateways, fleet.FetchCompleteList()));
+  fleet.WaitForHollowReady(kConvergenceTimeoutMs);
 }
 
-// The other zones' gateways are up; then those of one zone start together and know nothing.
-Outcome ZoneStarts(ScaleFleet& fleet) {
-  const int all = fleet.size().gateways_hollow, zone = std::max(1, all / fleet.size().zones);
-  if (all > zone) StartAndWait(fleet, all - zone);
-  const std::size_t before = fleet.hollow().size();
+// Starts the gateways of the other zones first, then those of one zone together and without a list.
+StormMeasures RunZoneStart(ScaleFleet& fleet) {
+  const int all_gateways = fleet.size().gateways_hollow,
+            zone_gateways = std::max(1, all_gateways / fleet.size().zones);
+  if (all_gateways > zone_gateways) StartHollowGatewaysAndWait(fleet, all_gateways - zone_gateways);
+  const std::size_t processes_before = fleet.hollow().size();
   StormSampler sampler(fleet);
   sampler.Start();
-  fleet.StartHollowGateways(all - zone, zone, nullptr);
-  Outcome outcome;
-  outcome.all_current = fleet.WaitForHollowReady(kCurrentWithin, before);
-  outcome.peaks = sampler.Stop();
-  return outcome;
+  fleet.StartHollowGateways(all_gateways - zone_gateways, zone_gateways, nullptr);
+  StormMeasures measures;
+  measures.all_current = fleet.WaitForHollowReady(kConvergenceTimeoutMs, processes_before);
+  measures.peaks = sampler.Stop();
+  return measures;
 }
 
-// From the start of its process to the moment when every gateway has a change that was made at once.
-Outcome ListServiceReturns(ScaleFleet& fleet, Millis outage) {
-  StartAndWait(fleet, fleet.size().gateways_hollow);
-  fleet.loop().RunFor(kBeforeOutage);
+// Restarts the list service after an outage. Measures the time from the start of its process until every
+// gateway has a change that was sent immediately after the start.
+StormMeasures RunListServiceRestart(ScaleFleet& fleet, Millis outage) {
+  StartHollowGatewaysAndWait(fleet, fleet.size().gateways_hollow);
+  fleet.loop().RunFor(kSettleBeforeOutageMs);
   fleet.KillListService();
   fleet.loop().RunFor(outage);
-  const Millis back_at = base::MonotonicNow();
+  const Millis restarted_at = base::MonotonicNow();
   fleet.StartListService();
   StormSampler sampler(fleet);
   sampler.Start();
   FleetMembers& members = fleet.members();
-  members.TakeCommitted();
-  members.MakeChange();
-  fleet.loop().RunUntil("the answer to a change", kCurrentWithin,
+  members.TakeCommittedChanges();
+  members.SendChange();
+  fleet.loop().RunUntil("the answer to a change", kConvergenceTimeoutMs,
                         [&] { return members.all_changes_answered(); });
-  const std::vector<CommittedChange> kept = members.TakeCommitted();
-  if (kept.empty()) throw std::runtime_error("the list service refused a change after its return");
-  fleet.WaitForHollowRevision(kept.back().revision, kCurrentWithin);
-  Outcome outcome;
-  outcome.all_current = base::MonotonicNow() - back_at;
-  outcome.peaks = sampler.Stop();
-  return outcome;
+  const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
+  if (committed.empty()) throw std::runtime_error("the list service refused a change after its restart");
+  fleet.WaitForHollowRevision(committed.back().revision, kConvergenceTimeoutMs);
+  StormMeasures measures;
+  measures.all_current = base::MonotonicNow() - restarted_at;
+  measures.peaks = sampler.Stop();
+  return measures;
 }
 
-void Worsen(StormResult& result, const Outcome& outcome) {
-  result.peak_bytes_per_s = std::max(result.peak_bytes_per_s, outcome.peaks.bytes_per_s);
-  result.peak_cpu_percent = std::max(result.peak_cpu_percent, outcome.peaks.cpu_percent);
-  result.peak_queue = std::max(result.peak_queue, outcome.peaks.queue);
-  result.all_current_ms = std::max(result.all_current_ms, outcome.all_current);
+void KeepWorst(StormResult& result, const StormMeasures& measures) {
+  result.peak_bytes_per_s = std::max(result.peak_bytes_per_s, measures.peaks.bytes_per_s);
+  result.peak_cpu_percent = std::max(result.peak_cpu_percent, measures.peaks.cpu_percent);
+  result.peak_queue = std::max(result.peak_queue, measures.peaks.queue);
+  result.all_current_ms = std::max(result.all_current_ms, measures.all_current);
 }
 
 }  // namespace
 
-std::vector<StormResult> RunStorms(const ScaleExperiment& e, const ScalePrograms& programs,
+std::vector<StormResult> RunStorms(const ScaleExperiment& experiment, const ScalePrograms& programs,
                                    const StormOptions& options) {
-  const FleetSize& size = options.quick ? e.quick_fixed : e.fixed;
-  const Millis outage = options.quick ? e.quick_outage : e.outage;
-  const int runs = options.runs > 0 ? options.runs : options.quick ? 1 : e.runs;
-  const std::uint64_t seed = options.seed > 0 ? options.seed : e.seed;
-  StormResult blank;
-  blank.experiment = e.file;
-  blank.seed = seed;
-  blank.runs = static_cast<unsigned>(runs);
-  blank.fixed = FixedFigures(size);
-  blank.fixed["outage_s"] = outage / 1000;
-  StormResult starts = blank, returns = blank;
-  starts.storm = "zone_starts";
-  returns.storm = "list_service_returns";
-  const auto note = [&](const StormResult& result, int run) {
-    if (!options.note) return;
-    options.note(fmt::format("{}: {}, play {} of {}: all current after {:.0f} ms at worst", e.name,
-                             result.storm, run + 1, runs, result.all_current_ms));
+  const FleetSize& size = options.quick ? experiment.quick_fixed : experiment.fixed;
+  const Millis outage = options.quick ? experiment.quick_outage : experiment.outage;
+  const int runs = options.runs > 0 ? options.runs : options.quick ? 1 : experiment.runs;
+  const std::uint64_t seed = options.seed > 0 ? options.seed : experiment.seed;
+  StormResult unmeasured;
+  unmeasured.experiment = experiment.file;
+  unmeasured.seed = seed;
+  unmeasured.runs = static_cast<unsigned>(runs);
+  unmeasured.fixed = FixedFigures(size);
+  unmeasured.fixed["outage_s"] = outage / 1000;
+  StormResult zone_start = unmeasured, restart = unmeasured;
+  zone_start.storm = "zone_starts";
+  restart.storm = "list_service_returns";
+  const auto report_progress = [&](const StormResult& result, int run) {
+    if (!options.on_progress) return;
+    options.on_progress(fmt::format("{}: {}, run {} of {}: all gateways current after at most {:.0f} ms",
+                                    experiment.name, result.storm, run + 1, runs, result.all_current_ms));
   };
   for (int run = 0; run < runs; ++run) {
-    const std::uint64_t its_seed = seed + static_cast<std::uint64_t>(run);
-    Worsen(starts, ZoneStarts(*ListedFleet(programs, size, its_seed, options.deadline)));
-    note(starts, run);
-    Worsen(returns, ListServiceReturns(*ListedFleet(programs, size, its_seed, options.deadline), outage));
-    note(returns, run);
+    const std::uint64_t run_seed = seed + static_cast<std::uint64_t>(run);
+    KeepWorst(zone_start, RunZoneStart(*StartRegisteredFleet(programs, size, run_seed, options.deadline)));
+    report_progress(zone_start, run);
+    KeepWorst(restart, RunListServiceRestart(
+                           *StartRegisteredFleet(programs, size, run_seed, options.deadline), outage));
+    report_progress(restart, run);
   }
-  return {std::move(starts), std::move(returns)};
+  return {std::move(zone_start), std::move(restart)};
 }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/storms.hpp
+++ b/src/lab/scale/storms.hpp
@@ -1,5 +1,5 @@
-// Storms: everyone comes to the list service at once. All gateways of a zone start; or the list service comes
-// back after it was away.
+// Storms, in which many gateways call the list service at once: all gateways of a zone start together, or the
+// list service restarts after an outage.
 #ifndef GATEWAY_LAB_SCALE_STORMS_HPP_
 #define GATEWAY_LAB_SCALE_STORMS_HPP_
 
@@ -16,13 +16,14 @@
 
 struct StormOptions {
   bool quick = false;
-  int runs = 0;            // 0: as the file says; one where it is quick
-  std::uint64_t seed = 0;  // 0: as the file says
-  Millis deadline = 0;     // base::MonotonicNow
-  std::function<void(const std::string&)> note;
+  int runs = 0;                                         // 0: as in the file, or one if quick
+  std::uint64_t seed = 0;                               // 0: as in the file
+  Millis deadline = 0;                                  // base::MonotonicNow
+  std::function<void(const std::string&)> on_progress;  // receives a line for each run; may be empty
 };
 
-// Both storms, one after the other; of several runs the worst figures. Throws as ScaleMeasurer does.
+// Runs both storms alternately and returns the worst figures over all runs. Throws the exceptions of
+// ScaleMeasurer::Measure.
 std::vector<StormResult> RunStorms(const ScaleExperiment& experiment, const ScalePrograms& programs,
                                    const StormOptions& options);
 
