--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -1,4 +1,4 @@
-"""tools/capacity.py against a small set of invented results (tests/fixtures/capacity)."""
+"""Tests of tools/capacity.py with a small set of synthetic results (tests/fixtures/capacity)."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
         return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
     def write_page(self) -> str:
-        done = self.run_tool()
-        self.assertEqual(done.returncode, 0, done.stderr)
+        completed = self.run_tool()
+        self.assertEqual(completed.returncode, 0, completed.stderr)
         return (self.root / "docs" / "CAPACITY.md").read_text(encoding="utf-8")
 
-    def assert_unusable(self, text: str) -> None:
-        done = self.run_tool()
-        self.assertEqual(done.returncode, 2, done.stdout)
-        self.assertIn(text, done.stderr)
+    def assert_invalid_input(self, text: str) -> None:
+        completed = self.run_tool()
+        self.assertEqual(completed.returncode, 2, completed.stdout)
+        self.assertIn(text, completed.stderr)
 
     def change_text(self, file: str, old: str, new: str) -> None:
         path = self.root / "docs" / file
@@ -57,7 +57,7 @@
         self.assertEqual(len(rows), 1, f"rows that start with {start!r}: {rows}")
         return rows[0]
 
-    def test_a_figure_is_worked_out_and_names_its_sources(self) -> None:
+    def test_figure_is_computed_and_names_its_sources(self) -> None:
         page = self.write_page()
         row = self.row(page, "| processor, % of a core | at rest |")
         self.assertIn("| 11 (10.5 to 11.5) |", row)
@@ -66,49 +66,49 @@
             "[`experiments/scale/hosts.toml`](results/scale/hosts.json), seed 1, 3 plays, extrapolated from 12,000",
             row,
         )
-        # 600 us a change, 8640 a day, ten times the mean: 600 us a second.
+        # 600 us per change and 8640 changes per day at ten times the mean rate: 600 us per second.
         self.assertIn("| 0.06 (0.055 to 0.065) |", self.row(page, "|  | changes |"))
         self.assertIn("**assumed**: `peak_factor`", self.row(page, "|  | changes |"))
 
-    def test_a_form_that_is_no_line_is_written_out(self) -> None:
-        def bend(content: dict[str, Any]) -> None:
+    def test_form_other_than_a_line_is_shown(self) -> None:
+        def change_form(content: dict[str, Any]) -> None:
             content["fits"][2].update(form="n log n", slope=0.0001)
 
         self.assertIn("list_service cpu_rest_percent: 0.0012 · hosts, residual", self.write_page())
-        self.change_result(bend)
+        self.change_result(change_form)
         row = self.row(self.write_page(), "| processor, % of a core | renewals |")
         self.assertIn(
             "| 25.3 (22.3 to 28.3) | list_service cpu_rest_percent: 0.0001 · hosts · ln(hosts), residual", row
         )
 
-    def test_growth_for_one_host_leaves_the_offset_out(self) -> None:
+    def test_growth_per_host_excludes_the_offset(self) -> None:
         row = self.row(self.write_page(), "| renewals of a host, messages/s |")
         self.assertIn("| renewals | 0.3 | list_service messages_in_per_s: 2 + 0.3 · hosts", row)
 
-    def test_a_changed_slope_changes_the_page(self) -> None:
+    def test_changed_slope_changes_the_page(self) -> None:
         before = self.write_page()
 
-        def steeper(content: dict[str, Any]) -> None:
+        def double_slope(content: dict[str, Any]) -> None:
             content["fits"][0]["slope"] *= 2
 
-        self.change_result(steeper)
+        self.change_result(double_slope)
         after = self.write_page()
         self.assertIn("| 11 (10.5 to 11.5) |", self.row(before, "| processor, % of a core | at rest |"))
         self.assertIn("| 21 (20.5 to 21.5) |", self.row(after, "| processor, % of a core | at rest |"))
         self.assertIn("| 1 | Gateway: processor | at least 5.82", before)
         self.assertIn("| 1 | Gateway: processor | at least 11.1", after)
 
-    def test_the_furthest_miss_comes_first(self) -> None:
-        def heavier_service(content: dict[str, Any]) -> None:
+    def test_misses_are_sorted_by_descending_factor(self) -> None:
+        def increase_service_slope(content: dict[str, Any]) -> None:
             content["fits"][2]["slope"] = 0.1
 
-        first = [line for line in self.write_page().splitlines() if line.startswith("| 1 |")]
-        self.change_result(heavier_service)
-        then = [line for line in self.write_page().splitlines() if line.startswith("| 1 |")]
-        self.assertIn("Gateway: processor", first[0])
-        self.assertIn("List service: processor", then[0])
+        original_first_rows = [line for line in self.write_page().splitlines() if line.startswith("| 1 |")]
+        self.change_result(increase_service_slope)
+        changed_first_rows = [line for line in self.write_page().splitlines() if line.startswith("| 1 |")]
+        self.assertIn("Gateway: processor", original_first_rows[0])
+        self.assertIn("List service: processor", changed_first_rows[0])
 
-    def test_the_list_holds_only_what_is_over(self) -> None:
+    def test_misses_list_only_figures_above_the_budget(self) -> None:
         page = self.write_page()
         over = page[page.index("### Over the budget") : page.index("### Nothing is built")]
         within = page[page.index("### Within the budget") :]
@@ -116,7 +116,7 @@
         self.assertIn("- List service: processor: 0.6 (0.54 to 0.66) of what is allowed", within)
         self.assertIn("| 2 | List service: hosts accepted", over)
 
-    def test_a_missing_sweep_is_said_and_not_invented(self) -> None:
+    def test_missing_sweep_is_shown_as_not_measured(self) -> None:
         page = self.write_page()
         row = self.row(page, "|  | tenants |")
         self.assertIn("| not measured |", row)
@@ -124,14 +124,14 @@
         self.assertIn("**at least 11.1", self.row(page, "|  | **together** |"))
         self.assertIn("| tenants |  |  | not measured |", page)
 
-    def test_without_any_result_nothing_is_invented(self) -> None:
+    def test_without_results_all_measurements_are_shown_as_missing(self) -> None:
         shutil.rmtree(self.root / "docs" / "results")
         page = self.write_page()
         self.assertIn("Nothing that was measured is over its budget.", page)
         self.assertIn("| **not measured** |", self.row(page, "|  | **together** |"))
         self.assertIn("- Gateway: processor: gateway cpu_per_change_us, sweep hosts; gateway cpu_rest", page)
 
-    def test_a_sum_without_all_its_parts_is_never_called_within_the_budget(self) -> None:
+    def test_incomplete_sum_is_never_listed_within_the_budget(self) -> None:
         self.change_text("capacity/assumptions.toml", "value = 1.9", "value = 100")
         page = self.write_page()
         self.assertNotIn("Gateway: processor", page[page.index("### Within the budget") :])
@@ -141,90 +141,92 @@
             page,
         )
 
-    def test_a_miss_names_the_parts_that_are_not_in_it(self) -> None:
+    def test_miss_names_its_missing_parts(self) -> None:
         row = self.row(self.write_page(), "| 1 | Gateway: processor")
         self.assertIn("; without gateway cpu_rest_percent, sweep tenants |", row)
 
-    def test_a_missing_figure_of_a_sweep_is_said(self) -> None:
+    def test_missing_figure_of_a_sweep_is_shown_as_not_measured(self) -> None:
         self.change_result(lambda content: content["fits"].pop(0))
         row = self.row(self.write_page(), "| processor, % of a core | at rest |")
         self.assertIn("| not measured |", row)
 
-    def test_the_largest_size_that_runs_lies_between_two_points(self) -> None:
+    def test_largest_accepted_size_is_between_two_points(self) -> None:
         row = self.row(self.write_page(), "| hosts accepted, full size over the largest, times |")
         self.assertIn("| 2.08 (1 to 2.08) | ran at 12,000 hosts, not at 25,000: refused at the start |", row)
 
-    def test_a_sweep_that_the_machine_ended_says_nothing_of_the_largest_size(self) -> None:
+    def test_sweep_limited_by_the_machine_gives_no_largest_size(self) -> None:
         self.change_result(lambda content: content["refused"].clear())
         row = self.row(self.write_page(), "| hosts accepted, full size over the largest, times |")
         self.assertIn("| not measured |", row)
 
-    def test_storms_that_are_not_played_show_what_is_assumed(self) -> None:
+    def test_unmeasured_storms_show_the_assumption(self) -> None:
         page = self.write_page()
         self.assertIn("| A zone starts | gateways 400 | 12,000,000 | 88 | 40 | 2,100 |", page)
         self.assertIn("seed 1, 1 play |", self.row(page, "| A zone starts |"))
         self.assertIn("not played", self.row(page, "| Regions lose each other |"))
         self.assertIn("**assumed**: ten minutes apart", page)
 
-    def test_refused_points_and_a_saturated_tool_are_said(self) -> None:
+    def test_refused_points_and_saturation_of_the_tool_are_shown(self) -> None:
         page = self.write_page()
         self.assertIn("- hosts: 25,000 hosts: refused at the start", page)
         self.assertIn("the measuring tool itself was saturated at 12,000", page)
 
-    def test_an_unknown_placeholder_is_an_error_that_names_it(self) -> None:
+    def test_error_names_an_unknown_placeholder(self) -> None:
         self.change_text("capacity/CAPACITY.template.md", "{{storms}}", "{{stroms}}")
-        self.assert_unusable("unknown placeholder 'stroms'")
+        self.assert_invalid_input("unknown placeholder 'stroms'")
 
-    def test_an_unknown_value_is_an_error_that_names_it(self) -> None:
+    def test_error_names_an_unknown_value(self) -> None:
         self.change_text("capacity/CAPACITY.template.md", "{{value.hosts}}", "{{value.hots}}")
-        self.assert_unusable("unknown placeholder 'value.hots'")
+        self.assert_invalid_input("unknown placeholder 'value.hots'")
 
-    def test_an_unknown_name_in_a_formula_is_an_error_that_names_it(self) -> None:
+    def test_error_names_an_unknown_name_in_a_formula(self) -> None:
         self.change_text("capacity/assumptions.toml", '"service_rest_percent" }]', '"service_rest" }]')
-        self.assert_unusable("formula 'service_rest': unknown name 'service_rest'")
+        self.assert_invalid_input("formula 'service_rest': unknown name 'service_rest'")
 
-    def test_a_name_that_is_defined_twice_is_an_error(self) -> None:
+    def test_name_defined_twice_is_an_error(self) -> None:
         self.change_text(
             "capacity/assumptions.toml",
             "peak_factor =",
             "hosts = { value = 1, unit = '', about = '' }\npeak_factor =",
         )
-        self.assert_unusable("the name 'hosts' is defined twice")
+        self.assert_invalid_input("the name 'hosts' is defined twice")
 
-    def test_a_formula_that_needs_itself_is_an_error(self) -> None:
+    def test_circular_formula_is_an_error(self) -> None:
         self.change_text("capacity/assumptions.toml", "8640 / 86400 * peak_factor", "changes_per_s * 2")
-        self.assert_unusable("'changes_per_s' is defined by itself")
+        self.assert_invalid_input("the definition of 'changes_per_s' is circular")
 
-    def test_an_unknown_key_is_an_error_that_names_it(self) -> None:
+    def test_error_names_an_unknown_key(self) -> None:
         self.change_text("capacity/assumptions.toml", 'cause = "one instance"', 'causes = "one instance"')
-        self.assert_unusable("role 'list_service', figure 'processor': unknown key 'causes'")
+        self.assert_invalid_input("role 'list_service', figure 'processor': unknown key 'causes'")
 
-    def test_a_malformed_result_is_an_error_that_names_file_and_field(self) -> None:
+    def test_error_names_file_and_field_of_a_malformed_result(self) -> None:
         self.change_result(lambda content: content.pop("largest"))
-        self.assert_unusable("hosts.json: no result of a sweep: KeyError('largest')")
+        self.assert_invalid_input("hosts.json: not a valid sweep result: KeyError('largest')")
 
-    def test_a_sweep_to_another_size_is_an_error(self) -> None:
+    def test_sweep_with_a_different_full_size_is_an_error(self) -> None:
         self.change_text("capacity/assumptions.toml", "value = 25000", "value = 30000")
-        self.assert_unusable("sweep 'hosts': its full size is 25000 hosts, the page's 30000")
+        self.assert_invalid_input(
+            "sweep 'hosts': its full size is 25000 hosts, but assumptions.toml has 30000"
+        )
 
-    def test_the_check_holds_the_page_to_the_results(self) -> None:
+    def test_check_fails_for_an_edited_page(self) -> None:
         lines = self.write_page().splitlines()
         self.assertEqual(self.run_tool("--check").returncode, 0)
-        line = next(place for place, text in enumerate(lines, start=1) if "| 11 (10.5 to 11.5) |" in text)
+        line = next(number for number, text in enumerate(lines, start=1) if "| 11 (10.5 to 11.5) |" in text)
         self.change_text("CAPACITY.md", "| 11 (10.5 to 11.5) |", "| 9 (10.5 to 11.5) |")
-        done = self.run_tool("--check")
-        self.assertEqual(done.returncode, 1)
-        self.assertIn(f"line {line}\n", done.stderr)
-        self.assertIn("| 9 (10.5 to 11.5) |", done.stderr)
+        completed = self.run_tool("--check")
+        self.assertEqual(completed.returncode, 1)
+        self.assertIn(f"line {line}\n", completed.stderr)
+        self.assertIn("| 9 (10.5 to 11.5) |", completed.stderr)
 
-    def test_the_check_fails_where_a_result_changed_and_where_there_is_no_page(self) -> None:
+    def test_check_fails_if_a_result_changed_or_the_page_is_missing(self) -> None:
         self.assertEqual(self.run_tool("--check").returncode, 1)
         self.write_page()
 
-        def steeper(content: dict[str, Any]) -> None:
+        def double_slope(content: dict[str, Any]) -> None:
             content["fits"][0]["slope"] *= 2
 
-        self.change_result(steeper)
+        self.change_result(double_slope)
         self.assertEqual(self.run_tool("--check").returncode, 1)
 
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Writes docs/CAPACITY.md from its template, the assumptions and the committed results of scale sweeps.
+"""Generates docs/CAPACITY.md from its template, the assumptions and the committed results of scale sweeps.
 
     tools/capacity.py            writes the page
-    tools/capacity.py --check    writes nothing; exit code 1 and the first differing line where the page is not
-                                 what the results give
+    tools/capacity.py --check    writes nothing; exits with code 1 and prints the first differing line if the
+                                 page is not up to date
 
-Exit code 2: an input can't be used; the message names it.
+Exits with code 2 if an input is invalid; the message names the input.
 """
 
 from __future__ import annotations
@@ -20,60 +20,66 @@
 from capacity_model.page import render
 from capacity_model.results import read_results
 
-_DIFFERS = 1
-_UNUSABLE = 2
+_EXIT_CODE_OUTDATED = 1
+_EXIT_CODE_INVALID_INPUT = 2
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the tool; returns its exit code."""
-    options = _parse(arguments)
+    """Runs the tool and returns its exit code."""
+    options = _parse_arguments(arguments)
     try:
-        page = _page(options.root)
+        page = _render_page(options.root)
     except (CapacityError, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
-        return _UNUSABLE
+        return _EXIT_CODE_INVALID_INPUT
     target = options.root / "docs" / "CAPACITY.md"
     if options.check:
-        return _check(target, page)
+        return _check_page(target, page)
     target.write_text(page, encoding="utf-8")
     return 0
 
 
-def _parse(arguments: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Writes docs/CAPACITY.md from the committed results.")
-    parser.add_argument("--check", action="store_true", help="compare instead of writing")
+def _parse_arguments(arguments: list[str]) -> argparse.Namespace:
+    parser = argparse.ArgumentParser(description="Generates docs/CAPACITY.md from the committed results.")
     parser.add_argument(
-        "--root", type=Path, default=Path(__file__).resolve().parent.parent, help="of the repository"
+        "--check", action="store_true", help="compare the page with the results instead of writing it"
+    )
+    parser.add_argument(
+        "--root",
+        type=Path,
+        default=Path(__file__).resolve().parent.parent,
+        help="root folder of the repository",
     )
     return parser.parse_args(arguments)
 
 
-def _page(root: Path) -> str:
+def _render_page(root: Path) -> str:
     template = (root / "docs" / "capacity" / "CAPACITY.template.md").read_text(encoding="utf-8")
     assumptions = read_assumptions(root / "docs" / "capacity" / "assumptions.toml")
     results = read_results(root / "docs" / "results" / "scale")
     return render(template, Model(assumptions, results))
 
 
-def _check(target: Path, page: str) -> int:
-    there = target.read_text(encoding="utf-8") if target.exists() else ""
-    difference = first_difference(there, page)
+def _check_page(target: Path, page: str) -> int:
+    current = target.read_text(encoding="utf-8") if target.exists() else ""
+    difference = first_difference(current, page)
     if difference is None:
-        print(f"{target}: as the results give it")
+        print(f"{target}: up to date")
         return 0
-    print(f"{target} is not what the results give: {difference}", file=sys.stderr)
-    return _DIFFERS
+    print(f"{target} is not up to date: {difference}", file=sys.stderr)
+    return _EXIT_CODE_OUTDATED
 
 
-def first_difference(there: str, expected: str) -> str | None:
-    """The first line that differs, in words; None where the texts are the same."""
-    if there == expected:
+def first_difference(current: str, expected: str) -> str | None:
+    """Describes the first line that differs; None if the texts are equal."""
+    if current == expected:
         return None
-    old, new = there.split("\n"), expected.split("\n")
-    for line, (one, other) in enumerate(zip(old, new), start=1):
-        if one != other:
-            return f"line {line}\n  there:    {one}\n  expected: {other}"
-    return f"line {min(len(old), len(new)) + 1}\n  {len(old)} lines there, {len(new)} expected"
+    current_lines, expected_lines = current.split("\n"), expected.split("\n")
+    for line, (current_line, expected_line) in enumerate(zip(current_lines, expected_lines), start=1):
+        if current_line != expected_line:
+            return f"line {line}\n  current:  {current_line}\n  expected: {expected_line}"
+    line = min(len(current_lines), len(expected_lines)) + 1
+    return f"line {line}\n  {len(current_lines)} lines, {len(expected_lines)} expected"
 
 
 if __name__ == "__main__":
--- a/tools/capacity_model/__init__.py
+++ b/tools/capacity_model/__init__.py
@@ -1,1 +1,1 @@
-"""The arithmetic behind docs/CAPACITY.md: measured slopes, budgets and assumptions, and what follows of them."""
+"""Computes the figures of docs/CAPACITY.md from measured slopes, budgets and assumptions."""
--- a/tools/capacity_model/assumptions.py
+++ b/tools/capacity_model/assumptions.py
@@ -1,4 +1,4 @@
-"""Reading docs/capacity/assumptions.toml: sizes, budgets, assumptions, formulas and what the tables show."""
+"""Reads docs/capacity/assumptions.toml: sizes, budgets, assumptions, formulas and the rows of the tables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Number:
-    """A size or a budget that operators gave, or a value that is assumed."""
+    """A size or a budget given by operators, or an assumed value."""
 
     value: float
     unit: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Derived:
-    """A value worked out from others."""
+    """A value computed from others."""
 
     formula: str
     unit: str
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True)
 class Measured:
-    """Where a measured value stands.
+    """The source of a measured value in the results.
 
-    part is "at_full" (the value at the full size), "growth" (the same without the offset), "per_unit" (growth over
-    the full size) or "largest_accepted" (the largest point at which the program ran, up to the first one at which it
-    did not; role and figure are empty).
+    part is "at_full" (the value at the full size), "growth" (the same without the offset), "per_unit" (growth
+    divided by the full size) or "largest_accepted" (an interval from the largest point at which the program ran to
+    the first one at which it did not; role and figure are empty).
     """
 
     sweep: str
@@ -57,31 +57,31 @@
 
 @dataclass(frozen=True)
 class Figure:
-    """A row of a role's table, and what to do where it is over what is allowed."""
+    """A row of a role's table, and the remedy if the figure exceeds its allowance."""
 
     resource: str
     unit: str
     terms: list[Term]
-    allowed: str = ""  # a formula; empty: nothing is laid down
+    allowed: str = ""  # a formula; empty: no allowance is specified
     cause: str = ""
     mechanism: str = ""
     cost: str = ""
-    built: bool = True  # what is only planned is not held against the budget in the list of misses
+    built: bool = True  # planned parts are not compared with the budget in the list of misses
 
 
 @dataclass(frozen=True)
 class Role:
-    """A part of the system with its table."""
+    """A component of the system and its table."""
 
     id: str
     title: str
-    state: str  # what it holds, in words
+    state: str  # description of the state that it holds
     figures: list[Figure]
 
 
 @dataclass(frozen=True)
 class MissingPart:
-    """A promise that nothing built carries, so that no factor can be worked out."""
+    """A requirement without an implementation, so that no factor can be computed."""
 
     title: str
     budget: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class StormPlan:
-    """A storm that the page speaks of, with what is assumed of it while it is not played."""
+    """A storm on the page, and the assumption that is shown until the storm is measured."""
 
     name: str
     title: str
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Assumptions:
-    """The whole file."""
+    """The content of the file."""
 
     sizes: dict[str, Number] = field(default_factory=dict)
     budgets: dict[str, Number] = field(default_factory=dict)
@@ -117,14 +117,14 @@
 
 
 def read_assumptions(path: Path) -> Assumptions:
-    """Reads the file; what is missing, unknown or defined twice is an error that names it."""
+    """Reads the file. Raises CapacityError for a missing, unknown or duplicate key, naming the key."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
     except ValueError as error:
         raise CapacityError(f"{path}: {error}") from error
     try:
         assumptions = _assumptions(content)
-        _require_single_names(assumptions)
+        _require_unique_names(assumptions)
         _require_parts(assumptions)
     except CapacityError as error:
         raise CapacityError(f"{path}: {error}") from error
@@ -148,43 +148,43 @@
     )
 
 
-def _record(kind: type[_Record], values: Any, place: str) -> _Record:
+def _record(record_type: type[_Record], values: Any, location: str) -> _Record:
     if not isinstance(values, dict):
-        raise CapacityError(f"{place}: should be a table")
-    fields = {item.name: item for item in dataclasses.fields(kind)}
+        raise CapacityError(f"{location}: should be a table")
+    fields = {item.name: item for item in dataclasses.fields(record_type)}
     for name in values:
         if name not in fields:
-            raise CapacityError(f"{place}: unknown key '{name}'")
+            raise CapacityError(f"{location}: unknown key '{name}'")
     for name, item in fields.items():
         if name not in values and item.default is dataclasses.MISSING:
-            raise CapacityError(f"{place}: key '{name}' is missing")
-    return kind(**values)
+            raise CapacityError(f"{location}: key '{name}' is missing")
+    return record_type(**values)
 
 
-def _table(kind: type[_Record], content: dict[str, Any], name: str) -> dict[str, _Record]:
+def _table(record_type: type[_Record], content: dict[str, Any], name: str) -> dict[str, _Record]:
     rows = content.get(name, {})
-    return {key: _record(kind, values, f"{name}.{key}") for key, values in rows.items()}
+    return {key: _record(record_type, values, f"{name}.{key}") for key, values in rows.items()}
 
 
-def _list(kind: type[_Record], content: dict[str, Any], name: str) -> list[_Record]:
-    return [_record(kind, row, f"{name}[{i}]") for i, row in enumerate(content.get(name, []))]
+def _list(record_type: type[_Record], content: dict[str, Any], name: str) -> list[_Record]:
+    return [_record(record_type, row, f"{name}[{i}]") for i, row in enumerate(content.get(name, []))]
 
 
 def _role(values: dict[str, Any]) -> Role:
-    place = f"role '{values.get('id', '')}'"
-    figures = [_figure(figure, place) for figure in values.get("figures", [])]
-    return _record(Role, {**values, "figures": figures}, place)
+    location = f"role '{values.get('id', '')}'"
+    figures = [_figure(figure, location) for figure in values.get("figures", [])]
+    return _record(Role, {**values, "figures": figures}, location)
 
 
-def _figure(values: dict[str, Any], place: str) -> Figure:
-    place = f"{place}, figure '{values.get('resource', '')}'"
-    terms = [_record(Term, term, place) for term in values.get("terms", [])]
+def _figure(values: dict[str, Any], location: str) -> Figure:
+    location = f"{location}, figure '{values.get('resource', '')}'"
+    terms = [_record(Term, term, location) for term in values.get("terms", [])]
     if not terms:
-        raise CapacityError(f"{place}: no terms")
-    return _record(Figure, {**values, "terms": terms}, place)
+        raise CapacityError(f"{location}: no terms")
+    return _record(Figure, {**values, "terms": terms}, location)
 
 
-def _require_single_names(assumptions: Assumptions) -> None:
+def _require_unique_names(assumptions: Assumptions) -> None:
     seen: set[str] = set()
     for name in itertools.chain(
         assumptions.sizes,
--- a/tools/capacity_model/formula.py
+++ b/tools/capacity_model/formula.py
@@ -1,4 +1,4 @@
-"""Formulas over named quantities: numbers, names, `+ - * /` and parentheses."""
+"""Evaluates formulas over named quantities: numbers, names, `+ - * /` and parentheses."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 from capacity_model.errors import CapacityError
-from capacity_model.quantity import Quantity, combine, exactly
+from capacity_model.quantity import Quantity, combine, exact_quantity
 
 _OPERATORS: dict[type[ast.operator], str] = {ast.Add: "+", ast.Sub: "-", ast.Mult: "*", ast.Div: "/"}
 
 
 def evaluate(formula: str, look_up: Callable[[str], Quantity]) -> Quantity:
-    """The formula's value. `look_up` gives the quantity of a name, or raises CapacityError."""
+    """Evaluates a formula. `look_up` returns the quantity of a name or raises CapacityError."""
     try:
         tree = ast.parse(formula, mode="eval")
     except SyntaxError as error:
@@ -25,11 +25,11 @@
 
 def _evaluate(node: ast.expr, look_up: Callable[[str], Quantity]) -> Quantity:
     if isinstance(node, ast.Constant) and isinstance(node.value, (int, float)):
-        return exactly(float(node.value))
+        return exact_quantity(float(node.value))
     if isinstance(node, ast.Name):
         return look_up(node.id)
     if isinstance(node, ast.BinOp) and type(node.op) in _OPERATORS:
         left = _evaluate(node.left, look_up)
         right = _evaluate(node.right, look_up)
         return combine(_OPERATORS[type(node.op)], left, right)
-    raise CapacityError("only numbers, names, + - * / and parentheses are understood")
+    raise CapacityError("only numbers, names, + - * / and parentheses are allowed")
--- a/tools/capacity_model/misses.py
+++ b/tools/capacity_model/misses.py
@@ -1,24 +1,26 @@
-"""The list of misses: how far each figure of today's design is from its budget."""
+"""The list of misses: the ratio of each figure of the current design to its budget."""
 
 from __future__ import annotations
 
 from capacity_model.assumptions import MissingPart
 from capacity_model.model import FigureValue, Model
 from capacity_model.role_table import allowed_text, factor_text, total_text
-from capacity_model.sources import missing_text, sources
-from capacity_model.text import table
+from capacity_model.sources import missing_text, sources_text
+from capacity_model.text import markdown_table
 
 
-def misses(model: Model) -> str:
-    """What is over its allowance, the furthest first; then what has no figure, and what holds."""
-    judged = [value for value in model.all_figures() if value.figure.built and value.allowed is not None]
-    over = [value for value in judged if _factor(value) > 1]
+def misses_section(model: Model) -> str:
+    """Lists the figures above their allowance by descending factor, then unknown ones and those within it."""
+    comparable = [value for value in model.all_figures() if value.figure.built and value.allowed is not None]
+    over = [value for value in comparable if _factor_value(value) > 1]
     within = [
-        value for value in judged if value.complete and value.factor is not None and _factor(value) <= 1
+        value
+        for value in comparable
+        if value.complete and value.factor is not None and _factor_value(value) <= 1
     ]
-    unknown = [value for value in judged if value not in over and value not in within]
-    over.sort(key=lambda value: (-_factor(value), _name(value)))
-    within.sort(key=lambda value: (-_factor(value), _name(value)))
+    unknown = [value for value in comparable if value not in over and value not in within]
+    over.sort(key=lambda value: (-_factor_value(value), _figure_name(value)))
+    within.sort(key=lambda value: (-_factor_value(value), _figure_name(value)))
     parts = [
         "### Over the budget, by factor\n\n" + _over_table(model, over),
         "### Nothing is built, so no factor can be given\n\n"
@@ -29,11 +31,11 @@
     return "\n\n".join(parts)
 
 
-def _factor(value: FigureValue) -> float:
+def _factor_value(value: FigureValue) -> float:
     return value.factor.value if value.factor is not None else 0
 
 
-def _name(value: FigureValue) -> str:
+def _figure_name(value: FigureValue) -> str:
     return f"{value.role.title}: {value.figure.resource}"
 
 
@@ -41,42 +43,45 @@
     if not over:
         return "Nothing that was measured is over its budget."
     rows = [["", "what", "factor", "at full size", "allowed", "cause", "mechanism", "cost", "from"]]
-    for place, value in enumerate(over, start=1):
+    for rank, value in enumerate(over, start=1):
         rows.append(
             [
-                str(place),
-                _name(value),
+                str(rank),
+                _figure_name(value),
                 factor_text(value),
                 f"{total_text(value)} {value.figure.unit}",
                 allowed_text(value),
                 value.figure.cause,
                 value.figure.mechanism,
                 value.figure.cost,
-                sources(model, value.total)
-                + ("" if value.complete else f"; without {_without(model, value)}"),
+                sources_text(model, value.total)
+                + ("" if value.complete else f"; without {_missing_inputs(model, value)}"),
             ]
         )
-    return table(rows)
+    return markdown_table(rows)
 
 
 def _missing_table(parts: list[MissingPart]) -> str:
     rows = [["what", "budget", "cause", "mechanism", "cost"]]
     rows += [[part.title, part.budget, part.cause, part.mechanism, part.cost] for part in parts]
-    return table(rows)
+    return markdown_table(rows)
 
 
 def _unknown_list(model: Model, unknown: list[FigureValue]) -> str:
-    lines = [f"- {_name(value)}: {_known_share(value)}{_without(model, value)}" for value in unknown]
+    lines = [
+        f"- {_figure_name(value)}: {_known_share_text(value)}{_missing_inputs(model, value)}"
+        for value in unknown
+    ]
     return "\n".join(lines) if lines else "Nothing."
 
 
-def _known_share(value: FigureValue) -> str:
+def _known_share_text(value: FigureValue) -> str:
     if value.factor is None:
         return ""
     return f"{factor_text(value)} of what is allowed; not measured: "
 
 
-def _without(model: Model, value: FigureValue) -> str:
+def _missing_inputs(model: Model, value: FigureValue) -> str:
     missing = {name for term in value.terms for name in term.value.missing}
     if value.allowed is not None:
         missing |= value.allowed.missing
@@ -85,7 +90,7 @@
 
 def _within_list(model: Model, within: list[FigureValue]) -> str:
     lines = [
-        f"- {_name(value)}: {factor_text(value)} of what is allowed"
+        f"- {_figure_name(value)}: {factor_text(value)} of what is allowed"
         + (" (**assumed** figures only)" if not value.total.measured else "")
         for value in within
     ]
--- a/tools/capacity_model/model.py
+++ b/tools/capacity_model/model.py
@@ -1,4 +1,4 @@
-"""The quantities behind the page: names looked up, terms summed, figures held against what is allowed."""
+"""Computes the quantities of the page: resolves names, sums terms and compares figures with allowances."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from capacity_model.assumptions import Assumptions, Figure, Measured, Role, Term
 from capacity_model.errors import CapacityError
 from capacity_model.formula import evaluate
-from capacity_model.quantity import Quantity, combine, exactly, not_measured
+from capacity_model.quantity import Quantity, combine, exact_quantity, unmeasured_quantity
 from capacity_model.results import Fit, Results, Sweep
 
 
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True)
 class FigureValue:
-    """A figure with the values of its terms, their sum and what is allowed."""
+    """A figure with the values of its terms, their sum and its allowance."""
 
     role: Role
     figure: Figure
     terms: list[TermValue]
-    total: Quantity  # of the terms that are known
+    total: Quantity  # sum of the known terms
     allowed: Quantity | None
 
     @property
@@ -36,52 +36,52 @@
 
     @property
     def known(self) -> bool:
-        """Whether any term is known; the total is then a lower bound at the least."""
+        """Whether any term is known. The total is then at least a lower bound."""
         return any(term.value.known for term in self.terms)
 
     @property
     def factor(self) -> Quantity | None:
-        """Total over allowed; None where either is unknown."""
+        """The ratio of total to allowed; None if either is unknown."""
         if not self.known or self.allowed is None or not self.allowed.known:
             return None
         return combine("/", self.total, self.allowed)
 
 
 class Model:
-    """Budgets, assumptions and results, and what follows of them."""
+    """Budgets, assumptions and results, and the values computed from them."""
 
     def __init__(self, assumptions: Assumptions, results: Results) -> None:
         self.assumptions = assumptions
         self.results = results
-        self._in_progress: list[str] = []
+        self._evaluating: list[str] = []
         self._require_same_sizes()
 
     def look_up(self, name: str) -> Quantity:
-        """The quantity of a name of assumptions.toml."""
-        a = self.assumptions
-        if name in a.sizes:
-            return exactly(a.sizes[name].value)
-        if name in a.budgets:
-            return exactly(a.budgets[name].value)
-        if name in a.assumed:
-            value = a.assumed[name].value
+        """Returns the quantity of a name in assumptions.toml. Raises CapacityError if it is unknown."""
+        assumptions = self.assumptions
+        if name in assumptions.sizes:
+            return exact_quantity(assumptions.sizes[name].value)
+        if name in assumptions.budgets:
+            return exact_quantity(assumptions.budgets[name].value)
+        if name in assumptions.assumed:
+            value = assumptions.assumed[name].value
             return Quantity(value, value, value, assumed=frozenset([name]))
-        if name in a.derived:
+        if name in assumptions.derived:
             return self._derived(name)
-        if name in a.measured:
+        if name in assumptions.measured:
             return self._measured(name)
         raise CapacityError(f"unknown name '{name}'")
 
     def fit_of(self, measured: Measured) -> tuple[Sweep, Fit] | None:
-        """The sweep and the fit that a measured value comes from, if they exist."""
+        """Returns the sweep and the fit of a measured value, if they exist."""
         sweep = self.results.sweeps.get(measured.sweep)
         fit = sweep.fit(measured.role, measured.figure) if sweep else None
         return (sweep, fit) if sweep and fit else None
 
     def figure_value(self, role: Role, figure: Figure) -> FigureValue:
-        """Works a figure out."""
+        """Computes a figure."""
         terms = [TermValue(term, evaluate(term.formula, self.look_up)) for term in figure.terms]
-        total = exactly(0)
+        total = exact_quantity(0)
         for term in terms:
             if term.value.known:
                 total = combine("+", total, term.value)
@@ -89,17 +89,17 @@
         return FigureValue(role, figure, terms, total, allowed)
 
     def all_figures(self) -> list[FigureValue]:
-        """Every figure of every role, in the order of the file."""
+        """Computes every figure of every role, in the order of the file."""
         return [self.figure_value(role, figure) for role in self.assumptions.roles for figure in role.figures]
 
     def _derived(self, name: str) -> Quantity:
-        if name in self._in_progress:
-            raise CapacityError(f"'{name}' is defined by itself")
-        self._in_progress.append(name)
+        if name in self._evaluating:
+            raise CapacityError(f"the definition of '{name}' is circular")
+        self._evaluating.append(name)
         try:
             return evaluate(self.assumptions.derived[name].formula, self.look_up)
         finally:
-            self._in_progress.pop()
+            self._evaluating.pop()
 
     def _measured(self, name: str) -> Quantity:
         measured = self.assumptions.measured[name]
@@ -107,16 +107,16 @@
             return self._largest_accepted(name, measured)
         found = self.fit_of(measured)
         if found is None:
-            return not_measured(name)
+            return unmeasured_quantity(name)
         return _part_of_fit(name, measured, found[1])
 
     def _largest_accepted(self, name: str, measured: Measured) -> Quantity:
         sweep = self.results.sweeps.get(measured.sweep)
         if sweep is None:
-            return not_measured(name)
+            return unmeasured_quantity(name)
         refused = sweep.first_refused()
         if refused is None and sweep.largest < sweep.full:
-            return not_measured(name)  # the machine ended the sweep, not the program
+            return unmeasured_quantity(name)  # the limits of the machine ended the sweep, not the program
         high = refused if refused is not None else sweep.largest
         return Quantity(sweep.largest, sweep.largest, high, measured=frozenset([name]))
 
@@ -125,14 +125,14 @@
             size = self.assumptions.sizes.get(sweep.axis)
             if size is not None and size.value != sweep.full:
                 raise CapacityError(
-                    f"sweep '{sweep.name}': its full size is {sweep.full:g} {sweep.axis}, the page's {size.value:g}"
+                    f"sweep '{sweep.name}': its full size is {sweep.full:g} {sweep.axis}, but assumptions.toml has {size.value:g}"
                 )
 
 
 def _part_of_fit(name: str, measured: Measured, fit: Fit) -> Quantity:
     value = fit.value_at(fit.full)
-    low = max(0.0, value - fit.below)
-    high = value + fit.above
+    low = max(0.0, value - fit.interval_below)
+    high = value + fit.interval_above
     source = frozenset([name])
     if measured.part == "at_full":
         return Quantity(value, low, high, measured=source)
@@ -144,4 +144,4 @@
     )
     if measured.part == "growth" or fit.full == 0:
         return growth
-    return combine("/", growth, exactly(fit.full))
+    return combine("/", growth, exact_quantity(fit.full))
--- a/tools/capacity_model/page.py
+++ b/tools/capacity_model/page.py
@@ -1,4 +1,4 @@
-"""Rendering the page: the template's placeholders, and the tables of what it rests on."""
+"""Renders the page: fills the placeholders of the template and builds the tables of inputs."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from capacity_model.assumptions import Number, StormPlan
 from capacity_model.errors import CapacityError
-from capacity_model.misses import misses
+from capacity_model.misses import misses_section
 from capacity_model.model import Model
 from capacity_model.results import Storm, Sweep
 from capacity_model.role_table import role_table
 from capacity_model.sources import plays_text
-from capacity_model.text import NOT_MEASURED, number, quantity, table
+from capacity_model.text import NOT_MEASURED, format_number, format_quantity, markdown_table
 
 _PLACEHOLDER = re.compile(r"\{\{\s*([^}]*?)\s*\}\}")
 
 
 def render(template: str, model: Model) -> str:
-    """The template with every placeholder filled. An unknown one is an error that names it."""
+    """Fills every placeholder of the template. Raises CapacityError, which names an unknown one."""
     blocks: dict[str, Callable[[], str]] = {
-        "generated": _generated,
-        "misses": lambda: misses(model),
+        "generated": _generated_notice,
+        "misses": lambda: misses_section(model),
         "sweeps": lambda: sweeps_table(model),
         "refused": lambda: refused_points(model),
         "storms": lambda: storms_table(model),
@@ -38,14 +38,14 @@
         if name in blocks:
             return blocks[name]()
         if name.startswith("value."):
-            return _value(model, name)
+            return _value_text(model, name)
         raise CapacityError(f"unknown placeholder '{name}'")
 
     return _PLACEHOLDER.sub(fill, template)
 
 
 def sweeps_table(model: Model) -> str:
-    """Which sweeps the page rests on."""
+    """The table of sweeps that the page uses."""
     rows = [
         ["sweep", "axis", "full", "largest measured", "limited by", "held fixed", "seed", "plays", "machine"]
     ]
@@ -54,25 +54,25 @@
             [
                 f"[{sweep.name}](results/scale/{sweep.name}.json) (`{sweep.experiment}`)",
                 sweep.axis,
-                number(sweep.full),
-                number(sweep.largest) + _saturated(sweep),
+                format_number(sweep.full),
+                format_number(sweep.largest) + _saturation_note(sweep),
                 sweep.limited_by,
-                ", ".join(f"{name} {number(value)}" for name, value in sorted(sweep.fixed.items())),
+                ", ".join(f"{name} {format_number(value)}" for name, value in sorted(sweep.fixed.items())),
                 str(sweep.seed),
                 str(sweep.plays),
-                f"{sweep.cores} cores, {number(sweep.memory_mb)} MB",
+                f"{sweep.cores} cores, {format_number(sweep.memory_mb)} MB",
             ]
         )
-    wanted = {measured.sweep for measured in model.assumptions.measured.values()}
-    for name in sorted(wanted - set(model.results.sweeps)):
+    required_sweeps = {measured.sweep for measured in model.assumptions.measured.values()}
+    for name in sorted(required_sweeps - set(model.results.sweeps)):
         rows.append([name, "", "", NOT_MEASURED, "", "", "", "", ""])
-    return table(rows)
+    return markdown_table(rows)
 
 
 def refused_points(model: Model) -> str:
-    """Sizes at which the program did not run."""
+    """The list of sizes at which the program did not run."""
     lines = [
-        f"- {sweep.name}: {number(value)} {sweep.unit}: {why}"
+        f"- {sweep.name}: {format_number(value)} {sweep.unit}: {why}"
         for sweep in model.results.sweeps.values()
         for value, why in sorted(sweep.refused.items())
     ]
@@ -80,7 +80,7 @@
 
 
 def storms_table(model: Model) -> str:
-    """Every storm that the page speaks of: as played, or with what is assumed of it."""
+    """The table of storms: measured figures, or the assumption if a storm was not measured."""
     rows = [
         [
             "storm",
@@ -94,43 +94,49 @@
     ]
     for plan in model.assumptions.storms:
         rows.append(_storm_row(plan, model.results.storms.get(plan.name)))
-    return table(rows)
+    return markdown_table(rows)
 
 
 def numbers_table(numbers: dict[str, Number]) -> str:
-    """A table of given or assumed numbers."""
+    """The table of given or assumed numbers."""
     rows = [["name", "value", "unit", "about"]]
-    rows += [[f"`{name}`", number(n.value), n.unit, n.about] for name, n in numbers.items()]
-    return table(rows)
+    rows += [[f"`{name}`", format_number(n.value), n.unit, n.about] for name, n in numbers.items()]
+    return markdown_table(rows)
 
 
 def derived_table(model: Model) -> str:
-    """Numbers worked out from others."""
+    """The table of computed numbers."""
     rows = [["name", "value", "unit", "worked out as", "about"]]
     for name, derived in model.assumptions.derived.items():
         rows.append(
-            [f"`{name}`", quantity(model.look_up(name)), derived.unit, f"`{derived.formula}`", derived.about]
+            [
+                f"`{name}`",
+                format_quantity(model.look_up(name)),
+                derived.unit,
+                f"`{derived.formula}`",
+                derived.about,
+            ]
         )
-    return table(rows)
+    return markdown_table(rows)
 
 
-def _generated() -> str:
+def _generated_notice() -> str:
     return "<!-- Written by tools/capacity.py from docs/capacity/ and docs/results/scale/: change those, not this. -->"
 
 
-def _value(model: Model, placeholder: str) -> str:
+def _value_text(model: Model, placeholder: str) -> str:
     name = placeholder.removeprefix("value.")
     try:
         value = model.look_up(name)
     except CapacityError as error:
         raise CapacityError(f"unknown placeholder '{placeholder}'") from error
-    return quantity(value)
+    return format_quantity(value)
 
 
-def _saturated(sweep: Sweep) -> str:
+def _saturation_note(sweep: Sweep) -> str:
     if not sweep.saturated:
         return ""
-    points = ", ".join(number(value) for value in sweep.saturated)
+    points = ", ".join(format_number(value) for value in sweep.saturated)
     return f" (the measuring tool itself was saturated at {points})"
 
 
@@ -140,10 +146,10 @@
                 f"**assumed**: {plan.assumed}"]  # fmt: skip
     return [
         plan.title,
-        ", ".join(f"{name} {number(value)}" for name, value in sorted(storm.fixed.items())),
-        number(storm.peak_bytes_per_s),
-        number(storm.peak_cpu_percent),
-        number(storm.peak_queue),
-        number(storm.all_current_ms),
+        ", ".join(f"{name} {format_number(value)}" for name, value in sorted(storm.fixed.items())),
+        format_number(storm.peak_bytes_per_s),
+        format_number(storm.peak_cpu_percent),
+        format_number(storm.peak_queue),
+        format_number(storm.all_current_ms),
         f"[`{storm.experiment}`](results/scale/storms.json), {plays_text(storm.seed, storm.plays)}",
     ]
--- a/tools/capacity_model/quantity.py
+++ b/tools/capacity_model/quantity.py
@@ -1,4 +1,4 @@
-"""Numbers with an interval and their sources, and the arithmetic on them."""
+"""Numbers with an interval and their sources, and arithmetic on them."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True)
 class Quantity:
-    """A number with its interval. `missing` names measurements that it needs and that do not exist.
+    """A number with its interval. `missing` names the measurements that it depends on and that do not exist.
 
-    `assumed` and `measured` name what it was worked out from.
+    `assumed` and `measured` name the values that it was computed from.
     """
 
     value: float
@@ -23,27 +23,27 @@
 
     @property
     def known(self) -> bool:
-        """Whether everything that it needs was measured or is assumed."""
+        """Whether all its inputs are measured or assumed."""
         return not self.missing
 
     @property
     def exact(self) -> bool:
-        """Whether the interval is the number itself."""
+        """Whether the interval has no width."""
         return self.low == self.high
 
 
-def exactly(value: float) -> Quantity:
-    """A number without a spread and without a source."""
+def exact_quantity(value: float) -> Quantity:
+    """Creates a quantity with an interval of no width and without sources."""
     return Quantity(value, value, value)
 
 
-def not_measured(name: str) -> Quantity:
-    """The place of a measurement that does not exist."""
+def unmeasured_quantity(name: str) -> Quantity:
+    """Creates the placeholder of a measurement that does not exist."""
     return Quantity(0, 0, 0, missing=frozenset([name]))
 
 
 def combine(operator: str, left: Quantity, right: Quantity) -> Quantity:
-    """Interval arithmetic on `+`, `-`, `*` and `/`; the sources are those of both."""
+    """Applies `+`, `-`, `*` or `/` with interval arithmetic. The result has the sources of both operands."""
     value = _apply(operator, left.value, right.value, left.known and right.known)
     corners = [
         _apply(operator, a, b, left.known and right.known)
--- a/tools/capacity_model/results.py
+++ b/tools/capacity_model/results.py
@@ -1,4 +1,4 @@
-"""Reading the results of scale sweeps and storms (docs/results/scale/*.json)."""
+"""Reads the results of scale sweeps and storms (docs/results/scale/*.json)."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from capacity_model.errors import CapacityError
 
 STORMS_FILE = "storms.json"
-_LOAD_ROLE = "load"  # the measuring tool's own use
-_SATURATED = "saturated"
-_BASES: dict[str, Callable[[float], float]] = {
+_LOAD_ROLE = "load"  # resource usage of the measuring tool
+_SATURATED_FIGURE = "saturated"
+_BASIS_FUNCTIONS: dict[str, Callable[[float], float]] = {
     "constant": lambda x: 0.0,
     "linear": lambda x: x,
     "n log n": lambda x: x * math.log(x) if x > 1 else 0.0,
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """How one figure of one role grows over the sweep's axis, and its 95% interval at the full size."""
+    """The growth of one figure of one role over the sweep's axis, and its 95% interval at the full size."""
 
     role: str
     figure: str
@@ -33,17 +33,17 @@
     slope: float
     residual: float
     full: float
-    below: float  # from the value at the full size down to the interval's lower end
-    above: float  # and up to its upper end
+    interval_below: float  # distance from the value at the full size to the lower end of the interval
+    interval_above: float  # distance to the upper end
 
     def value_at(self, size: float) -> float:
-        """The fitted value at a size of the axis."""
-        return self.offset + self.slope * _BASES[self.form](size)
+        """Returns the fitted value at a size of the axis."""
+        return self.offset + self.slope * _BASIS_FUNCTIONS[self.form](size)
 
 
 @dataclass(frozen=True)
 class Sweep:
-    """One result file: a size varied over its points while all else stayed."""
+    """One result file: a sweep of one size while all others are fixed."""
 
     name: str
     experiment: str
@@ -63,17 +63,17 @@
     fits: list[Fit]
 
     def fit(self, role: str, figure: str) -> Fit | None:
-        """The fit of a role's figure, if there is one."""
+        """Returns the fit of a role's figure, if there is one."""
         return next((f for f in self.fits if (f.role, f.figure) == (role, figure)), None)
 
     def first_refused(self) -> float | None:
-        """The smallest size above the largest measured at which the program did not run."""
+        """Returns the smallest size above the largest measured one at which the program did not run."""
         return min((value for value in self.refused if value > self.largest), default=None)
 
 
 @dataclass(frozen=True)
 class Storm:
-    """What one storm cost: everyone comes at once."""
+    """The load of one storm, in which all gateways call the list service at once."""
 
     name: str
     experiment: str
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True)
 class Results:
-    """All that was measured."""
+    """All measured results."""
 
     sweeps: dict[str, Sweep]
     storms: dict[str, Storm]
 
 
 def read_results(folder: Path) -> Results:
-    """Reads every result of the folder; one that does not exist holds nothing."""
+    """Reads all results of the folder. A missing folder gives no results."""
     sweeps: dict[str, Sweep] = {}
     storms: dict[str, Storm] = {}
     for path in sorted(folder.glob("*.json")):
@@ -107,7 +107,7 @@
                 sweep = _sweep(content)
                 sweeps[sweep.name] = sweep
         except (KeyError, TypeError, AttributeError) as error:
-            raise CapacityError(f"{path}: no result of a sweep: {error!r}") from error
+            raise CapacityError(f"{path}: not a valid sweep result: {error!r}") from error
     return Results(sweeps, storms)
 
 
@@ -119,7 +119,7 @@
 
 
 def _fit(fit: dict[str, Any]) -> Fit:
-    if fit["form"] not in _BASES:
+    if fit["form"] not in _BASIS_FUNCTIONS:
         raise CapacityError(f"fit of {fit['role']} {fit['figure']}: unknown form '{fit['form']}'")
     at_full = fit["at_full"]
     return Fit(
@@ -130,13 +130,13 @@
         slope=fit["slope"],
         residual=fit["residual"],
         full=at_full["x"],
-        below=at_full["value"] - at_full["low"],
-        above=at_full["high"] - at_full["value"],
+        interval_below=at_full["value"] - at_full["low"],
+        interval_above=at_full["high"] - at_full["value"],
     )
 
 
 def _is_saturated(point: dict[str, Any]) -> bool:
-    return any(point["roles"].get(_LOAD_ROLE, {}).get(_SATURATED, []))
+    return any(point["roles"].get(_LOAD_ROLE, {}).get(_SATURATED_FIGURE, []))
 
 
 def _sweep(content: dict[str, Any]) -> Sweep:
--- a/tools/capacity_model/role_table.py
+++ b/tools/capacity_model/role_table.py
@@ -1,46 +1,46 @@
-"""The table of one role, and the texts of a figure that the list of misses shares with it."""
+"""The table of one role, and formatting shared with the list of misses."""
 
 from __future__ import annotations
 
 from capacity_model.assumptions import Role
 from capacity_model.model import FigureValue, Model, TermValue
-from capacity_model.sources import slopes, sources
-from capacity_model.text import NOT_MEASURED, quantity, table
+from capacity_model.sources import slopes_text, sources_text
+from capacity_model.text import NOT_MEASURED, format_quantity, markdown_table
 
 
 def role_table(model: Model, role: Role) -> str:
-    """The table of one role at full size: a row a term, and a row for the sum of several."""
+    """The table of one role at full size: one row per term, and a row for the sum of several terms."""
     rows = [["figure", "part", "at full size", "slope", "from", "allowed", "factor"]]
     rows.append(["state", role.state, "", "", "", "", ""])
     for figure in role.figures:
         value = model.figure_value(role, figure)
         rows += _figure_rows(model, value)
-    return table(rows)
+    return markdown_table(rows)
 
 
 def total_text(value: FigureValue) -> str:
-    """The sum of a figure's known terms; "at least" where one is not known."""
+    """The sum of a figure's known terms, with "at least" if a term is unknown."""
     if not value.known:
         return NOT_MEASURED
-    text = quantity(value.total)
+    text = format_quantity(value.total)
     return text if value.complete else f"at least {text}"
 
 
 def allowed_text(value: FigureValue) -> str:
-    """What a figure may take."""
+    """The allowance of a figure."""
     if value.allowed is None:
         return "nothing laid down"
-    text = quantity(value.allowed)
+    text = format_quantity(value.allowed)
     return f"{text}, **assumed**" if value.allowed.assumed else text
 
 
 def factor_text(value: FigureValue) -> str:
-    """The figure over what it may take."""
+    """The ratio of a figure to its allowance."""
     if value.allowed is None:
         return ""
     if value.factor is None:
         return NOT_MEASURED
-    text = quantity(value.factor)
+    text = format_quantity(value.factor)
     return text if value.complete else f"at least {text}"
 
 
@@ -61,9 +61,9 @@
     return [
         title,
         term.term.what,
-        quantity(term.value),
-        slopes(model, term.value),
-        sources(model, term.value),
+        format_quantity(term.value),
+        slopes_text(model, term.value),
+        sources_text(model, term.value),
         allowed,
         factor,
     ]
--- a/tools/capacity_model/text.py
+++ b/tools/capacity_model/text.py
@@ -1,4 +1,4 @@
-"""Numbers, quantities and tables as Markdown."""
+"""Formats numbers, quantities and tables as Markdown."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 NOT_MEASURED = "not measured"
 _SIGNIFICANT_DIGITS = 3
-_MOST_EXACT = 1_000_000  # whole numbers below it are shown as they are
+_MAX_EXACT_INTEGER = 1_000_000  # integers below this are not rounded
 
 
-def number(value: float) -> str:
-    """Thousands apart; three significant digits, or all of them for a whole number below a million."""
-    if value == int(value) and abs(value) < _MOST_EXACT:
+def format_number(value: float) -> str:
+    """Formats with thousands separators: three significant digits, or an integer below a million exactly."""
+    if value == int(value) and abs(value) < _MAX_EXACT_INTEGER:
         return f"{int(value):,}"
     rounded = f"{value:.{_SIGNIFICANT_DIGITS}g}"
     return f"{float(rounded):,.0f}" if abs(value) >= 100 else rounded
 
 
-def quantity(value: Quantity) -> str:
-    """The number, and its interval where there is one."""
+def format_quantity(value: Quantity) -> str:
+    """Formats the number, with its interval if it has a width."""
     if not value.known:
         return NOT_MEASURED
-    if number(value.low) == number(value.high):
-        return number(value.value)
-    return f"{number(value.value)} ({number(value.low)} to {number(value.high)})"
+    if format_number(value.low) == format_number(value.high):
+        return format_number(value.value)
+    return f"{format_number(value.value)} ({format_number(value.low)} to {format_number(value.high)})"
 
 
-def table(rows: list[list[str]]) -> str:
-    """A table of Markdown; the first row is its head."""
+def markdown_table(rows: list[list[str]]) -> str:
+    """Formats a Markdown table. The first row is its header."""
     lines = ["| " + " | ".join(row) + " |" for row in rows]
     lines.insert(1, "|" + " --- |" * len(rows[0]))
     return "\n".join(lines)
