--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-using namespace elderhead;
+using namespace gateway;
 using base::Millis;
 using base::MonotonicNow;
 
