--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -1,6 +1,6 @@
-// The store beside SQLite on the project's own work: small records in groups, one sync a group; recovery;
-// memory; and what either does after a failed sync. Usage: store_bench FOLDER (on the disk to be measured;
-// left empty).
+// Compares the store with SQLite on the project's workload: small records in groups with one sync per group,
+// recovery, memory, and behaviour after a failed sync. Usage: store_bench FOLDER (on the disk to be measured;
+// the benchmark removes its files).
 #include <fmt/format.h>
 #include <sqlite3.h>
 #include <sys/wait.h>
@@ -23,10 +23,13 @@
 using base::Millis;
 using base::MonotonicNow;
 
-const std::string kRecord(160, 'x');
+const std::string kRecordPayload(160, 'x');
 constexpr int kRecords = 100000;
+constexpr int kRecordsPerGroup = 100;  // while filling the stores for the recovery
+constexpr Millis kMeasurementMs = 2000;
 
-double ResidentMb() {
+// Returns the peak resident memory of this process in MB.
+double PeakResidentMb() {
   std::ifstream status("/proc/self/status");
   for (std::string word; status >> word;) {
     if (word != "VmHWM:") continue;
@@ -37,38 +40,39 @@
   return 0;
 }
 
-// In a process of its own, so that the highest memory is of this alone.
-double PeakOf(const std::function<void()>& work) {
-  int ends[2];
-  if (pipe(ends) != 0) throw std::runtime_error("pipe");
+// Returns the peak memory growth of `work` in MB, or -1 on failure. Runs it in a child process, so that the
+// peak is that of `work` alone.
+double PeakMemoryMb(const std::function<void()>& work) {
+  int pipe_ends[2];
+  if (pipe(pipe_ends) != 0) throw std::runtime_error("pipe");
   const pid_t child = fork();
   if (child == 0) {
-    const double before = ResidentMb();
+    const double before = PeakResidentMb();
     work();
-    const double grown = ResidentMb() - before;
-    _exit(write(ends[1], &grown, sizeof grown) == sizeof grown ? 0 : 1);
+    const double growth_mb = PeakResidentMb() - before;
+    _exit(write(pipe_ends[1], &growth_mb, sizeof growth_mb) == sizeof growth_mb ? 0 : 1);
   }
-  double grown = 0;
-  const bool read_all = read(ends[0], &grown, sizeof grown) == sizeof grown;
+  double growth_mb = 0;
+  const bool read_all = read(pipe_ends[0], &growth_mb, sizeof growth_mb) == sizeof growth_mb;
   waitpid(child, nullptr, 0);
-  close(ends[0]);
-  close(ends[1]);
-  return read_all ? grown : -1;
+  close(pipe_ends[0]);
+  close(pipe_ends[1]);
+  return read_all ? growth_mb : -1;
 }
 
-void Require(bool good, const std::string& what) {
-  if (!good) throw std::runtime_error(what);
+void Require(bool condition, const std::string& failed_step) {
+  if (!condition) throw std::runtime_error(failed_step);
 }
 
 // ---- SQLite: a table of records, write-ahead log, a full sync at each commit ----------------------
 
 bool fail_syncs = false;
-std::list<sqlite3_io_methods> methods;  // one for each open file, as its own but for the sync
+std::list<sqlite3_io_methods> patched_methods;  // one per open file: its own methods with xSync replaced
 sqlite3_vfs* real_vfs = nullptr;
 
-int Sync(sqlite3_file*, int) { return fail_syncs ? SQLITE_IOERR_FSYNC : SQLITE_OK; }
+int SyncOrFail(sqlite3_file*, int) { return fail_syncs ? SQLITE_IOERR_FSYNC : SQLITE_OK; }
 
-// The files of the machine's own; only the fault's switch stands between.
+// Registers the VFS "faulty": the default VFS whose syncs do nothing, or fail while `fail_syncs` is set.
 void AddFaultySyncs() {
   real_vfs = sqlite3_vfs_find(nullptr);
   static sqlite3_vfs faulty = *real_vfs;
@@ -76,9 +80,9 @@
   faulty.xOpen = [](sqlite3_vfs*, const char* name, sqlite3_file* file, int flags, int* out) {
     const int code = real_vfs->xOpen(real_vfs, name, file, flags, out);
     if (code == SQLITE_OK && file->pMethods != nullptr) {
-      methods.push_back(*file->pMethods);
-      methods.back().xSync = Sync;
-      file->pMethods = &methods.back();
+      patched_methods.push_back(*file->pMethods);
+      patched_methods.back().xSync = SyncOrFail;
+      file->pMethods = &patched_methods.back();
     }
     return code;
   };
@@ -90,8 +94,9 @@
   Database(const std::string& path, const char* vfs = nullptr) {
     Require(sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs) == SQLITE_OK,
             "open");
-    Do("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;"
-       "CREATE TABLE IF NOT EXISTS records(sequence INTEGER PRIMARY KEY, payload BLOB)");
+    Execute(
+        "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL;"
+        "CREATE TABLE IF NOT EXISTS records(sequence INTEGER PRIMARY KEY, payload BLOB)");
     Require(
         sqlite3_prepare_v2(db_, "INSERT INTO records(payload) VALUES(?)", -1, &insert_, nullptr) == SQLITE_OK,
         "prepare");
@@ -100,16 +105,17 @@
     sqlite3_finalize(insert_);
     sqlite3_close(db_);
   }
-  int Do(const char* sql) { return sqlite3_exec(db_, sql, nullptr, nullptr, nullptr); }
+  int Execute(const char* sql) { return sqlite3_exec(db_, sql, nullptr, nullptr, nullptr); }
   int Write(int group) {
-    int code = Do("BEGIN IMMEDIATE");
+    int code = Execute("BEGIN IMMEDIATE");
     for (int i = 0; i < group && code == SQLITE_OK; ++i) {
-      sqlite3_bind_blob(insert_, 1, kRecord.data(), static_cast<int>(kRecord.size()), SQLITE_STATIC);
+      sqlite3_bind_blob(insert_, 1, kRecordPayload.data(), static_cast<int>(kRecordPayload.size()),
+                        SQLITE_STATIC);
       code = sqlite3_step(insert_) == SQLITE_DONE ? SQLITE_OK : SQLITE_ERROR;
       sqlite3_reset(insert_);
     }
-    if (code == SQLITE_OK) code = Do("COMMIT");
-    if (code != SQLITE_OK) Do("ROLLBACK");
+    if (code == SQLITE_OK) code = Execute("COMMIT");
+    if (code != SQLITE_OK) Execute("ROLLBACK");
     return code;
   }
   int ReadAll() {
@@ -117,7 +123,7 @@
     sqlite3_prepare_v2(db_, "SELECT payload FROM records ORDER BY sequence", -1, &select, nullptr);
     int count = 0;
     while (sqlite3_step(select) == SQLITE_ROW)
-      count += sqlite3_column_bytes(select, 0) == static_cast<int>(kRecord.size());
+      count += sqlite3_column_bytes(select, 0) == static_cast<int>(kRecordPayload.size());
     sqlite3_finalize(select);
     return count;
   }
@@ -140,16 +146,16 @@
 
 bool WriteGroup(storage::Store& store, int group) {
   for (int i = 0; i < group; ++i) {
-    if (store.Append(1, 1, kRecord) == 0) return false;
+    if (store.Append(1, 1, kRecordPayload) == 0) return false;
   }
   return store.Commit().ok();
 }
 
 double RecordsPerSecond(int group, const std::function<void()>& write) {
-  const Millis begun = MonotonicNow();
+  const Millis started_at = MonotonicNow();
   int written = 0;
-  while (MonotonicNow() < begun + 2000) write(), written += group;
-  return written / ((MonotonicNow() - begun) / 1000);
+  while (MonotonicNow() < started_at + kMeasurementMs) write(), written += group;
+  return written / ((MonotonicNow() - started_at) / 1000);
 }
 
 void Run(const std::string& folder) {
@@ -157,41 +163,42 @@
   fmt::print("{:44} {:>12} {:>12}\n", "", "store", "SQLite");
   for (const int group : {1, 10, 100}) {
     storage::Examination found;
-    const auto log = Open(*files, folder + "/groups" + std::to_string(group), found);
+    const auto store = Open(*files, folder + "/groups" + std::to_string(group), found);
     Database database(folder + "/groups" + std::to_string(group) + ".db");
-    const double ours = RecordsPerSecond(group, [&] {
-      if (!WriteGroup(*log, group)) Require(log->TakeSnapshot(1, "").ok(), "snapshot");
+    const double store_rate = RecordsPerSecond(group, [&] {
+      if (!WriteGroup(*store, group)) Require(store->TakeSnapshot(1, "").ok(), "snapshot");
     });
-    const double theirs =
+    const double database_rate =
         RecordsPerSecond(group, [&] { Require(database.Write(group) == SQLITE_OK, "write"); });
-    fmt::print("{:44} {:12.0f} {:12.0f}\n", fmt::format("records a second, {} a commit", group), ours,
-               theirs);
+    fmt::print("{:44} {:12.0f} {:12.0f}\n", fmt::format("records per second, {} per commit", group),
+               store_rate, database_rate);
   }
   {
     storage::Examination found;
-    const auto log = Open(*files, folder + "/all", found);
+    const auto store = Open(*files, folder + "/all", found);
     Database database(folder + "/all.db");
-    for (int i = 0; i < kRecords; i += 100) {
-      Require(WriteGroup(*log, 100), "write");
-      Require(database.Write(100) == SQLITE_OK, "write");
+    for (int i = 0; i < kRecords; i += kRecordsPerGroup) {
+      Require(WriteGroup(*store, kRecordsPerGroup), "write");
+      Require(database.Write(kRecordsPerGroup) == SQLITE_OK, "write");
     }
   }
-  const auto ours = [&] {
+  const auto recover_store = [&] {
     storage::Examination found;
     Open(*files, folder + "/all", found);
     Require(found.records.size() == kRecords, "records are missing");
   };
-  const auto theirs = [&] {
+  const auto recover_database = [&] {
     Require(Database(folder + "/all.db").ReadAll() == kRecords, "records are missing");
   };
-  Millis begun = MonotonicNow();
-  ours();
-  const Millis our_time = MonotonicNow() - begun;
-  begun = MonotonicNow();
-  theirs();
-  fmt::print("{:44} {:12.1f} {:12.1f}\n", fmt::format("recovery of {} records, ms", kRecords), our_time,
-             MonotonicNow() - begun);
-  fmt::print("{:44} {:12.1f} {:12.1f}\n", "memory for it, MB", PeakOf(ours), PeakOf(theirs));
+  Millis started_at = MonotonicNow();
+  recover_store();
+  const Millis store_ms = MonotonicNow() - started_at;
+  started_at = MonotonicNow();
+  recover_database();
+  fmt::print("{:44} {:12.1f} {:12.1f}\n", fmt::format("recovery of {} records, ms", kRecords), store_ms,
+             MonotonicNow() - started_at);
+  fmt::print("{:44} {:12.1f} {:12.1f}\n", "peak memory of the recovery, MB", PeakMemoryMb(recover_store),
+             PeakMemoryMb(recover_database));
 
   AddFaultySyncs();
   storage::FaultyFileSystem faulty(*files, [](storage::FaultyFileSystem::Call call, const std::string&) {
@@ -200,16 +207,17 @@
                                                   : std::error_code()};
   });
   storage::Examination found;
-  const auto log = Open(faulty, folder + "/faulty", found);
+  const auto store = Open(faulty, folder + "/faulty", found);
   Database database(folder + "/faulty.db", "faulty");
-  Require(WriteGroup(*log, 1) && database.Write(1) == SQLITE_OK, "write");
+  Require(WriteGroup(*store, 1) && database.Write(1) == SQLITE_OK, "write");
   fail_syncs = true;
-  const bool our_failure = !WriteGroup(*log, 1), their_failure = database.Write(1) != SQLITE_OK;
+  const bool store_reports = !WriteGroup(*store, 1), database_reports = database.Write(1) != SQLITE_OK;
   fail_syncs = false;
-  const auto words = [](bool yes) { return yes ? "yes" : "no"; };
-  fmt::print("{:44} {:>12} {:>12}\n", "a failed sync is told", words(our_failure), words(their_failure));
-  fmt::print("{:44} {:>12} {:>12}\n", "writes are taken after it, unexamined", words(WriteGroup(*log, 1)),
-             words(database.Write(1) == SQLITE_OK));
+  const auto yes_or_no = [](bool yes) { return yes ? "yes" : "no"; };
+  fmt::print("{:44} {:>12} {:>12}\n", "a failed sync is reported", yes_or_no(store_reports),
+             yes_or_no(database_reports));
+  fmt::print("{:44} {:>12} {:>12}\n", "later writes succeed without recovery",
+             yes_or_no(WriteGroup(*store, 1)), yes_or_no(database.Write(1) == SQLITE_OK));
 }
 
 }  // namespace
