--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -48,7 +48,7 @@
   kComparison  // hollow gateways compared with real ones
 };
 
-// An experiment file. Sizes and points are in the units of the axis.
+// The content of an experiment file. The points and `full` are in the unit of the axis.
 struct ScaleExperiment {
   std::string file, name, about;
   ScaleKind kind = ScaleKind::kSweep;
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -89,8 +89,8 @@
   std::string FetchCompleteList();
   FleetMembers& members() { return *members_; }
 
-  // Starts a gateway outside the fleet whose list service never answers. It starts with `known` as its list
-  // (null: without a list).
+  // Starts a gateway outside the fleet whose list service never answers. It starts with `initial_list` as its
+  // list (null: without a list).
   pid_t StartIsolatedGateway(const nlohmann::json& initial_list);
   void Kill(pid_t pid);
   // Throws PointRefusedError if a process has exited on its own.
@@ -102,8 +102,8 @@
   // Returns the size of a gateway's response to the management command 'metrics', in bytes.
   double ScrapeBytes(const RealGateway& gateway);
 
-  // Starts the hollow gateways `first` to first + count - 1 in new processes, with `known` as their list
-  // (null: without a list). Their indices in the fleet follow those of the real gateways.
+  // Starts the hollow gateways `first` to first + count - 1 in new processes, with `initial_list` as their
+  // list (null: without a list). Their indices in the fleet follow those of the real gateways.
   void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
   // Waits until all gateways of the processes from number `from` on have a list. Returns the time since the
   // start of the first of these processes. Throws ScaleTimeout.
