--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -104,7 +104,7 @@
   auto& connection = connections_[from];
   if (!connection || !connection->usable()) connection = std::make_shared<ClientConnection>(loop_.io(), from);
   std::optional<ClientConnection::Result> result;
-  connection->Exchange(base::GetRequest(target, "scale"), kResponseTimeoutMs,
+  connection->Exchange(base::FormatGetRequest(target, "scale"), kResponseTimeoutMs,
                        [&](ClientConnection::Result got) { result = std::move(got); });
   loop_.RunUntil("an answer to " + target, 2 * kResponseTimeoutMs, [&] { return result.has_value(); });
   CheckAlive();
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -78,7 +78,7 @@
     if (!connection_ || !connection_->usable()) {
       connection_ = std::make_shared<ClientConnection>(fleet_.loop().io(), fleet_.list_service_address());
     }
-    connection_->Exchange(base::GetRequest("/metrics", "scale"), kMetricsTimeoutMs,
+    connection_->Exchange(base::FormatGetRequest("/metrics", "scale"), kMetricsTimeoutMs,
                           [this](ClientConnection::Result result) {
                             metrics_pending_ = false;
                             if (running_ && result.failure == ClientConnection::Failure::kNone) {
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -33,7 +33,7 @@
                                                {ErrorCode::kStorageFailed, "storage_failed"},
                                                {ErrorCode::kUnreadable, "unreadable"}}};
 
-// Names of fields in the published list, and in calls to this service.
+// Names of the same field in the published list and in calls to this service.
 struct FieldName {
   const char* published;
   const char* call;
@@ -55,13 +55,13 @@
        {Action::kRegister, Action::kDrain, Action::kUndrain, Action::kRemove, Action::kSetSize}) {
     if (call == CallName(action)) return action;
   }
-  throw FieldError("", "no such call; there are register, renew, drain, undrain, remove and size");
+  throw FieldError("", "unknown call; expected register, renew, drain, undrain, remove or size");
 }
 
-// Invalid UTF-8 is replaced.
+// Serializes the value and replaces invalid UTF-8.
 std::string Dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-json ParseLeniently(const std::string& text) {
+json ParseWithoutThrowing(const std::string& text) {
   return json::parse(text, nullptr, /*allow_exceptions=*/false);
 }
 
@@ -76,7 +76,7 @@
 
 std::string ReadCell(const json& body) {
   if (!body.contains("cell") || body["cell"].is_null()) return "";
-  if (!body["cell"].is_primitive()) throw FieldError("cell", "must be a number or a text");
+  if (!body["cell"].is_primitive()) throw FieldError("cell", "must be a number or a string");
   std::string cell = body["cell"].dump();
   if (cell.size() > kMaxTextBytes) throw FieldError("cell", "is longer than 256 bytes");
   return cell;
@@ -189,7 +189,7 @@
                 {"version", member.version},
                 {"changed", member.revision},
                 {"term_ms", member.lease_duration}};
-  entry["cell"] = member.cell.empty() ? json() : ParseLeniently(member.cell);
+  entry["cell"] = member.cell.empty() ? json() : ParseWithoutThrowing(member.cell);
   if (member.suspect) entry["suspect"] = true;
   if (member.drained_by_operator) entry["held_out"] = true;
   if (member.expired) entry["expired"] = true;
@@ -212,13 +212,13 @@
 }
 
 ParsedCall ParseCall(std::string_view call, const std::string& body) {
-  const json parsed = ParseLeniently(body);
+  const json parsed = ParseWithoutThrowing(body);
   if (!parsed.is_object()) return Error(ErrorCode::kBadRequest, "", "the body must be a JSON object");
   try {
     if (call == "renew") return ReadRenewal(parsed);
     return ReadCommand(call, parsed);
   } catch (const FieldError& error) {
-    return Error(ErrorCode::kBadRequest, error.field(), error.Sentence());
+    return Error(ErrorCode::kBadRequest, error.field(), error.FullMessage());
   }
 }
 
@@ -233,7 +233,7 @@
                  {"size", member.size},
                  {"term_ms", member.lease_duration},
                  {"incarnation", member.incarnation}});
-    if (!member.cell.empty()) body["cell"] = ParseLeniently(member.cell);
+    if (!member.cell.empty()) body["cell"] = ParseWithoutThrowing(member.cell);
   }
   if (command.action == Action::kSetSize) body["size"] = member.size;
   if (!command.idempotency_key.empty()) body["key"] = command.idempotency_key;
@@ -258,8 +258,9 @@
 }
 
 CommandResult ParseResult(unsigned status, const std::string& body) {
-  const json parsed = ParseLeniently(body);
-  const Error unreadable(ErrorCode::kUnreadable, "", "status " + std::to_string(status));
+  const json parsed = ParseWithoutThrowing(body);
+  const Error unreadable(ErrorCode::kUnreadable, "",
+                         "unreadable response with status " + std::to_string(status));
   if (!parsed.is_object()) return CommandResult::Failed(unreadable);
   try {
     if (status != kOk) return CommandResult::Failed(ReadError(parsed.at("error")));
@@ -270,20 +271,20 @@
 }
 
 std::optional<PublishedList> ParseList(const std::string& text, std::string& error) {
-  const json parsed = ParseLeniently(text);
+  const json parsed = ParseWithoutThrowing(text);
   const auto fail = [&error](std::string reason) {
     error = std::move(reason);
     return std::nullopt;
   };
   if (!parsed.is_object() || !parsed.contains("members") || !parsed["members"].is_array()) {
-    return fail("no list of members");
+    return fail("'members' must be an array");
   }
-  if (!parsed.value("complete", true)) return fail("only a part of a list");
+  if (!parsed.value("complete", true)) return fail("the list is not complete");
   PublishedList list;
   try {
     list.revision = parsed.value("revision", Revision{0});
     for (const json& entry : parsed["members"]) {
-      if (!entry.is_object()) return fail("a member that is no object");
+      if (!entry.is_object()) return fail("each member must be an object");
       list.members.push_back(ReadPublishedMember(entry));
     }
   } catch (const FieldError& field_error) {
