--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -18,7 +18,7 @@
 struct TwoServices : DiscoveryClient::Observer {
   struct Service {
     explicit Service(asio::io_context& io) : server(io) {}
-    Peer server;
+    FakeServer server;
     std::int64_t revision = 50;
     std::string epoch = "e1";
     int status = 200;
@@ -26,7 +26,7 @@
   };
   TwoServices() {
     for (Service* service : {&first, &second}) {
-      service->server.serve = [service](const Peer::Taken& request) {
+      service->server.serve = [service](const FakeServer::ReceivedRequest& request) {
         const std::string target(request.http.target());
         const bool is_long_poll = target.find("wait_ms=0") == std::string::npos;
         service->watches += is_long_poll;
@@ -35,7 +35,7 @@
         const auto after = target.find("after=" + std::to_string(service->revision) + "&");
         const bool is_current = after != std::string::npos;
         if (is_long_poll && is_current && service->status == 200) return;  // waits for a change
-        request.Answer(service->status, list.dump());
+        request.Respond(service->status, list.dump());
       };
     }
     DiscoveryClient::Options options;
@@ -182,8 +182,8 @@
 // A list service that has lost its data must not remove most endpoints: without an operator's confirmation
 // the gateway rejects its list, but applies the drains in it.
 TEST(MassRemovalGuard, KeepsEndpointsUntilAMassRemovalIsConfirmed) {
-  World harness(6);
-  harness.GuardList();
+  GatewayHarness harness(6);
+  harness.EnableMassRemovalGuard();
   const auto list_of = [&](std::int64_t revision, std::size_t hosts, std::int64_t confirmed) {
     std::vector<nlohmann::json> members;
     for (std::size_t i = 0; i < hosts; ++i) {
@@ -197,7 +197,7 @@
   const auto respond = [&](const std::string& body) {
     const std::size_t earlier_calls = harness.discovery.requests.size();
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() > earlier_calls; }));
-    harness.discovery.requests.back().Answer(200, body);
+    harness.discovery.requests.back().Respond(200, body);
   };
   respond(list_of(42, 2, 0));
   respond(list_of(43, 2, 0));
@@ -213,10 +213,10 @@
 // for the next response.
 TEST(DiscoveryClient, ReopensASilentWatchInTime) {
   for (const std::size_t silent : {0u, 1u}) {  // index of the call without a response
-    World harness(2);
+    GatewayHarness harness(2);
     ASSERT_TRUE(harness.Until([&] { return !harness.discovery.requests.empty(); }));
     const auto respond = [&](std::size_t call, const std::string& phase) {
-      harness.discovery.requests[call].Answer(
+      harness.discovery.requests[call].Respond(
           200, List(42 + static_cast<int>(call), true,
                     {Member("h0", harness.host(0).address(), phase), Member("h1", harness.host(1).address())})
                    .dump());
@@ -228,7 +228,8 @@
     const Millis started_at = base::MonotonicNow();
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == silent + 2; }));
     EXPECT_LT(base::MonotonicNow() - started_at, 5000) << "call " << silent;
-    EXPECT_NE(harness.discovery.requests[silent].on, harness.discovery.requests[silent + 1].on);
+    EXPECT_NE(harness.discovery.requests[silent].connection,
+              harness.discovery.requests[silent + 1].connection);
     respond(silent + 1, "draining");
     const std::string metric = "list_revision " + std::to_string(43 + silent) + "\n";
     ASSERT_TRUE(harness.Until([&] { return harness.Call("metrics\n").find(metric) != std::string::npos; }));
@@ -241,10 +242,10 @@
 
 // A gateway whose discovery address changes while a call to the former address is in progress. The test sends
 // the responses of both addresses.
-struct AddressChangeHarness : World {
-  AddressChangeHarness() : World(2) {
+struct AddressChangeHarness : GatewayHarness {
+  AddressChangeHarness() : GatewayHarness(2) {
     for (const auto& host : hosts) {
-      host->serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
+      host->serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
     }
   }
   bool FirstCallArrived() {
@@ -254,7 +255,7 @@
   // the gateway has closed the connection, the checks that follow fail.
   void WriteAtFormerAddress(const std::string& text) {
     error_code ignored;
-    asio::write(discovery.requests[0].on->socket, asio::buffer(text), ignored);
+    asio::write(discovery.requests[0].connection->socket, asio::buffer(text), ignored);
   }
   void ChangeAddress() { gateway->ChangeDiscoveryAddress(new_discovery.address()); }
   // Runs the event loop for a few management calls, after which it has read all bytes that were in its
@@ -280,7 +281,7 @@
     return List(revision, false, {Member("h0", host(0).address(), "draining")});
   }
 
-  Peer new_discovery{io};
+  FakeServer new_discovery{io};
   int sent_requests = 0;
 };
 
@@ -299,7 +300,7 @@
   // The watch at the new address begins at the revision known at the change.
   EXPECT_NE(std::string(harness.new_discovery.requests[0].http.target()).find("after=41&"),
             std::string::npos);
-  harness.new_discovery.requests[0].Answer(200, harness.MakeDrain(42).dump());
+  harness.new_discovery.requests[0].Respond(200, harness.MakeDrain(42).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 2; }));
   EXPECT_NE(std::string(harness.new_discovery.requests[1].http.target()).find("after=42&"),
             std::string::npos);
@@ -332,22 +333,22 @@
   ASSERT_TRUE(harness.FirstCallArrived());
   harness.ChangeAddress();
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
-  EXPECT_FALSE(harness.discovery.connections[0]->ended);
-  harness.new_discovery.requests[0].Answer(200,
-                                           List(7, true, {Member("h1", harness.host(1).address())}).dump());
+  EXPECT_FALSE(harness.discovery.connections[0]->closed_by_gateway);
+  harness.new_discovery.requests[0].Respond(200,
+                                            List(7, true, {Member("h1", harness.host(1).address())}).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 2; }));
   EXPECT_NE(std::string(harness.new_discovery.requests[1].http.target()).find("after=7&"), std::string::npos);
   harness.WriteAtFormerAddress(
       harness.MakeResponse(List(50, true, {Member("h0", harness.host(0).address())})));
   harness.RunEventLoop();
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
-  ASSERT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->closed_by_gateway; }));
 
   AddressChangeHarness silent;
   ASSERT_TRUE(silent.FirstCallArrived());
   silent.ChangeAddress();
   const Millis changed_at = base::MonotonicNow();
-  ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->ended; }));
+  ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->closed_by_gateway; }));
   EXPECT_GE(base::MonotonicNow() - changed_at, 1400);
   // The next call follows within 4.5 s.
   ASSERT_TRUE(silent.Until([&] { return silent.new_discovery.requests.size() == 2; }));
@@ -356,7 +357,7 @@
 // The guard against mass removal must also check a list from the former address.
 TEST(DiscoveryClient, RejectsAMassRemovalByTheFormerAddress) {
   AddressChangeHarness harness;
-  harness.GuardList();
+  harness.EnableMassRemovalGuard();
   ASSERT_TRUE(harness.FirstCallArrived());
   harness.WriteAtFormerAddress(harness.MakeResponse(List(42, true, nlohmann::json::array())));
   harness.ChangeAddress();
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -19,11 +19,11 @@
     folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
-    host.serve = [this](const Peer::Taken& request) {
-      if (request.http["Req-Id"] != "held") return request.Answer(200, std::string(request.http["Req-Id"]));
+    host.serve = [this](const FakeServer::ReceivedRequest& request) {
+      if (request.http["Req-Id"] != "held") return request.Respond(200, std::string(request.http["Req-Id"]));
       held.push_back(request);
     };
-    discovery.serve = [](const Peer::Taken&) {};
+    discovery.serve = [](const FakeServer::ReceivedRequest&) {};
   }
   ~Platform() { std::filesystem::remove_all(folder); }
 
@@ -64,18 +64,19 @@
   }
 
   asio::io_context io;
-  Peer host{io}, discovery{io};
-  std::vector<Peer::Taken> held;  // requests "held", to which the test responds
+  FakeServer host{io}, discovery{io};
+  std::vector<FakeServer::ReceivedRequest> held;  // requests "held", to which the test responds
   const tcp::endpoint listen = FreeAddress(io);
   std::filesystem::path folder;
-  const File file{nlohmann::json{{"seed", "1f"},
-                                 // Several endpoints, because during an overlap each process sends at most
-                                 // one concurrent request to a new endpoint, and "held" occupies that slot.
-                                 {"known", List(1, true,
-                                                {Member("h0", host.address()), Member("h1", host.address()),
-                                                 Member("h2", host.address())})},
-                                 {"settings", TestSettings()}}
-                      .dump()};
+  const ConfigFile file{nlohmann::json{
+      {"seed", "1f"},
+      // Several endpoints, because during an overlap each process sends at most
+      // one concurrent request to a new endpoint, and "held" occupies that slot.
+      {"known",
+       List(1, true,
+            {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
+      {"settings",
+       TestSettings()}}.dump()};
 };
 
 // The two processes may be of different builds, so the encoding on their socket must not change.
@@ -123,21 +124,21 @@
   for (int i = 0; i < 50; ++i) {
     Client another(platform.io, platform.listen);
     EXPECT_EQ(platform.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i))
-        << another.Await() << old.process->Errors() << next.process->Errors();
+        << another.Await() << old.process->StandardError() << next.process->StandardError();
   }
-  platform.held[0].Answer(200, "held");
+  platform.held[0].Respond(200, "held");
   EXPECT_EQ(busy.Await().body(), "held");
   EXPECT_TRUE(busy.Await().keep_alive());
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
+  ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
   EXPECT_EQ(old.process->Wait(), 0);
   EXPECT_EQ(platform.Request(idle, "two", 2), "two");
   EXPECT_EQ(platform.Request(busy, "three", 2), "three");
-  EXPECT_FALSE(idle.ended());
-  EXPECT_FALSE(busy.ended());
+  EXPECT_FALSE(idle.closed_by_gateway());
+  EXPECT_FALSE(busy.closed_by_gateway());
   auto last = platform.Start();  // a second replacement
   ASSERT_TRUE(platform.BecomesReady(last));
   next.process->Terminate();
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->Ended(); }));
+  ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->HasExited(); }));
   EXPECT_EQ(platform.Request(idle, "four", 3), "four");
 }
 
@@ -200,7 +201,7 @@
     }
     auto old = platform.Start();
     ASSERT_TRUE(platform.BecomesReady(old));
-    if (obstacle == "hung process") old.process->Hang();
+    if (obstacle == "hung process") old.process->Suspend();
     auto next = platform.Start();
     EXPECT_TRUE(platform.BecomesReady(next));
     if (obstacle == "hung process") {
@@ -208,7 +209,7 @@
     } else {
       old.process->Terminate();
     }
-    ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->Ended(); }));
+    ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
     Client client(platform.io, platform.listen);
     EXPECT_EQ(platform.Request(client, "one"), "one");
   }
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -15,7 +15,7 @@
 
 // Scripts of operators rely on the first word of a response, which must also be right for invalid commands.
 TEST(Management, RespondsToValidAndInvalidCommands) {
-  World harness;
+  GatewayHarness harness;
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
   EXPECT_TRUE(harness.Call("check\r\nvars\n").starts_with("SUCCESS"));  // bytes after the line are ignored
   for (const std::string& command :
@@ -27,11 +27,11 @@
 
 // A gateway without a host can't serve clients, so its check must fail until it has received a list.
 TEST(Management, CheckFailsUntilAListIsReceived) {
-  World harness(0);
+  GatewayHarness harness(0);
   EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE"));
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-  Peer host(harness.io);
-  harness.discovery.requests[0].Answer(200, List(42, true, {Member("h0", host.address())}).dump());
+  FakeServer host(harness.io);
+  harness.discovery.requests[0].Respond(200, List(42, true, {Member("h0", host.address())}).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
 }
@@ -39,7 +39,7 @@
 // Clients that send no complete command could use up all connections. Others must be served meanwhile, and a
 // client that closes its side without a line end must receive a failure.
 TEST(Management, ServesOthersDespiteIncompleteCommands) {
-  World harness;
+  GatewayHarness harness;
   std::vector<tcp::socket> slow;
   for (int i = 0; i < 100; ++i) {  // far more than the server allows
     slow.emplace_back(harness.io).connect(*harness.gateway->management());
@@ -63,7 +63,7 @@
 // Each counter must change by exactly the requests or attempts of its kind, and exist for each class from the
 // start.
 TEST(Metrics, CountResponsesAndAttemptsByClass) {
-  World harness(2);
+  GatewayHarness harness(2);
   const nlohmann::json none = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
   EXPECT_EQ(harness.Vars(), nlohmann::json({{"responses", {{"view", none}, {"key", none}, {"pay", none}}},
                                             {"tries", 0},
@@ -72,11 +72,11 @@
                                             {"pool_ejected", 0}}));
   int resets = 0;
   for (auto& host : harness.hosts) {
-    host->serve = [&](const Peer::Taken& request) {
+    host->serve = [&](const FakeServer::ReceivedRequest& request) {
       const std::string id(request.http["Req-Id"]);
-      if (id == "again" && resets++ == 0) return request.on->Reset();  // causes a second attempt
-      if (id == "fails") return request.Answer(500, "");
-      if (id != "waits" && id != "leaves") request.Answer(200, "");
+      if (id == "again" && resets++ == 0) return request.connection->Reset();  // causes a second attempt
+      if (id == "fails") return request.Respond(500, "");
+      if (id != "waits" && id != "leaves") request.Respond(200, "");
     };
   }
   const auto client = harness.Connect();
@@ -96,7 +96,7 @@
   const auto attempts = [&] { return harness.hosts[0]->requests.size() + harness.hosts[1]->requests.size(); };
   ASSERT_TRUE(harness.Until([&] { return attempts() == 6; }));
   EXPECT_EQ(harness.Vars()["active"], 2);
-  leaves->Leave();
+  leaves->Disconnect();
   ASSERT_TRUE(harness.Until([&] { return harness.Vars()["active"] == 1; }));
   const nlohmann::json vars = harness.Vars();
   EXPECT_EQ(vars["responses"]["view"], nlohmann::json({{"ok", 2}, {"shed", 0}, {"errors", 0}}));
@@ -108,10 +108,10 @@
 // A malformed exposition would break scrapes: each sample must occur once and each type be declared once, and
 // the buckets of a histogram must not decrease. The counts must match the requests sent.
 TEST(Metrics, HaveAValidPrometheusForm) {
-  World harness(2);
+  GatewayHarness harness(2);
   for (auto& host : harness.hosts) {
-    host->serve = [](const Peer::Taken& request) {
-      request.Answer(request.http["Req-Id"] == "fails" ? 500 : 200, "");
+    host->serve = [](const FakeServer::ReceivedRequest& request) {
+      request.Respond(request.http["Req-Id"] == "fails" ? 500 : 200, "");
     };
   }
   const auto client = harness.Connect();
@@ -176,9 +176,9 @@
 TEST(SavedState, IsRestoredByTheNextProcess) {
   const StateFolder folder;
   {
-    World harness(2, TestSettings(), 300, WithState(folder));
+    GatewayHarness harness(2, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-    harness.discovery.requests[0].Answer(
+    harness.discovery.requests[0].Respond(
         200, List(42, false, {Member("h1", harness.host(1).address(), "removed")}).dump());
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
     EXPECT_TRUE(harness.Call("drain-on\n").starts_with("SUCCESS"));
@@ -205,7 +205,7 @@
     const std::size_t earlier_calls = harness.discovery.requests.size();
     ASSERT_TRUE(harness.Until(
         [&] { return harness.discovery.requests.size() > earlier_calls || earlier_calls >= 3; }));
-    harness.discovery.requests.back().Answer(
+    harness.discovery.requests.back().Respond(
         200, List(7, true, {Member("h0", harness.host(0).address()), Member("h1", harness.host(1).address())})
                  .dump());
     ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 2; }));
@@ -219,10 +219,10 @@
   const StateFolder folder;
   for (const int damage : {0, 1, 2}) {
     std::filesystem::remove_all(folder.path);
-    World harness(1, TestSettings(), 300, WithState(folder));
+    GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-    harness.discovery.requests[0].Answer(200,
-                                         List(42, true, {Member("h0", harness.host().address())}).dump());
+    harness.discovery.requests[0].Respond(200,
+                                          List(42, true, {Member("h0", harness.host().address())}).dump());
     ASSERT_TRUE(
         harness.Until([&] { return proxy::LoadSavedState(folder.path, harness.owner()).has_value(); }));
     harness.gateway.reset();
@@ -238,7 +238,7 @@
     EXPECT_FALSE(proxy::LoadSavedState(folder.path, harness.owner()));
     harness.Restart();
     EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
-    harness.host().serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
+    harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
     const auto client = harness.Connect();
     client->Send(ApiCall("r"));
     EXPECT_EQ(client->Await(1).result_int(), 200u);
@@ -260,7 +260,7 @@
 TEST(SavedState, IsUnchangedIfSavedByANewerProgram) {
   const StateFolder folder;
   const std::string newer = R"({"draining":"maybe"})";
-  World harness(1, TestSettings(), 300, WithState(folder));
+  GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
   EXPECT_TRUE(harness.Call("drain-on\n").starts_with("SUCCESS"));
   ASSERT_TRUE(harness.Until([&] { return proxy::LoadSavedState(folder.path, harness.owner()).has_value(); }));
   harness.gateway.reset();
@@ -285,8 +285,8 @@
 // The learned state must be saved while the gateway serves requests, and the next process must start with it.
 TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
-  World harness(1, TestSettings(), 300, WithState(folder));
-  harness.host().serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
+  GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
+  harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   const auto client = harness.Connect();
   for (std::size_t i = 1; i <= 5; ++i) {
     client->Send(ApiCall("r" + std::to_string(i)));
@@ -354,8 +354,9 @@
 // The count of listed hosts must include draining ones. The count of ejected hosts must include neither
 // draining nor removed ones.
 TEST(Metrics, CountListedAndEjectedHosts) {
-  World harness(2);
-  for (auto& host : harness.hosts) host->serve = [](const Peer::Taken& request) { request.Answer(500, ""); };
+  GatewayHarness harness(2);
+  for (auto& host : harness.hosts)
+    host->serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(500, ""); };
   const auto client = harness.Connect();
   std::size_t sent = 0;
   while (sent < 100 && harness.Vars()["pool_ejected"] != 2) {
@@ -364,10 +365,10 @@
   }
   EXPECT_EQ(harness.Vars()["pool_ejected"], 2);
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-  harness.discovery.requests[0].Answer(200, List(42, false,
-                                                 {Member("h0", harness.host(0).address(), "draining"),
-                                                  Member("h1", harness.host(1).address(), "removed")})
-                                                .dump());
+  harness.discovery.requests[0].Respond(200, List(42, false,
+                                                  {Member("h0", harness.host(0).address(), "draining"),
+                                                   Member("h1", harness.host(1).address(), "removed")})
+                                                 .dump());
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
   EXPECT_EQ(harness.Vars()["pool_size"], 1);
   EXPECT_EQ(harness.Vars()["pool_ejected"], 0);
@@ -376,7 +377,7 @@
 // A drain must fail the health check at once, complete the requests in flight, close their connections and
 // idle ones, and be reversible without a restart. Repeating a command must have no further effect.
 TEST(Drain, ClosesConnectionsAndCanBeReverted) {
-  World harness;
+  GatewayHarness harness;
   const auto health_status = [&] {
     const auto client = harness.Connect();
     client->Send("GET /up HTTP/1.1\r\n\r\n");
@@ -393,28 +394,28 @@
   const auto partial = harness.Connect(), late = harness.Connect();
   late->Send(ApiCall("r2"));  // sent before the front proxy learned of the drain
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
-  EXPECT_TRUE(idle->AwaitEnd());
-  for (const auto& request : harness.host().requests) request.Answer(200, "");
+  EXPECT_TRUE(idle->AwaitClose());
+  for (const auto& request : harness.host().requests) request.Respond(200, "");
   for (Client* client : {busy.get(), late.get()}) {
     EXPECT_EQ(client->Await().result(), http::status::ok);
     EXPECT_FALSE(client->Await().keep_alive());
-    EXPECT_TRUE(client->AwaitEnd());
+    EXPECT_TRUE(client->AwaitClose());
   }
   partial->Send("GET /api HTTP/1.1\r\n");
-  EXPECT_TRUE(partial->AwaitEnd());  // rejected or closed, but not kept open
+  EXPECT_TRUE(partial->AwaitClose());  // rejected or closed, but not kept open
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(harness.Call("drain-off\n").starts_with("SUCCESS"));
   EXPECT_EQ(health_status(), 200u);
   const auto kept = harness.Connect();
   kept->Send(ApiCall("r3"));
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 3; }));
-  harness.host().requests[2].Answer(200, "");
+  harness.host().requests[2].Respond(200, "");
   EXPECT_TRUE(kept->Await().keep_alive());
 }
 
 // SIGTERM during a drain must end the process as it does without one, and no management command may prevent
 // that.
 TEST(Drain, DoesNotPreventAStop) {
-  World harness;
+  GatewayHarness harness;
   harness.Call("drain-on\n");
   bool done = false;
   harness.gateway->Stop([&] { done = true; });
