--- a/include/gateway/actions.hpp
+++ b/include/gateway/actions.hpp
@@ -9,38 +9,40 @@
 
 namespace gateway::policy {
 
-// Starts an attempt. The attempt ends with kTimedOut if no response has arrived after `timeout`.
+// Sends an attempt of the request to the endpoint. The attempt ends with kTimedOut if its response has not
+// arrived after `timeout`.
 struct Send {
   std::string request;
   std::string endpoint;
   Millis timeout = 0;
-  Millis start_writing_within = 1e15;  // the attempt ends with kNotSent if writing starts later
+  Millis start_writing_within = 1e15;  // the attempt ends with kNotSent if writing cannot start in this time
 };
 
-// Final answer: rejects the request. The client can safely retry it.
+// Answers the request with a rejection. The client can safely retry the request.
 struct Reject {
   std::string request;
   Millis retry_after = 0;  // recommended delay before the retry; 0 = no recommendation
 };
 
-// Final answer: fails the request, which may have been executed.
+// Answers the request with a failure. The request may have been executed, so a retry by the client may be
+// unsafe.
 struct Fail {
   std::string request;
 };
 
-// Ends an attempt early. The gateway still reports its outcome.
+// Cancels an attempt that is in flight. The gateway still reports an AttemptOutcome for the attempt.
 struct Cancel {
   std::string request;
-  int attempt = 0;
+  int attempt = 0;  // index among the request's Sends, from 0
 };
 
-// Starts a timer. The gateway reports TimerFired with the same name after `delay`.
+// Starts a timer. After `delay`, the gateway reports TimerFired with the timer's name.
 struct SetTimer {
   Millis delay = 0;
   std::string name;
 };
 
-// Starts a watch of the endpoint list. The gateway reports its result as an EndpointListEvent.
+// Starts a watch of the endpoint list. The gateway reports the result of the watch as an EndpointListEvent.
 struct WatchEndpointList {};
 
 // Writes a line to the gateway's log.
--- a/include/gateway/events.hpp
+++ b/include/gateway/events.hpp
@@ -10,8 +10,8 @@
 
 namespace gateway::policy {
 
-// A client's request has arrived. It gets exactly one final answer: a Reject, a Fail, or the response of the
-// first attempt that ends with kServed, which the gateway forwards without a further action.
+// A client's request has arrived. The request gets exactly one answer: a Reject, a Fail, or the response of
+// the first attempt that ends with kServed. The gateway forwards that response without a further action.
 struct Request {
   std::string id;          // unique for the Policy's lifetime; a retry by the client has a new id
   std::string class_name;  // name of one of Settings::classes
@@ -20,8 +20,8 @@
   Millis time_left = 0;    // until the client times out
 };
 
-// The last byte of a request that was reported before it was complete has arrived. Latency and deadline of
-// the request are counted from now on.
+// The gateway may report a Request while the client is still sending its body. In this case, RequestComplete
+// reports that the last byte has arrived. The latency and the deadline of the request are counted from then.
 struct RequestComplete {
   std::string request;
   Millis time_left = 0;  // until the client times out
@@ -31,10 +31,10 @@
 // answer.
 struct ResponseStarted {
   std::string request;
-  int attempt = 0;
+  int attempt = 0;  // index among the request's Sends, from 0
 };
 
-// How an attempt ended.
+// The result of an attempt.
 enum class AttemptResult {
   kServed,
   kError,          // answered with an error; may have been executed
@@ -79,22 +79,22 @@
   std::string id;  // unchanged when the machine restarts
   std::string zone;
   std::string machine_type;
-  std::string cell;  // deduplication domain within a zone
+  std::string cell;  // group of endpoints that share deduplication; see DeduplicationScope::kCell
   EndpointState state = EndpointState::kUp;
   double weight = 1;      // capacity relative to other endpoints
-  Millis started_at = 0;  // last start of its process; 0 = long ago
+  Millis started_at = 0;  // last start of the endpoint's process; 0 = long ago
 };
 
 // The result of a watch of the endpoint list.
 struct EndpointListEvent {
   enum class Kind {
     kSnapshot,  // replaces the complete list
-    kDelta,     // adds or replaces the endpoints that it contains
+    kDelta,     // adds or replaces the endpoints in `endpoints`; the other endpoints are unchanged
     kFailure,   // a call to the list service failed; the list is unchanged
   };
   Kind kind = Kind::kSnapshot;
   std::vector<EndpointInfo> endpoints;
-  Millis call_duration = 0;  // kFailure: from the start of the failed call
+  Millis call_duration = 0;  // kFailure: time from the start of the call to its failure
 };
 
 using Event = std::variant<Request, ResponseStarted, AttemptOutcome, ClientDisconnected, TimerFired,
--- a/include/gateway/learned_state.hpp
+++ b/include/gateway/learned_state.hpp
@@ -17,28 +17,28 @@
     std::string name;
     double latency = 0;  // smoothed, ms
     int samples = 0;
-    Millis longest_time_left = 0;  // largest observed Request::time_left, which is that of first tries
+    Millis longest_time_left = 0;  // largest observed Request::time_left; clients' first tries have it
   };
   struct EndpointStatistics {
-    double latency = 0;            // ms, smoothed, relative to that of the class; 0 = no sample yet
+    double latency = 0;            // ms, smoothed, divided by the class's relative latency; 0 = no sample yet
     double long_term_latency = 0;  // ms, smoothed over more samples
     double base_latency = 0;       // ms, estimate of the latency without queueing
     double failure_rate = 0;       // smoothed share of failed attempts, 0 to 1
-    double concurrency_limit = 1;  // own attempts in flight without queueing; below 1: with pauses
+    double concurrency_limit = 1;  // attempts of this gateway in flight; below 1: pauses between attempts
     int samples = 0;
     bool ejected = false;
     bool restart_suspected = false;  // connections failed, so the process may have restarted
-    Millis started_at = kNever;      // start of its warm-up
+    Millis started_at = kNever;      // start of the endpoint's warm-up
     Millis last_outcome_at = kNever;
   };
   struct Endpoint : EndpointStatistics {
     std::string id;
   };
-  // Throughput of the warm endpoints of a machine type. Both values decay exponentially.
+  // Throughput of the warm endpoints of a machine type. `served` and `endpoint_time` decay exponentially.
   struct MachineType {
     std::string name;
     double served = 0;         // responses
-    double endpoint_time = 0;  // ms of endpoint time in which the responses were served
+    double endpoint_time = 0;  // ms, sum over the endpoints of the time in which they served the responses
   };
   double rate = 0;       // admission rate, attempts per second
   double sent_rate = 0;  // attempts sent per second, smoothed
@@ -46,7 +46,7 @@
   double mean_latency = 0;  // ms, over all classes
   int samples = 0;
   Millis exported_at = 0;
-  int gateway_count = 0;  // gateways that shared the endpoints at the export; 0 = as many as now
+  int gateway_count = 0;  // gateways that shared the endpoints at the export; 0 = same as in Settings
   std::vector<TrafficClass> classes;
   std::vector<Endpoint> endpoints;
   std::vector<MachineType> machine_types;
--- a/include/gateway/policy.hpp
+++ b/include/gateway/policy.hpp
@@ -29,19 +29,20 @@
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Handles one event at time `now` and appends the resulting actions to `actions`. A `now` before that of
-  // the previous call is replaced by it. Nothing is sent before the first endpoint list.
+  // Handles one event at time `now` and appends the resulting actions to `actions`. If `now` is earlier than
+  // the time of a previous call, the latest of these times is used instead. No attempt is sent before the
+  // first endpoint list.
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-  // Returns the number of endpoints that are up and ejected by outlier detection.
+  // Returns the number of endpoints that are listed as up but ejected by outlier detection.
   std::size_t EjectedEndpointCount() const;
 
   // Returns the learned state, for the next process of this gateway.
   LearnedState ExportState() const;
 
-  // Restores the state that another Policy exported, with weights reduced by its age. Must be called after
-  // the first endpoint list and before the first request. Endpoints and classes that `state` does not contain
-  // are unchanged.
+  // Restores the state that another Policy exported. The older the state is, the less weight it gets. Must be
+  // called after the first endpoint list and before the first request. Endpoints and classes that `state`
+  // does not contain are unchanged.
   void ImportState(Millis now, const LearnedState& state);
 
   // Multiplies the admission rate and the concurrency limits of all endpoints by `factor`. While two
--- a/include/gateway/settings.hpp
+++ b/include/gateway/settings.hpp
@@ -13,23 +13,28 @@
 // Whether a request may be executed more than once.
 enum class Idempotency {
   kIdempotent,      // may be executed any number of times
-  kIdempotencyKey,  // endpoints of a deduplication scope drop repeats within the deduplication window
-  kNotIdempotent,   // at most once: a retry requires that no earlier attempt can have been executed
+  kIdempotencyKey,  // the endpoints of a DeduplicationScope drop repeats within the deduplication window
+  kNotIdempotent,   // at most once: retried only if no earlier attempt can have been executed
 };
 
-// The endpoints that share the deduplication of requests with an idempotency key.
-enum class DeduplicationScope { kAll, kZone, kCell };
+// The endpoints that share deduplication: if one of them has executed a request with an idempotency key, all
+// of them drop a repeat of the request.
+enum class DeduplicationScope {
+  kAll,   // all endpoints
+  kZone,  // the endpoints with the same EndpointInfo::zone
+  kCell,  // the endpoints with the same EndpointInfo::cell
+};
 
 // A class of requests with the same latency objective, weight and idempotency.
 struct TrafficClassSettings {
   std::string name;
-  Millis latency_objective = 0;  // a response within this time earns the full weight
+  Millis latency_objective = 0;  // a response within this time has the value `priority_weight`
   Millis deadline = 0;           // total timeout of a client, including all of its own retries
-  double priority_weight = 1;    // value of a response within the objective, relative to the other classes
-  double late_weight = 0;        // share of the weight for a response between latency objective and deadline
+  double priority_weight = 1;    // relative to the other classes
+  double late_weight = 0;        // share of priority_weight that a response after the objective is worth
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  Millis deduplication_window = 0;  // kIdempotencyKey: starts when the first attempt is sent
+  Millis deduplication_window = 0;  // kIdempotencyKey: repeats are dropped this long after the first attempt
 };
 
 // A tenant and its quota. Requests beyond the quota have lower priority.
@@ -43,17 +48,17 @@
   std::vector<TrafficClassSettings> classes;  // at least one is required
   std::vector<TenantSettings> tenants;
   std::string zone;                      // zone of this gateway
-  int gateway_count = 1;                 // gateways that share the endpoints, this one included
+  int gateway_count = 1;                 // gateways that share the endpoints, including this gateway
   int gateway_index = -1;                // index of this gateway, from 0; -1 = unknown
   bool poll_endpoint_list = false;       // the endpoint list is polled instead of pushed
   Millis maximum_poll_interval = 10000;  // with poll_endpoint_list: longest time between polls
   int max_attempts = 3;                  // per request, including the first attempt
   int streams_per_connection = 1;        // maximum concurrent attempts on one connection
   bool can_cancel_attempts = false;      // the gateway supports Cancel
-  double warm_up_initial_fraction = 1;   // share of its capacity that an endpoint has at its start, in (0, 1]
-  Millis warm_up_duration = 0;           // time from its start until an endpoint has its full capacity
-  double overload_factor = 3;            // multiple of its capacity that makes a warming endpoint fail
-  bool endpoints_cache_keys = false;     // an endpoint needs less work for a recently used key
+  double warm_up_initial_fraction = 1;   // share of the full capacity that a started endpoint has, in (0, 1]
+  Millis warm_up_duration = 0;           // time from an endpoint's start until it has its full capacity
+  double overload_factor = 3;            // a warming endpoint fails at this multiple of its current capacity
+  bool endpoints_cache_keys = false;     // a request is faster at an endpoint that recently served its key
   bool send_retry_after = false;         // clients receive Reject::retry_after
   Millis maximum_retry_after = 0;        // longest retry_after that clients respect
   std::vector<std::string> load_report_fields;  // names of the values in AttemptOutcome::load
@@ -65,8 +70,8 @@
   SettingsError(std::string field, const std::string& reason)
       : std::invalid_argument(field + ": " + reason), field_(std::move(field)) {}
 
-  // Returns the name of the member of Settings. A member of an element follows after a dot:
-  // "classes.deadline".
+  // Returns the name of the invalid member of Settings. For a member of a list element, the name contains a
+  // dot: "classes.deadline".
   const std::string& field() const { return field_; }
 
  private:
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -29,7 +29,7 @@
   Millis sent_at;
   bool in_flight = true;
   bool may_have_executed = true;
-  bool streaming = false;  // its response is being sent to the client
+  bool streaming = false;  // the gateway is sending the response of this attempt to the client
 };
 
 // The state of one active request.
@@ -38,10 +38,10 @@
   std::size_t class_index = 0;  // index in Settings::classes
   std::uint64_t key_hash = 0;   // hash of the routing key; 0 = no key
   Millis arrived_at = 0;
-  Millis objective_ends_at = 0;  // end of the latency objective
-  Millis deadline_at = 0;        // the client times out
-  // Latest start of a further attempt once an attempt may have been executed: endpoints drop repeats only
-  // within the deduplication window.
+  Millis objective_ends_at = 0;  // a response after this time misses the latency objective
+  Millis deadline_at = 0;        // time at which the client times out
+  // Latest start of a further attempt after an attempt that may have been executed. Endpoints drop repeats
+  // only within the deduplication window.
   Millis repeat_deadline_at = std::numeric_limits<Millis>::infinity();
   bool within_quota = true;
   bool answered = false;
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -10,18 +10,18 @@
 constexpr double kMaximumRelativeIncrease = 0.05;
 constexpr double kDecreaseFactor = 0.85;
 constexpr Millis kMinimumDecreaseIntervalMs = 100;
-constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens of this period
+constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens that are added in this period
 constexpr double kMinimumBucketTokens = 2;        // tokens
 constexpr Millis kSentRateTimeConstantMs = 1000;  // of the smoothed rate of sent attempts
-constexpr double kSharedTimeConstantFactor = 4;   // with many gateways per endpoint: fewer samples
+constexpr double kSharedTimeConstantFactor = 4;   // if many gateways share an endpoint: fewer samples
 
-// Failure rate above which the admission rate is decreased. The threshold is higher if many gateways
-// load_share an endpoint, since the decreases of all gateways add up.
+// Failure rate above which the admission rate is decreased. The threshold is higher if many gateways share an
+// endpoint, since the decreases of all gateways add up.
 constexpr double kFailureThreshold = 0.2;
 constexpr double kSharedFailureThreshold = 0.25;
 
-// Bounds of the weight of an outcome in the failure rate: the estimate covers about one second of traffic,
-// but at least 5 and at most 20 outcomes.
+// Bounds of the weight of an outcome in the failure rate. The smoothed failure rate covers the outcomes of
+// about one second, but at least 5 and at most 20 outcomes.
 constexpr double kMinimumOutcomeWeight = 0.05;
 constexpr double kMaximumOutcomeWeight = 0.2;
 
@@ -85,7 +85,8 @@
 
 void AdmissionRate::Import(const LearnedState& state, double remaining_weight, double load_share,
                            const Fleet& fleet) {
-  // The rate increases with the age of the state, since the overload that decreased it may have ended.
+  // The older the state is, the higher is the restored rate: an overload at the time of the export may have
+  // ended since.
   if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * load_share / remaining_weight);
   tokens_ = std::min(tokens_, BucketCapacity());
   sent_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -23,22 +23,23 @@
   // rate, which is high and proportional to the number of endpoints.
   void Advance(Millis elapsed, const Fleet& fleet);
 
-  // Returns whether an attempt may be sent. A fraction of a token suffices, so the balance can become
-  // negative by less than one token.
+  // Returns whether an attempt may be sent. A fraction of a token suffices, so that TakeToken() can make the
+  // number of tokens negative, but by less than 1.
   bool HasToken() const { return tokens_ > 0; }
 
   // Consumes a token for an attempt that is sent.
   void TakeToken(const Fleet& fleet);
 
-  // Records the outcome of an attempt and increases the rate if the attempt was served within its latency
-  // objective. Returns whether the caller has to decrease the rate. Failures of attempts sent before the last
-  // decrease are ignored.
+  // Records the outcome of an attempt. Increases the rate if the attempt was served within its latency
+  // objective. Returns whether the caller has to call Decrease(). Ignores failures of attempts that were sent
+  // before the last decrease.
   bool RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet);
 
-  // Decreases the rate. For the duration `round_trip`, RecordOutcome() asks for no further decrease.
+  // Decreases the rate. Within the next `round_trip`, RecordOutcome() does not return true again.
   void Decrease(Millis now, Millis round_trip, const Fleet& fleet);
 
-  // Returns whether requests beyond their tenant's quota may be sent if many gateways share an endpoint.
+  // Returns whether requests beyond their tenant's quota may be sent. Applies only if many gateways share an
+  // endpoint; otherwise ConcurrencyLimit::HasSlot() decides.
   bool AdmitsBeyondQuota() const;
 
   double rate() const { return rate_; }  // tokens per second
@@ -46,12 +47,12 @@
   // Returns the smoothed share of outcomes that were not within the objective.
   double failure_rate() const { return failure_rate_; }
   double SentPerSecond() const { return sent_.Rate(); }
-  // Returns the decayed sum of the sent attempts, which is below SentPerSecond() after the start.
+  // Returns the decayed sum of the sent attempts. Soon after the start, the sum is less than SentPerSecond().
   double sent_decayed_sum() const { return sent_.decayed_sum(); }
 
   void Export(LearnedState& state) const;
-  // Restores the learned state. `remaining_weight` in [0, 1]: weight of the state after decay by its age.
-  // `load_share`: factor from the exported rates to those of this gateway.
+  // Restores the learned state. `remaining_weight` in [0, 1] is the weight of the state after decay by its
+  // age. `load_share` is the factor that converts the exported rates to rates of this gateway.
   void Import(const LearnedState& state, double remaining_weight, double load_share, const Fleet& fleet);
   // Multiplies the rates by `factor`.
   void Scale(double factor, const Fleet& fleet);
--- a/src/policy/class_queues.cpp
+++ b/src/policy/class_queues.cpp
@@ -7,9 +7,9 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMaximumCredit = 4;          // requests; the negative value is the lower bound
-constexpr double kMinimumQueueRequests = 32;  // capacity of each queue at a low rate
-constexpr double kMaximumWaitShare = 0.25;    // share of the latency objective that a request may be queued
+constexpr double kMaximumCredit = 4;          // requests; the minimum credit is -kMaximumCredit
+constexpr double kMinimumQueueRequests = 32;  // minimum capacity of a class, for all of its queues together
+constexpr double kMaximumWaitShare = 0.25;    // longest time in a queue, as a share of the latency objective
 
 }  // namespace
 
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -1,5 +1,5 @@
-// Bounded queues of each traffic class (retries, requests within and beyond quota), scheduled by weighted
-// round-robin with credits.
+// Class queues. Each traffic class has bounded queues for retries, for requests within their tenant's quota
+// and for requests beyond it. The classes are scheduled by weighted round-robin with credits.
 //
 // Whenever a request is released, each class with queued requests earns credit equal to its weight, and the
 // class of the released request pays 1. The class with queued requests and the most credit is served next.
@@ -19,12 +19,12 @@
 
 namespace gateway::policy {
 
-// Time before the client's timeout by which a request must be answered: two sweep intervals, since timers may
-// be late.
+// A queued request is answered this long before its client times out. The margin is two sweep intervals,
+// since timers may be late.
 constexpr Millis kQueueAnswerMarginMs = 20;
 
-// Returns the time by which a queued request must be released. A request released later would have too little
-// of its latency objective left.
+// Returns the time by which a queued request must be released. After this time, too little of the latency
+// objective would be left for the request.
 Millis QueueDeadline(const ActiveRequest& request);
 
 // The queued requests of all classes. Stores pointers to requests, which the caller must remove before it
@@ -35,15 +35,16 @@
 
   std::size_t size() const { return size_; }
 
-  // Returns whether the class has as many queued requests as can be sent within its latency objective.
+  // Returns whether the queues of the class are full: they contain as many requests as can be sent within the
+  // latency objective at the rate `sent_per_second`, plus a fixed minimum.
   bool IsFull(std::size_t class_index, double sent_per_second) const;
 
-  // Returns the last queued request beyond its tenant's quota, or null. It is evicted first if the class is
-  // full.
+  // Returns the last queued request beyond its tenant's quota, or null. If the class is full, this request is
+  // evicted first.
   ActiveRequest* LastBeyondQuota(std::size_t class_index) const;
 
-  // Queue a request. Retries are released first, then requests within their tenant's quota, then those beyond
-  // it.
+  // Add a request to a queue of its class. Retries are released first, then requests within their tenant's
+  // quota, then requests beyond their tenant's quota.
   void Push(ActiveRequest& request);
   void PushRetry(ActiveRequest& request);
 
@@ -58,13 +59,14 @@
   using ClassMask = std::uint64_t;
   static ClassMask MaskOf(std::size_t class_index) { return ClassMask{1} << class_index; }
 
-  // Returns the class whose next request is released first. Classes in `skipped` are ignored; empty if no
-  // other class has a queued request.
+  // Returns the class whose next request is released first, ignoring the classes in `skipped`. Returns
+  // std::nullopt if no other class has a queued request.
   std::optional<std::size_t> NextClass(ClassMask skipped) const;
-  // Returns the next request of a class that has one.
+  // Returns the next request of the class. The class must have a queued request.
   ActiveRequest& Next(std::size_t class_index);
 
-  // Updates the credits for the release of a request of the class. Must be called before its removal.
+  // Updates the credits of all classes for the release of a request of the class. Must be called before the
+  // request is removed from its queue.
   void RecordRelease(std::size_t class_index);
 
  private:
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -8,24 +8,29 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumLatencySampleWeight = 0.1;    // of a sample in an endpoint's latency
-constexpr double kMinimumLongTermSampleWeight = 0.02;  // of a sample in the long-term latency
-constexpr double kBaseLatencyDriftShare = 0.001;       // of the difference, for each sample
-constexpr int kMinimumBaseSamples = 20;        // below: a type's base latency is its long-term latency
-constexpr double kLatencyTolerance = 1.1;      // multiple of the base latency without queueing
-constexpr double kCachedLatencyTolerance = 2;  // the same if latency also depends on the key
+constexpr double kMinimumLatencySampleWeight = 0.1;    // weight of a sample in an endpoint's latency
+constexpr double kMinimumLongTermSampleWeight = 0.02;  // weight of a sample in the long-term latency
+// With each sample, the base latency of an endpoint approaches its current latency by this share of their
+// difference.
+constexpr double kBaseLatencyDriftShare = 0.001;
+// With fewer samples, the base latency of a machine type is its long-term latency.
+constexpr int kMinimumBaseSamples = 20;
+// Multiple of the base latency up to which an endpoint counts as not queueing. The tolerance is higher if
+// endpoints cache keys, since the latency then also depends on the key.
+constexpr double kLatencyTolerance = 1.1;
+constexpr double kCachedLatencyTolerance = 2;
 constexpr double kMinimumGradient = 0.2;
 constexpr double kLimitGrowthFactor = 0.7;      // increase of a limit, in multiples of its square root
 constexpr double kInitialLimit = 8;             // attempts, sum over all gateways
-constexpr double kInitialLimitWithReports = 2;  // the same; reports soon show the free capacity
+constexpr double kInitialLimitWithReports = 2;  // attempts; lower, as load reports soon show free capacity
 constexpr double kMinimumLimit = 1;             // attempts, sum over all gateways
 
-constexpr double kUtilizationReserve = 0.07;  // free share, times the square root of the gateway count
-constexpr double kUtilizationGain = 4;        // relative decrease of a limit per excess utilization
+constexpr double kUtilizationReserve = 0.07;  // utilization kept free, per square root of the gateway count
+constexpr double kUtilizationGain = 4;        // relative decrease of a limit per unit of excess utilization
 constexpr double kUtilizationSampleWeight = 0.3;
-constexpr double kMaximumUtilization = 1.1;    // reports are noisy
-constexpr double kBusyUtilization = 0.6;       // from which the endpoints of a machine type count as busy
-constexpr double kBusyShareBeyondQuota = 0.3;  // share of the slots for requests beyond quota
+constexpr double kMaximumUtilization = 1.1;    // higher reported values are reduced to it: reports are noisy
+constexpr double kBusyUtilization = 0.6;       // endpoints are busy if their machine type reaches this value
+constexpr double kBusyShareBeyondQuota = 0.3;  // share of the slots of a busy endpoint
 
 constexpr Millis kMaximumBackoffMs = 300;
 constexpr int kMaximumBackoffDoublings = 30;
@@ -43,7 +48,8 @@
   type.base += kBaseLatencyDriftShare / 4 * (type.long_term - type.base);
 }
 
-// The base latency of an endpoint with few samples is a weighted mean with that of its machine type.
+// For an endpoint with few samples, the base latency is a weighted mean of the endpoint's long-term latency
+// and the base latency of its machine type.
 void UpdateBaseLatency(LatencyEstimate& own, const LatencyEstimate& type, double sample) {
   own.long_term += std::max(kMinimumLongTermSampleWeight, 1.0 / own.samples) * (sample - own.long_term);
   const double confidence = std::min(1.0, own.samples * kMinimumLongTermSampleWeight);
@@ -108,12 +114,13 @@
                                      RandomSource& random, Millis now) const {
   ConcurrencyState& state = endpoint.concurrency;
   const double relative = sample.latency / sample.relative_latency;
-  // A failure never lowers the latency estimate: fast errors do not make an endpoint fast.
+  // A failure never lowers the latency estimate, since an endpoint that returns errors quickly is not fast.
   if (sample.served || relative > state.latency.current) {
     UpdateLimit(endpoint, relative, sample.served, gateways_per_endpoint);
   }
   if (state.limit < 1) state.backing_off_until = now + sample.latency * (1 / state.limit - 1);
-  // Rounds up or down at random: if all gateways rounded up, each would send one additional attempt.
+  // The limit is rounded up or down at random. If all gateways rounded up, each gateway would send the
+  // endpoint one attempt more than its limit allows.
   state.slots = std::max(1.0, std::floor(state.limit + random.Uniform()));
 }
 
@@ -138,13 +145,13 @@
       excess > 0 || !served ? 0 : kLimitGrowthFactor * std::sqrt(state.limit / gateways_per_endpoint);
   const double target = state.limit * gradient + growth;
   const bool in_use = 2.0 * (endpoint.in_flight + 1) >= state.limit;
-  if (target > state.limit && !in_use) return;  // a limit that is not used gives no evidence for an increase
+  if (target > state.limit && !in_use) return;  // an unused limit was not tested, so it is not increased
   const double minimum = kMinimumLimit / gateways_per_endpoint;
   state.limit = std::max(minimum, state.limit + (target - state.limit) / std::max(2.0, state.limit));
 }
 
-// Returns by how much the endpoint exceeds the utilization at which it can still accept the next attempts of
-// the other gateways.
+// Returns by how much the endpoint exceeds its target utilization. The target leaves enough capacity for
+// attempts that other gateways send before they see the current utilization.
 double ConcurrencyLimit::ExcessUtilization(const Endpoint& endpoint) const {
   const double mean = (endpoint.concurrency.utilization + endpoint.machine_type->utilization) / 2;
   return mean - (1 - kUtilizationReserve * std::sqrt(gateway_count_));
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -2,8 +2,9 @@
 // concurrently without queueing. The limit is learned from the latency gradient and from the reported
 // utilization.
 //
-// If many gateways share each endpoint, a limit would be a fraction of an attempt and learned from very
-// little traffic. In that case only the admission rate bounds the load: limits are learned but not applied.
+// If many gateways share each endpoint, the limit of one gateway would be a fraction of an attempt, learned
+// from very little traffic. In that case limits are learned but not applied, and only the admission rate
+// bounds the load.
 #ifndef GATEWAY_POLICY_CONCURRENCY_LIMIT_HPP_
 #define GATEWAY_POLICY_CONCURRENCY_LIMIT_HPP_
 
--- a/src/policy/endpoint_ring.cpp
+++ b/src/policy/endpoint_ring.cpp
@@ -13,14 +13,14 @@
 namespace gateway::policy {
 namespace {
 
-constexpr int kHashBits = 53;  // bits used of a hash; a double represents them exactly
+constexpr int kHashBits = 53;  // highest bits of a hash, as many as a double represents exactly
 
 std::uint64_t OrderingHash(const Endpoint& endpoint) { return endpoint.hash >> (64 - kHashBits); }
 
 }  // namespace
 
-// The endpoints of one machine type, ordered by hash. Equal hashes are ordered by id, so that the order is
-// the same in all gateways.
+// The endpoints of one machine type, ordered by hash. Endpoints with equal hashes are ordered by id, so that
+// all gateways use the same order.
 struct EndpointRing::Order {
   struct ByHash {
     bool operator()(const Endpoint* a, const Endpoint* b) const {
@@ -37,7 +37,7 @@
   double Position(std::size_t rank) const {
     return static_cast<double>(rank) / static_cast<double>(endpoints.size());
   }
-  // Returns the number of these endpoints before `position`.
+  // Returns the number of endpoints of this machine type before `position`.
   std::size_t CountBefore(double position) const {
     const std::size_t total = endpoints.size();
     const double estimate = std::ceil(position * static_cast<double>(total));
@@ -83,8 +83,8 @@
     rank = 0;
     ++lap;
   }
-  // Whether `other` comes first, as std::push_heap needs for a min-heap. Endpoints of different types with
-  // the same position are ordered by hash.
+  // Returns whether `other` precedes this cursor on the ring. The order is reversed because std::push_heap
+  // builds a max-heap. Endpoints of different types with the same position are ordered by hash.
   bool operator<(const Cursor& other) const { return Key() > other.Key(); }
 
  private:
@@ -94,8 +94,8 @@
 };
 
 EndpointRing::Walk::Walk(const EndpointRing& ring, std::size_t first) : ring_(ring) {
-  // Before a position, each type has less than one endpoint more than its proportional share. The additional
-  // 1 allows for rounding.
+  // Before any position, a machine type has at most one endpoint more than its proportional share. Therefore
+  // the walk begins as many endpoints before `first` as there are types, and one more to allow for rounding.
   const double types = static_cast<double>(ring.orders_.size());
   const double total = static_cast<double>(ring.size_);
   std::size_t skipped = BeginAt((static_cast<double>(first) - types - 1) / total);
--- a/src/policy/endpoint_ring.hpp
+++ b/src/policy/endpoint_ring.hpp
@@ -1,7 +1,8 @@
 // The order in which gateways select endpoints for their subsets: a ring on which the endpoints of each
 // machine type are evenly spaced. All gateways use the same order.
 //
-// The position of an endpoint is its rank by hash among the endpoints of its type, divided by their number.
+// The position of an endpoint is its rank by hash among the endpoints of its type, divided by the number of
+// endpoints of this type.
 // Positions are not stored. Insertion and removal take O(log n), finding a position on the ring takes O(k log
 // n) for k machine types, and each further endpoint O(log k).
 #ifndef GATEWAY_POLICY_ENDPOINT_RING_HPP_
@@ -32,18 +33,19 @@
   void Erase(Endpoint& endpoint);
   std::size_t size() const { return size_; }
 
-  // Iterates over the ring from a given position, without an end: the first endpoint follows the last one. A
-  // walk is invalidated by changes of the ring. Next() must not be called on an empty ring.
+  // Iterates over the ring from a given position. After the last endpoint, the walk continues with the first
+  // one. A change of the ring invalidates the walk. Next() must not be called on an empty ring.
   class Walk {
    public:
-    // `first`: index, in the order of the ring, of the endpoint to start with; less than the ring's size.
+    // Starts with the endpoint that has the index `first` on the ring. `first` must be less than the ring's
+    // size.
     Walk(const EndpointRing& ring, std::size_t first);
     ~Walk();
     Endpoint& Next();
 
    private:
     struct Cursor;
-    // Sets the start of the walk. Returns the number of endpoints before it.
+    // Starts the walk at `position`. Returns the number of endpoints before `position`.
     std::size_t BeginAt(double position);
 
     const EndpointRing& ring_;
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -27,7 +27,7 @@
 
   struct UpdateResult {
     Endpoint& endpoint;
-    bool started;  // it is new or has a new process
+    bool started;  // the endpoint is new or has a new process
   };
   UpdateResult Update(const EndpointInfo& info);
   // Marks the endpoints that the current list does not contain as not up.
@@ -39,13 +39,13 @@
   Endpoint* Find(const std::string& id);
   bool IsInOwnZone(const Endpoint& endpoint) const { return endpoint.info.zone == own_zone_; }
 
-  // The endpoints that are up.
+  // Returns the ring of the endpoints that are up.
   const EndpointRing& ring() const { return ring_; }
   int up_count() const { return static_cast<int>(ring_.size()); }
   int own_zone_up_count() const { return own_zone_up_count_; }
   std::size_t zone_count() const { return zones_.size(); }
 
-  // Ordered by id and name, so that iteration is deterministic.
+  // Endpoints by id and machine types by name. The maps are ordered, so that iteration is deterministic.
   using Endpoints = std::map<std::string, Endpoint>;
   using MachineTypes = std::map<std::string, MachineType>;
   Endpoints& endpoints() { return endpoints_; }
@@ -53,7 +53,7 @@
   MachineTypes& machine_types() { return machine_types_; }
   const MachineTypes& machine_types() const { return machine_types_; }
 
-  // Marks an endpoint as having a latency sample.
+  // Marks an endpoint as measured: it has a latency sample.
   void MarkMeasured(Endpoint& endpoint) { measured_.insert(&endpoint); }
   // Returns the median latency of the endpoints that are up and measured; 0 if there are none.
   Millis MedianLatency() const;
@@ -68,7 +68,7 @@
   std::map<std::string, Zone> zones_;
   EndpointRing ring_;
   std::set<Endpoint*> measured_;
-  std::set<Endpoint*> removal_candidates_;  // endpoints not up; may contain some that are up again
+  std::set<Endpoint*> removal_candidates_;  // endpoints that were not up; some may be up again
   mutable std::vector<Millis> latencies_;   // reused buffer of MedianLatency()
   int own_zone_up_count_ = 0;
   std::uint64_t list_generation_ = 0;
--- a/src/policy/hash.hpp
+++ b/src/policy/hash.hpp
@@ -7,7 +7,8 @@
 
 namespace gateway::policy {
 
-// FNV-1a with a finalizer. std::hash does not guarantee that all gateways order endpoints identically.
+// Returns the FNV-1a hash with a finalizer. std::hash is not used, since its results may differ between
+// builds and gateways would order the endpoints differently.
 inline std::uint64_t Hash(std::string_view text, std::uint64_t hash = 1469598103934665603ULL) {
   for (const unsigned char character : text) hash = (hash ^ character) * 1099511628211ULL;
   hash = (hash ^ (hash >> 33)) * 0xff51afd7ed558ccdULL;
--- a/src/policy/latency_estimate.hpp
+++ b/src/policy/latency_estimate.hpp
@@ -6,11 +6,12 @@
 
 namespace gateway::policy {
 
-// Latencies are divided by the relative latency of the request's traffic class.
+// Smoothed latencies. Each sample is divided by the relative latency of its request's traffic class, so that
+// samples of all classes are comparable.
 struct LatencyEstimate {
   Millis current = 0;    // smoothed; 0 = no sample yet
   Millis long_term = 0;  // smoothed over more samples
-  Millis base = 0;       // estimate of the latency without queueing: follows the lowest long-term values
+  Millis base = 0;       // estimate of the latency without queueing; follows the lowest values of `long_term`
   int samples = 0;
 };
 
--- a/src/policy/list_polling.cpp
+++ b/src/policy/list_polling.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Millis kMinimumBackoffMs = 100;
-constexpr Millis kSpreadPerGatewayMs = 40;       // for each other gateway, which may call too
+constexpr Millis kSpreadPerGatewayMs = 40;       // added to the spread of the calls by each other gateway
 constexpr double kMaximumSpreadShare = 0.4;      // share of the maximum poll interval
 constexpr Millis kMaximumInitialDelayMs = 1000;  // from the start to the first call
 constexpr Millis kMaximumCallIntervalMs = 4500;  // from the start of a failed call to the next call
--- a/src/policy/list_polling.hpp
+++ b/src/policy/list_polling.hpp
@@ -1,8 +1,8 @@
 // List polling: schedules the calls for the endpoint list at the start and after failed calls.
 //
-// If the list is polled, each consecutive failure doubles the backoff, with jitter, since the list service
-// may be overloaded. The backoff is bounded, since changes of the list must arrive in time even after many
-// failures. If the list is pushed, a failed watch is restarted within the minimum backoff.
+// If the list is polled, each consecutive failure doubles the backoff, since the list service may be
+// overloaded. Jitter spreads the calls. The backoff is bounded, since changes of the list must arrive in time
+// even after many failures. If the list is pushed, a failed watch is restarted within the minimum backoff.
 #ifndef GATEWAY_POLICY_LIST_POLLING_HPP_
 #define GATEWAY_POLICY_LIST_POLLING_HPP_
 
@@ -16,16 +16,17 @@
 // Schedules the calls for the endpoint list.
 class ListPolling {
  public:
-  // `ring_position` in [0, 1): spreads the first calls of gateways that start at the same time.
+  // `ring_position` in [0, 1) determines the delay of the first call. It differs between gateways, so that
+  // the first calls are spread if gateways start at the same time.
   ListPolling(const Settings& settings, double ring_position);
 
   // Records that a call was answered, which resets the backoff.
   void RecordSuccess() { backoff_ = 0; }
-  // Records a failed call and schedules the next one. `call_duration`: from the start of the failed call.
+  // Records a failed call and schedules the next call. `call_duration` is the duration of the failed call.
   void RecordFailure(Millis call_duration, Millis now, RandomSource& random);
 
-  // Returns whether a call is due. If so, the caller must make it at once, and it is no longer due.
-  // `list_known`: whether any endpoint is up.
+  // Returns whether a call is due. After a return of true, the caller must make the call at once, and no call
+  // is due until the next failure. `list_known` is whether any endpoint is up.
   bool StartCallIfDue(bool list_known, Millis now);
 
  private:
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr double kOutcomeWeight = 0.2;            // weight of an outcome in the failure rate
-constexpr double kBrokenConnectionWeight = 0.05;  // the same for a reset while others are served
-constexpr double kEjectionThreshold = 0.3;        // failure rate
-constexpr double kReadmissionThreshold = 0.1;     // failure rate after successful probes
+constexpr double kBrokenConnectionWeight = 0.05;  // weight of a reset while other attempts are served
+constexpr double kEjectionThreshold = 0.3;        // failure rate above which an endpoint is ejected
+constexpr double kReadmissionThreshold = 0.1;     // failure rate below which a served probe ends the ejection
 
 constexpr Millis kInitialProbeBackoffMs = 300;
 constexpr Millis kMaximumProbeBackoffMs = 4000;
@@ -24,11 +24,11 @@
 constexpr Millis kMaximumClassErrorBackoffMs = 4000;
 constexpr int kMaximumBackoffDoublings = 30;
 
-constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // since the last response from the zone
+constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // endpoints that failed since the zone's last response
 // Time without a response after which failed connections suggest a restart.
 constexpr Millis kRestartDetectionPeriodMs = 1000;
 
-// Spreads a backoff over 75 to 125%.
+// Returns a random duration between 75 and 125% of the backoff.
 Millis WithJitter(Millis backoff, RandomSource& random) { return backoff * (0.75 + 0.5 * random.Uniform()); }
 
 }  // namespace
@@ -47,7 +47,7 @@
   const bool served = outcome.result == AttemptResult::kServed;
   state.last_outcome_at = now;
   RecordClassError(state, outcome, now);
-  // An overloaded endpoint fails connections too. Therefore a restart is suspected only if the endpoint has
+  // Connections to an overloaded endpoint fail too. Therefore a restart is suspected only if the endpoint has
   // served no attempt recently.
   const bool connection_failed =
       outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -24,7 +24,7 @@
 // The state of a zone.
 struct Zone {
   Millis last_response_at = kNever;
-  std::set<std::string> unresponsive;  // ids of endpoints with a timeout or failed connection since then
+  std::set<std::string> unresponsive;  // ids of endpoints that failed since the last response from the zone
 };
 
 // The state of outlier detection for one endpoint.
@@ -62,19 +62,20 @@
     kNone,
     kEjected,
     kReadmitted,
-    kRestarted,  // readmitted, as a new process
+    kRestarted,  // readmitted after a suspected restart, so that it counts as a new process
   };
   // The conclusions from an outcome.
   struct Assessment {
     Change change = Change::kNone;
-    bool is_latency_sample = true;  // false: the duration is no evidence of queueing
+    bool is_latency_sample = true;  // false: the duration of the attempt is no evidence of queueing
   };
   // Records the outcome of an attempt at the endpoint, and ejects or readmits the endpoint if necessary.
-  // `random` spreads the probes of many gateways.
+  // Draws the jitter of the probe backoff from `random`, so that the probes of many gateways are spread.
   Assessment RecordOutcome(Endpoint& endpoint, const Outcome& outcome, Millis now,
                            RandomSource& random) const;
 
-  // Records that the endpoint rejected an attempt. A rejection counts as a failure only for a probe.
+  // Records that the endpoint rejected an attempt. The rejection counts as a failure only if the attempt was
+  // a probe.
   void RecordRejection(Endpoint& endpoint, Millis now, RandomSource& random) const;
 
   // Returns whether the endpoint is avoided for requests of the class because of recent errors.
@@ -86,19 +87,20 @@
   // Returns whether a probe is due for an endpoint that is ejected or in an unresponsive zone.
   bool IsProbeDue(const Endpoint& endpoint, Millis now) const;
 
-  // Client requests serve as probes, and the probes of all gateways add up at an endpoint. Therefore each
-  // request adds only a fraction of a probe to the budget if many gateways share the endpoints, and one probe
-  // otherwise.
+  // Adds the share of a request to the probe budget. Client requests serve as probes, and the probes of all
+  // gateways add up at an endpoint. Therefore each request adds only a fraction of a probe if many gateways
+  // share each endpoint, and one probe otherwise.
   void AddProbeBudget(bool many_gateways_per_endpoint);
   bool HasProbeBudget() const { return probe_budget_ >= 1; }
   void SpendProbeBudget();
 
-  // Returns the time by which a probe must be answered, so that the request can still be retried at another
-  // endpoint.
+  // Returns the time by which a probe must be answered. If it is not, enough time is left to retry the
+  // request at another endpoint.
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const;
 
-  // Restores state learned by another process. `remaining_weight` in [0, 1]: weight of the state after decay
-  // by its age. An old ejection is probed sooner than a recent one, and a very old ejection is dropped.
+  // Restores state that another process has learned. `remaining_weight` in [0, 1] is the weight of the state
+  // after decay by its age. An endpoint whose ejection is old is probed sooner than one that was ejected
+  // recently, and a very old ejection is dropped.
   void Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned, double remaining_weight,
                Millis now, RandomSource& random) const;
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -76,7 +76,7 @@
   }
 
  private:
-  // Advances the clock. Ignores times before the current one and values that are not numbers.
+  // Advances the clock to `now`. Ignores a `now` that is earlier than the current time or not a number.
   void Advance(Millis now) {
     const Millis elapsed = started_ ? std::max(0.0, now - now_) : 0;
     if (started_) {
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -51,8 +51,8 @@
   // Emits a line about an event. Drops the line if the previous one was emitted shortly before.
   void WriteEvent(EventContext& context, std::string text);
 
-  // Returns whether a status line is due. One line is due in each status interval; the first call only starts
-  // the first interval.
+  // Returns whether a status line is due. One line is due in each status interval. The first call starts the
+  // first interval and returns false.
   bool IsStatusDue(Millis now);
   // Emits the status line and resets the counters.
   void WriteStatus(EventContext& context, const PolicyStatus& status);
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -12,18 +12,18 @@
 // Estimates the rate of events with exponential decay.
 class RateEstimator {
  public:
-  // Decays the estimate by the `elapsed` time. `time_constant`: of the exponential decay.
+  // Decays the estimate by the `elapsed` time. `time_constant` is the time constant of the exponential decay.
   void Advance(Millis elapsed, Millis time_constant) {
     const double decay = std::exp(-elapsed / time_constant);
     decayed_sum_ *= decay;
     observed_share_ = 1 - decay * (1 - observed_share_);
   }
 
-  // Counts one event. `weight`: the time unit of Rate() divided by the time constant.
+  // Counts one event. `weight` is the time unit of Rate() divided by the time constant.
   void Add(double weight) { decayed_sum_ += weight; }
 
-  // Returns the events per time unit. The time before the start is excluded: after a tenth of the time
-  // constant, the estimate depends only on the events of that tenth.
+  // Returns the number of events per time unit. The time before the estimator's first Advance() does not
+  // count as time without events, so the estimate is not too low soon after the start.
   double Rate() const { return decayed_sum_ / std::max(observed_share_, kMinimumObservedShare); }
 
   // Multiplies the estimate by `factor`.
@@ -35,12 +35,12 @@
     observed_share_ = observed_share;
   }
 
-  // Returns the decayed sum of the weights, which is less than Rate() until the estimator has observed the
+  // Returns the decayed sum of the weights. The sum is less than Rate() until the estimator has observed the
   // complete decay window.
   double decayed_sum() const { return decayed_sum_; }
 
  private:
-  static constexpr double kMinimumObservedShare = 0.05;  // bounds the estimate from the first events
+  static constexpr double kMinimumObservedShare = 0.05;  // limits the estimate soon after the start
 
   double decayed_sum_ = 0;
   double observed_share_ = 0;  // share of the decay window, in [0, 1]
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -21,7 +21,7 @@
   return valid ? reported : now - attempt.sent_at;
 }
 
-// Returns the hash of the routing key. The hash of a key is never 0, which stands for no key.
+// Returns the hash of the routing key, or 0 if there is no key. The hash of a key is never 0.
 std::uint64_t KeyHash(const std::string& key) { return key.empty() ? 0 : Hash(key) | 1; }
 
 }  // namespace
@@ -49,8 +49,9 @@
   Begin(active, request, found->second, context.now);
   ++log_.counters().arrived;
   const Millis client_waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
-  // A client's retry after its latency objective counts as beyond quota. Otherwise an overload would sustain
-  // itself with responses that are late.
+  // If the latency objective has passed in earlier tries of the client, the request counts as beyond quota.
+  // Otherwise late requests would use the capacity, new requests would become late too, and an overload would
+  // never end.
   const TrafficClassSettings& traffic_class = ClassOf(active);
   const bool late = client_waited >= traffic_class.latency_objective;
   active.within_quota = !late && quotas_.TakeToken(request.tenant, context.now);
@@ -114,7 +115,7 @@
 }
 
 void RequestController::ReleaseQueued(EventContext& context) {
-  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can accept now
+  ClassQueues::ClassMask blocked = 0;  // classes with a next request that no endpoint can accept now
   while (queues_.size() > 0 && rate_.HasToken()) {
     const std::optional<std::size_t> class_index = queues_.NextClass(blocked);
     if (!class_index) return;
@@ -172,8 +173,8 @@
   EraseIfEnded(*request);
 }
 
-// The attempt was recorded as served when its response started. If the response breaks off later, the
-// endpoint is charged with a failure in addition.
+// Records a failure of the endpoint if the response was interrupted. The attempt was already recorded as
+// served when its response started.
 void RequestController::RecordStreamEnd(EventContext& context, const ActiveRequest& request,
                                         const Attempt& attempt, AttemptResult result) {
   if (result != AttemptResult::kReset && result != AttemptResult::kTimedOut) return;
@@ -198,9 +199,9 @@
   upstream_.RecordOutcome(context, *attempt.endpoint, {outcome.result, latency, request.class_index});
 }
 
-// Updates the admission rate after the end of an attempt. Outcomes of unhealthy endpoints are ignored, since
-// failures of a single endpoint lead to its ejection. Broken connections are ignored, since they do not
-// indicate overload.
+// Updates the admission rate after the end of an attempt. Ignores outcomes of unhealthy endpoints, since an
+// endpoint that fails alone is ejected instead. Ignores broken connections, since they do not indicate an
+// overload.
 void RequestController::UpdateAdmissionRate(EventContext& context, const ActiveRequest& request,
                                             const Attempt& attempt, AttemptResult result) {
   if (upstream_.IsUnhealthy(*attempt.endpoint) || result == AttemptResult::kReset) return;
@@ -238,7 +239,8 @@
   EraseIfEnded(request);
 }
 
-// Returns the estimated time until the queued requests are sent, which is the delay recommended to clients.
+// Returns the retry delay that is recommended to clients: the estimated time until all queued requests are
+// sent.
 Millis RequestController::RetryAfter() const {
   if (!settings_.send_retry_after) return 0;
   const Millis drain_time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -73,8 +73,8 @@
   void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
   void Answer(EventContext& context, ActiveRequest& request);
   Millis RetryAfter() const;
-  // Erases the request if it is answered and none of its attempts is in flight. The reference may be invalid
-  // afterwards.
+  // Erases the request if it is answered, not queued, and has no attempt in flight. The reference may be
+  // invalid afterwards.
   void EraseIfEnded(ActiveRequest& request);
 
   const Settings& settings_;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -27,14 +27,14 @@
 // Returns whether the client can safely retry the request. A client's retry may reach any endpoint.
 bool IsSafeForClientToRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class);
 
-// Returns whether the request may be sent to the endpoint. After an attempt that may have been executed, a
-// request with an idempotency key may be sent only within the deduplication scope of that attempt and before
-// the end of the deduplication window.
+// Returns whether the request may be sent to the endpoint. A request with an idempotency key is restricted
+// once one of its attempts may have been executed: it may be sent only to endpoints in the deduplication
+// scope of that attempt, and only until its repeat deadline (see RepeatDeadline).
 bool MaySendTo(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                const EndpointInfo& endpoint, Millis now);
 
-// Returns the latest start of a repeat after an attempt that was sent at `sent_at` and may have been
-// executed.
+// Returns the repeat deadline: the latest time at which the request may be sent again if an attempt that was
+// sent at `sent_at` may have been executed. The repeat then arrives within the deduplication window.
 Millis RepeatDeadline(const TrafficClassSettings& traffic_class, Millis sent_at);
 
 // The conditions for a retry that do not depend on the request itself.
@@ -42,14 +42,15 @@
   AttemptResult last_result = AttemptResult::kError;
   bool last_endpoint_ejected = false;
   int max_attempts = 1;
-  double expected_latency = 0;  // ms, of the class
+  double expected_latency = 0;  // ms, smoothed latency of the request's class
   bool budget_left = false;
 };
 
-// Returns whether a request without an attempt in flight is retried. A retry must be safe, the gateway must
-// still store the complete request, attempts and budget must be left, and the response must be expected
-// within the latency objective. A timeout at a healthy endpoint is not retried, since the request itself is
-// probably slow. A retry is queued in its class, with the queue deadline of the request (see QueueDeadline).
+// Returns whether a request without an attempt in flight is retried. The following must hold: the retry is
+// safe, the gateway still stores the complete request, attempts and retry budget are left, and a response is
+// expected within the latency objective. After a timeout at an endpoint that is not ejected, the request is
+// not retried, since the request itself is probably slow. The caller queues the retry in the class of the
+// request, with the request's QueueDeadline().
 bool ShouldRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                  const RetryConditions& conditions, Millis now);
 
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -9,7 +9,7 @@
 
 namespace gateway::policy {
 
-constexpr std::size_t kMaximumClasses = 64;  // ClassQueues::ClassMask has 64 bits
+constexpr std::size_t kMaximumClasses = 64;  // ClassQueues::ClassMask has one bit for each class
 
 // Throws SettingsError for the first invalid field.
 void ValidateSettings(const Settings& settings);
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,11 +8,12 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor that is used
+constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor up to which credit is granted
 constexpr double kMaximumCreditAttempts = 1;
 constexpr Millis kThroughputTimeConstantMs = 10000;
-constexpr Millis kArrivalPriorMs = 500;        // weight, as endpoint time, of the arrival rate
-constexpr Millis kMachineTypePriorMs = 20000;  // weight, as endpoint time, of the mean rate
+// Weights of prior estimates, in ms of endpoint time.
+constexpr Millis kArrivalPriorMs = 500;        // weight of the arrival rate in the mean service rate
+constexpr Millis kMachineTypePriorMs = 20000;  // weight of the mean service rate in that of a machine type
 
 }  // namespace
 
@@ -52,8 +53,8 @@
   if (IsWarm(endpoint.slow_start, now)) endpoint.machine_type->throughput.served += 1;
 }
 
-// Counts only endpoints of the subset. Otherwise the credits that all gateways grant to a warming endpoint
-// would add up to more than its total.
+// Counts only the endpoints of the subset, since this gateway sends no requests to other endpoints. Otherwise
+// the credits that all gateways grant to a warming endpoint would not add up to its service rate.
 void SlowStart::UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset,
                                    Millis elapsed, double arrivals_per_ms, Millis now) {
   const double decay = std::exp(-elapsed / kThroughputTimeConstantMs);
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,9 +1,10 @@
 // Slow start: limits the attempts that are sent to an endpoint while it warms up after its start.
 //
-// A warming endpoint earns credit at the rate at which warm endpoints of its machine type serve this gateway,
-// multiplied by its warm-up fraction and by a safe share of the overload factor. An attempt costs 1. Each
-// gateway uses the rate that it observes itself. Therefore the sum over all gateways stays within the
-// load that the endpoint can bear, without communication between gateways.
+// A warming endpoint earns credit, and each attempt costs 1 credit. The rate of credit is the product of
+// three factors: the rate at which warm endpoints of the machine type serve this gateway, the warm-up
+// fraction of the endpoint, and a safe share of the overload factor. Each gateway uses the service rate that
+// it observes itself. Therefore the attempts of all gateways together do not overload the endpoint, although
+// gateways do not communicate.
 #ifndef GATEWAY_POLICY_SLOW_START_HPP_
 #define GATEWAY_POLICY_SLOW_START_HPP_
 
@@ -27,10 +28,11 @@
   Millis credited_at = 0;      // last update of the credit
 };
 
-// Responses of the warm endpoints of a machine type to this gateway. Both values decay at the same rate.
+// Responses of the warm endpoints of a machine type to this gateway. `served` and `endpoint_time` decay at
+// the same rate.
 struct Throughput {
   double served = 0;         // responses
-  double endpoint_time = 0;  // ms, weighted by EndpointInfo::weight
+  double endpoint_time = 0;  // ms, sum of the observed times of the endpoints, each times its weight
 };
 
 // Grants credit to warming endpoints and estimates the service rates of machine types.
@@ -38,11 +40,11 @@
  public:
   explicit SlowStart(const Settings& settings);
 
-  // Starts the warm-up of an endpoint. `initial_credit` in [0, 1) must be random: an immediate attempt from
-  // each of many gateways would overload the endpoint.
+  // Starts the warm-up of an endpoint. `initial_credit` in [0, 1) must be random, so that not all gateways
+  // send an attempt at the same time, which would overload the endpoint.
   void Begin(SlowStartState& state, Millis started_at, double initial_credit, Millis now) const;
 
-  // Returns the share of its capacity that the endpoint is known to have; 1 once it is warm.
+  // Returns the share of its full capacity that the endpoint has now; 1 once the endpoint is warm.
   double WarmUpFraction(const SlowStartState& state, Millis now) const;
   bool IsWarm(const SlowStartState& state, Millis now) const { return WarmUpFraction(state, now) >= 1; }
 
@@ -56,19 +58,20 @@
   void RecordServed(Endpoint& endpoint, Millis now) const;
 
   using MachineTypes = std::map<std::string, MachineType>;
-  // Updates the service rates of the subset for the time `elapsed` since the last update. For endpoints
-  // without enough responses, the estimate is an equal share of the arrival rate.
+  // Updates the service rates after the time `elapsed` since the last update. While there are few responses,
+  // the estimate for an endpoint is close to an equal share of the arrival rate.
   void UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset, Millis elapsed,
                           double arrivals_per_ms, Millis now);
 
-  // Returns the responses per ms of a warm endpoint of weight 1 of the machine type to this gateway.
+  // Returns the number of responses per ms that a warm endpoint of weight 1 sends to this gateway.
+  // `throughput` is the throughput of its machine type.
   double ServiceRatePerMs(const Throughput& throughput) const;
 
  private:
   const double initial_fraction_;
   const Millis duration_;
   const double overload_factor_;
-  double mean_rate_per_ms_ = 0;  // of the subset; prior for each machine type
+  double mean_rate_per_ms_ = 0;  // service rate over all machine types; prior for each of them
 };
 
 }  // namespace gateway::policy
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -10,14 +10,14 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kGatewaysPerEndpoint = 12;      // intended mean number of subsets with an endpoint
-constexpr double kMinimumSubsetEndpoints = 6;    // several may fail together
+constexpr double kGatewaysPerEndpoint = 12;      // mean number of gateways whose subsets contain an endpoint
+constexpr double kMinimumSubsetEndpoints = 6;    // several endpoints may fail together
 constexpr double kEndpointsPerRequest = 3;       // for each concurrent request of this gateway
-constexpr double kGrowthThresholdFactor = 1.25;  // multiple of the current size
-constexpr double kMultiplexedShare = 0.5;        // share of the size if connections stay open
+constexpr double kGrowthThresholdFactor = 1.25;  // a subset grows if more than this multiple is required
+constexpr double kMultiplexedShare = 0.5;        // factor on the size if connections are multiplexed
 constexpr double kOtherZoneShare = 0.4;          // share of the endpoints in other zones
 constexpr double kManyGatewaysThreshold = 8;
-constexpr double kGoldenRatio = 0.6180339887498949;  // fractional part
+constexpr double kGoldenRatio = 0.6180339887498949;  // fractional part of the golden ratio
 
 double EndpointsForRequests(double concurrent_requests) { return kEndpointsPerRequest * concurrent_requests; }
 
@@ -63,8 +63,8 @@
   std::ranges::sort(endpoints_, {}, id);
 }
 
-// Returns whether this gateway skips an endpoint of another zone. Each such endpoint is used by a share of
-// the gateways only, as long as any endpoint of their own zone is up.
+// Returns whether this gateway skips the endpoint because it is in another zone. As long as any endpoint of
+// its own zone is up, a gateway uses only a share of the endpoints of other zones.
 bool Subsetting::IsSkipped(const Endpoint& endpoint, const EndpointTable& table) const {
   if (table.own_zone_up_count() <= 0 || table.IsInOwnZone(endpoint)) return false;
   return HashToFraction(endpoint.hash ^ salt_) > kOtherZoneShare;
--- a/src/policy/subsetting.hpp
+++ b/src/policy/subsetting.hpp
@@ -1,9 +1,9 @@
 // Subsetting: selects the endpoints that this gateway uses. See docs/design/subset.md.
 //
-// If many gateways share the endpoints, each gateway uses only a few of them: a low request rate spread over
-// all endpoints would give too few samples for each, and the endpoints would have too many connections. The
-// gateways start at evenly spaced positions of a common ring. An ejected endpoint is replaced by the next one
-// on the ring.
+// If many gateways share the endpoints, each gateway uses only a few of them. If it used all endpoints, it
+// would get too few samples from each of them, and each endpoint would have too many connections. The subsets
+// of the gateways start at evenly spaced positions of a common ring. An ejected endpoint stays in the subset
+// but does not count towards its size, so the next endpoint on the ring is added.
 #ifndef GATEWAY_POLICY_SUBSETTING_HPP_
 #define GATEWAY_POLICY_SUBSETTING_HPP_
 
@@ -16,8 +16,9 @@
 
 namespace gateway::policy {
 
-// Returns the position of this gateway on the ring, in [0, 1). It is derived from the gateway's index, or
-// random if the index is unknown. The positions of any range of consecutive indices are evenly spaced.
+// Returns the position of this gateway on the ring, in [0, 1). The position is derived from the gateway's
+// index, or random if the index is unknown. Gateways with consecutive indices have nearly evenly spaced
+// positions.
 double RingPosition(const Settings& settings, RandomSource& random);
 
 // Selects the subset and assesses whether it is large enough.
@@ -28,7 +29,7 @@
   // Selects a new subset. `concurrent_requests`: mean number of concurrent requests of this gateway.
   void Choose(EndpointTable& table, double concurrent_requests);
 
-  // Returns whether the requests need considerably more endpoints than the subset was selected for.
+  // Returns whether `concurrent_requests` need considerably more endpoints than the subset was selected for.
   bool IsTooSmall(double concurrent_requests) const;
 
   // Returns the subset, ordered by id. The pointers are valid until an endpoint of the subset is erased.
@@ -36,7 +37,7 @@
 
   // Returns the mean number of gateways that share each endpoint, at least 1.
   double gateways_per_endpoint() const { return gateways_per_endpoint_; }
-  // Returns whether so many gateways share each endpoint that each gateway sees little of its traffic.
+  // Returns whether so many gateways share each endpoint that a gateway sees little of an endpoint's traffic.
   bool many_gateways_per_endpoint() const;
 
  private:
@@ -46,7 +47,7 @@
   const int gateway_count_;
   const bool multiplexes_connections_;
   const double ring_position_;
-  const std::uint64_t salt_;  // of this gateway, for the selection of endpoints in other zones
+  const std::uint64_t salt_;  // differs between gateways; selects the endpoints of other zones that are used
   std::vector<Endpoint*> endpoints_;
   double gateways_per_endpoint_ = 1;
   double target_size_ = 0;  // endpoints
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,9 +5,10 @@
 namespace gateway::policy {
 namespace {
 
-// Minimum capacity of a bucket. The share of a quota that one gateway grants may be less than 1 per second.
+// A bucket holds the tokens that are added in `kBurstPeriodMs`, but at least `kMinimumBurstTokens`, since the
+// share of a quota that one gateway grants may be less than 1 token per second.
 constexpr double kMinimumBurstTokens = 3;
-constexpr Millis kBurstPeriodMs = 1000;  // a bucket holds the tokens of this period, if more
+constexpr Millis kBurstPeriodMs = 1000;
 
 }  // namespace
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -16,8 +16,9 @@
   // Each of the `gateway_count` gateways grants an equal share of each quota.
   explicit TenantQuotas(const Settings& settings);
 
-  // Returns whether a request of the tenant is within its quota, and consumes a token if so. If the settings
-  // contain no tenants, all requests are within quota. Otherwise unknown tenants have no quota.
+  // Returns whether a request of the tenant is within the tenant's quota, and consumes a token if so. If the
+  // settings contain no tenants, all requests are within quota. Otherwise, all requests of unknown tenants
+  // are beyond quota.
   bool TakeToken(const std::string& tenant, Millis now);
 
  private:
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -5,8 +5,10 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMinimumLatencySampleWeight = 0.01;  // of a sample in a mean latency
-constexpr double kFirstTryTimeLeftShare = 0.95;       // of the longest time left; below: a client's retry
+constexpr double kMinimumLatencySampleWeight = 0.01;  // weight of a sample in a smoothed latency
+// A request is a client's retry if its time left is less than this share of the longest time left of its
+// class.
+constexpr double kFirstTryTimeLeftShare = 0.95;
 constexpr Millis kArrivalTimeConstantMs = 10000;
 
 }  // namespace
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -20,8 +20,9 @@
   // Decays the arrival rate by the elapsed time.
   void Advance(Millis elapsed);
 
-  // Records the arrival of a request. Returns how long its client has waited in earlier tries; 0 for a first
-  // try. A first try is recognized by a `time_left` close to the longest one of its class.
+  // Records the arrival of a request. Returns how long the client has already waited in earlier tries, or 0
+  // for a first try. A request counts as a first try if its `time_left` is close to the longest observed
+  // value of the class.
   Millis RecordArrival(std::size_t class_index, Millis time_left);
 
   // Records the latency of a served attempt.
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -10,7 +10,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process is cut to this
+constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process counts as this time
 
 }  // namespace
 
@@ -80,7 +80,7 @@
     const bool avoided = outliers_.IsAvoidedForClass(endpoint->outlier, request.class_index, now);
     (avoided ? avoided_ : candidates_).push_back(endpoint);
   }
-  // If all endpoints are avoided for the class, they are used nevertheless, since one may have recovered.
+  // If the class avoids all endpoints, they are used nevertheless, since one of them may have recovered.
   if (candidates_.empty()) candidates_.swap(avoided_);
 }
 
--- a/src/policy/upstream_controller.hpp
+++ b/src/policy/upstream_controller.hpp
@@ -1,7 +1,7 @@
 // The upstream controller: maintains the state of the endpoints and selects the endpoint of each attempt.
 //
-// Dispatches list events, attempts and outcomes to the mechanisms that each own a part of an endpoint's
-// state: endpoint table, subsetting, slow start, concurrency limit, outlier detection and load balancer.
+// Passes list events, attempts and outcomes to the mechanisms: endpoint table, subsetting, slow start,
+// concurrency limit, outlier detection and load balancer. Each mechanism owns a part of an endpoint's state.
 #ifndef GATEWAY_POLICY_UPSTREAM_CONTROLLER_HPP_
 #define GATEWAY_POLICY_UPSTREAM_CONTROLLER_HPP_
 
@@ -35,16 +35,17 @@
   // Applies a snapshot or a delta.
   void ApplyList(const EndpointListEvent& event, Millis now);
 
-  // Selects the endpoint of the request's next attempt. Returns null if no endpoint can accept it now.
-  // `admit_beyond_quota`: whether requests beyond their tenant's quota are sent if many gateways share an
-  // endpoint.
+  // Selects the endpoint of the request's next attempt. Returns null if no endpoint can accept the attempt
+  // now. `admit_beyond_quota` is whether requests beyond their tenant's quota may be sent. It applies only if
+  // many gateways share each endpoint; otherwise ConcurrencyLimit::HasSlot() decides.
   Endpoint* Select(const ActiveRequest& request, bool admit_beyond_quota, Millis now);
 
   // Records an attempt that is sent to the endpoint.
   void RecordSend(Endpoint& endpoint, Millis now);
-  // Records that an attempt has received its response or has ended. The response may still be streamed.
+  // Records that the response of an attempt has started or that the attempt has ended. After a start, the
+  // body of the response may still be streaming.
   void RecordResponse(Endpoint& endpoint) { --endpoint.in_flight; }
-  // Releases the reference that an attempt of a finished request holds.
+  // Releases the reference of an attempt. Must be called once its request is finished.
   void ReleaseReference(Endpoint& endpoint) { --endpoint.references; }
 
   // The outcome of an attempt.
@@ -64,7 +65,7 @@
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const {
     return outliers_.ProbeDeadline(now, objective_ends_at);
   }
-  // Adds an arrived request to the probe budget.
+  // Adds the share of an arrived request to the probe budget.
   void RecordRequest() { outliers_.AddProbeBudget(many_gateways_per_endpoint()); }
 
   // Performs periodic work: updates the service rates and enlarges the subset if necessary.
@@ -101,7 +102,7 @@
   ConcurrencyLimit limits_;
   OutlierDetection outliers_;
   LoadBalancer load_balancer_;
-  int up_count_ = 0;  // as of the last list event
+  int up_count_ = 0;  // endpoints that were up after the last list event
   Millis swept_at_ = kNever;
   std::vector<Endpoint*> candidates_;
   std::vector<Endpoint*> avoided_;  // endpoints that recently failed requests of the class
--- a/src/policy/upstream_learned_state.cpp
+++ b/src/policy/upstream_learned_state.cpp
@@ -35,8 +35,8 @@
   return latency;
 }
 
-// Adds the latency of the `count`-th endpoint to that of its machine type, which is the mean of its
-// endpoints.
+// Updates the latency of a machine type, which is the mean over its endpoints, with the latency of its
+// `count`-th endpoint.
 void AddToMean(LatencyEstimate& type, const LatencyEstimate& own, int count) {
   const double weight = 1.0 / count;
   type.current += weight * (own.current - type.current);
@@ -77,7 +77,7 @@
   ChooseSubset();
 }
 
-// Returns whether a latency was imported.
+// Restores the learned state of one endpoint. Returns whether a latency was restored.
 bool UpstreamController::ImportEndpoint(Endpoint& endpoint, const LearnedState::Endpoint& learned,
                                         Millis exported_at, Millis now) {
   endpoint.slow_start.credit = 0;  // the previous process has already granted the initial credit
