--- a/tests/policy/admission_rate_test.cpp
+++ b/tests/policy/admission_rate_test.cpp
@@ -34,15 +34,16 @@
 }
 
 // For 100 ms, half of the requests to all endpoints get no response and time out after 200 to 800 ms. The
-// first timeouts decrease the rate. The later ones must not decrease it again, since those attempts were sent
-// before.
+// first timeouts decrease the rate. The later timeouts must not decrease it again, since their attempts were
+// sent before the decrease.
 TEST(AdmissionRateTest, IgnoresFailuresOfAttemptsSentBeforeADecrease) {
   FakeGateway gateway;
   gateway.AddEndpoints(8);
   gateway.ServeRequests(200, 20);
   int decreases = 0;
   int requests = 0;
-  // Request, endpoint and latency by the time at which the attempt finishes.
+  // The attempts in flight by the time at which they finish. The tuple contains request, endpoint and
+  // latency.
   std::map<Millis, std::vector<std::tuple<std::string, std::string, Millis>>> in_flight;
   for (int step = 0; step < 120; ++step) {
     for (int i = 0; i < 4 && step < 20; ++i) {
@@ -88,14 +89,14 @@
   EXPECT_GT(count_decreases(2), 1);
 }
 
-// The rate of sent attempts is the basis of a decrease. In the first second of a process it must not be
-// underestimated because attempts have been sent for a short time only.
+// A decrease starts from the rate of sent attempts. In the first second of a process, the rate must not be
+// underestimated because attempts have been sent only for a short time. Otherwise the decrease is too large.
 TEST(AdmissionRateTest, DecreasesToNearTheSentRateInTheFirstSecond) {
   FakeGateway gateway;
   gateway.AddEndpoints(9);
   std::deque<std::pair<std::string, std::string>> in_flight;
   bool decreased = false;
-  for (int i = 0; i < 100 && !decreased; ++i) {  // 200 per second; all time out
+  for (int i = 0; i < 100 && !decreased; ++i) {  // 200 requests per second, all of which time out
     const std::string id = "r" + std::to_string(i);
     in_flight.push_back({id, FakeGateway::SentEndpoint(gateway.SendRequest(id))});
     ASSERT_FALSE(in_flight.back().second.empty());
--- a/tests/policy/class_queues_test.cpp
+++ b/tests/policy/class_queues_test.cpp
@@ -56,7 +56,7 @@
   FakeGateway gateway(settings);
   gateway.SendRequest("first", "view", 2000);
   gateway.SendRequest("late", "view", 900);    // the client's first try was 1100 ms ago
-  gateway.SendRequest("again", "view", 1500);  // within the latency objective
+  gateway.SendRequest("again", "view", 1500);  // the first try was 500 ms ago, within the latency objective
   gateway.SendRequest("new", "view", 2000);
   gateway.AddEndpoints(1);
   gateway.AdvanceTime(10);
@@ -123,7 +123,7 @@
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 3)};
-  // The requests that fill the endpoint are of class view too and are queued before its other requests.
+  // The "fill" requests have the class "view" too. Some of them are queued before the other "view" requests.
   const auto released = ReleasedByClass(settings, 24);
   int view = 0;
   int pay = 0;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -36,7 +36,8 @@
       gateway.Handle(AttemptOutcome{id, 0, "s0", AttemptResult::kServed, true, 20, {utilization}});
     }
     int sent = 0;
-    gateway.SendRequest("own", "view", 2000, "big");  // consumes the initial token of tenant big, if any
+    // Uses the initial token of the tenant "big", if there is one.
+    gateway.SendRequest("own", "view", 2000, "big");
     gateway.FinishAttempt("own", "s0", AttemptResult::kServed, 20);
     for (int i = 0; i < 30; ++i) {
       sent +=
@@ -49,8 +50,9 @@
   EXPECT_EQ(sent_at_once("big", 0.3), sent_at_once("small", 0.3));
 }
 
-// Serves requests one after the other. The first response reports the utilization `first_utilization`, the
-// others `utilization`. Returns how many of the requests that arrive at once afterwards are sent.
+// Serves 60 requests one after the other. The first response reports the utilization `first_utilization`, and
+// the other responses report `utilization`. Then 30 requests arrive at once. Returns how many of them are
+// sent.
 int SentAfterLoadReports(double utilization, double first_utilization = 0.5) {
   constexpr int kReports = 60;
   Settings settings = MakeSettings();
@@ -79,7 +81,7 @@
   const int sent_at_half_load = SentAfterLoadReports(0.5);
   const int sent_at_full_load = SentAfterLoadReports(1.0);
   EXPECT_GE(sent_at_half_load, 2);
-  EXPECT_EQ(sent_at_full_load, 1);  // not 0: without attempts the recovery of an endpoint would go unnoticed
+  EXPECT_EQ(sent_at_full_load, 1);  // at least 1, so that the gateway notices when the endpoint recovers
 }
 
 TEST(ConcurrencyLimitTest, ReservesMoreCapacityWithManyGateways) {
@@ -107,7 +109,7 @@
 
 TEST(ConcurrencyLimitTest, IgnoresIncompleteOrInvalidLoadReports) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  EXPECT_EQ(SentAfterLoadReports(1.0, nan), 1);  // later reports still count
+  EXPECT_EQ(SentAfterLoadReports(1.0, nan), 1);  // the valid reports after the invalid one still count
   EXPECT_EQ(SentAfterLoadReports(1.0, -1e9), 1);
   Settings settings = MakeSettings();
   settings.load_report_fields = {"inflight", "util"};
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -49,8 +49,8 @@
 }
 
 // The predecessor has already granted the initial credit of a warming endpoint. If the successor granted it
-// again, warming endpoints would get too many attempts. State of an endpoint that has restarted since is not
-// imported.
+// again, warming endpoints would get too many attempts. If an endpoint has restarted since the export, its
+// state must not be imported.
 TEST(LearnedStateTest, SuccessorGrantsNoInitialCreditToWarmingEndpoints) {
   FakeGateway predecessor;
   predecessor.AddEndpoints(1);
@@ -84,8 +84,8 @@
   return predecessor.policy.ExportState();
 }
 
-// State restored from disk keeps its weight after a short time, loses it with age, and is ignored if the
-// clock was set back.
+// State that is restored from disk keeps its weight after a short downtime and loses weight with age. It is
+// ignored if the clock was set back, since its age is then unknown.
 TEST(LearnedStateTest, EjectionsLatenciesAndRatesDecayWithAge) {
   FakeGateway predecessor;
   const LearnedState learned = LearnFromFiveEndpoints(predecessor);
@@ -129,8 +129,8 @@
 }
 
 // s1 and s2 recover while the gateway is down. If the age of the state were ignored, the gateway would keep
-// avoiding them. Counts how many of the next 300 requests they receive, of 120 in an even distribution, with
-// the state aged and with the state treated as new.
+// avoiding them. Counts how many of the next 300 requests they receive, once with the true age of the state
+// (`aged`) and once with an age of 0. In an even distribution, they would receive 120 requests.
 TEST(LearnedStateTest, UsesRecoveredEndpointsWhenStateIsOld) {
   FakeGateway predecessor;
   const LearnedState learned = LearnFromFiveEndpoints(predecessor);
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -53,7 +53,7 @@
 }
 
 // Changes of a polled list must take effect within 6 s, even if calls fail. Therefore the next call must
-// start within 4.5 s of the start of the failed one, regardless of the number of failures and gateways.
+// start within 4.5 s of the start of the failed call, regardless of the number of failures and gateways.
 TEST(ListPollingTest, RepeatsFailedCallWithinMaximumInterval) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
@@ -79,13 +79,13 @@
 
 // The calls of a hundred gateways fail at the same moment, and the list service can serve about twenty calls
 // per second. The repeated calls must be spread evenly. The first calls of gateways that start at the same
-// moment are spread too, but within one second: the initial list may be older than the processes, and its
-// changes must take effect within 6 s.
+// moment must be spread too, but within one second. The initial list of a gateway may be outdated, and
+// changes since then must take effect within 6 s of the start.
 TEST(ListPollingTest, SpreadsCallsOfGatewaysThatStartTogether) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   settings.gateway_count = 100;
-  // Calls in each interval of 100 ms.
+  // Numbers of calls in each interval of 100 ms.
   std::vector<int> started(10);
   std::vector<int> repeated(100);
   int immediate = 0;
@@ -103,12 +103,14 @@
     }
   }
   EXPECT_LT(immediate, 5);
-  // Each gateway calls once within a second.
+  // Each gateway makes its first call within a second.
   EXPECT_EQ(immediate + std::accumulate(started.begin(), started.end(), 0), 100);
   EXPECT_LE(*std::max_element(started.begin(), started.end()), 12);
-  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);  // each gateway once within 10 s
+  // Each gateway repeats its call once within 10 s.
+  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);
   EXPECT_LT(*std::max_element(repeated.begin(), repeated.end()), 10);
-  FakeGateway without_endpoints(settings);  // calls immediately
+  // A gateway without endpoints calls immediately.
+  FakeGateway without_endpoints(settings);
   EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
                 without_endpoints.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
             1);
@@ -119,9 +121,10 @@
             1);
 }
 
-// A zone is down for 5 s, and its endpoints are removed from the list after 1 s. The gateways of the zone
-// restart at the end with the old list. The removal must take effect 6.5 s after it was made, including the
-// grace period.
+// A zone is down for 5 s. Its endpoints are removed from the list 1 s after the start of the outage. At the
+// end of the outage, the gateways of the zone restart with the old list, which still contains these
+// endpoints. The removal must take effect within 6 s and a grace period of 0.5 s, which is 2.5 s after the
+// restart. Each gateway must call for the list by then.
 TEST(ListPollingTest, CallsInTimeAfterDowntime) {
   constexpr Millis kDowntimeMs = 5000;
   constexpr Millis kRemovedAtMs = 1000;
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -73,7 +73,7 @@
     }
     return sent;
   };
-  EXPECT_GT(received(1), 15);  // the median latency is assumed until s5 has samples
+  EXPECT_GT(received(1), 15);  // until s5 has latency samples, its latency is assumed to be the median
   EXPECT_LT(received(20), 12);
 }
 
@@ -104,7 +104,8 @@
   table.MarkMeasured(measured);
   measured.machine_type->latency.current = 110;
   EXPECT_DOUBLE_EQ(LoadBalancer::Cost(measured, false, table), 3 * 50);
-  EXPECT_DOUBLE_EQ(LoadBalancer::Cost(measured, true, table), 3 * 60);  // 10 samples of 50, 2 of 110
+  // The weighted mean of the endpoint's and the machine type's latency is (10 * 50 + 2 * 110) / 12 = 60 ms.
+  EXPECT_DOUBLE_EQ(LoadBalancer::Cost(measured, true, table), 3 * 60);
   EXPECT_DOUBLE_EQ(LoadBalancer::Cost(unmeasured, false, table), 1.3 * 50);
 }
 
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -66,9 +66,10 @@
   EXPECT_FALSE(SendToUnresponsiveEndpoint(4).second);
 }
 
-// Three requests are sent every 10 ms to three endpoints. Most are served in 10 ms; one in about thirty times
-// out after 250 ms at any endpoint. Such slow requests must neither eject endpoints nor lower their limits.
-TEST(OutlierDetectionTest, SendsOtherRequestsDirectlyDespiteIsolatedTimeouts) {
+// Three requests are sent every 10 ms to three endpoints. Most of them are served in 10 ms, but one in about
+// thirty times out after 250 ms at any endpoint. The timeouts must neither eject endpoints nor lower their
+// limits, so almost all requests are sent without queueing.
+TEST(OutlierDetectionTest, IsolatedTimeoutsDoNotDelayOtherRequests) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   gateway.ServeRequests(100, 10);
@@ -176,9 +177,10 @@
   return static_cast<int>(count);
 }
 
-// s0 starts to drain before the list reports it, so it rejects all attempts immediately. Such rejections must
-// not decrease the admission rate. Eight requests are sent every 20 ms to eight endpoints.
-TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllAttemptsWithoutDecreasingRate) {
+// s0 starts to drain before the list reports the drain, so it rejects all attempts immediately. The gateway
+// must avoid s0, and the rejections must not decrease the admission rate. Eight requests are sent every 20 ms
+// to eight endpoints.
+TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllAttemptsAndKeepsAdmissionRate) {
   FakeGateway gateway;
   gateway.AddEndpoints(8);
   gateway.ServeRequests(200, 20);
@@ -202,13 +204,13 @@
       gateway.FinishAttempt(id, endpoint, AttemptResult::kServed, 20, SentAttempts(gateway, id) - 1);
     }
   }
-  EXPECT_LE(rejected, 20);  // 3 s
+  EXPECT_LE(rejected, 20);  // of 1200 requests in 3 s; s0 would receive 150 in an even distribution
   EXPECT_FALSE(decreased);
 }
 
-// Sends ten requests every 20 ms to four endpoints, one of them of the class "pay". For the first 8 s, s0 and
-// s1 fail the requests of this class. Returns the number of failed requests, and the number of requests of
-// the class that are sent to s0 in the following 8 s.
+// Sends ten requests every 20 ms to four endpoints. One of the ten requests has the class "pay". For the
+// first 8 s, s0 and s1 fail the requests of this class. Returns the number of failed requests, and the number
+// of "pay" requests that are sent to s0 in the following 8 s.
 std::pair<int, int> SendWithErrorsOfOneClass() {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
@@ -237,9 +239,9 @@
   return {failed, sent_after_recovery};
 }
 
-TEST(OutlierDetectionTest, AvoidsEndpointsOnlyForTheClassThatFailsUntilTheyRecover) {
+TEST(OutlierDetectionTest, AvoidsEndpointsThatFailOneClassUntilTheyRecover) {
   const auto [failed, sent_after_recovery] = SendWithErrorsOfOneClass();
-  EXPECT_LE(failed, 20);  // of 400
+  EXPECT_LE(failed, 20);  // of 400 "pay" requests in the first 8 s
   EXPECT_GE(sent_after_recovery, 40);
 }
 
@@ -252,7 +254,9 @@
     const std::string id = "pay" + std::to_string(i);
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay"));
     ASSERT_NE(endpoint, "") << i;
-    EXPECT_EQ(failed.insert(endpoint).second, i < 4) << i;  // each endpoint once within the backoff of 300 ms
+    // The first four requests go to different endpoints, since an endpoint is avoided for 300 ms after an
+    // error. The fifth request is sent although all endpoints are avoided.
+    EXPECT_EQ(failed.insert(endpoint).second, i < 4) << i;
     gateway.FinishAttempt(id, endpoint, AttemptResult::kError, 1);
   }
 }
@@ -278,7 +282,7 @@
     if (i >= 300) {
       ++sent;
       probed += fails;
-      long_probes += fails && gateway.sent.back().timeout > 500;  // of a latency objective of 1000 ms
+      long_probes += fails && gateway.sent.back().timeout > 500;  // the latency objective is 1000 ms
     }
     gateway.FinishAttempt(id, endpoint, fails && i % 4 ? AttemptResult::kError : AttemptResult::kServed, 66);
   }
@@ -304,7 +308,7 @@
   EXPECT_GT(finished, 45);
 }
 
-// If a zone fails, its endpoints must be avoided before attempts at each of them have failed. Three
+// If a zone fails, the gateway must avoid all of its endpoints without failed attempts at each of them. Three
 // unresponsive endpoints suffice to avoid the zone, until a probe is served.
 TEST(OutlierDetectionTest, AvoidsUnresponsiveZoneUntilAProbeIsServed) {
   Settings settings = MakeSettings();
@@ -334,14 +338,15 @@
     }
   }
   EXPECT_GT(before, 10 * 10);
-  // 3 failures and 5 probes; ejecting each of 8 endpoints separately would take 16 failures.
+  // Each of the 10 gateways has up to 3 failed attempts until it avoids the zone, and up to 5 probes.
+  // Ejecting each of 8 endpoints separately would take 16 failed attempts.
   EXPECT_LT(during, 10 * 9);
-  EXPECT_GT(after, 10 * 15);  // readmitted after a probe
+  EXPECT_GT(after, 10 * 15);  // the zone is used again after a served probe
 }
 
-// A response that breaks off while it is streamed was recorded as served at its start. It must still count as
-// a failure of the endpoint.
-TEST(OutlierDetectionTest, EjectsEndpointWhoseResponsesBreakOff) {
+// An attempt is recorded as served when its response starts. If the connection breaks while the response is
+// streamed, the attempt must still count as a failure of the endpoint.
+TEST(OutlierDetectionTest, EjectsEndpointWhoseResponsesAreInterrupted) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   gateway.ServeRequests(100, 50);
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -1,6 +1,6 @@
 // Checks the invariants of a Policy under random events, independently of its code: each request gets one
-// final answer in time, no request can be executed twice, attempts are sent only to endpoints that are up,
-// and the number of attempts is within the settings.
+// answer in time, no request can be executed more often than its idempotency allows, attempts are sent only
+// to endpoints that are up, and the number of attempts is within the settings.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
   Millis sent_at = 0;
   Millis times_out_at = 0;
   bool in_flight = true;
-  bool not_executed = false;  // as proven by its outcome
+  bool not_executed = false;  // the outcome proves that the endpoint has not executed the attempt
 
   bool IsProvenNotExecuted() const { return !in_flight && not_executed; }
 };
@@ -119,7 +119,7 @@
   }
 
   const Settings& settings_;
-  std::map<std::string, EndpointInfo> endpoints_;  // as last reported
+  std::map<std::string, EndpointInfo> endpoints_;  // by id, as last reported to the policy
 };
 
 Settings MakeRandomSettings(std::mt19937_64& random, bool poll_endpoint_list) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -47,7 +47,7 @@
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double invalid : {nan, -1e12}) {
     FakeGateway gateway;
-    gateway.now = invalid;  // for the first event too
+    gateway.now = invalid;  // the time of the first event is invalid too
     gateway.AddEndpoints(2);
     gateway.now = 5000;
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest("a"));
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -100,7 +100,8 @@
 }
 
 // A request with an idempotency key would be executed twice if its repeat arrived after the deduplication
-// window. Therefore neither the retry nor the start of its writing may be too late.
+// window. Therefore the policy must not retry it too late, and `start_writing_within` must prevent that the
+// gateway writes the retry too late.
 TEST(RetryPolicyTest, RetryWithIdempotencyKeyArrivesWithinTheDeduplicationWindow) {
   for (const Millis window : {50.0, 400.0, 5000.0}) {
     Settings settings = MakeSettings();
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -11,7 +11,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(SettingsTest, ErrorNamesTheInvalidField) {
+TEST(SettingsTest, ErrorTextContainsTheInvalidField) {
   const auto error_text = [](auto change) -> std::string {
     Settings settings = MakeSettings();
     change(settings);
@@ -39,7 +39,7 @@
   EXPECT_EQ(error_text([](Settings&) {}), "");
 }
 
-TEST(SettingsTest, ErrorFieldIsThatOfTheInvalidValue) {
+TEST(SettingsTest, ErrorReturnsTheFieldOfTheInvalidValue) {
   const auto expect_field = [](const std::string& field, void (*invalidate)(Settings&)) {
     Settings settings = MakeSettings();
     invalidate(settings);
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -34,15 +34,15 @@
   int gateways = 1;
   std::vector<double> share;              // share of the traffic by gateway
   double load = 0.7;                      // as a multiple of the capacity of all endpoints
-  Millis maximum_notification_delay = 0;  // from the restart to the list update
-  bool gateways_run_before = true;        // false: all gateways start at the restart
+  Millis maximum_notification_delay = 0;  // maximum time from the restart to the list update of a gateway
+  bool gateways_run_before = true;        // false: all gateways start when the endpoints restart
   bool traffic_shifts = false;            // traffic moves to other gateways at the restart
 };
 
 // The result of a simulation.
 struct Measurement {
-  // Maximum over all windows of the attempts divided by N + 2 sqrt(N) + 2, where N is the budget of the
-  // window. Must not exceed 1.
+  // The number of attempts in a time window divided by N + 2 sqrt(N) + 2, where N is the budget of the
+  // window; maximum over all windows. The terms after N allow for random variation. Must not exceed 1.
   double worst_ratio = 0;
   int sent_to_restarted = 0;
 };
@@ -93,7 +93,7 @@
  private:
   struct Member {
     std::unique_ptr<FakeGateway> gateway;
-    Millis notified_at = 0;  // when its list shows the restart
+    Millis notified_at = 0;  // time at which the gateway's list shows the restart
     bool notified = false;
     std::map<std::string, int> attempts;  // number of attempts by request
   };
@@ -172,7 +172,8 @@
     return worst;
   }
 
-  // Returns the attempts that the settings allow in the window, using the warm-up fraction at its middle.
+  // Returns the number of attempts at one endpoint that the settings allow in the window. Uses the warm-up
+  // fraction in the middle of the window.
   double Budget(Millis begin, Millis end) const {
     const Millis age = (begin + end) / 2 - kRestartAtMs;
     const double fraction = settings_.warm_up_initial_fraction +
@@ -186,7 +187,7 @@
   std::deque<Member> members_;  // a deque keeps the addresses valid
   Millis now_ = 0;
   int request_count_ = 0;
-  std::deque<AttemptInFlight> in_flight_;  // ordered by end, since all have the same latency
+  std::deque<AttemptInFlight> in_flight_;  // ordered by finishes_at, since all attempts have the same latency
   std::vector<std::vector<Millis>> sent_at_ = std::vector<std::vector<Millis>>(kRestartedCount);
 };
 
@@ -194,7 +195,7 @@
   return FleetSimulation(scenario, seed).Run();
 }
 
-// Returns equal shares, or shares proportional to 1, 1/2, 1/3 ...
+// Returns the share of the traffic of each gateway: equal shares, or shares proportional to 1, 1/2, 1/3 ...
 std::vector<double> TrafficShares(int gateways, bool even) {
   std::vector<double> shares;
   double sum = 0;
@@ -225,8 +226,8 @@
   }
 }
 
-// If clients move to other gateways, those have learned the endpoints' rates from different traffic. The
-// total must stay bounded nevertheless.
+// When clients move to other gateways, these gateways have learned the service rates from different traffic.
+// The total number of attempts must stay bounded nevertheless.
 TEST(SlowStartFleetTest, BoundsTotalAttemptsWhileTrafficShifts) {
   for (const int gateways : {5, 20, 30}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -241,8 +242,8 @@
   }
 }
 
-// Gateways that start together with the endpoints have learned nothing about them. The total must stay
-// bounded nevertheless.
+// Gateways that start together with the endpoints have learned nothing about the endpoints. The total number
+// of attempts must stay bounded nevertheless.
 TEST(SlowStartFleetTest, BoundsTotalAttemptsWhenGatewaysStartWithTheEndpoints) {
   for (const int gateways : {1, 5, 20, 30}) {
     for (const bool even : {true, false}) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -17,9 +17,10 @@
   FakeGateway gateway(settings);
   gateway.now = 100000;
   gateway.ReplaceEndpoints({MakeEndpoint("s0"), MakeEndpoint("s1"), MakeEndpoint("new", "0", gateway.now)});
-  auto received = gateway.ServeRequests(200, 10);  // 2 s
+  auto received = gateway.ServeRequests(200, 10);  // takes 2 s
   EXPECT_GE(received["new"], 1);
-  // The warm-up fraction is 0.36 at this time. A warm endpoint receives about half of all requests.
+  // The warm-up fraction grows to 0.36 in these 2 s. Each of the two warm endpoints receives about half of
+  // all requests.
   EXPECT_LT(received["new"], 0.36 * received["s0"] + 1);
 }
 
@@ -41,7 +42,7 @@
   gateway.now += 1000;
   auto received = gateway.ServeRequests(300, 10);
   EXPECT_GE(received["s0"], 1);
-  EXPECT_LT(received["s0"], 75);  // a quarter of all requests; a warm endpoint receives a third
+  EXPECT_LT(received["s0"], 75);  // a quarter of the 300 requests; a warm endpoint receives a third
 }
 
 TEST(SlowStartTest, StartsNoWarmUpWhenConnectionsOfServingEndpointFail) {
@@ -84,20 +85,21 @@
     gateway.ServeRequests(50, 200);
     endpoints.push_back(MakeEndpoint("new", "0", gateway.now));
     gateway.ReplaceEndpoints(endpoints);
-    const auto first = gateway.ServeRequests(10, 200);  // the first 2 s after its start; 6 s follow
+    const auto first = gateway.ServeRequests(10, 200);  // the first 2 s after the start of "new"
     for (const auto& [id, count] : first) (id == "new" ? warming : all) += count;
-    const auto following = gateway.ServeRequests(30, 200);
+    const auto following = gateway.ServeRequests(30, 200);  // the following 6 s
     if (following.contains("new")) warming_later += following.at("new");
   }
-  // One attempt from each gateway would be 60 and more. A warm endpoint receives about 100 attempts in this
-  // time.
-  EXPECT_LT(warming, 0.5 * all / 20);  // 0.84 times the load of a warm endpoint would overload it
+  // A warm endpoint receives about 100 attempts in the first 2 s. If each gateway that uses "new" sent it one
+  // attempt at once, it would receive 60 and more. The mean warm-up fraction in these 2 s is 0.28. With an
+  // overload factor of 3, 3 * 0.28 = 0.84 times the load of a warm endpoint would overload "new".
+  EXPECT_LT(warming, 0.5 * all / 20);
   EXPECT_GT(warming_later, warming);
 }
 
-// Each gateway uses a subset of the endpoints. The gateways that use a warming endpoint must together send
-// its warm-up fraction, otherwise they overload it or leave it idle. A gateway without samples of the warm
-// endpoints uses the rate of arriving requests instead.
+// Each gateway uses a subset of the endpoints. All gateways that use a warming endpoint must together send it
+// about its warm-up fraction of the load of a warm endpoint. Otherwise they overload the endpoint or leave it
+// idle. A gateway without samples of the warm endpoints uses the rate of arriving requests instead.
 TEST(SlowStartTest, GatewaysWithSubsetsSendTheWarmUpFractionInTotal) {
   Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 100;
@@ -120,15 +122,16 @@
         (std::stoi(id.substr(1)) < 30 ? warming : warm) += count;
       }
     }
-    // In 3 s, an endpoint warms up to 0.32 of its capacity and receives a part of that. 2.5 to 3 times its
-    // capacity would overload it.
+    // The warm-up fraction grows from 0.2 to 0.44 in these 3 s, so its mean is 0.32. A warming endpoint
+    // should receive a part of 0.32 times the load of a warm endpoint. An endpoint fails at 2.5 to 3 times
+    // its current capacity, which is 0.8 to 0.96 times the load of a warm endpoint.
     EXPECT_GT(warming, 0.08 * warm) << just_started;
     EXPECT_LT(warming, 0.6 * warm) << just_started;
   }
 }
 
-// The machine type "slow" has three times the latency of "fast". A warming endpoint of the slow type must
-// receive accordingly fewer requests, since it would be overloaded otherwise.
+// The latency of the machine type "slow" is three times the latency of "fast". A warming endpoint of the slow
+// type must receive fewer requests than one of the fast type, since it would be overloaded otherwise.
 TEST(SlowStartTest, LimitsWarmingEndpointByTheServiceRateOfItsMachineType) {
   FakeGateway gateway;
   gateway.now = 100000;
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -35,9 +35,9 @@
   }
 }
 
-// Subsets are small so that few requests suffice to learn the endpoints. A gateway that receives most
-// requests must use a larger subset, since it would overload a small one.
-TEST(SubsettingTest, GrowsWhenMoreRequestsAreInFlight) {
+// Subsets are small, so that few requests suffice to learn the state of their endpoints. A gateway that
+// receives most requests must use a larger subset, since it would overload a small one.
+TEST(SubsettingTest, SubsetGrowsWhenMoreRequestsAreInFlight) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   FakeGateway gateway(settings);
@@ -45,7 +45,7 @@
   EXPECT_LE(gateway.ServeRequests(300, 66).size(), 8u);
   std::set<std::string> used;
   std::size_t finished = gateway.sent.size();
-  for (int i = 0; i < 500; ++i) {  // 20 in flight
+  for (int i = 0; i < 500; ++i) {  // 20 requests are in flight
     gateway.SendRequest("busy" + std::to_string(i));
     gateway.now += 20;
     gateway.Handle(TimerFired{"sweep"});
@@ -87,7 +87,7 @@
   EXPECT_GT(std::min_element(received.begin(), received.end(), fewer)->second, 0.4 * all / 60);
 }
 
-TEST(SubsettingTest, IsHalfAsLargeWithMultiplexedConnections) {
+TEST(SubsettingTest, SubsetIsHalfAsLargeWithMultiplexedConnections) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   settings.gateway_index = 7;
@@ -99,16 +99,16 @@
   EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
 }
 
-TEST(SubsettingTest, SizeIsTheLargerOfEvenShareAndConcurrentRequests) {
+TEST(SubsettingTest, SubsetSizeIsTheLargerOfEvenShareAndNeedOfConcurrentRequests) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   EndpointTable table("");
   for (const EndpointInfo& endpoint : MakeEndpoints(60)) table.Update(endpoint);
   Subsetting subsetting(settings, /*ring_position=*/0.5);
   subsetting.Choose(table, /*concurrent_requests=*/10);
-  EXPECT_EQ(subsetting.endpoints().size(), 30u);  // 3 per request
+  EXPECT_EQ(subsetting.endpoints().size(), 30u);  // 3 endpoints for each concurrent request
   subsetting.Choose(table, 0);
-  EXPECT_EQ(subsetting.endpoints().size(), 8u);  // 12 gateways per endpoint give 7.2
+  EXPECT_EQ(subsetting.endpoints().size(), 8u);  // 12 gateways per endpoint: 12 * 60 / 100 = 7.2 endpoints
 }
 
 }  // namespace
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -21,8 +21,8 @@
   gateway.now += 150;
   gateway.SendRequest("small", "view", 2000, "small");
   gateway.AddEndpoints(1);
-  // The requests of big within its quota are sent first, then that of small, then those of big beyond its
-  // quota.
+  // The order is: requests of the tenant "big" within its quota, the request of the tenant "small", requests
+  // of "big" beyond its quota.
   ASSERT_FALSE(gateway.sent.empty());
   std::vector<std::string> order;
   for (std::size_t i = 0; i < gateway.sent.size(); ++i) {
@@ -49,7 +49,7 @@
 TEST(TenantQuotasTest, AllowsBurstWhenShareOfQuotaIsSmall) {
   Settings settings = MakeSettings();
   settings.gateway_count = 300;
-  settings.tenants = {{"t", 30}};  // 0.1 per second for this gateway
+  settings.tenants = {{"t", 30}};  // the share of each gateway is 0.1 requests per second
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
   // Failures of requests of another tenant stop all traffic beyond quota.
