--- a/src/registry/admission.hpp
+++ b/src/registry/admission.hpp
@@ -16,7 +16,7 @@
 struct AdmissionLimits {
   std::size_t clients = 0;           // maximum sessions that read the list or renew leases
   std::size_t operators = 0;         // additional sessions for all other calls
-  double full_lists_per_second = 0;  // also the maximum burst
+  double full_lists_per_second = 0;  // maximum rate, and maximum number of full lists in a burst
 };
 
 // Does no I/O and reads no clock: times are those of the caller's monotonic clock. Not thread-safe.
@@ -39,8 +39,8 @@
   void Refill(base::Millis now);
 
   void CountRejected() { ++rejected_; }
-  // Counts a rejected request and returns the number of seconds after which the client may retry. The retries
-  // of successive clients are spread over 1 to 4 s.
+  // Counts a rejected request and returns the number of seconds after which the client may retry. Successive
+  // calls return different delays of 1 to 4 s, which spreads the retries.
   int RejectWithRetryAfter();
   std::uint64_t rejected() const { return rejected_; }
 
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr Millis kCallTimeout = 2000;
-constexpr Millis kInitialBackoff = 200;  // doubles after each failed call, up to the renewal interval
+constexpr Millis kInitialBackoff = 200;  // doubles with each failed call, up to the renewal interval
 constexpr int kMaxBackoffDoublings = 10;
 constexpr double kRenewalsPerLease = 3;
 constexpr unsigned kServiceUnavailable = 503;
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -21,8 +21,9 @@
 // stops.
 class Agent {
  public:
-  // Starts with a health check. `io` must outlive the agent. `on_finished` is called once with an exit code:
-  // 0 after Stop(), 1 if another process has registered with the member's id or the member was removed.
+  // Starts with a health check. `io` must outlive the agent. `on_finished` is called once with an exit code.
+  // The code is 0 after Stop(), and 1 if another process has registered with the member's id or operators
+  // have removed the member.
   Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> on_finished);
 
   // Drains the member, and removes it after the drain grace period.
@@ -49,7 +50,7 @@
   boost::asio::steady_timer stop_timer_;
   std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null if there is none
   std::size_t service_index_ = 0;
-  int failed_calls_ = 0;  // consecutive
+  int failed_calls_ = 0;  // consecutive failed calls to the service
   bool call_pending_ = false;
   bool finished_ = false;
 };
--- a/src/registry/agent_options.hpp
+++ b/src/registry/agent_options.hpp
@@ -12,8 +12,8 @@
 namespace gateway::registry {
 
 struct HealthCheckOptions {
-  boost::asio::ip::tcp::endpoint address;  // of the member
-  std::string path;                        // must respond with 200; if empty, a connection suffices
+  boost::asio::ip::tcp::endpoint address;  // address of the member
+  std::string path;  // must respond with 200; if empty, an established connection suffices
   base::Millis interval = 1000;
   base::Millis timeout = 1000;
   int failure_threshold = 3;  // consecutive failures after which the member is unhealthy
@@ -21,7 +21,7 @@
 
 struct AgentOptions {
   std::vector<boost::asio::ip::tcp::endpoint> services;  // tried in this order
-  Member member;                                         // its lease duration is positive
+  Member member;                                         // has a positive lease duration
   HealthCheckOptions health_check;
   base::Millis drain_grace = 5000;  // time between drain and removal
 };
--- a/src/registry/agent_state.hpp
+++ b/src/registry/agent_state.hpp
@@ -42,7 +42,7 @@
   bool drain_grace_elapsed_ = false;
   bool healthy_ = false;
   bool replaced_ = false;
-  int failed_checks_ = 0;  // consecutive
+  int failed_checks_ = 0;  // consecutive failed health checks
 };
 
 }  // namespace gateway::registry
--- a/src/registry/byte_codec.hpp
+++ b/src/registry/byte_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes numbers and strings. Numbers are little-endian; a string is preceded by its length in
-// four bytes.
+// Encodes and decodes numbers and strings. Numbers are little-endian. A string is preceded by its length,
+// which takes four bytes.
 #ifndef GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 #define GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 
--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -24,15 +24,15 @@
   return std::nullopt;
 }
 
-// Returns an error if a process must not register because its member was removed before.
+// Returns an error if the process of `member` must not register because its member was removed before.
 std::optional<Error> CheckReregistration(const Member& member, const Member& removed) {
-  // A delayed request from a process that was removed or replaced by a later process.
+  // This is a delayed request from a process that was removed or replaced by a later process.
   if (member.incarnation < removed.incarnation) {
     return Error(ErrorCode::kStaleIncarnation, "incarnation",
                  "a later process with incarnation " + std::to_string(removed.incarnation) + " was listed");
   }
-  // An explicit removal is final for a process. If the incarnation is not stated (0), this may be another
-  // process.
+  // A process that was removed explicitly must not register again. If the incarnation is not stated (0), the
+  // request may come from another process.
   const bool same_process = member.incarnation == removed.incarnation && member.incarnation != 0;
   if (same_process && !removed.expired) {
     return Error(ErrorCode::kRemoved, "incarnation",
@@ -122,7 +122,7 @@
   if (const auto found = removed_.find(member.id); found != removed_.end()) {
     const Member& removed = found->second;
     if (auto error = CheckReregistration(member, removed)) return CommandResult::Failed(*std::move(error));
-    // An expiry does not end a drain by operators; an explicit removal does.
+    // A drain by operators survives the expiry of the lease, but not an explicit removal.
     member.drained_by_operator = removed.expired && removed.drained_by_operator;
   }
   return Commit(std::move(member));
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -1,7 +1,7 @@
-// The list of members as a deterministic state machine: applies commands and produces revisions. The same
-// commands in the same order produce the same catalog on every machine, so a command is applied only once it
-// is durable. Does no I/O and uses neither a clock nor randomness. See docs/design/registry.md for the
-// rationale.
+// The list of members as a deterministic state machine, which applies commands and produces revisions. The
+// same commands in the same order always produce the same catalog, so the catalog can be recovered by
+// applying the logged commands again. A command must be applied only once it is durable. Does no I/O and uses
+// neither a clock nor randomness. See docs/design/registry.md for the rationale.
 #ifndef GATEWAY_REGISTRY_CATALOG_HPP_
 #define GATEWAY_REGISTRY_CATALOG_HPP_
 
@@ -22,16 +22,16 @@
 
 // Limits of the retained history.
 struct RetentionLimits {
-  std::size_t changes = 100000;          // changes from whose revisions a watch can continue
-  std::size_t idempotency_keys = 10000;  // requests whose result is retained
+  std::size_t changes = 100000;          // a watch can continue from the revision of a retained change
+  std::size_t idempotency_keys = 10000;  // idempotency keys for which the result of the request is retained
 };
 
 // Not thread-safe.
 class Catalog {
  public:
-  // `epoch` identifies this history permanently; `initial_revision` is the revision before its first change.
-  // A service that lost its state starts a new epoch, with an initial revision above any that the lost epoch
-  // can have reached.
+  // `epoch` identifies this history permanently. `initial_revision` is the revision before the first change.
+  // A service that has lost its state starts a new epoch. The initial revision of the new epoch must be
+  // higher than any revision that the lost epoch can have reached.
   Catalog(std::string epoch, Revision initial_revision, RetentionLimits limits = {});
 
   // Applies the command. Every accepted change creates exactly one revision; a failed command creates none.
@@ -39,22 +39,23 @@
 
   const std::string& epoch() const { return epoch_; }
   Revision revision() const { return revision_; }
-  // Returns the oldest revision that ChangedSince() supports; older ones are compacted.
+  // Returns the oldest revision that ChangedSince() supports. Older revisions are compacted.
   Revision oldest_revision() const { return history_.empty() ? revision_ : history_.front().revision - 1; }
   // Returns whether ChangedSince() supports this revision.
   bool HasHistorySince(Revision after) const { return after >= oldest_revision() && after <= revision_; }
-  // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept a list
-  // that lost many members only if a removal by operators explains it.
+  // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept the loss
+  // of many members only if operators have removed them.
   Revision last_operator_removal() const { return last_operator_removal_; }
   const std::map<std::string, Member>& members() const { return members_; }
   // Returns null if the member is not listed. The pointer is valid until the next Apply().
   const Member* Find(const std::string& id) const;
 
-  // Returns the delta from a revision: the newest state of each member that changed after it, including
-  // removed members, in the order of these changes. Returns std::nullopt if the revision is compacted or in
-  // the future. The pointers are valid until the next Apply().
+  // Returns the delta from the revision `after`: the newest state of each member that changed since then, in
+  // the order of the changes. Removed members are included. Returns std::nullopt if the revision is compacted
+  // or in the future. The pointers are valid until the next Apply().
   std::optional<std::vector<const Member*>> ChangedSince(Revision after) const;
-  // Returns the state of the changed member after each retained change, oldest first.
+  // Returns the retained changes, oldest first. Each entry is the state of the changed member after the
+  // change.
   const std::deque<Member>& history() const { return history_; }
 
   // Returns the complete state in binary form.
@@ -76,7 +77,7 @@
   Revision last_operator_removal_ = 0;
   RetentionLimits limits_;
   std::map<std::string, Member> members_;            // ordered, so that snapshots are reproducible
-  std::deque<Member> history_;                       // state of the changed member after each change
+  std::deque<Member> history_;                       // see history()
   std::unordered_map<std::string, Member> removed_;  // removed members whose removal is in the history
   IdempotencyTable results_;
 };
--- a/src/registry/command.hpp
+++ b/src/registry/command.hpp
@@ -26,13 +26,13 @@
 
 struct Command {
   Action action = Action::kRegister;
-  // Identifies the request, so that a repetition gets the result of the first execution. Empty if there is no
-  // key.
+  // The idempotency key identifies the request: a repeated request gets the result of the first execution.
+  // Empty if there is no key.
   std::string idempotency_key;
-  bool by_operator = false;  // otherwise by the member's own process
+  bool by_operator = false;  // false: the command comes from the member's own process
   Member member;             // `id` for all actions, `size` for kSetSize, all properties for kRegister
-  // Preconditions. The command fails if the member changed after this revision, or if its process has another
-  // incarnation.
+  // Preconditions. The command fails if the member changed after the revision `if_revision`, or if its
+  // process has another incarnation than `if_incarnation`.
   std::optional<Revision> if_revision;
   std::optional<Incarnation> if_incarnation;
 
@@ -74,7 +74,7 @@
 // Result of a command: an error, or the revision that contains its effect.
 struct CommandResult {
   std::optional<Error> error;
-  Revision revision = 0;  // created by the command, or the newest if nothing had to change
+  Revision revision = 0;  // created by the command; if nothing had to change, the newest revision
   bool changed = false;
 
   bool ok() const { return !error.has_value(); }
--- a/src/registry/commit_notifier.hpp
+++ b/src/registry/commit_notifier.hpp
@@ -14,7 +14,7 @@
 
 namespace gateway::registry {
 
-// Holds one result at a time: the next batch is written only after the previous result was received.
+// Holds one result at a time, since the next batch is written only after the previous result was received.
 class CommitNotifier {
  public:
   using Result = LogWriter::BatchResult;
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -20,7 +20,7 @@
 constexpr Millis kReopenInterval = 2000;
 constexpr std::size_t kMaxQueuedCommands = 20000;
 constexpr std::uint64_t kMinLogCapacityBytes = 16 << 20;
-constexpr std::uint64_t kLogCapacityPerSnapshot = 4;  // times `snapshot_after_bytes`
+constexpr std::uint64_t kLogCapacityPerSnapshot = 4;  // log capacity, in multiples of snapshot_after_bytes
 constexpr double kMicrosPerMilli = 1000;
 
 storage::StoreOptions StoreOptionsOf(const ServiceOptions& options) {
@@ -48,8 +48,8 @@
 
 // ---- Recovery -------------------------------------------------------------------------------------
 
-// Runs at the start and after a storage failure. In the latter case the log may contain commands that were
-// reported as failed; they are applied.
+// Runs at the start and after a storage failure. After a failure, the log may contain commands that were
+// reported as failed. These commands are applied, since they are durable.
 void DurableCatalog::Recover() {
   storage::Examination examination;
   if (const storage::Status status = log_writer_.Open(examination); !status.ok()) {
@@ -127,8 +127,8 @@
   WriteNextBatch();
 }
 
-// Writes one batch at a time; commands that arrive meanwhile form the next batch. All earlier commands are
-// therefore applied when a snapshot is taken.
+// Writes one batch at a time. Commands that arrive while a batch is written form the next batch. Therefore
+// all commands of earlier batches are applied when a snapshot is taken.
 void DurableCatalog::WriteNextBatch() {
   if (!batch_in_progress_.empty() || queued_.empty() || !storage_error_.empty()) return;
   batch_in_progress_ = std::exchange(queued_, {});
@@ -193,7 +193,8 @@
   });
 }
 
-// Recovers from the folder again. The store rewrites the last segment before it relies on it.
+// Recovers the catalog from the state folder again. The store rewrites the last segment of the log, since its
+// content may not be durable after the failure.
 void DurableCatalog::Reopen() {
   const Revision before = catalog_->revision();
   try {
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -1,6 +1,6 @@
-// Catalog with a write-ahead log: writes proposed commands in batches (group commit), and applies and answers
-// them once they are durable. While the storage fails, commands are rejected and the store is reopened
-// periodically.
+// Catalog with a write-ahead log. Proposed commands are written in batches (group commit). Once a command is
+// durable, it is applied and its proposer gets the result. While the storage fails, commands are rejected and
+// the store is reopened periodically.
 #ifndef GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 #define GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 
@@ -29,8 +29,8 @@
   virtual void OnApplied(const Command& command, const CommandResult& result) = 0;
   // Called when the command was not applied, before its proposer gets the error.
   virtual void OnRejected(const Command& command) = 0;
-  // Called when the storage accepts writes again. `changed` holds the members changed by records that were
-  // recovered from it.
+  // Called when the storage accepts writes again. `changed` contains the members that were changed by
+  // recovered records.
   virtual void OnReopened(const std::vector<const Member*>& changed) = 0;
   // Called after all commands of a batch were applied and answered, if the revision increased.
   virtual void OnNewRevision() = 0;
@@ -41,22 +41,23 @@
  public:
   using ResultHandler = std::function<void(const CommandResult&)>;
 
-  // Recovers the catalog from the folder. Throws std::runtime_error if it cannot be opened or read. `io`,
-  // `files` and `observer` must outlive this object. The observer is not called before the constructor has
-  // returned.
+  // Recovers the catalog from the state folder. Throws std::runtime_error if the folder cannot be opened or
+  // read. `io`, `files` and `observer` must outlive this object. The observer is not called before the
+  // constructor has returned.
   DurableCatalog(boost::asio::io_context& io, storage::FileSystem& files, const ServiceOptions& options,
                  CatalogObserver& observer);
 
   const Catalog& catalog() const { return *catalog_; }
-  // Writes and applies the command. Calls `handler`, which may be empty, at once if the command is rejected,
-  // otherwise when it is durable and applied.
+  // Writes and applies the command. If the command is rejected, calls `handler` at once. Otherwise calls
+  // `handler` when the command is durable and applied. `handler` may be empty.
   void Propose(Command command, ResultHandler handler);
 
-  // Returns why the storage accepts no writes at present, or an empty string if it does.
+  // Returns why the storage rejects writes at present, or an empty string if it accepts them.
   const std::string& storage_error() const { return storage_error_; }
   // Returns the size of the log since the last snapshot.
   std::uint64_t log_bytes() const { return log_bytes_; }
-  // Commands and batches written since the start, and the durations of batches in microseconds.
+  // Return the numbers of commands and batches written since the start, and the durations of writing a batch
+  // in microseconds.
   std::uint64_t commands_written() const { return commands_written_; }
   std::uint64_t batches_written() const { return batches_written_; }
   const base::Histogram& commit_time_us() const { return commit_time_us_; }
--- a/src/registry/http_request.hpp
+++ b/src/registry/http_request.hpp
@@ -18,7 +18,7 @@
 struct WatchQuery {
   std::optional<Revision> after;  // the client's revision; absent if it has none
   base::Millis wait = 0;          // maximum time to wait for a change; at most 60,000 ms
-  std::string epoch;              // epoch of `after`; empty if not stated
+  std::string epoch;              // the epoch to which `after` belongs; empty if not stated
 };
 // Returns std::nullopt if a number is malformed or negative. Ignores unknown parameters.
 std::optional<WatchQuery> ParseWatchQuery(std::string_view target);
--- a/src/registry/idempotency_table.hpp
+++ b/src/registry/idempotency_table.hpp
@@ -1,5 +1,4 @@
-// Table of the results of executed requests by idempotency key, so that a repeated request is not executed
-// again.
+// Table of results by idempotency key. A repeated request gets the stored result and is not executed again.
 #ifndef GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
 #define GATEWAY_REGISTRY_IDEMPOTENCY_TABLE_HPP_
 
--- a/src/registry/lease_monitor.cpp
+++ b/src/registry/lease_monitor.cpp
@@ -73,7 +73,7 @@
   const Catalog& catalog = catalog_.catalog();
   if (const Member* const member = catalog.Find(command.member.id)) {
     leases_.OnMemberChanged(*member, MonotonicNow());
-  } else if (result.changed) {  // removed: the newest change is its last state
+  } else if (result.changed) {  // the member was removed; the newest change contains its last state
     leases_.OnMemberChanged(catalog.history().back(), MonotonicNow());
   }
   if (result.changed && IsLeaseEvent(command.action)) LogLeaseEvent(command, result.revision);
--- a/src/registry/lease_monitor.hpp
+++ b/src/registry/lease_monitor.hpp
@@ -36,7 +36,7 @@
 
   DurableCatalog& catalog_;
   LeaseTable leases_;
-  std::set<std::string> logged_zones_;  // zones last logged as preserved
+  std::set<std::string> logged_zones_;  // zones whose suspended removals were logged
 };
 
 }  // namespace gateway::registry
--- a/src/registry/lease_table.cpp
+++ b/src/registry/lease_table.cpp
@@ -49,7 +49,8 @@
 std::vector<Command> LeaseTable::Tick(Millis now) {
   if (DetectPause(now)) ExtendAll(now);
   const SelfPreservation::Decision decision = self_preservation_.Decide(CountLeases(now), now);
-  // Members resume their renewals one after another, so those that have not yet done so get a full lease.
+  // At the end of self-preservation, members resume their renewals one after another. Members whose lease is
+  // still expired get a full lease.
   for (const std::string& zone : decision.ended) ExtendLapsed(zone, now);
   std::vector<Command> proposals;
   if (decision.suspended.contains(kAllZones)) return proposals;
--- a/src/registry/lease_table.hpp
+++ b/src/registry/lease_table.hpp
@@ -1,4 +1,5 @@
-// Leases of the members: determines which members stopped renewing, and when they are suspected and removed.
+// Leases of the members. Determines which members have stopped renewing their leases, and when these members
+// are suspected and removed.
 #ifndef GATEWAY_REGISTRY_LEASE_TABLE_HPP_
 #define GATEWAY_REGISTRY_LEASE_TABLE_HPP_
 
@@ -25,7 +26,7 @@
   kRecovered,         // the member was suspect; the caller must propose kRecover
   kUnknownMember,     // the member has no lease
   kStaleIncarnation,  // the lease belongs to another process of this member
-  kExpiring           // the removal was proposed; the member must register again
+  kExpiring           // the removal of the member was proposed; the member must register again
 };
 
 // Leases exist only in memory; after a restart every lease starts with its full duration. Does no I/O and
@@ -45,9 +46,10 @@
   // Must be called if a proposed command was not applied, so that a later tick proposes it again.
   void OnProposalFailed(const Command& command);
 
-  // Returns the zones in which removals are suspended.
+  // Returns the zones in which self-preservation is active, so that removals are suspended.
   std::vector<SelfPreservation::ActiveZone> preserved_zones() const { return self_preservation_.active(); }
   std::size_t size() const { return leases_.size(); }
+  // Returns the number of listed members whose lease has expired.
   std::size_t CountLapsed(base::Millis now) const;
   // Returns how often this service was suspended or starved of CPU.
   int pauses() const { return pauses_; }
@@ -62,6 +64,7 @@
     bool suspect_proposed = false;
     bool expiry_proposed = false;
 
+    // Returns whether the lease has expired. The member is removed only after the grace period.
     bool IsLapsed(base::Millis now) const { return expires_at < now; }
   };
 
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -8,7 +8,7 @@
 namespace gateway::registry {
 namespace {
 
-// A delta is taken to be longer than the full list if its changes outnumber the members by more than this.
+// A delta is assumed to be longer than the full list if it has this many changes more than there are members.
 constexpr std::size_t kMaxChangesBeyondMembers = 64;
 constexpr std::size_t kMaxCachedDeltas = 64;
 
--- a/src/registry/list_handler.cpp
+++ b/src/registry/list_handler.cpp
@@ -9,7 +9,7 @@
 namespace gateway::registry {
 namespace {
 
-constexpr std::size_t kMaxHistoryChanges = 10000;  // in one response
+constexpr std::size_t kMaxHistoryChanges = 10000;  // maximum number of changes in one response
 
 }  // namespace
 
--- a/src/registry/list_handler.hpp
+++ b/src/registry/list_handler.hpp
@@ -36,7 +36,7 @@
   void TrimCache() { lists_.Trim(); }
 
   std::size_t watches() const { return watches_.size(); }
-  // Full lists sent to gateways, and bodies encoded, since the start.
+  // Return the numbers of full lists sent and of bodies encoded since the start.
   std::uint64_t full_lists() const { return full_lists_; }
   std::uint64_t encoded_bodies() const { return lists_.encoded(); }
 
--- a/src/registry/log_writer.hpp
+++ b/src/registry/log_writer.hpp
@@ -27,7 +27,7 @@
     storage::Status status;  // after an error, all writes fail until the next Open()
     std::vector<storage::Sequence> sequences;
     double duration_ms = 0;
-    std::uint64_t log_bytes = 0;  // since the last snapshot
+    std::uint64_t log_bytes = 0;  // size of the log since the last snapshot
   };
 
   // `files` must outlive the writer. `on_written` is called once per batch in the writer's thread.
--- a/src/registry/member.hpp
+++ b/src/registry/member.hpp
@@ -12,7 +12,8 @@
 // Version of the complete list. Each accepted change increases it by one.
 using Revision = std::int64_t;
 
-// Start time of a member's process (Unix time in ms). A higher value is a later process; 0 is not stated.
+// Start time of a member's process (Unix time in ms). A higher value denotes a later process. 0 means that
+// the start time is not stated.
 using Incarnation = std::int64_t;
 
 enum class MemberPhase { kUp, kDraining, kRemoved };
@@ -25,13 +26,13 @@
   std::string cell;     // JSON value that gateways compare as text; empty if there is none
   std::string version;  // label of the software that the process runs
   double size = 1;      // capacity relative to other members
-  // Time between a renewal and the expiry of the lease. If 0, the member has no lease and is listed until it
-  // is removed explicitly.
+  // Time between a renewal and the expiry of the lease. If the value is 0, the member has no lease and is
+  // listed until it is removed explicitly.
   base::Millis lease_duration = 0;
   Incarnation incarnation = 0;
   bool draining = false;             // requested by the process itself; ends when the process is replaced
   bool drained_by_operator = false;  // survives restarts of the process
-  bool suspect = false;              // the lease has expired, but the removal grace period has not
+  bool suspect = false;              // the lease has expired, and the member will be removed if not renewed
   bool removed = false;
   bool expired = false;   // removed because the lease expired; the same process may register again
   Revision revision = 0;  // of the last change
--- a/src/registry/pending_watches.hpp
+++ b/src/registry/pending_watches.hpp
@@ -20,8 +20,8 @@
   // Responds to the session at the next NotifyAll(), or after `wait` without a change.
   void Add(const std::shared_ptr<Session>& session, Revision after, base::Millis wait);
   void Remove(const std::shared_ptr<Session>& session) { watches_.erase(session); }
-  // Responds to all watches with their deltas. Must be called after each new revision, once the cache was
-  // cleared.
+  // Responds to all watches with their deltas. Must be called after each new revision. The list cache must
+  // have been cleared before.
   void NotifyAll();
   std::size_t size() const { return watches_.size(); }
 
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -33,7 +33,7 @@
                                                {ErrorCode::kStorageFailed, "storage_failed"},
                                                {ErrorCode::kUnreadable, "unreadable"}}};
 
-// Names of the same field in the published list and in calls to this service.
+// The name of a field in the published list, and its name in calls to this service.
 struct FieldName {
   const char* published;
   const char* call;
--- a/src/registry/registry_json.hpp
+++ b/src/registry/registry_json.hpp
@@ -1,5 +1,6 @@
-// JSON of the registry's HTTP interface: the published list (see "Discovery" in PROTOCOL), the calls of
-// members and operators, and their results. Maps all names of the interface, whose form on the wire is fixed.
+// Encodes and decodes the JSON of the registry's HTTP interface: the published list (see "Discovery" in
+// PROTOCOL), the calls of members and operators, and the results of calls. The names on the wire are fixed
+// and differ from the names in the code.
 #ifndef GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 #define GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 
@@ -18,7 +19,8 @@
 const char* ErrorCodeName(ErrorCode code);
 // Returns the code as the service sent it, even if it is unknown to this program.
 std::string ErrorCodeName(const Error& error);
-// Returns the last segment of the call's path, such as "register". Empty for actions of the service itself.
+// Returns the last segment of the call's path, such as "register". Empty for actions that only the service
+// itself proposes.
 const char* CallName(Action action);
 
 // Encodes a member as in the published list, with the additional fields of this service. Gateways ignore
@@ -40,7 +42,7 @@
 // Decodes the result that a service sent. The code is kUnreadable if the response cannot be decoded.
 CommandResult ParseResult(unsigned status, const std::string& body);
 
-// A published list, as read back to restore a service that lost its state.
+// A published list that is read to restore the members of a service that has lost its state.
 struct PublishedList {
   Revision revision = 0;
   std::vector<Member> members;
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -14,19 +14,19 @@
 namespace gateway::registry {
 
 struct SelfPreservationOptions {
-  // Self-preservation starts if the leases of a zone, or of all zones, that have expired or whose members
-  // were removed within the window exceed both this share of the leases and `min_lapsed`.
+  // Self-preservation of a zone, or of all zones together, starts if too many of its leases have expired:
+  // more than this share and more than `min_lapsed`. Members that were removed within the window count too.
   double max_lapsed_share = 0.25;
   int min_lapsed = 3;
   base::Millis window = 60000;
-  base::Millis max_duration = 3600000;  // afterwards, members are removed nevertheless
+  base::Millis max_duration = 3600000;  // after this time, members are removed although many leases expired
 };
 
-// Represents all zones together.
+// The zone name that represents all zones together.
 inline constexpr const char* kAllZones = "";
 
 struct LeaseCount {
-  int lapsed = 0;
+  int lapsed = 0;  // expired leases
   int total = 0;
 };
 // Lease counts by zone, with an additional entry for all zones together.
--- a/src/registry/service.cpp
+++ b/src/registry/service.cpp
@@ -121,7 +121,7 @@
   session->Respond(ErrorResponse({ErrorCode::kBadRequest, "", "only GET is supported"}, kMethodNotAllowed));
 }
 
-// Returns false if the path is not that of a report.
+// Responds with the report at this path. Returns false if there is no report at this path.
 bool Service::RouteReport(const SessionPtr& session, std::string_view path, std::string_view target) {
   if (path == kMetricsPath) {
     session->Respond(TextResponse(MetricsReport(MakeView()), kMetricsType));
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -28,8 +28,8 @@
 // io_context. The log writer has a thread of its own.
 class Service final : private SessionHandler, private CatalogObserver {
  public:
-  // Recovers the catalog and starts to listen. Throws std::runtime_error if either fails. `io` and `files`
-  // must outlive the service.
+  // Recovers the catalog and starts to listen. Throws std::runtime_error if the recovery or listening fails.
+  // `io` and `files` must outlive the service.
   Service(boost::asio::io_context& io, storage::FileSystem& files, ServiceOptions options);
   ~Service() override;
   Service(const Service&) = delete;
@@ -74,7 +74,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer tick_timer_;
   std::unordered_set<SessionPtr> sessions_;
-  ServiceTotals totals_;  // excludes the totals that other components count
+  ServiceTotals totals_;  // only the totals that no other component counts
   const base::Millis start_time_;
 };
 
--- a/src/registry/service_options.hpp
+++ b/src/registry/service_options.hpp
@@ -15,7 +15,7 @@
 struct ServiceOptions {
   boost::asio::ip::tcp::endpoint listen;
   std::string state_folder;
-  std::string owner = "registry";  // stored in the state folder, which no other owner may open
+  std::string owner = "registry";  // stored in the state folder; a folder of another owner is not opened
   std::string program;             // version of the program, stored in the state folder
   RetentionLimits retention;
   LeaseOptions leases;
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -66,11 +66,11 @@
 void AddStateMetrics(const ServiceView& view, MetricsWriter& metrics) {
   const Catalog& catalog = view.durable_catalog.catalog();
   metrics.Gauge("revision", "Newest revision of the list", catalog.revision());
-  metrics.Gauge("oldest_revision", "Oldest revision from which a watch can continue",
+  metrics.Gauge("oldest_revision", "Oldest revision that a watch can continue from",
                 catalog.oldest_revision());
   metrics.Gauge("members", "Listed members", catalog.members().size());
   metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
-  metrics.Gauge("holds", "Zones, or all zones together, in which removals are suspended",
+  metrics.Gauge("holds", "Scopes in which removals are suspended; a scope is one zone or all zones together",
                 view.leases.preserved_zones().size());
   metrics.Counter("absences_total", "Times that this service was suspended or starved of CPU",
                   view.leases.pauses());
@@ -89,12 +89,12 @@
   metrics.Counter("whole_lists_total", "Full lists sent", view.totals.full_lists);
   metrics.Counter("list_calls_total", "Requests for the list, including watches", view.totals.list.requests);
   metrics.Counter("bytes_received_total", "Bytes of requests received", view.totals.all.bytes_received);
-  metrics.Counter("bytes_sent_total", "Bytes of responses whose sending has begun",
+  metrics.Counter("bytes_sent_total", "Bytes of responses, counted when their sending begins",
                   view.totals.all.bytes_sent);
   metrics.Counter("list_bytes_received_total", "Bytes of requests for the list",
                   view.totals.list.bytes_received);
   metrics.Counter("list_bytes_sent_total",
-                  "Bytes of responses to requests for the list whose sending has begun",
+                  "Bytes of responses to requests for the list, counted when their sending begins",
                   view.totals.list.bytes_sent);
   metrics.Counter("encoded_total", "Bodies of lists encoded", view.totals.encoded_bodies);
   metrics.Counter("turned_away_total", "Requests and connections rejected by admission control",
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -26,7 +26,7 @@
 struct TrafficTotals {
   std::uint64_t requests = 0;
   std::uint64_t bytes_received = 0;
-  std::uint64_t bytes_sent = 0;  // of responses whose sending has begun
+  std::uint64_t bytes_sent = 0;  // bytes of responses, counted when their sending begins
 };
 
 // Handler of the events of sessions. Called in the thread of their io_context.
@@ -45,8 +45,8 @@
 };
 
 // Handles one request at a time, so a slow client occupies at most one response body. Keeps itself alive
-// while an operation is pending. `io` must outlive the session, and `handler` the open session. Must be used
-// in the thread of `io`.
+// while an operation is pending. `io` must outlive the session, and `handler` must outlive it until it is
+// closed. Must be used in the thread of `io`.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket, SessionHandler& handler);
@@ -60,7 +60,8 @@
   void CountRequestIn(TrafficTotals& totals);
   // Sends the response, then reads the next request. Has no effect on a closed session.
   void Respond(Response response);
-  // Calls `on_timeout` after the timeout unless a response is sent or the session is closed before.
+  // Calls `on_timeout` after the timeout, unless a response has been sent or the session has been closed by
+  // then.
   void SetTimeout(base::Millis timeout, std::function<void()> on_timeout);
   void Close();
 
