--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -36,7 +36,7 @@
   Examination& result_;
   std::vector<NumberedFile> snapshots_;
   std::vector<NumberedFile> segments_;
-  bool log_intact_ = true;  // no segment examined so far is corrupt
+  bool log_intact_ = true;  // false after a segment that is corrupt or missing
 };
 
 Status Examiner::Run(const std::string& owner) {
@@ -112,8 +112,8 @@
   }
 }
 
-// Uses the newest valid snapshot. A snapshot file gets its final name only when it is complete, so an invalid
-// snapshot is reported as corrupt.
+// Uses the newest valid snapshot. A snapshot file gets its final name only when it is complete. Therefore a
+// crash cannot leave an invalid snapshot, and an invalid snapshot is reported as corrupt.
 Status Examiner::ExamineSnapshots() {
   for (auto file = snapshots_.rbegin(); file != snapshots_.rend(); ++file) {
     result_.highest_sequence = std::max(result_.highest_sequence, file->sequence);
@@ -207,7 +207,7 @@
   }
 }
 
-// If no record follows the snapshot, the last segment is not continued.
+// If no record follows the snapshot, no records are appended to the last segment, so it is obsolete.
 void Examiner::DropEmptyActiveSegment() {
   if (!result_.active_segment || !result_.records.empty()) return;
   if (result_.condition != StoreCondition::kCorrupt) {
--- a/src/storage/examination.hpp
+++ b/src/storage/examination.hpp
@@ -16,9 +16,10 @@
 
 enum class StoreCondition {
   kEmpty,  // nothing has been stored yet
-  // All durable data is valid. A torn record at the end of the log, as left by a power loss, is dropped.
+  // All durable data is valid. A power loss may have left a torn record at the end of the log, which is
+  // dropped.
   kComplete,
-  kCorrupt,             // durable data is missing or invalid; nothing after it is used
+  kCorrupt,             // durable data is missing or invalid; later data is not used
   kOtherOwner,          // written by another owner; must not be modified
   kUnsupportedVersion,  // written by a newer program; must not be modified
 };
@@ -33,14 +34,14 @@
   struct FileReport {
     std::string name;
     std::uint64_t bytes = 0;
-    std::string description;  // of the content
+    std::string description;  // describes the content
     std::string error;        // why the file is invalid; otherwise empty
   };
   std::vector<FileReport> files;
 
   // Used by recovery.
-  Sequence first_sequence = 1;             // of the store's first record
-  Sequence highest_sequence = 0;           // in any file's name or records, including corrupt files
+  Sequence first_sequence = 1;             // sequence of the store's first record
+  Sequence highest_sequence = 0;           // in the names and records of all files, including corrupt files
   std::optional<Sequence> active_segment;  // first sequence of the segment that contains the last record
   std::vector<std::string> obsolete_files;
   std::vector<std::string> corrupt_files;  // includes valid files that follow a corrupt one
@@ -56,8 +57,8 @@
   }
 };
 
-// Fills `examination`. An empty `owner` accepts a store of any owner. Returns an error only if the folder or
-// a file cannot be read.
+// Examines the folder and fills `examination`. If `owner` is empty, a store of any owner is accepted. Returns
+// an error only if the folder or a file cannot be read.
 Status Examine(FileSystem& files, const std::string& folder, const std::string& owner,
                Examination& examination);
 
--- a/src/storage/faulty_file_system.hpp
+++ b/src/storage/faulty_file_system.hpp
@@ -18,11 +18,11 @@
 class FaultyFileSystem : public FileSystem {
  public:
   enum class Call { kCreate, kAppend, kSync, kRead, kRename, kRemove, kSyncFolder, kList, kLock };
-  // Replaces the effect of a call. The default lets the call proceed.
+  // A fault that replaces the effect of a call. The default value is no fault.
   struct Fault {
     std::error_code error;
     bool skip = false;              // reports success without making the call
-    std::size_t partial_bytes = 0;  // written by a failing append before the error
+    std::size_t partial_bytes = 0;  // number of bytes that a failing append writes before the error
   };
   // Invoked before each call. May block to simulate a slow disk.
   using Hook = std::function<Fault(Call call, const std::string& path)>;
--- a/src/storage/file_names.hpp
+++ b/src/storage/file_names.hpp
@@ -15,8 +15,8 @@
 inline constexpr const char* kLockName = "LOCK";
 inline constexpr std::string_view kLogStem = "log";            // segments, numbered by their first record
 inline constexpr std::string_view kSnapshotStem = "snapshot";  // numbered by the last record that it replaces
-inline constexpr std::string_view kTemporarySuffix = ".new";   // of files that are being written
-inline constexpr std::string_view kCorruptPrefix = "damaged-";  // of quarantined corrupt files
+inline constexpr std::string_view kTemporarySuffix = ".new";   // marks files that are being written
+inline constexpr std::string_view kCorruptPrefix = "damaged-";  // marks corrupt files that were quarantined
 
 // Returns the file name for a sequence, such as "log-0000000000000001".
 std::string NumberedName(std::string_view stem, Sequence sequence);
--- a/src/storage/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -24,7 +24,7 @@
 class File {
  public:
   virtual ~File() = default;
-  // Writes all bytes. After an error, any part of them may have been written.
+  // Appends all bytes. After an error, any part of the bytes may have been written.
   virtual Status Append(std::string_view bytes) = 0;
   // Makes all appended bytes durable. After an error, the bytes since the last successful sync may be lost.
   virtual Status Sync() = 0;
@@ -53,7 +53,7 @@
   virtual Status AcquireLock(const std::string& path, std::unique_ptr<Lock>& lock) = 0;
 };
 
-// Returns the operating system's file system. Calls block until the disk has completed them.
+// Returns the file system of the operating system. Its calls block until the disk has completed them.
 std::unique_ptr<FileSystem> MakePosixFileSystem();
 
 }  // namespace gateway::storage
--- a/src/storage/manifest.hpp
+++ b/src/storage/manifest.hpp
@@ -11,19 +11,19 @@
 
 namespace gateway::storage {
 
-inline constexpr int kFormatVersion = 1;  // of all files of a store
+inline constexpr int kFormatVersion = 1;  // version of the format of all files of a store
 inline constexpr std::uint64_t kMaxManifestBytes = 64 << 10;
 
 struct Manifest {
   int format = kFormatVersion;
   std::string owner;            // a single line that identifies the owner of the store
   std::string program;          // a single line: version of the program that created the store
-  Sequence first_sequence = 1;  // of the store's first record
+  Sequence first_sequence = 1;  // sequence of the store's first record
 };
 
 std::string EncodeManifest(const Manifest& manifest);
-// Returns std::nullopt, and sets `error`, if the bytes are not a complete and valid manifest. For a newer
-// format, only `format` is decoded.
+// Returns std::nullopt, and sets `error`, if the bytes are not a complete and valid manifest. If the format
+// is newer than kFormatVersion, only `format` is decoded.
 std::optional<Manifest> DecodeManifest(std::string_view bytes, std::string& error);
 
 }  // namespace gateway::storage
--- a/src/storage/memory_file_system.hpp
+++ b/src/storage/memory_file_system.hpp
@@ -34,9 +34,9 @@
     // Returns the bytes that remain in place of a file's unsynced bytes.
     std::function<std::string(std::string unsynced)> surviving_tail;
   };
-  // Returns a copy with the state after a power loss.
+  // Returns a copy of the file system as a power loss leaves it.
   std::unique_ptr<MemoryFileSystem> AfterPowerLoss(const PowerLoss& loss) const;
-  // Returns a copy with the state after the process died while the machine kept running.
+  // Returns a copy of the file system as it is if the process dies while the machine keeps running.
   std::unique_ptr<MemoryFileSystem> AfterProcessDeath() const;
 
   // Returns the content of a file, which tests may modify to corrupt it, or null if the file does not exist.
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -59,7 +59,8 @@
     return {};
   }
 
-  // Not retried after an error, including EINTR: a second sync may succeed although the first one lost pages.
+  // The sync is not retried after any error, including EINTR. A second sync may succeed although the first
+  // sync has lost pages.
   Status Sync() override { return ::fdatasync(fd_.get()) == 0 ? Status{} : SystemError("sync", path_); }
 
  private:
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -27,7 +27,7 @@
 
 struct DecodedRecord {
   Record record;
-  std::size_t size = 0;  // of the encoded record
+  std::size_t size = 0;  // bytes of the encoded record
 };
 
 // Returns std::nullopt unless a complete and valid record starts at the offset.
@@ -48,8 +48,8 @@
   return decoded;
 }
 
-// Returns whether a record after the offset shows that the record `missing` had been synced. Decodes a record
-// only if its sequences are plausible.
+// Returns whether a valid record after the offset shows that the record with the sequence `missing` had been
+// synced. Tries to decode a record at each offset where the sequences are plausible.
 bool WasSynced(std::string_view bytes, std::size_t offset, Sequence missing) {
   for (; offset + kRecordHeaderBytes <= bytes.size(); ++offset) {
     const auto durable = ReadLittleEndian<Sequence>(bytes, offset + kDurableOffset);
--- a/src/storage/segment.hpp
+++ b/src/storage/segment.hpp
@@ -1,5 +1,5 @@
 // Encodes segments of the write-ahead log, and decodes them after a crash. Does no I/O. All integers are
-// little-endian; the header and each record contain a checksum of all their other bytes.
+// little-endian. The header and each record contain a checksum of their other bytes.
 #ifndef GATEWAY_STORAGE_SEGMENT_HPP_
 #define GATEWAY_STORAGE_SEGMENT_HPP_
 
@@ -14,31 +14,32 @@
 // Number of a record in the log, starting at 1. A number is never reused.
 using Sequence = std::uint64_t;
 
-inline constexpr std::size_t kMaxPayloadBytes = 1 << 20;         // of one record
+inline constexpr std::size_t kMaxPayloadBytes = 1 << 20;         // limit for one record
 inline constexpr std::uint64_t kMaxSegmentBytes = 256ULL << 20;  // larger files are not read
 
 struct Record {
   Sequence sequence = 0;
   std::uint16_t kind = 0;     // defined by the owner of the store
-  std::uint16_t version = 0;  // of the payload's format; defined by the owner
+  std::uint16_t version = 0;  // version of the payload's format; defined by the owner of the store
   std::string payload;
   bool operator==(const Record&) const = default;
 };
 
 // Appends the encoded record: crc u32, length u32, kind u16, version u16, sequence u64, durable u64, payload.
-// `durable` is the last sequence that was durable when the record was written. With it, a reader can
-// determine whether a corrupt record before this one had been synced.
+// `durable` is the last sequence that was durable when the record was written. It lets a reader determine
+// whether a corrupt record before this record had been synced.
 void AppendRecord(std::string& bytes, const Record& record, Sequence durable);
 // Returns the header of a segment whose first record has the sequence `first`.
 std::string EncodeSegmentHeader(Sequence first);
 
 // Content of a segment up to the first invalid byte.
 struct Segment {
-  Sequence first = 0;           // from the header; 0 if the header is torn or corrupt
+  Sequence first = 0;           // first sequence according to the header; 0 if the header is torn or corrupt
   std::vector<Record> records;  // contiguous, starting at `first`
   std::size_t valid_bytes = 0;  // size of the header and the valid records
   bool complete = false;        // no bytes follow the valid records
-  // A later record shows that the record at `valid_bytes` had been synced, so this is not a torn write.
+  // True if a later record shows that the invalid record at `valid_bytes` had been synced. The record is then
+  // corrupt and not the result of a torn write.
   bool corrupt = false;
   std::string error;  // describes the invalid data at `valid_bytes`; empty if complete
 };
--- a/src/storage/snapshot.hpp
+++ b/src/storage/snapshot.hpp
@@ -14,8 +14,8 @@
 inline constexpr std::uint64_t kMaxSnapshotBytes = 64ULL << 20;
 
 struct Snapshot {
-  Sequence sequence = 0;      // of the last record that the snapshot replaces
-  std::uint16_t version = 0;  // of the payload's format; defined by the owner of the store
+  Sequence sequence = 0;      // sequence of the last record that the snapshot replaces
+  std::uint16_t version = 0;  // version of the payload's format; defined by the owner of the store
   std::string payload;
   bool operator==(const Snapshot&) const = default;
 };
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -19,13 +19,13 @@
 struct StoreOptions {
   std::string owner;                          // a single line; a store of another owner is not opened
   std::string program;                        // a single line: version of the program
-  std::uint64_t max_segment_bytes = 1 << 20;  // a new segment is created once this is exceeded
-  std::uint64_t max_log_bytes = 16 << 20;     // of all segments; a full log accepts records after a snapshot
+  std::uint64_t max_segment_bytes = 1 << 20;  // a new segment is created once a segment exceeds this size
+  std::uint64_t max_log_bytes = 16 << 20;     // all segments; a full log accepts no records until a snapshot
   bool open_corrupt = false;  // whether to open a corrupt store with the valid part of its data
 };
 
-// Not thread-safe. Calls block until the disk has completed them. After any error the store is read-only, and
-// records that were not acknowledged may or may not exist when it is opened again. A failed sync is not
+// Not thread-safe. Calls block until the disk has completed them. After any error the store is read-only.
+// When it is opened again, records that were not acknowledged may or may not exist. A failed sync is not
 // retried, because the kernel may already have marked the lost pages as clean.
 class Store {
  public:
