--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,7 +9,7 @@
 using base::Millis;
 
 constexpr double kPeriodJitter = 0.05;
-// A helper that has not received an ack sends its nack after this fraction of the probe timeout.
+// A helper sends a nack if it has not received an ack after this fraction of the probe timeout.
 constexpr double kNackAfterTimeouts = 0.8;
 constexpr double kRelayedProbeLifetimePeriods = 2;
 constexpr int kMaxRoundsPerProbe = 2;
@@ -57,7 +57,8 @@
   delegate_.SendMessage({probe.address, MessageType::kPing, probe.sequence, probe.name, {}}, out);
 }
 
-// Probes each member once per round, in a new random order, so that no member waits longer than two rounds.
+// Returns the next member to probe. Each round contains all members in a new random order. Thus at most two
+// rounds pass between two probes of a member.
 const Member* FailureDetector::NextProbeTarget() {
   for (int rounds = 0; rounds < kMaxRoundsPerProbe;) {
     if (round_.empty()) {
@@ -99,7 +100,8 @@
   }
 }
 
-// A helper that sent neither an ack nor a nack indicates that the fault is on the side of this member.
+// Ends the probe as failed. If a helper has sent neither an ack nor a nack, or if no helper was asked in
+// time, the fault is probably at this member or its link. In this case its local health becomes worse.
 void FailureDetector::FailProbe(Millis now, ProtocolOutput& out) {
   if (probe_->missing_nacks > 0) {
     local_health_.Worsen(probe_->missing_nacks);
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-// SWIM's failure detector: probes one member in each protocol period, directly and through other members, and
-// answers probes from other members.
+// SWIM's failure detector. Probes one member in each protocol period, first directly and then through other
+// members. Answers probes from other members.
 #ifndef GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 #define GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 
@@ -34,7 +34,7 @@
    public:
     virtual ~Delegate() = default;
     virtual void SendMessage(const OutgoingMessage& message, ProtocolOutput& out) = 0;
-    // Called when no ack arrived in time, either directly or through other members.
+    // Called when no ack of a probe has arrived in time, neither directly nor through other members.
     virtual void OnProbeFailed(base::Millis now, const std::string& name, ProtocolOutput& out) = 0;
   };
 
--- a/src/membership/gossip_codec.hpp
+++ b/src/membership/gossip_codec.hpp
@@ -22,7 +22,7 @@
   std::uint32_t sequence = 0;  // identifies the probe; assigned by the member that sends the ping
   std::string sender;
   Incarnation sender_incarnation = 0;
-  std::string target;     // kPing and kPingReq: the probed member; empty for any member at the address
+  std::string target;     // kPing and kPingReq: name of the probed member; if empty, any member answers
   Address probe_address;  // kPingReq: destination of the ping
 };
 
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -14,8 +14,9 @@
 inline constexpr std::size_t kMaxNameBytes = 24;
 
 // Orders the updates about a member: a higher incarnation is newer. The upper 48 bits are the start time of
-// the member's process (Unix time in ms, or a value above the last one that other members knew for the name).
-// The lower 16 bits count the member's refutations.
+// the member's process in ms of Unix time. If other members know a later start time for this name, for
+// example because the clock was set back, the member uses a higher value instead. The lower 16 bits count the
+// member's refutations.
 using Incarnation = std::uint64_t;
 inline constexpr int kRefutationBits = 16;
 
@@ -26,7 +27,8 @@
   auto operator<=>(const Address&) const = default;
 };
 
-// Within an incarnation, a higher status overrides a lower one. The values are part of the wire format.
+// Among updates with the same incarnation, the highest status applies. The values are part of the wire
+// format.
 enum class MemberStatus : std::uint8_t { kAlive = 0, kSuspect = 1, kDead = 2, kLeft = 3 };
 
 struct Member {
@@ -35,8 +37,8 @@
   Incarnation incarnation = 0;
   MemberStatus status = MemberStatus::kAlive;
   base::Millis status_since = 0;  // on the local clock
-  // Members that suspect this member independently of each other, sorted. Empty unless it is suspect. Never
-  // contains the member itself.
+  // Names of the members that suspect this member independently of each other, sorted. Empty unless this
+  // member is suspect. Never contains this member.
   std::vector<std::string> suspectors;
 
   // Returns whether the member is alive. A suspect counts as alive until its suspicion times out.
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -43,7 +43,7 @@
   std::vector<GossipUpdate> ExpireSuspicions(base::Millis now, ProtocolOutput& out);
   // Removes members that have been dead or have left for longer than the retention time.
   void RemoveExpiredMembers(base::Millis now);
-  // Postpones the timeouts that depend on how long each member has had its status.
+  // Postpones the suspicion timeouts and the removal of members by `delay`.
   void DelayTimeouts(base::Millis delay);
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -15,7 +15,7 @@
 constexpr int kRandomMembersPerMessage = 2;
 constexpr double kSeedPingPeriods = 10;  // interval between pings of seed addresses, in protocol periods
 constexpr double kIntervalJitter = 0.25;
-constexpr int kEarlySyncs = 4;                // syncs after the start that are made in every protocol period
+constexpr int kEarlySyncs = 4;                // the first syncs, which are one protocol period apart
 constexpr std::size_t kSyncsPerSeedSync = 4;  // one of this many syncs goes to a seed address
 
 std::string CheckedName(std::string name) {
@@ -61,8 +61,8 @@
   ExpireSuspicions(now, out);
 }
 
-// If this process was suspended or starved of CPU, other members must not be suspected for messages that it
-// missed.
+// Detects that this process was suspended or starved of CPU. In this case it may have missed messages, for
+// which it must not suspect other members.
 void Membership::DetectPause(Millis now) {
   const Millis since_last_tick = now - last_tick_;
   if (last_tick_ >= 0 && since_last_tick > options_.protocol_period) {
@@ -79,8 +79,8 @@
   next_seed_ping_at_ = now + options_.protocol_period * periods * Jitter(random_, kIntervalJitter);
 }
 
-// Requests a sync with a random member, or sometimes with a seed address, which lets the halves of a
-// partitioned group find each other again.
+// Requests a sync with a random member or sometimes with a seed address. Syncs with seed addresses let the
+// halves of a partitioned group find each other again.
 void Membership::RequestSync(Millis now, ProtocolOutput& out) {
   const std::vector<Member*>& members = members_.by_arrival();
   const Address member = members[RandomIndex(random_, members.size())]->address;
@@ -122,8 +122,8 @@
 void Membership::Merge(Millis now, const GossipUpdate& update, ProtocolOutput& out) {
   if (update.name == name_) return Refute(update);
   GossipUpdate merged = update;
-  // A report that a member is dead counts only as one suspicion, because the reporting member's link may be
-  // at fault. Each member waits for its own timeout.
+  // A report that a member is dead counts only as one suspicion, because the link of the reporting member may
+  // be faulty. This member declares the other member dead only after its own suspicion timeout.
   if (merged.status == MemberStatus::kDead) merged.status = MemberStatus::kSuspect;
   if (members_.Merge(now, merged, out)) dissemination_.Enqueue(merged);
 }
@@ -134,7 +134,7 @@
   const bool reports_alive = update.status == MemberStatus::kAlive;
   const bool is_older = update.incarnation < own || (reports_alive && update.incarnation == own);
   if (is_older || left_) return;
-  // Other members could not reach this member, so its own failed probes may have the same cause.
+  // Other members could not reach this member. If probes by this member fail, the cause may be the same.
   if (!reports_alive) local_health_.Worsen(1);
   members_.SetOwnIncarnation(update.incarnation + 1);
   dissemination_.Enqueue(UpdateAbout(self(), ""));
@@ -178,7 +178,7 @@
     return;
   }
   const MessageHeader& header = message->header;
-  if (header.sender == name_) return;  // from an earlier process with this name, or an echo
+  if (header.sender == name_) return;  // sent by this member or by an earlier process with its name
   Merge(now, {header.sender, from, header.sender_incarnation, MemberStatus::kAlive, ""}, out);
   for (const GossipUpdate& update : message->updates) Merge(now, update, out);
   HandleMessage(now, from, header, out);
@@ -192,7 +192,8 @@
     case MessageType::kAck: break;
   }
   failure_detector_.OnAck(header, out);
-  // The ping informs a member that answers but is not known as alive, so that it can refute this status.
+  // If a member answers that is not known as alive, the ping informs it about its status, so that it can
+  // refute the status.
   const Member* const sender = members_.Find(header.sender);
   if (sender != nullptr && sender->status != MemberStatus::kAlive) {
     failure_detector_.SendPing(from, header.sender, out);
@@ -208,7 +209,7 @@
   out.datagrams.push_back({message.to, datagram.Take()});
 }
 
-// Adds the status of a recipient that is not known as alive first, so that the recipient can refute it.
+// If the recipient is not known as alive, adds its status first, so that the recipient can refute the status.
 void Membership::AddUpdatesAbout(Address recipient, DatagramBuilder& datagram) const {
   if (members_.all_healthy()) return;
   for (const Member* member : members_.by_arrival()) {
@@ -217,8 +218,8 @@
   }
 }
 
-// Fills the remaining space for members that missed an update. Omits dead members, because old updates about
-// them would circulate forever.
+// Adds updates about random members in the remaining space, for recipients that missed an update. Omits dead
+// members, because old updates about them would circulate forever.
 void Membership::AddRandomMembers(DatagramBuilder& datagram) {
   if (members().size() <= 1) return;
   for (int i = 0; i < kRandomMembersPerMessage; ++i) {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -23,11 +23,12 @@
 namespace gateway::membership {
 
 // The protocol as a state machine: consumes datagrams and the current time, and produces datagrams and status
-// changes. Does no I/O and reads no clock; random choices depend only on the seed. Times are those of the
-// caller's monotonic clock; times of other machines are never used. Not thread-safe.
+// changes. Does no I/O and reads no clock. Random choices depend only on the seed. All times are on the
+// caller's monotonic clock, and times of other machines are never used. Not thread-safe.
 class Membership final : private FailureDetector::Delegate {
  public:
-  // `process_start` is a Unix time in ms. Throws std::invalid_argument if the name is empty or too long.
+  // `process_start` is the start of the local process in ms of Unix time. Throws std::invalid_argument if the
+  // name is empty or too long.
   Membership(MembershipOptions options, std::string name, Address address, std::uint64_t process_start,
              std::uint64_t seed);
   Membership(const Membership&) = delete;
@@ -42,8 +43,9 @@
   // Announces to some members that this member leaves the group. Must be called once, at shutdown.
   void Leave(ProtocolOutput& out);
 
-  // Anti-entropy for updates that datagrams missed. State() returns all known members except for dead ones.
-  // MergeState() is commutative, associative and idempotent, and returns false if the state is malformed.
+  // Anti-entropy: two members exchange their states to get updates that they missed because datagrams were
+  // lost. State() encodes all known members except dead ones. MergeState() is commutative, associative and
+  // idempotent. It returns false if the state is malformed.
   std::string State() const;
   bool MergeState(base::Millis now, std::string_view state, ProtocolOutput& out);
 
--- a/src/membership/protocol_output.hpp
+++ b/src/membership/protocol_output.hpp
@@ -24,8 +24,8 @@
 struct ProtocolOutput {
   std::vector<Datagram> datagrams;  // datagrams to send
   std::vector<StatusChange> status_changes;
-  // A member with which to exchange the complete state over a connection. If the exchange fails, updates only
-  // take longer to spread.
+  // Address of a member with which the owner must exchange the complete state over a connection. The exchange
+  // may fail; some updates then take longer to spread.
   std::optional<Address> sync_with;
 };
 
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -15,8 +15,9 @@
 base::Millis SuspicionTimeout(const MembershipOptions& options, std::size_t alive_members,
                               std::size_t suspectors);
 
-// Adds a member to the sorted list of suspectors. Retains only the lexicographically smallest names, so that
-// the result does not depend on the order of updates. Returns whether the list changed.
+// Adds a member to the sorted list of suspectors. If the list becomes too long, removes the last name in
+// lexicographic order, so that the result does not depend on the order of updates. Returns whether the list
+// changed.
 bool AddSuspector(std::vector<std::string>& suspectors, const std::string& name, int expected_confirmations);
 
 }  // namespace gateway::membership
