--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -19,8 +19,8 @@
 constexpr int kSeedCount = 3;
 constexpr std::uint32_t kFirstIp = 0x0a000000U;
 
-// Members on a simulated network that loses datagrams, and delays them by 1.1 to 17 ms like the network of a
-// site. Time advances in steps of 10 ms.
+// Members on a simulated network. The network loses datagrams and delays them by 1.1 to 17 ms, like the
+// network within a site. Time advances in steps of 10 ms.
 struct SimulatedNetwork {
   explicit SimulatedNetwork(int member_count, double loss_rate = 0, std::uint64_t seed = 1)
       : loss_rate(loss_rate), random(seed) {
@@ -62,7 +62,8 @@
     if (sync_with) Sync(member, MemberAt(*sync_with));
   }
 
-  // Exchanges states over a connection, which loses nothing but may fail to be established.
+  // Exchanges the states of two members over a connection. The connection loses no data, but it is not
+  // established if the second member is not running or in another partition.
   void Sync(int first, int second) {
     const auto first_index = static_cast<std::size_t>(first);
     const auto second_index = static_cast<std::size_t>(second);
@@ -105,7 +106,7 @@
     }
   }
 
-  // Returns whether each running member considers exactly the running members alive, including suspects.
+  // Returns whether each running member considers exactly the running members alive. Suspects count as alive.
   bool HasConverged() const {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!running[i]) continue;
@@ -118,7 +119,8 @@
     }
     return true;
   }
-  // Runs until the members have converged. Returns the time that this took, or -1 after the timeout.
+  // Runs until the members have converged. Returns the elapsed time, or -1 if they have not converged in
+  // time.
   Millis RunUntilConverged(Millis timeout) {
     const Millis start = now;
     while (!HasConverged() && now < start + timeout) Run(100);
@@ -147,7 +149,7 @@
   std::mt19937_64 random;
   std::vector<std::unique_ptr<Membership>> nodes;
   std::vector<bool> running, paused;
-  std::function<bool(int)> partition_side;  // side of a network partition that a member is on; empty if none
+  std::function<bool(int)> partition_side;  // returns a member's side of the partition; empty: no partition
   std::vector<std::vector<Datagram>> in_flight{8};
   std::vector<ReportedChange> changes;
   std::uint64_t messages = 0, bytes = 0, sync_bytes = 0;
@@ -165,9 +167,9 @@
 
 class MembershipAtSize : public ::testing::TestWithParam<GroupCase> {};
 
-// In SWIM the first detection of a crash takes 1.6 periods on average and the load per member is constant,
-// whatever the size of the group. The figures are printed so that changes are visible; the bounds are wide
-// because they check this rule and not speeds.
+// In SWIM the first detection of a crash takes 1.6 periods on average, and the load of a member is constant.
+// Both do not depend on the size of the group. The bounds check this property. They are wide, because they
+// don't check performance. The test prints its measurements, so that changes can be seen.
 TEST_P(MembershipAtSize, DetectsACrashWithoutFalseDeaths) {
   const GroupCase group = GetParam();
   for (std::uint64_t seed = 1; seed <= 1; ++seed) {
@@ -212,13 +214,13 @@
                                            GroupCase{300, 0, 10000, 90000, 0},
                                            GroupCase{100, 0.1, 10000, 200000, 0}));
 
-// During a partition each half declares the other half dead and removes it, so the halves find each other
-// again only through the seed addresses.
+// During a partition, the members of each half declare the other half dead and remove its members. Therefore
+// the halves can find each other again only through the seed addresses.
 TEST(Membership, PartitionedHalvesMergeAgain) {
   SimulatedNetwork net(40);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.partition_side = [](int member) { return member < 20; };
-  net.Run(200000);  // until each half has declared the other dead and removed it
+  net.Run(200000);  // long enough for each half to remove the members of the other half
   EXPECT_EQ(net.nodes[0]->alive_count(), 20u);
   EXPECT_EQ(net.nodes[39]->alive_count(), 20u);
   net.partition_side = nullptr;
@@ -227,8 +229,8 @@
   EXPECT_GE(merge_time, 0);
 }
 
-// A resumed member finds that all its timeouts have elapsed, and would suspect others for messages that it
-// missed.
+// When a paused member resumes, all of its timeouts have elapsed. It must not suspect other members because
+// of messages that it missed.
 TEST(Membership, PausedMemberDoesNotSuspectOthers) {
   SimulatedNetwork net(30);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -246,7 +248,7 @@
 
 // A member whose link loses most datagrams may be suspected, but must not cause other members to be declared
 // dead.
-TEST(Membership, MemberWithLossyLinkDoesNotKillOthers) {
+TEST(Membership, MemberWithLossyLinkDoesNotGetOthersDeclaredDead) {
   SimulatedNetwork net(30);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.changes.clear();
@@ -263,7 +265,8 @@
   EXPECT_GE(net.RunUntilConverged(120000), 0);
 }
 
-// A restarted process must replace the old one with the same name, even if its clock is behind the old one's.
+// A restarted process must replace the earlier process with the same name, even if its clock was set back
+// since the start of the earlier process.
 TEST(Membership, RestartedMemberGetsAHigherIncarnation) {
   for (const std::uint64_t process_start : {2000, 500}) {
     SimulatedNetwork net(10);
@@ -277,7 +280,8 @@
   }
 }
 
-// Without its announcement, a member that shuts down would first be suspected and then declared dead.
+// A member announces its shutdown. Without the announcement, other members would first suspect it and then
+// declare it dead.
 TEST(Membership, LeavingMemberIsNotSuspected) {
   SimulatedNetwork net(20);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -293,7 +297,8 @@
   }
 }
 
-// Truncated datagrams and datagrams of a newer version must not change the state; duplicates must do no harm.
+// Truncated datagrams and datagrams of a newer version must not change the state. Duplicate datagrams must
+// not change which members are alive.
 TEST(Membership, DropsMalformedDatagramsAndToleratesDuplicates) {
   SimulatedNetwork net(3);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -354,7 +359,7 @@
   return membership.State();
 }
 
-// Merging must be commutative, associative and idempotent; otherwise members that receive the same updates in
+// Merging must be commutative, associative and idempotent. Otherwise members that receive the same updates in
 // different orders would never agree.
 RC_GTEST_PROP(Membership, MergeDoesNotDependOnOrder, ()) {
   const auto states = *AnyStates();
--- a/tests/registry/agent_state_test.cpp
+++ b/tests/registry/agent_state_test.cpp
@@ -6,9 +6,9 @@
 namespace gateway::registry {
 namespace {
 
-// Follows a member from its start to its removal: a wrong action would leave the server unlisted, or keep an
-// unhealthy or stopped server in the list.
-TEST(AgentState, ChoosesTheNextAction) {
+// Follows a member from its start to its removal. A wrong action would leave a healthy server unlisted, or
+// keep an unhealthy or stopped server in the list.
+TEST(AgentState, ChoosesTheNextActionFromStartToRemoval) {
   AgentState state;
   EXPECT_EQ(state.next_action(), AgentAction::kNone);
   state.OnHealthCheck(true, 3);
@@ -19,12 +19,13 @@
   EXPECT_EQ(state.next_action(), AgentAction::kRegister);
   state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
   for (int i = 0; i < 3; ++i) state.OnHealthCheck(false, 3);
-  EXPECT_EQ(state.next_action(), AgentAction::kNone);  // so that its lease expires
+  EXPECT_EQ(state.next_action(), AgentAction::kNone);  // the lease of the unhealthy member must expire
   state.OnHealthCheck(true, 3);
   state.Stop();
   EXPECT_EQ(state.next_action(), AgentAction::kDrain);
   state.OnResult(AgentAction::kDrain, ErrorCode::kNone);
-  EXPECT_EQ(state.next_action(), AgentAction::kRenew);  // stays listed as draining for the drain grace period
+  // The member stays listed as draining during the drain grace period.
+  EXPECT_EQ(state.next_action(), AgentAction::kRenew);
   state.OnDrainGraceElapsed();
   EXPECT_EQ(state.next_action(), AgentAction::kRemove);
   state.OnResult(AgentAction::kRemove, ErrorCode::kNone);
--- a/tests/registry/catalog_test.cpp
+++ b/tests/registry/catalog_test.cpp
@@ -24,8 +24,8 @@
   RC_ASSERT(catalog.members() == reference.ListAt(reference.revision()));
 }
 
-// Requires that the delta from `after`, applied to the list of that revision, results in the newest list. The
-// delta must be in order and contain each member once.
+// Requires that the delta from the revision `after` turns the list of that revision into the newest list. The
+// delta must be in the order of the changes and contain each member once.
 void RequireDelta(const Catalog& catalog, Revision after, std::map<std::string, Member> list,
                   const std::map<std::string, Member>& newest) {
   const auto changed = catalog.ChangedSince(after);
@@ -42,9 +42,9 @@
   RC_ASSERT(list == newest);
 }
 
-// Every result must equal that of the reference, each accepted change must create one revision, and a watch
-// from any revision must get exactly the changes. RC_PARAMS="seed=... max_success=100000" runs more cases or
-// repeats a run.
+// Every result must equal the result of the reference implementation, each accepted change must create one
+// revision, and a watch from any revision must get exactly the changes since then. The environment variable
+// RC_PARAMS="seed=... max_success=100000" runs more cases or repeats a run.
 RC_GTEST_PROP(Catalog, MatchesTheReference, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   Catalog catalog("e", kInitialRevision);
@@ -89,9 +89,9 @@
   }
 }
 
-// Writes commands to the log in batches, with snapshots in between. The machine loses power or the process
-// dies at any call to the file system. All acknowledged commands must be recovered, and the recovered
-// commands must be a prefix of the written ones.
+// Writes commands to the log in batches, with snapshots in between. At a random call to the file system, the
+// machine loses power or the process dies. All acknowledged commands must be recovered, and the recovered
+// commands must be a prefix of the written commands.
 RC_GTEST_PROP(Catalog, RecoversAcknowledgedCommandsAfterCrashAtAnyCall, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   const auto crash_at = *rc::gen::inRange<int>(0, 60);
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -33,7 +33,8 @@
     const Member* const member = catalog.Find(command.member.id);
     leases.OnMemberChanged(member != nullptr ? *member : catalog.history().back(), now);
   }
-  // Members for which `renews` returns true renew every 3.2 s at different times.
+  // Advances the time. Members for which `renews` returns true renew their leases every 3.2 s, each at its
+  // own times.
   void Run(Millis duration, const std::function<bool(int)>& renews) {
     for (const Millis until = now + duration; now < until;) {
       now += 200;
@@ -62,8 +63,9 @@
   int preserved_ticks = 0;
 };
 
-// A dead member must leave the list even though self-preservation suspends removals when many leases expire.
-TEST(LeaseTable, RemovesAFewDeadMembersAfterLeaseGraceAndTick) {
+// If only a few members are dead, self-preservation must not start, and the dead members must be removed.
+// This takes the lease duration, the removal grace period and one tick.
+TEST(LeaseTable, RemovesAFewDeadMembersAfterLeaseAndGracePeriod) {
   LeaseSimulation simulation(60);
   const auto dead = [](int i) { return i == 4 || i == 20 || i == 51; };
   simulation.Run(20000, [](int) { return true; });
@@ -76,23 +78,24 @@
 }
 
 // A network failure between the members and the registry must not empty the list.
-TEST(LeaseTable, RemovesNoMemberIfManyLeasesLapseTogether) {
+TEST(LeaseTable, RemovesNoMemberIfManyLeasesExpireTogether) {
   LeaseSimulation simulation(60);
-  const auto disconnected = [](int i) { return i % 5 < 3; };  // 36 of 60
+  const auto disconnected = [](int i) { return i % 5 < 3; };  // 36 of 60 members
   simulation.Run(20000, [](int) { return true; });
   simulation.Run(600000, [&](int i) { return !disconnected(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
   EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // each zone, and all zones together
-  // Self-preservation ends by itself, and no member is removed for resuming its renewals late.
+  // When the members renew again, self-preservation ends. A member that resumes its renewals later than
+  // others must not be removed.
   simulation.Run(20000, [](int) { return true; });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
   EXPECT_EQ(simulation.leases.preserved_zones().size(), 0u);
   EXPECT_EQ(simulation.CountSuspects(), 0);
 }
 
-// Leases that lapse one after another within the window must count together; otherwise self-preservation
-// would never start and the zone would be removed member by member. At most about a quarter of it may be
-// removed.
+// Leases that expire one after another within the window must count together. Otherwise self-preservation
+// would never start, and the members of the zone would be removed one by one. At most about a quarter of the
+// members of the zone may be removed.
 TEST(LeaseTable, RemovesOnlyPartOfAZoneThatFailsGradually) {
   LeaseSimulation simulation(60);
   int dead = 0;
@@ -104,7 +107,7 @@
   EXPECT_LT(simulation.catalog.members().size(), 60u);
 }
 
-// While the service is suspended it misses renewals, for which no member must be suspected.
+// While the service is suspended, it misses renewals. It must not suspect members because of these renewals.
 TEST(LeaseTable, ExtendsAllLeasesAfterAPauseOfTheService) {
   LeaseSimulation simulation(60);
   simulation.Run(20000, [](int) { return true; });
@@ -116,7 +119,7 @@
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
 }
 
-// Members that are really dead must not stay in the list forever.
+// If many members are dead, they must not stay in the list forever.
 TEST(LeaseTable, EndsSelfPreservationAfterItsMaximumDuration) {
   LeaseOptions options;
   options.self_preservation.max_duration = 60000;
@@ -127,7 +130,8 @@
   EXPECT_EQ(simulation.catalog.members().size(), 30u);
 }
 
-// A renewal that succeeded after the removal was proposed would leave the member believing that it is listed.
+// After the removal of a member was proposed, its renewals must be rejected. Otherwise the member would not
+// register again, although it is removed from the list.
 TEST(LeaseTable, RejectsRenewalsOnceTheExpiryIsProposed) {
   LeaseSimulation simulation(10);
   LeaseTable& leases = simulation.leases;
@@ -142,7 +146,7 @@
   EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kExpiring);
   EXPECT_EQ(leases.Renew("m1", 2, now), RenewalResult::kStaleIncarnation);
   EXPECT_EQ(leases.Renew("none", 1, now), RenewalResult::kUnknownMember);
-  leases.OnProposalFailed(proposals[1]);  // not applied, so the lease continues
+  leases.OnProposalFailed(proposals[1]);  // the removal was not applied, so the lease continues
   EXPECT_EQ(leases.Renew("m0", 1, now), RenewalResult::kRecovered);
 }
 
--- a/tests/registry/reference_catalog.hpp
+++ b/tests/registry/reference_catalog.hpp
@@ -11,8 +11,8 @@
 
 namespace gateway::registry {
 
-// Stores the state of the changed member after each change, in order, and searches it from the end for each
-// result.
+// Stores the state of the changed member after each change, in order. Searches these states from the end for
+// each result.
 struct ReferenceCatalog {
   std::vector<Member> changes;
   std::map<std::string, std::pair<std::string, Revision>> keys;
--- a/tests/registry/registry_compatibility_test.cpp
+++ b/tests/registry/registry_compatibility_test.cpp
@@ -29,7 +29,7 @@
 constexpr Revision kLastRevision = kFirstRevision + 25;
 constexpr base::Millis kHour = 3600000;
 
-// Copy of the fixture, because a service writes to the folder that it opens.
+// A temporary copy of the fixture. A copy is needed because a service writes to the folder that it opens.
 class FolderCopy {
  public:
   FolderCopy() { std::filesystem::copy(kFixture, path); }
@@ -127,9 +127,9 @@
   return {web1, web10, web2, web4, web7};
 }
 
-// The compared properties of a change of the list.
+// The properties of a change of the list that the tests compare.
 struct HistoryEntry {
-  Revision change = 0;  // relative to the first revision
+  Revision change = 0;  // revision of the change minus kFirstRevision
   std::string id;
   MemberPhase phase = MemberPhase::kUp;
   bool suspect = false, expired = false;
@@ -188,8 +188,8 @@
   EXPECT_EQ(history, ExpectedHistory());
 }
 
-// A request retried after an upgrade must not be executed again, whether its result was in the snapshot or in
-// the log.
+// A request that is retried after an upgrade must not be executed again. The result of the first execution
+// may come from the snapshot or from the log.
 TEST(RegistryCompatibility, RecoversResultsOfIdempotencyKeys) {
   OpenedCatalog opened;
   struct KeyedRequest {
@@ -222,8 +222,8 @@
   EXPECT_EQ(opened.catalog().revision(), kLastRevision);
 }
 
-// Decoding and encoding must reproduce the bytes of the older program; otherwise a rollback could not read
-// the folder.
+// Decoding and encoding must reproduce the bytes of the older program. Otherwise the older program could not
+// read the folder after a rollback.
 TEST(RegistryCompatibility, EncodesSnapshotAndRecordsInTheSameFormat) {
   const storage::Examination found = ExamineFixture();
   EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
--- a/tests/registry/registry_json_test.cpp
+++ b/tests/registry/registry_json_test.cpp
@@ -22,7 +22,7 @@
 }
 
 // Clients depend on the error codes on the wire and on their HTTP statuses.
-TEST(RegistryJson, NamesEachErrorCode) {
+TEST(RegistryJson, EncodesAndDecodesEachErrorCode) {
   struct ErrorCase {
     ErrorCode code;
     const char* name;
@@ -46,9 +46,9 @@
   }
 }
 
-// The unknown code of a newer service must be preserved as received. A response that is not a result is
-// unreadable.
-TEST(RegistryJson, DecodesUnknownCodesAndUnreadableResponses) {
+// If a newer service sends an unknown error code, the code must be preserved as received. A response that
+// does not contain a result must be reported as unreadable.
+TEST(RegistryJson, PreservesUnknownCodesAndReportsUnreadableResponses) {
   const CommandResult unknown_code = ParseResult(409, R"({"error":{"code":"frozen","message":"text"}})");
   EXPECT_EQ(unknown_code.code(), ErrorCode::kOther);
   EXPECT_EQ(ErrorCodeName(*unknown_code.error), "frozen");
--- a/tests/registry/service_test.cpp
+++ b/tests/registry/service_test.cpp
@@ -87,8 +87,8 @@
   std::optional<Service> service;
 };
 
-// Covers the published list: the full list, the delta for all watches, and the same delta after a restart. A
-// watch that missed a change would leave its gateway with an outdated list.
+// Covers the full list, the delta for all watches, and the same delta after a restart of the service. If a
+// watch missed a change, its gateway would keep an outdated list.
 TEST(RegistryService, NotifiesAllWatchesOfDurableChanges) {
   ServiceFixture fixture;
   EXPECT_EQ(fixture.Register("a", 1).first, 200u);
@@ -119,12 +119,13 @@
   const json delta_after_restart =
       fixture.Request("GET", "/discovery/hosts?after=" + std::to_string(kInitialRevision + 1)).second;
   EXPECT_EQ(delta_after_restart, notified[0]);
-  // A client with a revision of another epoch or of the future gets the full list.
+  // If the client's revision is from another epoch or in the future, the client gets the full list.
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=101&epoch=other").second["complete"], true);
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=999&wait_ms=9000").second["complete"], true);
 }
 
-// A malformed call must get the matching status, code and field, and must not end the service.
+// The response to a malformed call must contain the matching status, code and field. The call must not end
+// the service.
 TEST(RegistryService, ReportsErrorsOfCalls) {
   ServiceFixture fixture;
   struct InvalidCall {
@@ -186,8 +187,8 @@
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts").second["members"].size(), 2u);
 }
 
-// Clients beyond the limit must be rejected at once, without affecting pending watches or operators;
-// otherwise an overload of clients would lock out the operators.
+// Clients beyond the limit must be rejected at once, without affecting pending watches or operators.
+// Otherwise operators could not reach the service when it is overloaded by clients.
 TEST(RegistryService, RejectsClientsAndReservesConnectionsForOperators) {
   ServiceFixture fixture(/*max_clients=*/3);
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
--- a/tests/storage/corruption_test.cpp
+++ b/tests/storage/corruption_test.cpp
@@ -26,14 +26,14 @@
       ASSERT_TRUE(Examine(*corrupted, kFolder, kOptions.owner, found).ok());
       ++flips;
       detected += found.condition == StoreCondition::kCorrupt;
-      if (found.is_foreign()) continue;  // must not be modified
+      if (found.is_foreign()) continue;  // a foreign store must not be opened, since that would modify it
       Sequence expected = found.snapshot ? found.snapshot->sequence : 0;
       EXPECT_TRUE(!found.snapshot || found.snapshot->payload == "all up to 30");
       for (const Record& record : found.records) {
         ASSERT_EQ(record.sequence, ++expected);
         ASSERT_EQ(record.payload, PayloadOf(expected)) << name << " byte " << offset;
       }
-      // Only a corrupt record that looks like an unsynced last record may go unnoticed.
+      // A flipped bit may go unnoticed only if the corrupt record looks like an unsynced record at the end.
       EXPECT_TRUE(found.condition != StoreCondition::kComplete || found.last() >= 87)
           << name << " byte " << offset;
       StoreOptions open_corrupt = kOptions;
--- a/tests/storage/crash_recovery_test.cpp
+++ b/tests/storage/crash_recovery_test.cpp
@@ -16,8 +16,8 @@
 
 using Call = FaultyFileSystem::Call;
 
-// Writes 200 records in batches and four snapshots, with segments of 1,200 bytes. Calls `observe` with the
-// file system before each call to it.
+// Writes 200 records in batches and four snapshots, with segments of 1,200 bytes. Before each call to the
+// file system, passes the file system to `observe`.
 struct Workload {
   Sequence acknowledged = 0;
   Sequence written = 0;
@@ -50,7 +50,7 @@
   Sequence snapshots_ = 0;
 };
 
-// Returns states that a power loss or the death of the process may leave at this point.
+// Returns copies of the file system as a power loss or the death of the process may leave it at this point.
 std::vector<std::unique_ptr<MemoryFileSystem>> SimulateCrashes(const MemoryFileSystem& memory,
                                                                boost::random::mt19937_64& random) {
   const auto draw = [&random](std::size_t max) {
@@ -94,8 +94,8 @@
   std::string first_error;
 };
 
-// Recovers a crashed folder, checks that a second recovery has the same result, and continues the log until
-// the next power loss. Returns an error message, or an empty string.
+// Recovers the folder after a crash, checks that a second recovery has the same result, and continues the log
+// until the next power loss. Returns an error message, or an empty string if all checks pass.
 std::string CheckRecovery(MemoryFileSystem& crashed, const FaultyFileSystem::Hook& recovery_faults,
                           const Workload& workload) {
   FaultyFileSystem files(crashed, [&](Call call, const std::string& path) {
@@ -111,7 +111,7 @@
       second_examination.last() != last) {
     error = "a second recovery has another result";
   }
-  // Two records are acknowledged immediately before the next power loss.
+  // Two more records are acknowledged immediately before the next power loss.
   for (Sequence next = last + 1; next <= last + 2; ++next) opened.store->Append(7, 1, PayloadOf(next));
   if (!opened.store->Commit().ok()) error = "cannot commit after the recovery";
   const auto crashed_again = crashed.AfterPowerLoss({});
@@ -147,15 +147,15 @@
   std::printf("%zu crash states\n", results.states);
 }
 
-// Skips each kind of sync in turn. A sync whose absence loses no acknowledged record after any crash would be
-// superfluous, or the simulated crashes would not cover it.
-TEST(CrashRecovery, LosesRecordsWithoutEachOfItsSyncs) {
+// Skips one kind of sync at a time. Each time, some crash must lose an acknowledged record. Otherwise this
+// kind of sync would be superfluous, or the simulated crashes would not cover it.
+TEST(CrashRecovery, LosesRecordsIfAnyKindOfSyncIsSkipped) {
   struct SkippedSync {
     const char* description;
     Call call;
     const char* path;          // skips syncs of paths that contain this text
-    const char* last_changed;  // if the path that was changed last contains this text
-    bool in_recovery;          // skips in the recovery of a crashed folder instead of the workload
+    const char* last_changed;  // skips only if the path that was changed last contains this text
+    bool in_recovery;          // skips syncs in the recovery after a crash instead of in the workload
   };
   for (const SkippedSync& skipped_sync :
        {SkippedSync{"of a segment at a commit", Call::kSync, "/log-", "", false},
--- a/tests/storage/store_fixture.hpp
+++ b/tests/storage/store_fixture.hpp
@@ -31,8 +31,8 @@
   return opened;
 }
 
-// Checks that the recovered state contains all records up to `acknowledged`, and none after `written`.
-// Returns an error message, or an empty string.
+// Checks that the recovered state contains all records up to `acknowledged`, and no record after `written`.
+// Returns an error message, or an empty string if the check passes.
 inline std::string FindError(const Examination& found, Sequence acknowledged, Sequence written) {
   if (found.condition == StoreCondition::kCorrupt || found.is_foreign())
     return "reported as corrupt: " + found.error;
--- a/tests/storage/store_fuzz.cpp
+++ b/tests/storage/store_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target (libFuzzer) for the decoders of a store's files: no input may crash them, and accepted input
-// must encode to the same bytes.
+// Fuzz target (libFuzzer) for the decoders of a store's files. No input may crash a decoder, and encoding the
+// decoded data must result in the accepted input.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -80,7 +80,7 @@
   }
 }
 
-// The log must not grow without limit if no snapshot is taken.
+// If no snapshot is taken, the log must not grow without limit.
 TEST(Store, RejectsRecordsWhenLogIsFullUntilSnapshot) {
   MemoryFileSystem memory;
   StoreOptions small_log = kOptions;
@@ -100,7 +100,7 @@
   EXPECT_EQ(names.size(), 2U);  // the manifest and the snapshot
 }
 
-// Reopens the store in each round, so that errors in the use of real files, folders and locks show.
+// Reopens the store in each round. This detects errors in the use of real files, folders and locks.
 TEST(Store, RecoversOnPosixFileSystem) {
   const std::string folder = ::testing::TempDir() + "store-" + std::to_string(getpid());
   std::filesystem::remove_all(folder);
