--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,5 +1,5 @@
-// The clocks of the project. State machines receive the time as an argument; only the code that drives them
-// reads a clock.
+// The clocks of the project. State machines receive the time as an argument. Only the code that calls the
+// state machines reads a clock.
 #ifndef GATEWAY_BASE_CLOCK_HPP_
 #define GATEWAY_BASE_CLOCK_HPP_
 
@@ -19,23 +19,24 @@
 
 }  // namespace internal
 
-// The monotonic clock, which never goes backwards, in ms since an unspecified origin that all processes of a
-// machine share.
+// Returns the time of the monotonic clock, which never goes backwards, in ms. The origin is unspecified, but
+// all processes of a machine share it.
 inline Millis MonotonicNow() { return internal::SinceEpoch<std::chrono::steady_clock>(); }
 
-// The monotonic clock shifted to Unix time, in ms. The offset between the two clocks is computed once, at the
-// first call in this process. A point in Unix time that others report, such as the start of an endpoint,
-// therefore maps to the same value for the lifetime of the process, even if the system clock is set.
+// Returns the time of the monotonic clock shifted to Unix time, in ms. The offset between the monotonic clock
+// and the system clock is computed once, at the first call in this process. A point in Unix time that others
+// report, such as the start of an endpoint, therefore keeps its relation to this clock even if the system
+// clock is set.
 inline Millis UnixAlignedNow() {
   static const Millis offset = internal::SinceEpoch<std::chrono::system_clock>() - MonotonicNow();
   return MonotonicNow() + offset;
 }
 
-// The system clock, in ms of Unix time, for timestamps that leave the process. It follows every change of the
-// system clock and may go backwards.
+// Returns the time of the system clock in ms of Unix time, for timestamps that leave the process. The time
+// follows every change of the system clock and may go backwards.
 inline Millis UnixNow() { return internal::SinceEpoch<std::chrono::system_clock>(); }
 
-// Converts a duration for Asio's timers, which take no fractions. Negative durations become 0.
+// Converts a duration to the type of Asio's timers, which have no fractions. A negative duration becomes 0.
 inline std::chrono::microseconds TimerDuration(Millis duration) {
   constexpr double kMicrosPerMilli = 1000;
   return std::chrono::microseconds(duration > 0 ? static_cast<std::int64_t>(duration * kMicrosPerMilli) : 0);
--- a/src/base/config_error.hpp
+++ b/src/base/config_error.hpp
@@ -6,9 +6,8 @@
 
 namespace gateway::base {
 
-// A configuration that can't be read or is invalid. what() is one line. It begins with the location of the
-// error
-// ("FILE:LINE:COLUMN") or the name of the variable or field and describes the error.
+// Reports a configuration that can't be read or is invalid. what() is one line. It begins with the location
+// of the error ("FILE:LINE:COLUMN") or with the name of the variable or field, and then describes the error.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -35,8 +35,9 @@
   double mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
   std::uint64_t max() const { return max_; }
 
-  // Returns the upper end of the lowest bucket up to which at least the fraction `quantile` (0 to 1) of all
-  // values lies, or the maximum if that is lower. Returns 0 if there are no values.
+  // Returns an upper bound of the given quantile: at least the fraction `quantile` (0 to 1) of all values is
+  // less than or equal to it. The bound is the upper end of a bucket, or the maximum value if the maximum is
+  // lower. Returns 0 if there are no values.
   std::uint64_t Quantile(double quantile) const {
     const double target_count = quantile * static_cast<double>(count_);
     std::uint64_t cumulative_count = 0;
@@ -49,7 +50,8 @@
     return max_;
   }
 
-  // Returns whether at least 10 values lie above the quantile. With fewer, Quantile() is a poor estimate.
+  // Returns whether at least 10 values lie above the quantile. With fewer values, Quantile() is a poor
+  // estimate.
   bool SupportsQuantile(double quantile) const { return static_cast<double>(count_) * (1 - quantile) >= 10; }
 
   // Returns the number of values up to `value`, with the resolution of the buckets.
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -40,7 +40,7 @@
   };
   struct Result {
     Failure failure = Failure::kNone;
-    HttpResponse response;  // complete if `failure` is kNone, else empty
+    HttpResponse response;  // complete if `failure` is kNone, otherwise empty
     bool ok() const { return failure == Failure::kNone && response.result_int() == 200; }
   };
   using ResultCallback = std::function<void(Result)>;
@@ -48,25 +48,25 @@
   ClientConnection(boost::asio::io_context& io, tcp::endpoint server)
       : socket_(io), timer_(io), server_(std::move(server)) {}
 
-  // Sends a request, which includes its header, and reads the response. Connects first if the connection has
-  // not been established. Calls `on_result` exactly once, at the latest after `timeout`. If `on_written` is
-  // given, it is called before that, once the last byte of the request has been passed to the system.
-  // usable() must be true.
+  // Sends `request`, the complete text of a request with its header, and reads the response. Connects first
+  // if the connection has not been established. Calls `on_result` exactly once, at the latest after
+  // `timeout`. Calls `on_written`, if given, when the last byte of the request has been passed to the system,
+  // and never after `on_result`. usable() must be true.
   void Exchange(std::string request, Millis timeout, ResultCallback on_result,
                 std::function<void()> on_written = {});
 
   void Close();
 
-  // Whether another exchange can begin: none is in progress, and the connection has not failed or been
-  // closed.
+  // Returns whether another exchange can begin: no exchange is in progress, and the connection has neither
+  // failed nor been closed.
   bool usable() const { return open_ && !on_result_; }
 
-  // The number of finished exchanges.
+  // Returns the number of finished exchanges.
   int exchanges() const { return exchanges_; }
 
   const tcp::endpoint& server() const { return server_; }
 
-  // Calls `on_closed` if the server closes the connection while it is idle. The next Exchange() ends the
+  // Calls `on_closed` if the server closes the connection while it is idle. The next Exchange() cancels the
   // notification.
   void NotifyOnIdleClose(std::function<void()> on_closed);
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::ordered_json;
 
-LogFormat log_format = LogFormat::kText;  // of all records of the process
+LogFormat log_format = LogFormat::kText;  // format of all records of the process
 
 const char* LevelName(Level level) {
   return level == Level::kInfo ? "info" : level == Level::kWarning ? "warning" : "error";
--- a/src/base/millis.hpp
+++ b/src/base/millis.hpp
@@ -4,7 +4,7 @@
 
 namespace gateway::base {
 
-// Milliseconds with fractions: a duration, or a point in time relative to an origin that the declaration
+// Milliseconds with fractions. A value is a duration, or a point in time on the clock that its declaration
 // names.
 using Millis = double;
 
--- a/src/base/spelling.hpp
+++ b/src/base/spelling.hpp
@@ -8,9 +8,9 @@
 
 namespace gateway::base {
 
-// Returns the word in `words` with the smallest edit distance to `typed`, or the first such word if there are
-// several. Returns an empty string if all distances exceed three or a third of the length of `typed`; a
-// distance of one is always accepted.
+// Returns the word in `words` with the smallest edit distance to `typed`. If several words have this
+// distance, returns the first of them. Returns an empty string if the distance is greater than three, or
+// greater than one and greater than a third of the length of `typed`.
 std::string NearestWord(std::string_view typed, const std::vector<std::string>& words);
 
 }  // namespace gateway::base
--- a/src/base/supervisor.hpp
+++ b/src/base/supervisor.hpp
@@ -12,16 +12,16 @@
 class Supervisor {
  public:
   struct Options {
-    // The backoff before the restart after a first crash. It doubles with each consecutive crash.
+    // Backoff between the first crash and the restart. The backoff doubles with each consecutive crash.
     Millis initial_backoff = 200;
     Millis maximum_backoff = 30000;
     // A crash after a run of at least this duration counts as a first crash again.
     Millis healthy_run_duration = 10000;
-    // This many crashes within the window are a crash loop, after which the process is not restarted.
+    // If the process crashes this many times within the window, it is in a crash loop and is not restarted.
     int crash_loop_threshold = 8;
     Millis crash_loop_window = 120000;
-    // After this many consecutive crashes, each within the window after a start with the saved state, the
-    // state may be corrupt and the process is restarted without it.
+    // If the process crashes this many times in a row, each time within the window after a start with the
+    // saved state, the state may be corrupt. The process is then restarted once without the saved state.
     int bad_state_threshold = 2;
     Millis bad_state_window = 5000;
   };
@@ -37,13 +37,13 @@
 
   struct Decision {
     Action action = Action::kStop;
-    Millis backoff = 0;  // before a restart
+    Millis backoff = 0;  // time to wait before a restart
   };
 
   explicit Supervisor(Options options) : options_(options) {}
 
-  // Decides what to do after the process has exited. `jitter` is uniform in [0, 1] and varies the backoff
-  // from half of its value to its full value.
+  // Decides what to do after the process has exited. `jitter` is uniform in [0, 1] and reduces the backoff to
+  // a value between half and all of it.
   Decision OnProcessExit(const ProcessExit& exit, double jitter);
 
  private:
@@ -52,8 +52,8 @@
 
   const Options options_;
   std::deque<Millis> crashes_;      // times of the crashes within the crash loop window
-  int consecutive_crashes_ = 0;     // without a healthy run between them
-  int crashes_on_saved_state_ = 0;  // consecutive, each soon after a start with the saved state
+  int consecutive_crashes_ = 0;     // crashes without a healthy run between them
+  int crashes_on_saved_state_ = 0;  // consecutive crashes, each soon after a start with the saved state
 };
 
 }  // namespace gateway::base
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -21,8 +21,8 @@
                      region.begin.column, reason);
 }
 
-// Adds the keys of `base` that `table` does not have. Moves them because copies lose their location in the
-// file.
+// Adds the keys of `base` that `table` does not have. Moves the values, because copies lose their location in
+// the file.
 void AddMissingKeys(toml::table& table, toml::table&& base) {
   for (auto&& [key, value] : base) {
     value.visit([&, &name = key](auto& node) { table.insert(name, std::move(node)); });
@@ -85,8 +85,8 @@
       LocatedError(impl_->file, node ? node->source() : impl_->table->source(), key + ": " + reason));
 }
 
-// Reports an unknown key that is spelled almost like the missing one, since it is probably a misspelling of
-// it.
+// Reports a missing key. If an unknown key is spelled almost like the missing key, reports the unknown key,
+// which is probably a misspelling.
 void TomlTable::FailMissing(const std::string& key) const {
   for (const auto& [name, value] : *impl_->table) {
     if (!NearestWord(name.str(), {key}).empty()) {
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -25,15 +25,15 @@
 inline constexpr Range kAboveZero{1e-9, std::numeric_limits<double>::infinity()};
 inline constexpr Range kFraction{0, 1};
 
-// One table of a TOML file. Getters return the value of a key, or `fallback` if the file does not have the
-// key; getters without a fallback throw ConfigError in that case. They also throw ConfigError, with the
-// location of the value, if its type is wrong or it is out of range. Copies share the parsed file, which
-// lives as long as the last copy. Not thread-safe.
+// One table of a TOML file. Getters return the value of a key. If the file does not have the key, they return
+// `fallback`, and getters without a fallback throw ConfigError. Getters also throw ConfigError, with the
+// location of the value, if the value has the wrong type or is out of range. Copies share the parsed file,
+// which lives as long as the last copy. Not thread-safe.
 class TomlTable {
  public:
-  // Reads a file. Throws ConfigError if it can't be read or is not valid TOML. If the file has a key extends
-  // = "FILE", a path relative to the folder of `path`, top-level keys that are absent in the file are taken
-  // from FILE.
+  // Reads a file. Throws ConfigError if the file can't be read or is not valid TOML. If the file contains
+  // extends = "FILE", top-level keys that are absent in the file are taken from FILE. FILE is a path relative
+  // to the folder of `path`.
   static TomlTable FromFile(const std::string& path);
 
   // Reads a string. Errors use `name` in place of the file name.
@@ -74,8 +74,8 @@
   // similar requested key. Must be called after the last getter.
   void RejectUnknownKeys() const;
 
-  // Throws ConfigError with the location of the key, or of the table if it does not have the key. For rules
-  // that only the caller knows.
+  // Throws ConfigError with the location of the key, or with the location of the table if the table does not
+  // have the key. Used for rules that only the caller knows.
   [[noreturn]] void Fail(const std::string& key, const std::string& reason) const;
 
  private:
