--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -26,7 +26,7 @@
 
 struct CallOptions {
   std::string address;
-  std::string command;  // of the management protocol
+  std::string command;  // command of the management protocol
 };
 
 // Sends one command line and reads the response until the gateway closes the connection.
@@ -34,7 +34,7 @@
  public:
   explicit ManagementCall(const std::string& command) : request_(command + "\n") {}
 
-  // Returns no error if the response is complete.
+  // Returns the error that ended the call, or no error if the response is complete.
   error_code Run(const asio::ip::tcp::endpoint& gateway) {
     socket_.async_connect(gateway, [this](error_code ec) { ec ? Finish(ec) : Write(); });
     io_.run_for(kCallTimeout);
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -24,7 +24,7 @@
 
 struct RunOptions {
   std::string file;
-  std::string json;  // path for the result; empty: not written
+  std::string json;  // path of the result file; if empty, no file is written
   lab::RunOptions lab;
 };
 
@@ -113,6 +113,7 @@
   SelectWhenGiven(*run, selected, [options] { return RunExperimentFile(*options); });
 }
 
+// Prints the schedule of an experiment. Checks the file if it is a gateway configuration in JSON instead.
 int PrintSchedule(const ScheduleOptions& options) {
   if (options.file.ends_with(".json")) return CheckGatewayConfig(options.file);
   const lab::Experiment experiment = lab::ReadExperiment(options.file);
@@ -125,7 +126,10 @@
 void AddSchedule(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<ScheduleOptions>();
   CLI::App* const schedule = lab.add_subcommand("schedule", "Prints the arrivals and the timeline of faults");
-  schedule->add_option("FILE", options->file, "Experiment file")->required();
+  schedule
+      ->add_option("FILE", options->file,
+                   "Experiment file (.toml), or gateway configuration (.json) to check")
+      ->required();
   schedule->add_option("--seed", options->seed, "Seed of the schedule")->capture_default_str();
   schedule->footer("Example: gatewayctl lab schedule experiments/steady-3x12.toml --seed 2 | sha256sum");
   SelectWhenGiven(*schedule, selected, [options] { return PrintSchedule(*options); });
@@ -187,7 +191,9 @@
   registry->add_option("--changes", load->changes, "Changes whose delivery to all watchers is timed")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
-  registry->add_option("--history", load->history, "Changes made before the service is killed")
+  registry
+      ->add_option("--history", load->history,
+                   "Changes written to the log before the service is killed and its restart is timed")
       ->check(CLI::Range(1000, 1000000))
       ->capture_default_str();
   registry->footer("Example: gatewayctl lab registry --watchers 5000");
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -66,8 +66,8 @@
   std::string body;
 };
 
-// Sends the request to one service after the other until one responds with a status other than 503. Returns
-// a 503 only if it comes from the last service.
+// Sends the request to one service after the other until a service responds with a status other than 503.
+// Returns a response with 503 only if it comes from the last service.
 ServiceResponse SendRequest(const RegistryOptions& options, const std::string& method,
                             const std::string& target, const std::string& body = "",
                             double timeout_ms = kCallTimeoutMs) {
@@ -94,7 +94,7 @@
   return {};
 }
 
-// Sends the command as an operator's, with the preconditions of the options, and prints the result.
+// Sends the command as a command by an operator, with the preconditions from the options. Prints the result.
 int SendCommand(const RegistryOptions& options, registry::Command command) {
   const std::string name = CallName(command.action);
   command.by_operator = true;
@@ -166,7 +166,7 @@
   return kDone;
 }
 
-// Prints changes as they arrive, for `watch_seconds`, or without a time limit if that is 0.
+// Prints changes as they arrive, for `watch_seconds`. If `watch_seconds` is 0, there is no time limit.
 int WatchMembers(const RegistryOptions& options) {
   ServiceResponse response = SendRequest(
       options, "GET",
@@ -220,8 +220,8 @@
   return kDone;
 }
 
-// Registers each member as the newest of the lists describes it. A file contains a list in the published form
-// or the output of `gatewayctl state export` for a gateway's folder.
+// Registers each member with the properties that it has in the newest of the lists. A file contains a
+// published list or the output of `gatewayctl state export` for the state folder of a gateway.
 int RestoreMembers(const RegistryOptions& options) {
   std::map<std::string, std::pair<registry::Revision, registry::Member>> newest;
   for (const std::string& file : options.list_files) {
@@ -261,7 +261,8 @@
   registry::ServiceOptions options = registry::ReadServiceOptions(config_file);
   options.program = GATEWAY_VERSION;
   options.epoch = RandomHexToken();
-  // Unix time in ms exceeds every revision of a lost service that made fewer than 1,000 changes per second.
+  // If a service has lost its state, the revisions must not go back. The Unix time in ms is higher than any
+  // earlier revision, if the service made fewer than 1,000 changes per second on average.
   options.initial_revision = UnixMillis();
   std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit then fails as on a full disk
   std::signal(SIGPIPE, SIG_IGN);
@@ -313,7 +314,8 @@
   return SendCommand(options, std::move(command));
 }
 
-// Adds the subcommands of `registry`. They share one set of options because a command line selects only one.
+// Adds the subcommands of `registry`. They share one set of options, because a command line selects only one
+// subcommand.
 class RegistrySubcommands {
  public:
   RegistrySubcommands(CLI::App& registry, Command& selected) : registry_(registry), selected_(selected) {}
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -34,8 +34,8 @@
 constexpr double kMillisPerSecond = 1000;
 constexpr double kNanosPerMilli = 1e6;
 
-// Starts the command with /bin/sh. The kernel sends SIGTERM to the child when this process ends for any
-// reason.
+// Starts the command with /bin/sh. When this process ends for any reason, the kernel sends SIGTERM to the
+// child.
 pid_t StartProcess(const std::string& command, bool with_saved_state) {
   const std::string shell_command = "exec " + command;
   const pid_t parent = getpid();
@@ -93,7 +93,7 @@
 // One run of a gateway process, from its start to its exit.
 struct GatewayRun {
   pid_t pid = 0;
-  int status = 0;  // as returned by waitpid
+  int status = 0;  // the status from waitpid
   Millis exited_at = 0;
   Millis duration = 0;
 };
@@ -173,7 +173,7 @@
   const sigset_t signals_ = BlockSignals();
   Supervisor supervisor_{{}};
   std::mt19937_64 random_{std::random_device{}()};
-  bool with_saved_state_ = true;  // of the running process, or of the next one during a backoff
+  bool with_saved_state_ = true;  // whether the running process uses it, or the next process during a backoff
   bool termination_requested_ = false;
 };
 
@@ -184,8 +184,9 @@
   CLI::App* const run = app.add_subcommand("run", "Supervises one gateway and restarts it after a crash");
   run->add_option("--command", *command, "Shell command that starts the gateway")->capture_default_str();
   run->footer(
-      "Exit codes: that of the command after a termination signal or a successful exit, 128 + N after signal "
-      "N, 4 after a crash loop.\nExample: NODE_CONFIG=n3.json gatewayctl run");
+      "Exit codes: the exit code of the command if it succeeded or was asked to terminate, 128 + N if "
+      "signal N ended it or arrived while no gateway ran, 4 after a crash loop.\n"
+      "Example: NODE_CONFIG=n3.json gatewayctl run");
   SelectWhenGiven(*run, selected, [command] { return GatewaySupervisor(*command).Run(); });
 }
 
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -26,7 +26,7 @@
 namespace gateway::cli {
 namespace {
 
-constexpr unsigned kDeadlineMarginSeconds = 15;  // from the deadline to the SIGALRM for a hanging process
+constexpr unsigned kDeadlineMarginSeconds = 15;  // from the deadline until SIGALRM ends a hanging process
 constexpr double kMillisPerSecond = 1000;
 
 struct ScaleOptions {
@@ -36,8 +36,8 @@
   bool quick = false;
   bool plots = true;
   bool compare = false;    // run the standard comparison first
-  int runs = 0;            // of each point; 0: the value in the file
-  std::uint64_t seed = 0;  // of the first run; 0: the value in the file
+  int runs = 0;            // runs of each point; 0: the value in the file
+  std::uint64_t seed = 0;  // seed of the first run; 0: the value in the file
   lab::ScalePrograms programs;
 };
 
@@ -209,8 +209,8 @@
 void AddHollowGateways(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<lab::HollowOptions>();
   const auto control = std::make_shared<std::string>();
-  CLI::App* const hollow =
-      lab.add_subcommand("hollow-gateways", "Runs gateways without a request path (used by the lab)");
+  CLI::App* const hollow = lab.add_subcommand(
+      "hollow-gateways", "Runs gateways that watch the list but forward no requests (used by the lab)");
   hollow
       ->add_option("CONFIG", options->config,
                    "Configuration of the first gateway, in the form of NODE_CONFIG")
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -28,7 +28,7 @@
     case storage::StoreCondition::kEmpty: return "no state";
     case storage::StoreCondition::kComplete: return "whole";
     case storage::StoreCondition::kCorrupt: return "damaged";
-    case storage::StoreCondition::kOtherOwner:
+    case storage::StoreCondition::kOtherOwner: return "written by another owner";
     case storage::StoreCondition::kUnsupportedVersion: return "written by a newer version";
   }
   return "";
@@ -76,15 +76,15 @@
   return kSuccess;
 }
 
-// Prints the summary. Fails if the state is damaged or was written by a newer version.
+// Prints the summary. Returns kFailure if the state is corrupt or was written by a newer version.
 int VerifyState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   fmt::print("{}\n", SummaryLine(folder, examination));
   return IsIntact(examination) ? kSuccess : kFailure;
 }
 
-// Prints the snapshot and the records that the program would load, each as a line of JSON. Fails under the
-// same conditions as VerifyState.
+// Prints the snapshot and the records that the program would load, each as a line of JSON. Returns kFailure
+// if the state is corrupt or was written by a newer version.
 int ExportState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   if (examination.snapshot) {
--- a/src/cli/subcommand.hpp
+++ b/src/cli/subcommand.hpp
@@ -1,4 +1,4 @@
-// Utilities that all subcommands share: selection by the command line, exit codes, and file reading.
+// Utilities of all subcommands: selection of a subcommand by the command line, exit codes, and file reading.
 #ifndef GATEWAY_CLI_SUBCOMMAND_HPP_
 #define GATEWAY_CLI_SUBCOMMAND_HPP_
 
