--- a/src/simulator/action_codec.cpp
+++ b/src/simulator/action_codec.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kDecimals = 3;
-constexpr std::size_t kMaxNumberLength = 32;  // characters; numbers on the wire are far shorter
+constexpr std::size_t kMaxNumberLength = 32;  // characters; numbers on the wire are much shorter
 
 void AppendNumber(std::string& out, double value) {
   char buffer[kMaxNumberLength];
--- a/src/simulator/action_codec.hpp
+++ b/src/simulator/action_codec.hpp
@@ -11,7 +11,8 @@
 
 namespace gateway::simulator {
 
-// Appends an action of the instance that the last AppendInstance() for this reply selected.
+// Appends an action of the selected instance, which is the instance of the last AppendInstance() in this
+// reply.
 void AppendAction(std::string& reply, const policy::Action& action);
 
 // Selects the instance that the following lines belong to.
--- a/src/simulator/event_codec.cpp
+++ b/src/simulator/event_codec.cpp
@@ -126,7 +126,7 @@
   request.tenant = fields.Optional(3);
   request.key = fields.Optional(4);
   request.time_left = fields.Number<double>(5, "graceMs");
-  fields.NumberOr<unsigned>(7, "opts", 0);  // validated only, since no decision uses it
+  fields.NumberOr<unsigned>(7, "opts", 0);  // the value is validated, but no decision uses it
   return request;
 }
 
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -68,7 +68,7 @@
 EndpointListUpdate DecodeEndpointListUpdate(const LineFields& fields);
 policy::ResponseStarted DecodeResponseStarted(const LineFields& fields);
 
-// Validate messages that no decision uses. Their content is discarded.
+// Validate messages that no decision uses, and discard the content of the messages.
 void CheckProbeResult(const LineFields& fields);
 void CheckPeerMessage(const LineFields& fields);
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kChunkBytes = 64 * 1024;
 
-// Standard output is closed because the simulator has exited. No error message is printed.
+// Reports that standard output is closed because the simulator has exited. No error message is printed.
 class OutputClosed : public std::exception {};
 
 std::size_t ReadInput(std::string& chunk) {
--- a/src/simulator/policy_host.hpp
+++ b/src/simulator/policy_host.hpp
@@ -25,8 +25,8 @@
   // current state. The host must not be used after that.
   void ProcessLine(std::string_view line);
 
-  // Returns the reply after the line that ended a batch, and an empty string at any other time. Each reply is
-  // returned once.
+  // Returns the reply to a batch. Must be called after each line; returns an empty string unless the line
+  // ended a batch. Each reply is returned once.
   std::string TakeReply();
 
   // Returns whether a batch has begun and not ended yet.
@@ -54,8 +54,8 @@
   std::size_t open_list_ = 0;     // the list to which entries are added
   std::size_t entries_left_ = 0;  // remaining entry lines of the open list
   std::vector<policy::Action> actions_;
-  std::optional<std::int64_t> reply_instance_;  // the instance of the last line in the open reply
-  std::string open_reply_;                      // of the current batch
+  std::optional<std::int64_t> reply_instance_;  // the instance of the last line in `open_reply_`
+  std::string open_reply_;                      // lines of the reply to the current batch
   std::string reply_;
 };
 
--- a/src/simulator/settings_codec.cpp
+++ b/src/simulator/settings_codec.cpp
@@ -29,7 +29,7 @@
   if constexpr (std::is_same_v<Field, bool>) {
     field = ParseFlag(value, key);
   } else if constexpr (std::is_arithmetic_v<Field>) {
-    field = static_cast<Field>(ParseNumber<double>(value, key));  // integers are also sent in the form 3.0
+    field = static_cast<Field>(ParseNumber<double>(value, key));  // the simulator may send an integer as 3.0
   } else {
     field = value;
   }
@@ -152,7 +152,7 @@
     const std::string_view value = pair.substr(equals + 1);
     if (value.empty() || value == "-") continue;
     Split(key, '.', path);
-    if (path.back() == "count") continue;  // the lists grow when their items arrive
+    if (path.back() == "count") continue;  // not needed, since a list grows when its items arrive
     ParseSetting(settings, path, key, value);
   }
   return settings;
--- a/src/simulator/settings_codec.hpp
+++ b/src/simulator/settings_codec.hpp
@@ -1,5 +1,5 @@
-// Parses the policy's settings from the platform's keys. The simulator's wire and the gateway's configuration
-// file use the same keys and units, and both are parsed here.
+// Parses the policy's settings from the keys of the platform. The simulator and the gateway's configuration
+// file use the same keys and units, so the settings from both sources are parsed here.
 #ifndef GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 #define GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 
--- a/tests/simulator/policy_host_test.cpp
+++ b/tests/simulator/policy_host_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(Process(host, {"TURN 1.5", "EOF_BATCH"}), "OK\n");
 }
 
-TEST(PolicyHost, RequestIsSentToAnEndpointOfTheListInItsBatch) {
+TEST(PolicyHost, RequestIsSentToAnEndpointOfTheListInTheSameBatch) {
   PolicyHost host;
   const std::string reply =
       Process(host, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
@@ -30,8 +30,8 @@
   EXPECT_NE(reply.find("PASS_ON t/1 h1 400.000\n"), std::string::npos) << reply;
 }
 
-// Two instances use the same list number in one batch. Resolving the numbers only at the end of the batch
-// would give both instances the second list.
+// Two instances use the same list number in one batch. If the numbers were resolved only at the end of the
+// batch, both instances would get the second list.
 TEST(PolicyHost, ReusedListNumberIsResolvedAtEachEvent) {
   PolicyHost host;
   const std::string reply =
@@ -53,14 +53,15 @@
   EXPECT_EQ(reply.find("PASS_ON"), std::string::npos) << reply;
 }
 
-// Returns the reply lines of instance 0 over `rounds` batches. `others` more instances share its process.
+// Returns the reply lines of instance 0 for `rounds` batches. `others` is the number of other instances in
+// the process.
 std::string RepliesOfInstanceZero(int others, int rounds) {
   PolicyHost host;
   std::string replies;
   for (int round = 0; round < rounds; ++round) {
     host.ProcessLine("TURN " + std::to_string(10 * round));
     for (int i = 0; i <= others; ++i) {
-      // Instance 0 is the last of a batch, so the other instances run directly before and after it.
+      // Instance 0 is the last instance in a batch, so other instances run directly before and after it.
       host.ProcessLine("INSTANCE " + std::to_string((i + 1) % (others + 1)));
       if (round == 0) {
         for (const char* line : {kCreate, "SNAPSHOT_ROWS 0 3", "ENTRY h1 z k 0 up 1 -",
@@ -94,7 +95,8 @@
   EXPECT_EQ(alone, RepliesOfInstanceZero(2, 60));
 }
 
-// A destroyed instance with an attempt in flight: its successor must not act on events for that attempt.
+// An instance is destroyed while an attempt is in flight, and then created again. The new instance must not
+// act on events for the old attempt.
 TEST(PolicyHost, RecreatedInstanceIgnoresEventsForOldAttempts) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
