--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -61,7 +61,7 @@
   asio::ip::tcp::socket socket_{io_};
   const std::string request_;
   std::string response_;
-  error_code result_ = asio::error::timed_out;  // until Finish()
+  error_code result_ = asio::error::timed_out;  // Finish() replaces this value
 };
 
 int CallGateway(const CallOptions& options) {
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -58,7 +58,8 @@
   return "";
 }
 
-// Returns kFailure if a bound or rule is violated, else kInconclusive if a bound could not be evaluated.
+// Returns kFailure if a bound or rule is violated. Otherwise returns kInconclusive if a bound could not be
+// evaluated, and kSuccess if all bounds hold.
 int PrintVerdicts(const std::vector<lab::Verdict>& verdicts) {
   int code = kSuccess;
   for (const lab::Verdict& verdict : verdicts) {
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -29,8 +29,8 @@
 
 constexpr int kCrashLoopExitCode = 4;
 constexpr int kSignalExitCodeBase = 128;   // exit code after signal N: 128 + N
-constexpr int kParentExitedExitCode = 97;  // of the forked child: the parent exited before the exec
-constexpr int kExecFailedExitCode = 98;    // of the forked child: /bin/sh could not be executed
+constexpr int kParentExitedExitCode = 97;  // the parent of the forked child exited before the exec
+constexpr int kExecFailedExitCode = 98;    // the forked child could not execute /bin/sh
 constexpr double kMillisPerSecond = 1000;
 constexpr double kNanosPerMilli = 1e6;
 
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -147,7 +147,8 @@
 
 void ClearWatchdog() { alarm(0); }
 
-// Reads all experiments before the first one runs, and rejects those that exceed the limits of this machine.
+// Reads all experiments before the first experiment runs. Rejects experiments that exceed the limits of this
+// machine.
 std::vector<lab::ScaleExperiment> ReadExperiments(const ScaleOptions& options) {
   const lab::ScaleLimits limits = lab::LimitsOfThisMachine();
   std::vector<lab::ScaleExperiment> experiments;
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -21,7 +21,8 @@
 // Does no I/O and reads no clock. Not thread-safe.
 class FailureDetector {
  public:
-  // The fields of a message that its sender chooses. `target` and `probe_address` are those of MessageHeader.
+  // The fields of a message that its sender chooses. `target` and `probe_address` have the meaning that
+  // MessageHeader describes.
   struct OutgoingMessage {
     Address to;
     MessageType type = MessageType::kPing;
@@ -87,7 +88,7 @@
   Delegate& delegate_;
   std::vector<std::string> round_;  // members not probed yet in this round
   std::optional<Probe> probe_;
-  std::map<std::uint32_t, RelayedProbe> relayed_;  // by the sequence of the relayed ping
+  std::map<std::uint32_t, RelayedProbe> relayed_;  // key: sequence of the relayed ping
   base::Millis next_probe_at_ = 0;
   std::uint32_t last_sequence_ = 0;
 };
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -36,7 +36,7 @@
   Address address;
   Incarnation incarnation = 0;
   MemberStatus status = MemberStatus::kAlive;
-  base::Millis status_since = 0;  // on the local clock
+  base::Millis status_since = 0;  // time of the last change of `status`, on the local clock
   // Names of the members that suspect this member independently of each other, sorted. Empty unless this
   // member is suspect. Never contains this member.
   std::vector<std::string> suspectors;
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -38,7 +38,7 @@
   std::size_t class_index = 0;  // index in Settings::classes
   std::uint64_t key_hash = 0;   // hash of the routing key; 0 = no key
   Millis arrived_at = 0;
-  Millis objective_ends_at = 0;  // a response after this time misses the latency objective
+  Millis objective_ends_at = 0;  // a response after this time does not meet the latency objective
   Millis deadline_at = 0;        // time at which the client times out
   // Latest start of a further attempt after an attempt that may have been executed. Endpoints drop repeats
   // only within the deduplication window.
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kMinimumDecreaseIntervalMs = 100;
 constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens that are added in this period
 constexpr double kMinimumBucketTokens = 2;        // tokens
-constexpr Millis kSentRateTimeConstantMs = 1000;  // of the smoothed rate of sent attempts
+constexpr Millis kSentRateTimeConstantMs = 1000;  // for the rate of sent attempts
 constexpr double kSharedTimeConstantFactor = 4;   // if many gateways share an endpoint: fewer samples
 
 // Failure rate above which the admission rate is decreased. The threshold is higher if many gateways share an
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -76,7 +76,7 @@
     Millis latency_objective = 0;
     double weight = 0;
     double credit = 0;
-    std::array<Queue, kQueueKinds> queues;  // by priority: the first non-empty queue is served
+    std::array<Queue, kQueueKinds> queues;  // ordered by priority; the first non-empty queue is served
 
     std::size_t size() const;
   };
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -58,7 +58,7 @@
   // The latency of an attempt that has ended.
   struct Sample {
     Millis latency = 0;
-    double relative_latency = 1;  // of the request's class, as a factor of the mean latency
+    double relative_latency = 1;  // latency of the request's class divided by the mean latency of all classes
     bool served = false;
   };
   // Updates latency and limit after the end of an attempt. Slots are the limit, rounded up or down at random.
@@ -79,7 +79,7 @@
 
   const bool endpoints_cache_keys_;
   const double gateway_count_;
-  const std::size_t utilization_index_;  // in a load report; past its end if not reported
+  const std::size_t utilization_index_;  // index in a load report; past the end of the report if not reported
   const bool reports_utilization_;
 };
 
--- a/src/policy/learned_state_age.hpp
+++ b/src/policy/learned_state_age.hpp
@@ -8,9 +8,9 @@
 
 namespace gateway::policy {
 
-constexpr Millis kFailureHalfLifeMs = 15000;  // of failure rates and ejections
-constexpr Millis kLatencyHalfLifeMs = 60000;  // of latencies and concurrency limits
-constexpr Millis kRateHalfLifeMs = 20000;     // of rates and throughput
+constexpr Millis kFailureHalfLifeMs = 15000;  // half-life of failure rates and ejections
+constexpr Millis kLatencyHalfLifeMs = 60000;  // half-life of latencies and concurrency limits
+constexpr Millis kRateHalfLifeMs = 20000;     // half-life of rates and throughput
 
 // Returns the weight in [0, 1] of state that was learned at `learned_at`. If `learned_at` is in the future,
 // the clock was set back and the age of the state is unknown, so the weight is 0.
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,4 +1,4 @@
-// Load balancing: chooses the endpoint of an attempt among those with free capacity.
+// Load balancing: chooses the endpoint of an attempt among the endpoints with free capacity.
 //
 // Uses the power of two choices: draws two candidates at random and chooses the one with the lower cost. The
 // cost of an endpoint is its smoothed latency times the number of this gateway's attempts at the endpoint,
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kThroughputTimeConstantMs = 10000;
 // Weights of prior estimates, in ms of endpoint time.
 constexpr Millis kArrivalPriorMs = 500;        // weight of the arrival rate in the mean service rate
-constexpr Millis kMachineTypePriorMs = 20000;  // weight of the mean service rate in that of a machine type
+constexpr Millis kMachineTypePriorMs = 20000;  // weight of the mean service rate in a machine type's rate
 
 }  // namespace
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,4 +1,4 @@
-// Tenant quotas: a token bucket for each tenant separates requests within its quota from those beyond it.
+// Tenant quotas: a token bucket for each tenant separates requests within its quota from requests beyond it.
 #ifndef GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 #define GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -32,7 +32,8 @@
   double ClassLatency(std::size_t class_index) const { return classes_[class_index].latency; }
   double MeanLatency() const { return mean_latency_; }
 
-  // Returns the latency of the class divided by the mean of all classes; 1 until both are known.
+  // Returns the latency of the class divided by the mean latency of all classes, or 1 until both latencies
+  // are known.
   double RelativeLatency(std::size_t class_index) const;
 
   // Returns the rate of arriving first tries per ms.
--- a/src/registry/command.hpp
+++ b/src/registry/command.hpp
@@ -57,8 +57,8 @@
   kKeyReused,         // the idempotency key was used for another request
   kOverloaded,        // nothing was written; the caller may retry later
   kStorageFailed,     // the write may or may not be durable; the caller may retry with the same key
-  kUnreadable,        // for clients: the response cannot be decoded
-  kOther              // for clients: the service sent an unknown code
+  kUnreadable,        // used by clients: the response cannot be decoded
+  kOther              // used by clients: the service sent an unknown code
 };
 
 struct Error {
--- a/src/registry/list_handler.hpp
+++ b/src/registry/list_handler.hpp
@@ -26,7 +26,7 @@
   void HandleList(const std::shared_ptr<Session>& session, std::string_view target);
   // Handles GET /registry/members: the full list, without admission control.
   void HandleMembers(const std::shared_ptr<Session>& session);
-  // Handles GET /registry/history: all retained changes, or those after a revision.
+  // Handles GET /registry/history: all retained changes, or the retained changes after a revision.
   void HandleHistory(const std::shared_ptr<Session>& session, std::string_view target) const;
 
   // Responds to all watches. Must be called after each new revision.
--- a/src/registry/log_writer.hpp
+++ b/src/registry/log_writer.hpp
@@ -24,7 +24,7 @@
     std::vector<std::string> records;
   };
   struct BatchResult {
-    storage::Status status;  // after an error, all writes fail until the next Open()
+    storage::Status status;  // if it is an error, all further writes fail until the next Open()
     std::vector<storage::Sequence> sequences;
     double duration_ms = 0;
     std::uint64_t log_bytes = 0;  // size of the log since the last snapshot
--- a/src/registry/member.hpp
+++ b/src/registry/member.hpp
@@ -35,7 +35,7 @@
   bool suspect = false;              // the lease has expired, and the member will be removed if not renewed
   bool removed = false;
   bool expired = false;   // removed because the lease expired; the same process may register again
-  Revision revision = 0;  // of the last change
+  Revision revision = 0;  // revision of the member's last change
 
   bool operator==(const Member&) const = default;
 
--- a/src/registry/pending_watches.hpp
+++ b/src/registry/pending_watches.hpp
@@ -29,7 +29,7 @@
   void OnTimeout(const std::shared_ptr<Session>& session);
 
   ListCache& lists_;
-  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;  // with the client's revision
+  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;  // revision of the client by session
 };
 
 }  // namespace gateway::registry
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -35,7 +35,7 @@
   kUnknown,
 };
 
-// Returns kUnknown if the wire has no such word.
+// Returns the message type that `word` denotes on the wire, or kUnknown if there is none.
 MessageType ToMessageType(std::string_view word);
 
 // Returns the wire's word for a message type, for error texts. `type` must not be kUnknown.
--- a/src/simulator/policy_host.hpp
+++ b/src/simulator/policy_host.hpp
@@ -45,7 +45,7 @@
   policy::EndpointListEvent ToEvent(const EndpointListUpdate& update) const;
   void Deliver(const policy::Event& event);
 
-  LineFields fields_;  // of the current line
+  LineFields fields_;  // fields of the current line
   policy::Millis now_ = 0;
   bool in_batch_ = false;
   std::optional<std::int64_t> selected_;  // the instance that receives the events
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A successor process must avoid the endpoints that its predecessor ejected and use the learned latencies and
-// rates. While both processes run, each admits half of the rate.
+// rates. While both processes run, each process uses half of the rate.
 TEST(LearnedStateTest, SuccessorUsesStateOfItsPredecessor) {
   FakeGateway predecessor;
   predecessor.AddEndpoints(3);
@@ -94,7 +94,7 @@
     Millis downtime;
     bool ejected;
     bool measured;
-    double minimum_rate_factor;  // of the exported rate
+    double minimum_rate_factor;  // minimum of the imported rate divided by the exported rate
   };
   for (const Case& test_case :
        {Case{1000, true, true, 1}, Case{30000, true, true, 2.5}, Case{120000, false, true, 5},
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -18,7 +18,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-constexpr Millis kAnswerToleranceMs = 20;  // after the client's timeout
+constexpr Millis kAnswerToleranceMs = 20;  // an answer may come this long after the client's timeout
 
 // An attempt as recorded by the test.
 struct SentAttempt {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -165,7 +165,7 @@
 }
 
 TEST(SlowStartTest, WarmUpFractionGrowsLinearly) {
-  const SlowStart slow_start(MakeSettings());  // from 0.2 to 1 within 10 s
+  const SlowStart slow_start(MakeSettings());  // the warm-up fraction grows from 0.2 to 1 within 10 s
   const SlowStartState state = {.started_at = 1000};
   EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 6000), 0.6);
   EXPECT_DOUBLE_EQ(slow_start.WarmUpFraction(state, 11000), 1);
