--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-// SWIM's failure detector: probes one member in each protocol period, directly and through other members, and
-// answers probes from other members.
+// SWIM's failure detector. Probes one member in each protocol period, first directly and then through other
+// members. Answers probes from other members.
 #ifndef GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 #define GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 
@@ -21,7 +21,8 @@
 // Does no I/O and reads no clock. Not thread-safe.
 class FailureDetector {
  public:
-  // The fields of a message that its sender chooses. `target` and `probe_address` are those of MessageHeader.
+  // The fields of a message that its sender chooses. `target` and `probe_address` have the meaning that
+  // MessageHeader describes.
   struct OutgoingMessage {
     Address to;
     MessageType type = MessageType::kPing;
@@ -34,7 +35,7 @@
    public:
     virtual ~Delegate() = default;
     virtual void SendMessage(const OutgoingMessage& message, ProtocolOutput& out) = 0;
-    // Called when no ack arrived in time, either directly or through other members.
+    // Called when no ack of a probe has arrived in time, neither directly nor through other members.
     virtual void OnProbeFailed(base::Millis now, const std::string& name, ProtocolOutput& out) = 0;
   };
 
@@ -87,7 +88,7 @@
   Delegate& delegate_;
   std::vector<std::string> round_;  // members not probed yet in this round
   std::optional<Probe> probe_;
-  std::map<std::uint32_t, RelayedProbe> relayed_;  // by the sequence of the relayed ping
+  std::map<std::uint32_t, RelayedProbe> relayed_;  // key: sequence of the relayed ping
   base::Millis next_probe_at_ = 0;
   std::uint32_t last_sequence_ = 0;
 };
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,4 +1,4 @@
-// Tenant quotas: a token bucket for each tenant separates requests within its quota from those beyond it.
+// Tenant quotas: a token bucket for each tenant separates requests within its quota from requests beyond it.
 #ifndef GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 #define GATEWAY_POLICY_TENANT_QUOTAS_HPP_
 
@@ -16,8 +16,9 @@
   // Each of the `gateway_count` gateways grants an equal share of each quota.
   explicit TenantQuotas(const Settings& settings);
 
-  // Returns whether a request of the tenant is within its quota, and consumes a token if so. If the settings
-  // contain no tenants, all requests are within quota. Otherwise unknown tenants have no quota.
+  // Returns whether a request of the tenant is within the tenant's quota, and consumes a token if so. If the
+  // settings contain no tenants, all requests are within quota. Otherwise, all requests of unknown tenants
+  // are beyond quota.
   bool TakeToken(const std::string& tenant, Millis now);
 
  private:
--- a/src/registry/list_handler.hpp
+++ b/src/registry/list_handler.hpp
@@ -26,7 +26,7 @@
   void HandleList(const std::shared_ptr<Session>& session, std::string_view target);
   // Handles GET /registry/members: the full list, without admission control.
   void HandleMembers(const std::shared_ptr<Session>& session);
-  // Handles GET /registry/history: all retained changes, or those after a revision.
+  // Handles GET /registry/history: all retained changes, or the retained changes after a revision.
   void HandleHistory(const std::shared_ptr<Session>& session, std::string_view target) const;
 
   // Responds to all watches. Must be called after each new revision.
@@ -36,7 +36,7 @@
   void TrimCache() { lists_.Trim(); }
 
   std::size_t watches() const { return watches_.size(); }
-  // Full lists sent to gateways, and bodies encoded, since the start.
+  // Return the numbers of full lists sent and of bodies encoded since the start.
   std::uint64_t full_lists() const { return full_lists_; }
   std::uint64_t encoded_bodies() const { return lists_.encoded(); }
 
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -35,7 +35,7 @@
   kUnknown,
 };
 
-// Returns kUnknown if the wire has no such word.
+// Returns the message type that `word` denotes on the wire, or kUnknown if there is none.
 MessageType ToMessageType(std::string_view word);
 
 // Returns the wire's word for a message type, for error texts. `type` must not be kUnknown.
@@ -68,7 +68,7 @@
 EndpointListUpdate DecodeEndpointListUpdate(const LineFields& fields);
 policy::ResponseStarted DecodeResponseStarted(const LineFields& fields);
 
-// Validate messages that no decision uses. Their content is discarded.
+// Validate messages that no decision uses, and discard the content of the messages.
 void CheckProbeResult(const LineFields& fields);
 void CheckPeerMessage(const LineFields& fields);
 
