--- a/bench/storage_bench.cpp
+++ b/bench/storage_bench.cpp
@@ -1,6 +1,6 @@
 // Compares the store with SQLite on the project's workload: small records in groups with one sync per group,
-// recovery, memory, and behaviour after a failed sync. Usage: store_bench FOLDER (on the disk to be measured;
-// the benchmark removes its files).
+// recovery, memory, and behaviour after a failed sync. Usage: storage_bench FOLDER. FOLDER must be on
+// the disk to be measured; the benchmark removes the files that it creates there.
 #include <fmt/format.h>
 #include <sqlite3.h>
 #include <sys/wait.h>
@@ -223,13 +223,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc != 2) return fmt::print(stderr, "usage: store_bench FOLDER\n"), 2;
+  if (argc != 2) return fmt::print(stderr, "usage: storage_bench FOLDER\n"), 2;
   const std::string folder = std::string(argv[1]) + "/store_bench";
   std::filesystem::create_directories(folder);
   try {
     Run(folder);
   } catch (const std::exception& error) {
-    fmt::print(stderr, "store_bench: {}\n", error.what());
+    fmt::print(stderr, "storage_bench: {}\n", error.what());
     return 1;
   }
   std::filesystem::remove_all(folder);
--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,6 +1,6 @@
-// The socket addresses of one run. Each run reserves a block 127.A.B.0/24. In it each gateway has an address
-// of its own: clients reach the gateway there, and the lab provides hosts, list service and other gateways to
-// it at that address alone, so that the network between any pair can be cut.
+// The socket addresses of one run. Each run reserves a block 127.A.B.0/24, and each gateway has an address of
+// its own in the block. Clients reach the gateway at this address. The gateway reaches hosts, list service
+// and other gateways at ports of this address, so the lab can cut the network between any pair.
 #ifndef GATEWAY_LAB_ADDRESSES_HPP_
 #define GATEWAY_LAB_ADDRESSES_HPP_
 
@@ -51,11 +51,11 @@
   // The address of the project's list service, if it runs as a process.
   Endpoint Registry() const { return At(kRegistryAddress, 8500); }
 
-  // The address at which the gateway reaches another one and from which it receives that one's datagrams.
+  // The address at which `gateway` reaches `other`, and from which it receives the datagrams of `other`.
   Endpoint Peer(int gateway, int other) const {
     return At(gateway + 1, static_cast<std::uint16_t>(20000 + other));
   }
-  // The address at which the gateway listens for datagrams of all others.
+  // The address at which the gateway listens for datagrams of all other gateways.
   Endpoint PeerListen(int gateway) const { return At(gateway + 1, 7946); }
 
   static std::string Text(const Endpoint& endpoint) { return base::FormatSocketAddress(endpoint); }
@@ -72,7 +72,7 @@
     return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last_octet)), port};
   }
 
-  boost::asio::ip::tcp::acceptor lock_;  // listens in the block as long as it is reserved
+  boost::asio::ip::tcp::acceptor lock_;  // keeps the block reserved by listening in it
   unsigned base_ = 0;                    // the first address of the block
 };
 
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -13,7 +13,8 @@
 using boost::system::error_code;
 using Failure = ClientConnection::Failure;
 
-constexpr Millis kLateAnswerGrace = 500;  // after the timeout; a response in this time fails but isn't lost
+// A response that arrives within this time after the client's timeout counts as failed, but not as lost.
+constexpr Millis kLateAnswerGrace = 500;
 constexpr double kMillisPerSecond = 1000;
 constexpr std::uint64_t kSeedMask = 0x636c69656e7473ULL;  // separates these draws from others of the seed
 
@@ -71,8 +72,8 @@
   return env_.experiment.classes[static_cast<std::size_t>(request.arrival.class_index)];
 }
 
-// Returns a target in the arrival's zone, selected by its draw among those that accept connections or have an
-// idle one; -1 if there is none.
+// Returns a target in the arrival's zone, or -1 if none is available. A target is available if it accepts new
+// connections or has an idle connection. The arrival's `gateway_draw` selects one of the available targets.
 int Clients::ChooseTarget(const Arrival& arrival, Millis now) const {
   struct Candidate {
     int target;
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -1,5 +1,5 @@
-// The emulated clients: an open-loop load generator that sends requests according to the schedule, whether or
-// not earlier ones have been answered, and checks the responses.
+// The emulated clients: an open-loop load generator. It sends requests at the times of the schedule, whether
+// or not earlier requests have been answered, and checks the responses.
 #ifndef GATEWAY_LAB_CLIENTS_HPP_
 #define GATEWAY_LAB_CLIENTS_HPP_
 
@@ -47,10 +47,11 @@
   // Attempts for which no target accepted connections.
   std::uint64_t unroutable() const { return unroutable_; }
 
-  // Attempts that were the first on their connection, which the gateway closed without forwarding them.
+  // Attempts that the gateway did not forward because it closed their connection. Counts only attempts that
+  // were the first on their connection.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
-  // Attempts without a response from a gateway that a fault had killed or stopped.
+  // Attempts that got no response because a fault had killed or stopped the gateway.
   std::uint64_t excused() const { return excused_; }
 
  private:
@@ -67,7 +68,7 @@
     int target = 0;
     Millis sent_at = 0;
     Millis timeout = 0;
-    bool resent = false;  // on a new connection, because the gateway had closed the reused one
+    bool resent = false;  // sent again on a new connection, because the gateway had closed the reused one
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer disconnect_timer;
   };
--- a/src/lab/estimate.hpp
+++ b/src/lab/estimate.hpp
@@ -16,10 +16,10 @@
 
 Estimate EstimateMean(const std::vector<double>& values);
 
-// Formats a figure with fewer decimals the larger it is.
+// Formats a figure. Larger figures get fewer decimals.
 std::string FormatFigure(double value);
 
-// Formats the mean and the half width of its interval, or "-" if there are no values.
+// Formats the mean and the half width of the confidence interval, or "-" if there are no values.
 std::string FormatFigure(const Estimate& estimate);
 
 }  // namespace gateway::lab
--- a/src/lab/evaluation.hpp
+++ b/src/lab/evaluation.hpp
@@ -15,7 +15,7 @@
   enum class Kind {
     kPassed,
     kViolated,
-    kInconclusive,  // no baseline to compare with, or the lab itself ran too late to evaluate a speed
+    kInconclusive,  // no baseline exists to compare with, or the lab itself ran too late to evaluate a speed
   };
   Kind kind = Kind::kPassed;
   std::string text;  // describes the rule or the bound with its figure
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -24,7 +24,7 @@
   double speed = 1;
   int slots = 8;                // limit on concurrently executed requests
   int queue_capacity = 24;      // limit on queued requests; further ones are rejected
-  double thrash_factor = 0;     // capacity lost for each request beyond twice the cores
+  double thrash_factor = 0;     // capacity is divided by 1 + this * (requests beyond 2 per core)
   Millis handshake_work = 0;    // work for each new connection
   int max_connections = 200;    // requests on further connections are rejected
   Millis idle_timeout = 15000;  // after which the host closes an idle connection
@@ -58,11 +58,11 @@
   Millis warm_up = 2000;      // initial time that is excluded from goodput and latency
   bool bursty = false;        // Poisson at a rate that switches between high and low at random times
   double burst_factor = 2;    // high rate over mean rate
-  Millis burst_length = 500;  // mean time at the high rate; that at the low rate follows from the mean
+  Millis burst_length = 500;  // mean time at the high rate; the time at the low rate follows from `rate`
   std::map<std::string, double> tenants;  // traffic share by name; empty: one tenant
   double skew = 0;       // the first gateway of each zone gets 1 + skew times the traffic of the others
   int max_retries = 2;   // by the client, for each request
-  Millis backoff = 100;  // before the first retry; doubles with each; a longer Retry-After is respected
+  Millis backoff = 100;  // before the first retry; doubles with each retry; Retry-After can lengthen it
   double client_timeout_share = 1;  // share of the deadline after which a client disconnects
 };
 
@@ -94,7 +94,7 @@
   Millis delay = 0;
 };
 
-// "registry" means the project's list service, run as a process.
+// "registry" in a comment means the project's list service, run as a process.
 enum class FaultKind {
   kKillGateway,       // SIGKILL; started again after the duration
   kStopGateway,       // SIGSTOP, then SIGCONT after the duration
@@ -138,7 +138,7 @@
   std::string description;  // for reports
 };
 
-// Limits on a figure of one variant, or on the ratio of that figure to the one of another variant.
+// Limits on a figure of one variant, or on the ratio of this figure to the same figure of another variant.
 struct Bound {
   std::string figure;
   std::string variant = "gateway";
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -23,8 +23,8 @@
 constexpr Millis kPreTrafficOffset = 1e6;  // subtracted from the times of events before the traffic
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
-// The protocol allows a gateway to close new connections without processing their first request for this
-// share of all requests; the excess counts as lost.
+// The protocol allows a gateway to close a new connection without processing its first request. It may do so
+// for this share of all requests. Requests above this share count as lost.
 constexpr double kMaxClosedUnprocessed = 1.0 / 200;
 
 std::atomic<bool> interrupted{false};
@@ -269,8 +269,9 @@
   });
 }
 
-// Records the longest time that any gateway has been without the newest list, measured from the change or
-// from the end of the last fault that kept the list from the gateway.
+// Records the longest time for which any gateway has not had the newest list. The time counts from the change
+// of the list, or from the last begin or end of a fault that can keep changes from the gateways if that is
+// later.
 void ExperimentRun::MeasureListLag(Millis now) {
   if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
   if (!traffic_started() || now < traffic_start_ + experiment_.traffic.warm_up) return;
--- a/src/lab/experiment_run.hpp
+++ b/src/lab/experiment_run.hpp
@@ -42,8 +42,8 @@
   // `experiment` must outlive the run. Throws std::runtime_error if an address is not available.
   ExperimentRun(const Experiment& experiment, Options options);
 
-  // Must be called only once. Returns when all requests have ended or the run has failed; all processes have
-  // ended by then.
+  // Must be called only once. Returns when all requests have ended or the run has failed. All processes of
+  // the run have ended when it returns.
   RunResult Run();
 
   // Aborts the current run and all later ones. Async-signal-safe.
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -38,7 +38,7 @@
   // Whether a fault is active that can keep list changes from the gateways.
   bool list_disturbed() const { return list_faults_ > 0; }
 
-  // When such a fault last began or ended; 0 if there was none.
+  // When a fault that can keep list changes from the gateways last began or ended; 0 if there was none.
   Millis list_disturbed_at() const { return list_disturbed_at_; }
 
  private:
--- a/src/lab/front_balancer.hpp
+++ b/src/lab/front_balancer.hpp
@@ -18,8 +18,8 @@
 
   void OnProbe(Millis now, Probe probe);
 
-  // Whether new connections go to the gateway: from its first "ready" answer until it has answered "not
-  // ready" or has not answered for some time.
+  // Whether new connections go to the gateway. They do from its first "ready" answer on. They stop shortly
+  // after a "not ready" answer, and when the gateway has not answered for the detection delay.
   bool SendsConnections(Millis now) const;
 
  private:
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -22,8 +22,8 @@
 
 namespace gateway::lab {
 
-// Gateways are numbered from 0. Must be used in the thread of the io_context. A process that ends without a
-// fault that ends it counts as a violation.
+// Gateways are numbered from 0. Must be used in the thread of the io_context. If a process ends although no
+// fault has ended it, this counts as a violation.
 class GatewayProcesses {
  public:
   // The referenced objects must outlive this object.
@@ -66,7 +66,7 @@
   void Terminate(int index, Millis restart_delay);
   void Replace(int gateway);
 
-  // Kills all processes and waits for them; their resource usage counts in the figures.
+  // Kills all processes and waits until they have ended. The figures include their resource usage.
   void KillAll();
 
   // Total CPU time and largest resident memory of the processes that have ended.
--- a/src/lab/host_emulator.cpp
+++ b/src/lab/host_emulator.cpp
@@ -87,7 +87,7 @@
 }
 
 void HostEmulator::ResetConnections(int host, int gateway) {
-  // Closing a connection removes it from the host, so the loop uses a copy.
+  // The loop uses a copy of the set, because closing a connection removes it from the host's set.
   std::vector<std::shared_ptr<ServerConnection>> gateway_connections;
   for (const auto& connection : At(host).connections) {
     if (connection->peer == gateway) gateway_connections.push_back(connection);
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -34,8 +34,8 @@
   // `started_at`: when the host started; empty: it has already warmed up.
   HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at);
 
-  // Submits a complete request, which expires at `expires_at` if it has not finished by then. Events of other
-  // jobs up to `now` are reported by the next Advance.
+  // Submits a complete request. It expires if it has not finished at `expires_at`. The next Advance reports
+  // the events of other jobs up to `now`.
   Admission Submit(Millis now, Job job, Millis work, Millis expires_at);
 
   // Ends a job without an event. Does nothing if the job has ended.
@@ -43,7 +43,7 @@
 
   void SetSpeed(Millis now, double factor);
 
-  // The time of the next event unless another call changes it; empty if there is none.
+  // The time of the next event if no other call comes before it; empty if no event is due.
   std::optional<Millis> NextEventAt() const;
 
   // Appends all events up to `now`, in order of time.
@@ -81,7 +81,7 @@
   const std::optional<Millis> started_at_;
   double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_ = 0;  // work done so far for a job that has executed since the start
+  double service_ = 0;  // work in ms that a job would have received if it had executed since the start
   std::unordered_map<Job, JobState> jobs_;
   std::set<std::pair<double, Job>> executing_;  // by finish_service
   std::deque<Job> queue_;                       // ended jobs are skipped when they reach the front
--- a/src/lab/http_server.cpp
+++ b/src/lab/http_server.cpp
@@ -150,8 +150,8 @@
 }
 
 // While the backlog is full, the kernel drops the SYN packet of each further connection, like a cut network
-// link. A backlog of 0 holds one connection; the second one fills the queue of connections not yet
-// established.
+// link. Two connections fill it: a backlog of 0 admits one established connection, and the second connection
+// fills the queue of connections that are not yet established.
 void Listener::FillBacklog() {
   constexpr int kFillers = 2;
   error_code ignored;
--- a/src/lab/http_server.hpp
+++ b/src/lab/http_server.hpp
@@ -55,7 +55,7 @@
   // Number of requests received.
   int requests() const { return requests_; }
 
-  // Since when the connection has been idle; empty while a request is being answered.
+  // The time at which the connection became idle; empty while a request is being answered.
   std::optional<Millis> idle_since() const { return answering_ ? std::nullopt : std::optional(idle_since_); }
 
   // Set and read by the owner; not used by this class.
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -20,8 +20,9 @@
 using base::TimerDuration;
 
 // Transmits complete messages. A message that arrives at a cut is queued until the cut is healed, since TCP
-// would retransmit it; any other message is delayed. Messages of one connection keep their order, since each
-// is sent only after the response to the previous one. Must be used in the thread of the io_context.
+// would retransmit it. Any other message is delayed by the delay of the link. Messages of one connection keep
+// their order, since each request is sent only after the response to the previous request. Must be used in
+// the thread of the io_context.
 class Link {
  public:
   enum class Direction { kFromGateway, kToGateway };
@@ -39,8 +40,8 @@
   // Removes one cut in each of the given directions.
   void Heal(bool from_gateway, bool to_gateway);
 
-  // Adds to the delay, and to the maximum of the random delay on top of it, in both directions. Negative
-  // values reduce them again.
+  // Adds `delay` to the fixed delay and `jitter` to the maximum of the random delay, in both directions.
+  // Negative values reduce them again.
   void AddDelay(Millis delay, Millis jitter);
 
   bool IsCut(Direction direction) const {
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -12,7 +12,8 @@
 using nlohmann::json;
 
 constexpr Millis kMaxWatchTimeout = 60000;  // limit of PROTOCOL
-// PROTOCOL, "Figures": 5 s for a long poll, plus 2 s.
+// The time after which a gateway that could poll counts as notified: 5 s for a long poll, plus 2 s (PROTOCOL,
+// "Figures").
 constexpr Millis kNotificationTimeout = 7000;
 
 // The value of a key in the query string; `fallback` if the key is absent.
@@ -198,7 +199,8 @@
   });
 }
 
-// Replaces the hosts' addresses in a list by those for this gateway. Returns the readiness of each host.
+// Replaces the hosts' addresses in a list by the addresses at which this gateway reaches the hosts. Returns
+// the readiness of each host.
 std::vector<ListService::Readiness> ListService::TranslateAddresses(int gateway, json& list) const {
   const bool complete = list.value("complete", true);
   std::vector<Readiness> readiness(hosts_.size(), complete ? Readiness::kNotUp : Readiness::kNotListed);
--- a/src/lab/list_service.hpp
+++ b/src/lab/list_service.hpp
@@ -29,7 +29,7 @@
   double weight = 1;
   double started_at = 0;      // Unix time in ms
   std::int64_t revision = 1;  // of its last change
-  Millis changed_at = 0;      // when that change was published
+  Millis changed_at = 0;      // when the last change was published
 };
 
 // Gateways and hosts are numbered from 0. Must be used in the thread of the io_context.
--- a/src/lab/peer_network.hpp
+++ b/src/lab/peer_network.hpp
@@ -17,9 +17,9 @@
 
 namespace gateway::lab {
 
-// Each gateway reaches another one at a port of its own address, and receives the other's datagrams from
-// there, so the lab has two sockets for each pair of gateways. Gateways are numbered from 0. Must be used in
-// the thread of the io_context.
+// Each gateway has, at its own address, one port for each other gateway. It sends datagrams for the other
+// gateway to this port and receives the other's datagrams from it. So the lab has two sockets for each pair
+// of gateways. Gateways are numbered from 0. Must be used in the thread of the io_context.
 class PeerNetwork {
  public:
   // `addresses` must outlive the network. Throws std::runtime_error if a socket can't be opened.
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -99,8 +99,8 @@
   if (IsServed(result)) traffic_class.latency.Add(ToMicros(latency));
 }
 
-// The share of the requests that arrived in that time and were served within their objective; negative if too
-// few arrived.
+// Of the requests that arrived between `from` and `to`, returns the share that was served within the
+// objective. Returns a negative value if too few requests arrived.
 double Recorder::ShareInObjective(Millis from, Millis to) const {
   Counts sum;
   const auto first = static_cast<std::size_t>(std::max(0.0, from / kFineWindow));
@@ -115,8 +115,9 @@
   });
 }
 
-// Returns the end of the last window after the fault in which the share was too low, since the dip may begin
-// later than the fault. Stops at the next fault, which has a recovery figure of its own.
+// Returns the time after which the share stays high enough. It searches for the last window with too low a
+// share, not the first window with a sufficient one, since the share may drop only some time after the fault.
+// The search stops at the next fault, which has a recovery figure of its own.
 Millis Recorder::RecoveredAt(const Fault& fault, Millis start, double share_before) const {
   Millis recovered = start;
   for (Millis at = start; at + kRecoveryWindow <= experiment_.traffic.duration; at += kFineWindow) {
@@ -127,7 +128,7 @@
   return recovered;
 }
 
-// The number of further requests that would have met their objective at the share before the fault.
+// Returns how many more requests would have met their objective if the share had stayed as before the fault.
 double Recorder::MissedInObjective(Millis start, Millis end, double share_before) const {
   double missed = 0;
   for (auto i = static_cast<std::size_t>(start / kFineWindow); i < fine_windows_.size(); ++i) {
--- a/src/lab/recorder.hpp
+++ b/src/lab/recorder.hpp
@@ -30,7 +30,7 @@
 
   std::uint64_t arrived() const { return arrived_; }
 
-  // Adds the figures of the run excluding its warm-up, those of each fault, and the time series.
+  // Adds the figures of the run without its warm-up, the figures of each fault, and the time series.
   void WriteTo(RunResult& run) const;
 
  private:
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -13,10 +13,10 @@
 
 struct RegistryLoad {
   std::string program;  // command that starts gatewayctl
-  int members = 2000;   // each renews its lease three times in a term
+  int members = 2000;   // each member renews its lease three times per term
   base::Millis term = 10000;
   int watchers = 1000;
-  int changes = 50;      // changes whose propagation to all watchers is measured, ten per second
+  int changes = 50;      // changes, ten per second; their propagation to all watchers is measured
   int history = 100000;  // number of changes before the crash
   int writers = 256;     // number of concurrent connections that write
 };
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -215,7 +215,8 @@
   if (end.pid != pid_ || shutting_down_) return;
   pid_ = 0;
   env_.add_event("the list service has ended with " + end.StatusText());
-  if (!std::exchange(end_expected_, false)) return;  // an unexpected end shows in the gateways' lists
+  // After an unexpected end the service is not restarted, so the end shows in the gateways' lists.
+  if (!std::exchange(end_expected_, false)) return;
   const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(restart_delay_));
   timer->async_wait([this, timer](error_code ec) {
     if (ec || shutting_down_) return;
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -53,7 +53,7 @@
   void StopRenewing(int host);  // its process has ended, so its lease expires
   void Restart(int host, std::int64_t incarnation);
   void Drain(int host);   // by an operator's request, retried until the service answers it
-  void Remove(int host);  // likewise
+  void Remove(int host);  // by an operator's request, also retried
 
   // Records a revision of the list that a gateway, an agent or an operator has received from the service.
   void OnRevision(std::int64_t revision);
--- a/src/lab/report_tables.cpp
+++ b/src/lab/report_tables.cpp
@@ -15,7 +15,8 @@
 
 using Row = std::vector<std::string>;
 
-// The figures of all runs in the order of FigureNames(); those of a class or fault follow the figure itself.
+// Returns the names of the figures of all runs in the order of FigureNames(). The figures of a class or
+// fault, such as "p99_ms/pay", are at the position of their base name.
 std::vector<std::string> PresentFigures(const Results& results) {
   std::set<std::string> present;
   for (const RunResult& run : results.runs) {
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -32,9 +32,9 @@
   std::uint64_t seed = 0;
   std::map<std::string, double> figures;
   std::vector<Window> windows;
-  std::vector<std::pair<Millis, std::string>> events;  // in ms from the start of the traffic
+  std::vector<std::pair<Millis, std::string>> events;  // time from the start of the traffic, and text
   std::vector<std::string> violations;                 // descriptions of the first violations
-  std::string failure;                                 // why the run failed; empty: it completed
+  std::string failure;                                 // reason why the run failed; empty if it completed
 };
 
 struct Results {
--- a/src/lab/rule_checker.hpp
+++ b/src/lab/rule_checker.hpp
@@ -33,11 +33,12 @@
   std::map<std::string, std::uint64_t> ByName() const;
 };
 
-// Removes a request some time after it was sent, so that memory grows with the rate of requests and not with
-// the length of the run. Times must not decrease. Must be used in one thread at a time.
+// Checks that the gateways break no rule, and counts the violations. The record of a request is removed some
+// time after the request was sent, so that memory grows with the request rate and not with the length of the
+// run. Times must not decrease. Must be used in one thread at a time.
 class RuleChecker {
  public:
-  // `drain_grace`: how long after its notification a gateway may still send to a draining host.
+  // `drain_grace`: how long a gateway may still send to a draining host after it was notified of the drain.
   RuleChecker(int max_attempts, Millis drain_grace)
       : max_attempts_(max_attempts), drain_grace_(drain_grace) {}
 
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -15,10 +15,10 @@
 
 using nlohmann::json;
 
-constexpr int kCompleteListRequests = 8;         // sent in a row; the cost of one list is the mean
-constexpr Millis kMaxWatchCallMs = 2500;         // longest duration of a watch call without changes
-constexpr Millis kStartCostDelayMs = 50;         // from readiness to reading the CPU time of the start
-constexpr Millis kIsolatedStartMs = 400;         // same for a gateway that never becomes ready
+constexpr int kCompleteListRequests = 8;  // sent in a row; the cost of one list is the mean
+constexpr Millis kMaxWatchCallMs = 2500;  // longest duration of a watch call without changes
+constexpr Millis kStartCostDelayMs = 50;  // from readiness to reading the CPU time of the start
+constexpr Millis kIsolatedStartMs = 400;  // from start to reading, for a gateway that never becomes ready
 constexpr Millis kHollowReadyTimeoutMs = 60000;  // until all hollow gateways have a list
 constexpr Millis kChangeTimeoutMs = 20000;       // until all gateways have the last change
 
--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -37,7 +37,8 @@
   void RegisterAll();
   // Renews each host's lease three times per lease term. Renewals are spread evenly over time.
   void StartRenewing();
-  // Starts to change the size of randomly drawn hosts at this rate. Changes are spread evenly over time.
+  // Starts to send changes at this rate. Each changes the size of a randomly drawn host. Changes are spread
+  // evenly over time.
   void StartChanging(double per_second);
   void StopChanging();
   // Sends one change immediately.
@@ -53,7 +54,8 @@
   int renewals_skipped() const { return renewals_skipped_; }
 
  private:
-  // A periodic request. Due requests are sent even if the event loop is late, so the rate is kept.
+  // A periodic request. If the event loop is late, all requests that are due are sent, so the mean rate is
+  // kept.
   struct RequestSchedule {
     explicit RequestSchedule(EventLoop& loop) : timer(loop.io()) {}
     boost::asio::steady_timer timer;
--- a/src/lab/scale/hollow_comparison.hpp
+++ b/src/lab/scale/hollow_comparison.hpp
@@ -1,5 +1,5 @@
 // Compares hollow gateways with real ones: runs the same fleet with each kind and compares the load on the
-// list service. Figures of hollow gateways are valid only where both loads agree.
+// list service. Figures of hollow gateways are valid only where both kinds of gateways cause the same load.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_COMPARISON_HPP_
 
@@ -16,8 +16,9 @@
 struct ListServiceUse {
   double rest_calls = 0, rest_bytes_in = 0, rest_bytes_out = 0;  // from the gateways' start, without changes
   double change_calls = 0, change_bytes_in = 0, change_bytes_out = 0;  // during changes
-  // CPU time of the run with the lowest one, since other load on the machine can only increase it.
-  double min_cpu_ms = 0;  // over the complete run
+  // The lowest CPU time of any run, counted over the complete run. The lowest value is used, since other load
+  // on the machine can only increase the CPU time.
+  double min_cpu_ms = 0;
 };
 
 // One figure of the list service's load under real and under hollow gateways.
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,11 +1,11 @@
 // A hollow gateway (named after the hollow nodes of Kubernetes' kubemark) talks to the list service like a
-// real gateway but has no request path. It uses the real EndpointListWatcher and Policy. Thousands fit in one
-// process. Must be used in the thread of the io_context.
+// real gateway but forwards no requests. It uses the real EndpointListWatcher and Policy. Thousands fit in
+// one process. Must be used in the thread of the io_context.
 //
 // While a watch call is pending, the policy's periodic check, which serves queued requests, runs four times a
 // second instead of every 10 ms. Before the first call and after a failed one it runs at the policy's own
-// period, so that calls are sent at the same times as those of a real gateway. HollowComparison verifies
-// this.
+// period, so that a hollow gateway sends its calls at the same times as a real one. HollowComparison verifies
+// that the load on the list service is the same.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 
--- a/src/lab/scale/request_load.hpp
+++ b/src/lab/scale/request_load.hpp
@@ -1,5 +1,6 @@
-// Load on real gateways, and the hosts that answer it: an open-loop arrival process with random gaps at a
-// given rate, independent of the responses. One listener serves all hosts of the fleet. Single-threaded.
+// The request load on the real gateways, and the emulated hosts that answer the requests. Requests are sent
+// at a given mean rate with random gaps, independent of the responses (open loop). One listener serves all
+// hosts of the fleet. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 #define GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 
@@ -63,8 +64,8 @@
 
   void Start();
   void Stop();
-  // Returns the latency that the gateways added to the time at the host, in us, for the requests answered
-  // since the previous call.
+  // Returns, for the requests answered since the previous call, the latency in us that the gateways added to
+  // the time at the host.
   base::Histogram TakeAddedLatency();
   // Returns the delay of each send after its scheduled time, in us, for the requests sent since the previous
   // call.
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -132,7 +132,7 @@
   experiment.full = table.Number("full", kAboveZero);
   experiment.limited_by = table.Text("limited_by", "");
   if (experiment.limited_by.empty() && experiment.points.back() < experiment.full) {
-    table.Fail("limited_by", "missing: why the largest point is below 'full'");
+    table.Fail("limited_by", "missing: give the reason why the largest point is below 'full'");
   }
 }
 
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -20,7 +20,7 @@
 struct FleetSize {
   int hosts = 100;           // with leases
   int gateways_real = 1;     // processes of the gateway program
-  int gateways_hollow = 10;  // gateways without a request path, several per process
+  int gateways_hollow = 10;  // gateways that forward no requests; several per process
   int gateways_stated = 0;   // number of gateways in the gateways' settings; 0: the actual number
   int services = 3;          // the hosts are divided among them
   int classes = 3;
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -124,8 +124,8 @@
 }
 
 // Whether the growth is significant: by an F test against the constant, or by a clearly smaller residual. The
-// F test rarely succeeds with few points, and omitting a real slope is a worse error here than reporting a
-// spurious one.
+// F test rarely detects growth with few points. The second criterion is added because omitting a real slope
+// is a worse error here than reporting a spurious one.
 bool HasSignificantGrowth(const Curve& constant, const Curve& growing, std::size_t points) {
   if (growing.slope <= 0) return false;
   const double degrees = static_cast<double>(points) - FittedParameterCount(growing);
@@ -159,9 +159,10 @@
   double degrees = 1;
 };
 
-// Noise may be proportional to the figure and is then larger at the full size than at the measured points. So
-// the deviations of the runs are used as they are or scaled by the ratio of `value` to the mean of their
-// point, whichever gives the larger variance.
+// Returns the variance of the runs about the mean of their point. Noise may be proportional to the figure and
+// is then larger at the full size than at the measured points. So the variance is computed twice: from the
+// deviations as they are, and from the deviations scaled by the ratio of `value` to the mean of their point.
+// The larger one is returned.
 Variance VarianceAboutPoints(const std::vector<RunValues>& runs, const std::vector<Observation>& means,
                              double value) {
   double absolute = 0, relative = 0, degrees = 0;
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -33,14 +33,15 @@
 // to `full`. Leaves role and figure empty. Offset and slope are never negative: a decline is fitted as a
 // constant.
 //
-// Chooses a straight line unless another form is clearly better: n log n or the square if the line's residual
-// is above 0.5% and theirs is below three quarters of it; a constant if the slope is within two standard
-// errors of zero and the line's residual is not below three quarters of the constant's.
+// Chooses a straight line unless another form is clearly better. Chooses n log n or the square, whichever has
+// the smaller residual, if the line's residual is above 0.5% and the other form's is below three quarters of
+// it. Chooses a constant if the slope is within two standard errors of zero and the residual of the growing
+// form is not below three quarters of the constant's residual.
 //
 // The interval of at_full is a prediction interval (95%, Student's t) for the mean of the same number of
-// runs. Its variance is the larger one of the variance of the points about the curve and that of the runs
-// about their points, where the latter is absolute or relative to the figure, whichever is larger. Throws
-// FitError.
+// runs. Two variances are computed: that of the points about the curve, and that of the runs about the mean
+// of their point. The second one is computed from absolute and from relative deviations, and the larger
+// result is used. Each variance gives an interval, and the wider one is used. Throws FitError.
 ScaleFit FitFigure(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full);
 
 // Fits every figure of every role over the points of the result that have it, ordered by role and figure.
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -23,12 +23,12 @@
 constexpr Millis kResponseTimeoutMs = 20000;
 constexpr Millis kPollPeriodMs = 20;                 // of the list service and the hollow processes
 constexpr Millis kReadyPollPeriodMs = 5;             // of real gateways that are starting
-constexpr int kMaxGatewaysWithoutInitialList = 400;  // with more, hollow gateways start with a list
+constexpr int kMaxGatewaysWithoutInitialList = 400;  // larger fleets of hollow gateways start with a list
 constexpr int kHollowAddressBase = 200;  // first of their last address octets in the address block of the run
 constexpr std::uint16_t kControlPort = 3900;
 constexpr std::uint16_t kClosedPort = 9;
 constexpr std::uint64_t kSeedsPerRun = 100000;
-constexpr int kSpareWatchSlots = 2000;  // of the list service, above one per gateway
+constexpr int kSpareWatchSlots = 2000;  // watches that the list service admits beyond one per gateway
 constexpr std::uint16_t kIsolatedGatewayPort = 3000;
 
 // Returns the value of a counter in the Prometheus text format; 0 if it is missing.
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -103,7 +103,7 @@
   double ScrapeBytes(const RealGateway& gateway);
 
   // Starts the hollow gateways `first` to first + count - 1 in new processes, with `initial_list` as their
-  // list (null: without a list). Their indices in the fleet follow those of the real gateways.
+  // list (null: without a list). In the fleet, hollow gateways are numbered after the real gateways.
   void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
   // Waits until all gateways of the processes from number `from` on have a list. Returns the time since the
   // start of the first of these processes. Throws ScaleTimeout.
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -34,7 +34,7 @@
 
 // Measures the points one after the other, with all runs of each, and fits the figures. A point that is
 // refused or times out is recorded under `refused` and does not end the sweep. Points after the deadline are
-// not measured and are recorded there too.
+// not measured and are recorded under `refused` too.
 ScaleResult RunSweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options);
 
 // Share of a core above which a process of the measuring tool counts as saturated, so that the point is
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -129,7 +129,8 @@
   fleet.WaitForHollowReady(kConvergenceTimeoutMs);
 }
 
-// Starts the gateways of the other zones first, then those of one zone together and without a list.
+// Starts the gateways of all zones except one, and waits until they are ready. Then starts the gateways of
+// the remaining zone together and without a list.
 StormMeasures RunZoneStart(ScaleFleet& fleet) {
   const int all_gateways = fleet.size().gateways_hollow,
             zone_gateways = std::max(1, all_gateways / fleet.size().zones);
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -25,8 +25,8 @@
   std::string ToText() const;
 };
 
-// An open-loop schedule in constant memory. It uses the random engine and distributions of Boost, which give
-// the same numbers with every compiler, unlike those of the standard library.
+// An open-loop schedule in constant memory. It uses the random engine and distributions of Boost, because
+// they give the same numbers with every compiler. The distributions of the standard library do not.
 class Schedule {
  public:
   // `experiment` must outlive the schedule.
