--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -16,11 +16,12 @@
 
 using proxy::Now;
 
-constexpr Millis kDeadlineMs = 5000;  // of the requests below
-// How long requests wait before the gateway reads them. Far longer than the gateway's own safety margins.
+constexpr Millis kDeadlineMs = 5000;  // the deadline of the requests in this file (default of ApiCall)
+// The time for which requests wait before the gateway reads them. It is far longer than the margins that the
+// gateway subtracts from deadlines.
 constexpr Millis kQueueTimeMs = 400;
 
-// Lets the hosts fail the first attempt, and records the deadlines that further attempts state, in order.
+// Makes the hosts fail the first attempt, and records the deadlines in further attempts, in order of arrival.
 class FailingHosts {
  public:
   explicit FailingHosts(GatewayHarness& harness) {
@@ -49,9 +50,9 @@
   return Now() - start;
 }
 
-// The deadline that a retry states must not exceed the time that its client still waits, whichever queue the
-// request has waited in. Here: the accept queue.
-TEST(KernelQueueTime, IncludesTheWaitToBeAccepted) {
+// A request may wait in the accept queue with its connection. The gateway must subtract that time from the
+// deadline of a retry, because the client counts it.
+TEST(KernelQueueTime, IncludesTimeInTheAcceptQueue) {
   GatewayHarness harness(2);
   const FailingHosts hosts(harness);
   const auto client = harness.Connect();
@@ -62,8 +63,9 @@
   EXPECT_LE(hosts.received_deadlines().front(), kDeadlineMs - waited_ms);
 }
 
-// The same for the receive buffer of an open connection.
-TEST(KernelQueueTime, IncludesTheWaitToBeReadOnAnOpenConnection) {
+// A request on an open connection may wait in the receive buffer of the socket. The gateway must subtract
+// that time from the deadline of a retry.
+TEST(KernelQueueTime, IncludesTimeInTheReceiveBuffer) {
   GatewayHarness harness(2);
   const FailingHosts hosts(harness);
   const auto client = harness.Connect();
@@ -76,10 +78,10 @@
   EXPECT_LE(hosts.received_deadlines().front(), kDeadlineMs - waited_ms);
 }
 
-// The same for the accept queue while the connection limit is reached, by clients that keep sending bytes of
-// incomplete requests.
-TEST(KernelQueueTime, IncludesTheWaitAtTheConnectionLimit) {
-  GatewayHarness harness(2, TestSettings(), 10);  // which allows 3 client connections
+// Clients that keep sending bytes of incomplete requests may occupy all connections, so that another client
+// waits in the accept queue. The gateway must subtract that time from the deadline of a retry.
+TEST(KernelQueueTime, IncludesTimeInTheAcceptQueueAtTheConnectionLimit) {
+  GatewayHarness harness(2, TestSettings(), 10);  // a limit of 10 sockets leaves 3 for clients
   const FailingHosts hosts(harness);
   std::vector<std::unique_ptr<Client>> slow_clients;
   for (int i = 0; i < 3; ++i) {
@@ -102,8 +104,8 @@
   EXPECT_LE(hosts.received_deadlines().front(), kDeadlineMs - waited_ms);
 }
 
-// Time for which the connection was idle before the request was sent must not be subtracted from its
-// deadline.
+// A connection may be idle before the client sends a request on it. The gateway must not subtract the idle
+// time from the deadline of the request.
 TEST(KernelQueueTime, ExcludesIdleTimeBeforeTheRequest) {
   GatewayHarness harness(2);
   const FailingHosts hosts(harness);
@@ -118,10 +120,11 @@
   const Millis elapsed_ms = Now() - sent_at;
   ASSERT_EQ(hosts.received_deadlines().size(), 1u);
   EXPECT_GE(hosts.received_deadlines().front(),
-            kDeadlineMs - elapsed_ms - 50);  // the gateway's margin, and the kernel's clock tick
+            kDeadlineMs - elapsed_ms - 50);  // 50 ms: the gateway's margin and the kernel's clock tick
 }
 
-// For a socket that is closed or is no TCP socket, the system does not report when data last arrived.
+// The system reports when data last arrived only for an open TCP socket. The function must return nothing for
+// any other descriptor.
 TEST(TimeSinceLastReceived, IsUnknownWithoutATcpConnection) {
   EXPECT_EQ(proxy::TimeSinceLastReceived(-1), std::nullopt);
   asio::io_context io;
@@ -129,7 +132,8 @@
   EXPECT_EQ(proxy::TimeSinceLastReceived(udp_socket.native_handle()), std::nullopt);
 }
 
-// The fallback bound: no connection has waited for longer than since the queue was last empty.
+// The bound is used where the system does not report when data last arrived. A connection can't have entered
+// the queue before the time at which the queue was last empty.
 TEST(AcceptQueueDelay, IsTheTimeSinceTheQueueWasLastEmpty) {
   proxy::AcceptQueueDelay queue;
   EXPECT_EQ(queue.LongestWait(1000), 0);
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -28,7 +28,7 @@
          extra_header_lines + "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-// A client that collects the raw bytes of its connection, and reads only after a call to Read.
+// A client that records the raw bytes it receives. It reads nothing before the test calls Read.
 class RawClient {
  public:
   explicit RawClient(GatewayHarness& harness)
@@ -76,8 +76,8 @@
   std::shared_ptr<State> state_;
 };
 
-// Long bodies must not lose nor change bytes in either direction, with Content-Length or chunked, and must
-// leave both connections reusable.
+// Long request and response bodies must arrive unchanged, with Content-Length and with chunked coding. The
+// connections to the client and to the host must stay reusable.
 TEST(Bodies, AreStreamedUnchangedInBothDirections) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -107,8 +107,8 @@
   EXPECT_EQ(harness.Vars()["active"], 0);
 }
 
-// Without backpressure the gateway would buffer a whole response for a client that does not read. The client
-// still receives all of it once it reads.
+// Without backpressure the gateway would buffer a complete 32 MiB response for a client that does not read.
+// Once the client reads, it must receive all of the response.
 TEST(Bodies, ApplyBackpressureWhenTheClientDoesNotRead) {
   GatewayHarness harness;
   const std::string body = MakeBody(32 * 1024 * 1024);
@@ -124,7 +124,8 @@
   EXPECT_TRUE(slow.text().ends_with(body));
 }
 
-// A client may depend on the first bytes of a long response, so they are forwarded before more arrive.
+// A client may need the first bytes of a long response early. The gateway must forward them without waiting
+// for the rest.
 TEST(Bodies, AreForwardedFromTheFirstBytes) {
   GatewayHarness harness;
   RawClient client(harness);
@@ -139,9 +140,9 @@
   EXPECT_TRUE(RunUntil(harness.io, [&] { return client.text().size() > 100000; }));
 }
 
-// If a host breaks off its response, the client must be able to tell that the response is incomplete, with
-// each combination of HTTP version and framing.
-TEST(Bodies, AreRecognizablyIncompleteWhenTheHostBreaksOff) {
+// If a host resets the connection during its response, the client must be able to detect that the response is
+// incomplete, for each combination of the client's HTTP version and the framing of the response.
+TEST(Bodies, AreRecognizablyIncompleteIfTheHostResetsTheConnection) {
   struct Exchange {
     std::string request, response_head;
   };
@@ -173,8 +174,8 @@
   }
 }
 
-// Hosts may delimit a response by its length, by chunks or by closing the connection. Clients of HTTP/1.1 and
-// HTTP/1.0 must receive all of it.
+// A host may delimit a response by Content-Length, by chunked coding or by closing the connection. Clients
+// with HTTP/1.1 and HTTP/1.0 must receive the complete response in each case.
 TEST(Bodies, ReachTheClientWithEveryResponseFraming) {
   for (const std::size_t size : {std::size_t{0}, std::size_t{1000}, std::size_t{300000}}) {
     for (const bool http10_client : {false, true}) {
@@ -210,8 +211,8 @@
   }
 }
 
-// Request smuggling: a request that two HTTP parsers could frame differently, or that is malformed, must be
-// rejected and must not reach a host.
+// Request smuggling: two HTTP parsers could frame the same request differently. The gateway must reject such
+// a request, and a malformed one, without sending anything to a host.
 TEST(Bodies, WithContradictoryFramingReachNoHost) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n";
   const std::vector<std::string> inputs = {
@@ -248,15 +249,16 @@
     client.Read();
     client.Send(input);
     EXPECT_TRUE(client.AwaitClose());
-    const std::string status = client.text().substr(8, 2);  // the version is the client's
+    // The status follows "HTTP/1.x", whose version is that of the client's request.
+    const std::string status = client.text().substr(8, 2);
     EXPECT_TRUE(status == " 4" || status == " 5") << client.text();
     EXPECT_EQ(client.text().find("HTTP/", 1), std::string::npos);  // only one response
   }
   EXPECT_TRUE(harness.host().requests.empty());
 }
 
-// A client with Expect: 100-continue waits for the interim response before it sends the body. An invalid
-// request gets its error status instead.
+// A client that sends Expect: 100-continue waits for the interim response 100 before it sends the body. If
+// its request is invalid, it must receive the error status instead.
 TEST(Bodies, AreRequestedFromAClientThatExpects100Continue) {
   GatewayHarness harness;
   RawClient client(harness);
@@ -281,8 +283,8 @@
   EXPECT_TRUE(invalid.text().starts_with("HTTP/1.1 400"));
 }
 
-// Trailer fields must not be merged into the head, where they could replace its fields.
-TEST(Bodies, DropTheirTrailers) {
+// If the gateway merged trailer fields into the head, they could replace fields of the head.
+TEST(Bodies, AreForwardedWithoutTrailers) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send(MakeChunkedHead("r1") + EncodeChunked("abcde", 2, "Req-Id: r9\r\nX-Later: y\r\n") +
@@ -294,17 +296,18 @@
   EXPECT_EQ(received["Req-Id"], "r1");
   harness.host().requests[0].Respond(200, "one");
   EXPECT_EQ(client->Await(1).body(), "one");
-  // The pipelined request that follows the trailer.
+  // The second request is pipelined after the trailer of the first one.
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
   harness.host().requests[1].Respond(200, "two");
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// A long request is retried on another host only while all of its body is buffered. One that breaks while it
-// is streamed cannot be retried, and is reported as never executed since the host lacks its last byte.
+// A long request can be retried on another host only before the streaming of its body has begun. If the
+// connection to the host breaks during the streaming, the gateway must not retry. It must respond with 503:
+// the host lacks the last byte, so it cannot have executed the request.
 TEST(Bodies, AreRetriedOnlyWhileBuffered) {
   const std::string body = MakeBody(300000);
-  // Both gateways select the same host first, and in one of the two runs that host is down.
+  // Both runs select the same host first. In one of the runs that host refuses connections.
   for (const std::size_t down : {0, 1}) {
     GatewayHarness harness(2);
     FakeServer& alive = harness.host(1 - down);
@@ -326,7 +329,7 @@
   ASSERT_TRUE(harness.Until([&] { return connection_count() == 1; }));
   const auto& connection =
       (harness.host(0).connections.empty() ? harness.host(1) : harness.host(0)).connections[0];
-  ASSERT_TRUE(harness.Until([&] {  // the host has received more than the gateway buffers
+  ASSERT_TRUE(harness.Until([&] {  // the host has received over 80,000 bytes, more than the gateway buffers
     return connection->parser->is_header_done() &&
            connection->parser->content_length_remaining().value_or(300000) < 220000;
   }));
@@ -338,8 +341,8 @@
   EXPECT_EQ(connection_count(), 1u);
 }
 
-// Bodies that never arrive must not occupy connections of clients and hosts: the client gets 408, and the
-// connection to the host is closed.
+// A body that never arrives completely must not occupy connections to the client and to a host. The client
+// must receive 408, and the gateway must close the connection to the host.
 TEST(Bodies, TimeOutWhenTheClientStopsSending) {
   GatewayHarness harness;
   RawClient buffered(harness), streamed(harness);
@@ -355,8 +358,8 @@
   EXPECT_EQ(harness.Vars()["active"], 0);
 }
 
-// A host may hang while it is sent a long request. The request never ran, so its client may retry, and learns
-// so long before the request's deadline.
+// A host may hang while the gateway sends it a long request. The request cannot have run, so the client may
+// retry it. The client must receive 503 long before the deadline of its request.
 TEST(Bodies, TimeOutWhenTheHostDoesNotRead) {
   GatewayHarness harness;
   harness.host().never_reads = true;
@@ -365,9 +368,9 @@
   EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// After an error response the gateway discards further input for a limited time only. Otherwise a client that
-// keeps sending single bytes would occupy its connection forever.
-TEST(Bodies, AreNotReadForeverAfterAnErrorResponse) {
+// After an error response the gateway discards further input. It must do so for a limited time only: a client
+// that keeps sending single bytes would otherwise occupy its connection forever.
+TEST(Bodies, AreDiscardedForALimitedTimeAfterAnErrorResponse) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send("POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n");
--- a/tests/proxy/body_framing_test.cpp
+++ b/tests/proxy/body_framing_test.cpp
@@ -1,4 +1,4 @@
-// The framing of one piece of a streamed body.
+// Tests of the framing of one piece of a streamed body.
 #include "proxy/body_framing.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   EXPECT_EQ(Frame("abc", /*last=*/true, /*chunked=*/false), "head,abc");
 }
 
-// The memory of the last piece may be reused before the write has completed.
+// The memory of the last piece may be reused before the write completes, so the last piece must be copied.
 TEST(BodyFraming, CopiesTheLastPiece) {
   std::string piece = "abc";
   std::string prefix;
--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -1,4 +1,4 @@
-// The timeouts of request bodies and the rules of a drain, in simulated time.
+// Tests of the timeouts of request bodies and of the rules of a drain, in simulated time (ms).
 #include "proxy/client/body_progress.hpp"
 
 #include <gtest/gtest.h>
@@ -8,20 +8,20 @@
 namespace gateway::proxy::testing {
 namespace {
 
-TEST(BodyProgress, CountsOnlyTheTimeSpentWaiting) {
+TEST(BodyProgress, CountsOnlyTheTimeSpentWaitingForTheClient) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
-  EXPECT_FALSE(progress.TimedOut(100000));  // the gateway does not wait for the client
+  EXPECT_FALSE(progress.TimedOut(100000));  // no BeginWait yet: the gateway does not wait for the client
   progress.BeginWait(100000);
   EXPECT_FALSE(progress.TimedOut(100700));
   EXPECT_TRUE(progress.TimedOut(100701));
-  progress.EndWait(100600, /*received_bytes=*/3200);  // which take 100 ms at the minimum rate
+  progress.EndWait(100600, /*received_bytes=*/3200);  // 3,200 bytes take 100 ms at the minimum rate
   progress.BeginWait(200000);
   EXPECT_FALSE(progress.TimedOut(200200));
   EXPECT_TRUE(progress.TimedOut(200201));
 }
 
-TEST(BodyProgress, ExtendsTheGraceByUnusedHeadTime) {
+TEST(BodyProgress, GrantsAtLeastTheUnusedHeadTimeAsGrace) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/1000);
   progress.BeginWait(1000);
@@ -43,7 +43,7 @@
   DrainState drain;
   EXPECT_FALSE(drain.ClosesIdleConnections(10000));
   drain.Begin(1000);
-  drain.Begin(1400);  // has no effect on an active drain
+  drain.Begin(1400);  // the drain is already active, so this has no effect
   EXPECT_FALSE(drain.ClosesIdleConnections(1500));
   EXPECT_TRUE(drain.ClosesIdleConnections(1501));
   EXPECT_FALSE(drain.RejectsIncompleteRequests(2700));
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -1,8 +1,8 @@
 // Races between the close or transfer of an idle client connection and a request that the client sends at the
-// same time. Such a request is either served exactly once or never read, so that the client can safely retry
-// it, and the previous response is not lost. Before it closes a connection the gateway asks the kernel for
-// the number of unread bytes (ioctl FIONREAD). The tests intercept that call to write the request right
-// before or right after it.
+// same time. The server must either serve such a request exactly once or not read it at all, so that the
+// client can safely retry it. The previous response must not be lost. Before the server closes a connection,
+// it asks the kernel for the number of unread bytes (ioctl FIONREAD). The tests intercept that call in order
+// to write the request right before or right after the call.
 #include "proxy/client/client_server.hpp"
 
 #include <gtest/gtest.h>
@@ -25,8 +25,8 @@
 using proxy::ClientRequest;
 using proxy::ClientServer;
 
-// Callbacks for the next FIONREAD call on the connection of the client with this port, right before and right
-// after the system call.
+// Callbacks that run right before and right after the next FIONREAD system call on the connection of the
+// client with this port.
 struct UnreadBytesHook {
   unsigned short port = 0;
   std::function<void()> before, after;
@@ -98,8 +98,8 @@
   ClientServer client_server;
 };
 
-// A client that does not read before BeginReading: what it was sent stays in the kernel, where a reset of the
-// connection would destroy it.
+// A client that reads nothing before BeginReading. Until then, received bytes stay in the kernel, and a reset
+// of the connection would destroy them.
 class DeferredReadClient {
  public:
   DeferredReadClient(asio::io_context& io, const tcp::endpoint& address, int receive_buffer_bytes = 0)
@@ -114,7 +114,7 @@
     error_code ec;
     asio::write(socket_, asio::buffer(text), ec);
   }
-  // Returns whether the server has closed its side. Asks the kernel, without reading.
+  // Returns whether the server has closed its side of the connection. Does not read from the socket.
   bool IsClosedByServer() {
     pollfd descriptor{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&descriptor, 1, 0) > 0;
@@ -122,13 +122,13 @@
   void BeginReading() {
     if (!std::exchange(reading_, true)) ReadMore();
   }
-  // Returns all that was received until the connection ended.
+  // Reads until the connection ends. Returns all received bytes.
   const std::string& ReadToEnd() {
     BeginReading();
     EXPECT_TRUE(RunUntil(io_, [&] { return ended_; }));
     return text_;
   }
-  // Returns whether `expected` was received before the connection ended.
+  // Reads until `expected` is received or the connection ends. Returns whether `expected` was received.
   bool ReadUntil(const std::string& expected) {
     BeginReading();
     return RunUntil(io_, [&] { return ended_ || text_.find(expected) != std::string::npos; }) && !ended_;
@@ -152,7 +152,7 @@
 };
 
 enum class CloseCause { kIdleTimeout, kEviction, kDrain, kStop };
-// When the client writes its request. The check is the gateway's call that asks for unread bytes.
+// The time at which the client writes its request. The check is the server's FIONREAD call before the close.
 enum class WriteTime { kBeforeCheck, kBetweenCheckAndClose, kAfterClose };
 
 std::string Name(CloseCause cause) {
@@ -168,14 +168,15 @@
   return count;
 }
 
-// One race between the close of an idle connection and the first bytes of a request.
+// Runs one race between the close of an idle connection and the first bytes of a request.
 class CloseRace {
  public:
   CloseRace(CloseCause cause, WriteTime write_time, std::size_t racing_bytes)
       : cause_(cause), write_time_(write_time), racing_text_(RacingRequest().substr(0, racing_bytes)) {}
 
   void Run() {
-    // Only the timeout for a connection's first request is short enough for a test.
+    // The idle timeout after a response is too long for a test. So kIdleTimeout sends no first request and
+    // uses the shorter timeout for the first request of a connection.
     if (cause_ != CloseCause::kIdleTimeout) {
       client_.Write(ApiCall("first"));
       ASSERT_TRUE(RunUntil(io_, [&] { return server_.written_responses == 1; }));
@@ -203,7 +204,7 @@
 
   void CauseClose() {
     switch (cause_) {
-      case CloseCause::kIdleTimeout: return;  // the server checks timeouts by itself
+      case CloseCause::kIdleTimeout: return;  // the server's own timer checks the timeouts
       case CloseCause::kEviction:
         server_.client_server.SetConnectionLimit(1);
         other_.emplace(io_, server_.client_server.address());
@@ -215,7 +216,7 @@
     }
   }
 
-  // A stop does not close connections at once whose last response was written within 300 ms.
+  // A stop closes a connection at once only if its last response was written more than 300 ms before.
   void WaitUntilSettled() {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(310);
     ASSERT_TRUE(RunUntil(io_, [&] { return std::chrono::steady_clock::now() > end; }));
@@ -223,7 +224,7 @@
 
   long TimesReceived() const { return std::ranges::count(server_.received_ids, "crossing"); }
 
-  // Bytes that arrived before the check keep the connection open, and their request is served on it.
+  // If bytes arrived before the check, the connection must stay open and the request must be served on it.
   void ExpectServed() {
     client_.Write(RacingRequest().substr(racing_text_.size()));
     ASSERT_TRUE(client_.ReadUntil("answer to crossing")) << client_.text();
@@ -233,8 +234,8 @@
     EXPECT_EQ(closes_connection, cause_ != CloseCause::kIdleTimeout);
   }
 
-  // Bytes that arrived after the check are never read. The previous response has arrived, and a retry of the
-  // request is served.
+  // If bytes arrived after the check, they must not be read. The client must still receive the previous
+  // response, and a retry of the request must be served.
   void ExpectClosed() {
     const std::string text = client_.ReadToEnd();
     EXPECT_TRUE(cause_ == CloseCause::kIdleTimeout || text.ends_with("answer to first")) << text;
@@ -263,9 +264,9 @@
 
 class IdleConnectionClose : public ::testing::TestWithParam<std::tuple<CloseCause, std::size_t>> {};
 
-// A request, or half of its first line, may arrive while the gateway closes the idle connection: before it
-// checks for unread bytes, between the check and the close, or after the close.
-TEST_P(IdleConnectionClose, ServesBytesFromBeforeTheCheckAndReadsNoLaterOnes) {
+// A complete request, or the first 11 bytes of one, may arrive while the server closes the idle connection:
+// before the check for unread bytes, between the check and the close, or after the close.
+TEST_P(IdleConnectionClose, ServesARequestThatArrivesBeforeTheCheckAndLeavesALaterOneUnread) {
   const auto [cause, bytes] = GetParam();
   for (const WriteTime write_time :
        {WriteTime::kBeforeCheck, WriteTime::kBetweenCheckAndClose, WriteTime::kAfterClose}) {
@@ -285,12 +286,12 @@
                                                                         : "WithCompleteRequest");
                          });
 
-// When the client writes its request.
+// The time at which the client writes its request, relative to the transfer of its connection.
 enum class TransferWriteTime { kBefore, kDuring, kAfter };
 
-// A request that arrives while its idle connection is transferred to another process moves with the
-// connection, and is served there exactly once.
-TEST(ConnectionTransfer, MovesARacingRequestToTheOtherProcess) {
+// A request may arrive while its idle connection is transferred to another process. The other process must
+// serve the request exactly once, and the first process must not read it.
+TEST(ConnectionTransfer, MovesARequestThatArrivesDuringTheTransfer) {
   for (const TransferWriteTime write_time :
        {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
     for (const std::size_t bytes : {std::string::npos, std::size_t{11}}) {
@@ -322,9 +323,10 @@
   }
 }
 
-// If the other process does not accept the connection, it is closed. The previous response must have arrived
-// completely, and the racing request must not have been read.
-TEST(ConnectionTransfer, ClosesAConnectionThatIsNotAccepted) {
+// If the other process does not accept the connection, the first process closes it. The client must have
+// received the previous response completely, and the request that arrives during the transfer must not be
+// read.
+TEST(ConnectionTransfer, ClosesAConnectionThatTheOtherProcessDoesNotAccept) {
   for (const TransferWriteTime write_time :
        {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
     SCOPED_TRACE(static_cast<int>(write_time));
@@ -350,9 +352,9 @@
   }
 }
 
-// A client may be connected but not yet accepted when the listener closes. It is accepted and its request is
-// served.
-TEST(IdleConnectionClose, ServesAClientThatConnectedRightBeforeTheStop) {
+// A client may be connected but not accepted yet when the listener is to be closed. The server must accept
+// the client first and serve its request.
+TEST(IdleConnectionClose, ServesAClientThatIsStillInTheAcceptQueueAtTheStop) {
   asio::io_context io;
   TestServer server(io);
   server.client_server.SetDraining(true);
@@ -365,7 +367,7 @@
   EXPECT_EQ(server.received_ids, std::vector<std::string>{"crossing"});
 }
 
-// The remaining body of a response, which stays incomplete until Finish.
+// A remaining response body that delivers nothing until the test calls Finish.
 class PausedBody : public BodySource {
  public:
   void ReadNext(PieceHandler handler) override { handler_ = std::move(handler); }
@@ -378,9 +380,10 @@
   PieceHandler handler_;
 };
 
-// A response may still be in transit after the listener was closed. A close with an unread request would
-// reset the connection, and the client would lose the rest of the response.
-TEST(IdleConnectionClose, DoesNotCutOffAResponseWhenAnotherRequestArrives) {
+// A response may still be in transit when the server closes the connection after a stop. If an unread request
+// arrived on it at that moment, the close would reset the connection and the client would lose the rest of
+// the response.
+TEST(IdleConnectionClose, DeliversTheResponseIfAnotherRequestArrivesDuringAStop) {
   constexpr std::size_t kBodyBytes = 64 * 1024;
   asio::io_context io;
   TestServer server(io);
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the endpoint list's watch: failover between several services, the guard against mass removal, and
-// a change of the service address.
+// Tests of the watch of the endpoint list: failover between several services, the guard against mass removal,
+// and a change of the service's address.
 #include <gtest/gtest.h>
 
 #include "base/clock.hpp"
@@ -14,7 +14,7 @@
 using proxy::DiscoveryClient;
 using proxy::EndpointList;
 
-// A client that watches two services, whose responses the test configures.
+// Runs a client that watches two services. The test configures the responses of the services.
 struct TwoServices : DiscoveryClient::Observer {
   struct Service {
     explicit Service(asio::io_context& io) : server(io) {}
@@ -85,13 +85,13 @@
   EXPECT_EQ(fixture.first.watches + fixture.second.watches, 2u);
 }
 
-TEST(DiscoveryClient, LeavesAServiceThatLagsBehind) {
+TEST(DiscoveryClient, SwitchesAwayFromAServiceThatLagsBehind) {
   TwoServices fixture;
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.size() == 1; }));
   fixture.second.revision = 52;  // the first service stays at 50
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.back() == 52; }));
   EXPECT_EQ(fixture.client->service_index(), 1u);
-  // The client does not return to the first service, which lags behind: its list is older.
+  // The client must not return to the first service, whose list is still at revision 50.
   const Millis until = base::MonotonicNow() + 500;
   ASSERT_TRUE(fixture.Until([&] { return base::MonotonicNow() > until; }));
   EXPECT_EQ(fixture.client->service_index(), 1u);
@@ -106,7 +106,7 @@
   fixture.first.status = 503;
   ASSERT_TRUE(fixture.Until([&] { return fixture.failures > 0; }));
   EXPECT_EQ(fixture.revisions, std::vector<std::int64_t>{50});
-  fixture.second.epoch = "e2";  // the service lost its disk
+  fixture.second.epoch = "e2";  // a new epoch: the service has lost its disk
   fixture.client->Watch();
   ASSERT_TRUE(fixture.Until([&] {
     if (fixture.failures > 1) {
@@ -125,7 +125,7 @@
   EXPECT_EQ(fixture.client->last_list_at(), 0);
 }
 
-// The tests of ServiceFailover call the state machine directly, with times in ms.
+// The ServiceFailover tests call the state machine directly. They pass simulated times in ms.
 TEST(ServiceFailover, ReportsFailureOnlyAfterEveryServiceFailed) {
   proxy::ServiceFailover failover(3, 30000);
   EXPECT_FALSE(failover.RecordFailure(1));
@@ -151,7 +151,7 @@
   EXPECT_EQ(failover.EvaluateProbe(0, current, position, 1350), proxy::ProbeDecision::kReturnToFirst);
 }
 
-TEST(ServiceFailover, IgnoresAProbeOfAnotherEpoch) {
+TEST(ServiceFailover, IgnoresAProbeThatReturnsAListOfAnotherEpoch) {
   const proxy::ServiceFailover failover(2, 100);
   const proxy::WatchPosition position{7, "e1"};
   EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e1", 0}, position, 0),
@@ -159,8 +159,8 @@
   EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e2", 0}, position, 0), proxy::ProbeDecision::kStay);
 }
 
-// A delta removes the endpoints that it lists as removed, a snapshot those that it does not list. The removal
-// of a single endpoint is never a mass removal.
+// A delta removes the endpoints that it lists as removed. A snapshot removes the known endpoints that it does
+// not list. The removal of a single endpoint is never a mass removal.
 TEST(MassRemovalGuard, CountsRemovalsInSnapshotsAndDeltas) {
   proxy::EndpointsById known;
   for (const char* id : {"h0", "h1", "h2"}) known[id].info.id = id;
@@ -179,8 +179,8 @@
   EXPECT_FALSE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.5));
 }
 
-// A list service that has lost its data must not remove most endpoints: without an operator's confirmation
-// the gateway rejects its list, but applies the drains in it.
+// A list service that has lost its data must not remove most endpoints. The gateway must reject such a list
+// until an operator confirms the removal, but it must apply the drains in the list.
 TEST(MassRemovalGuard, KeepsEndpointsUntilAMassRemovalIsConfirmed) {
   GatewayHarness harness(6);
   harness.EnableMassRemovalGuard();
@@ -202,16 +202,16 @@
   respond(list_of(42, 2, 0));
   respond(list_of(43, 2, 0));
   EXPECT_EQ(harness.Vars()["pool_size"], 6);
-  respond(list_of(44, 3, 0));  // removing half of them is not a mass removal
+  respond(list_of(44, 3, 0));  // removing 3 of 6 endpoints is not a mass removal
   ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 3; }));
   respond(list_of(46, 1, 45));  // confirmed
   ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 1; }));
 }
 
-// Discovery counts a change as received after 6 s, whether or not it arrived. If a call of the watch, the
-// first or a later one, receives no response, the client must reopen the watch early enough to leave a second
-// for the next response.
-TEST(DiscoveryClient, ReopensASilentWatchInTime) {
+// Discovery treats a change as received 6 s after publishing it, whether or not the gateway has received it.
+// If the first or a later call of the watch receives no response, the client must make the next call within
+// 5 s, which leaves 1 s for the response.
+TEST(DiscoveryClient, ReopensTheWatchWithin5SecondsIfACallReceivesNoResponse) {
   for (const std::size_t silent : {0u, 1u}) {  // index of the call without a response
     GatewayHarness harness(2);
     ASSERT_TRUE(harness.Until([&] { return !harness.discovery.requests.empty(); }));
@@ -241,7 +241,7 @@
 }
 
 // A gateway whose discovery address changes while a call to the former address is in progress. The test sends
-// the responses of both addresses.
+// the responses at the former and at the new address.
 struct AddressChangeHarness : GatewayHarness {
   AddressChangeHarness() : GatewayHarness(2) {
     for (const auto& host : hosts) {
@@ -251,15 +251,14 @@
   bool FirstCallArrived() {
     return Until([&] { return discovery.requests.size() == 1; });
   }
-  // Writes bytes to the connection at the former address; the gateway reads them when the event loop runs. If
-  // the gateway has closed the connection, the checks that follow fail.
+  // Writes bytes to the gateway's connection at the former address. The gateway reads them when the event
+  // loop runs. Ignores errors: if the gateway has closed the connection, the checks of the test detect it.
   void WriteAtFormerAddress(const std::string& text) {
     error_code ignored;
     asio::write(discovery.requests[0].connection->socket, asio::buffer(text), ignored);
   }
   void ChangeAddress() { gateway->ChangeDiscoveryAddress(new_discovery.address()); }
-  // Runs the event loop for a few management calls, after which it has read all bytes that were in its
-  // sockets.
+  // Makes a few management calls. When they return, the gateway has read all bytes that were in its sockets.
   void RunEventLoop() {
     for (int i = 0; i < 5; ++i) Call("check\n");
   }
@@ -285,8 +284,8 @@
   int sent_requests = 0;
 };
 
-// When the address of discovery changes, the gateway may not have read a drain that discovery has already
-// written. The drain must take effect at once, however long the new address takes for its first response.
+// When the address of discovery changes, discovery may already have written a drain that the gateway has not
+// read yet. The drain must take effect at once, even if the new address has not responded.
 TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressWrittenBeforeTheChange) {
   AddressChangeHarness harness;
   ASSERT_TRUE(harness.FirstCallArrived());
@@ -297,7 +296,7 @@
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
-  // The watch at the new address begins at the revision known at the change.
+  // The watch at the new address must begin at the revision that the gateway knew at the change.
   EXPECT_NE(std::string(harness.new_discovery.requests[0].http.target()).find("after=41&"),
             std::string::npos);
   harness.new_discovery.requests[0].Respond(200, harness.MakeDrain(42).dump());
@@ -307,8 +306,9 @@
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
 }
 
-// A drain must also take effect if its response was incomplete at the change, with several numbers of bytes
-// written, and discovery writes the rest after the first call to the new address.
+// A drain must also take effect if discovery had written only a part of the response at the change, and
+// writes the rest after the first call to the new address. The test repeats this with parts of several
+// lengths.
 TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressCompletedAfterTheChange) {
   for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes written before the change
     SCOPED_TRACE(part);
@@ -325,9 +325,9 @@
   }
 }
 
-// After a response of the new address, a list from the former one may belong to another epoch and must be
-// ignored. If the new address does not respond, the gateway closes the former connection after 1.5 s, the
-// time for which discovery keeps it.
+// Once the new address has responded, a list from the former address may belong to another epoch. The gateway
+// must ignore it. If the new address does not respond, the gateway must close the connection to the former
+// address after 1.5 s, the time for which discovery keeps that connection.
 TEST(DiscoveryClient, IgnoresTheFormerAddressAfterAResponseOfTheNewOne) {
   AddressChangeHarness harness;
   ASSERT_TRUE(harness.FirstCallArrived());
@@ -350,7 +350,7 @@
   const Millis changed_at = base::MonotonicNow();
   ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->closed_by_gateway; }));
   EXPECT_GE(base::MonotonicNow() - changed_at, 1400);
-  // The next call follows within 4.5 s.
+  // The next call to the new address is due within 4.5 s, although the first call received no response.
   ASSERT_TRUE(silent.Until([&] { return silent.new_discovery.requests.size() == 2; }));
 }
 
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_TRUE(client->Await().keep_alive());
 }
 
-// An off-by-one error at the limit of 64 KiB up to which bodies are buffered would lose a body of that size.
+// Bodies of up to 64 KiB are buffered. An off-by-one error at this limit would lose a body of exactly 64 KiB.
 TEST(Gateway, ForwardsBodiesOfTheLargestBufferedSize) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -66,9 +66,9 @@
   unsigned status;
 };
 
-// Invalid input must not reach a host nor stop the gateway. The client gets a 4xx status, which does not
-// invite a retry.
-TEST(Gateway, RejectsInvalidRequestsItself) {
+// Invalid input must neither reach a host nor stop the gateway. The client receives a 4xx status: a retry
+// would fail again.
+TEST(Gateway, RejectsInvalidRequestsWithoutForwardingThem) {
   const std::string head = "GET /api HTTP/1.1\r\nHost: b\r\n";
   const std::string valid_fields = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
   const std::vector<InvalidRequest> inputs = {
@@ -113,8 +113,9 @@
   EXPECT_EQ(client->Await().result(), http::status::ok);
 }
 
-// The outcomes of two concurrent requests with the same ID could not be told apart.
-TEST(Gateway, RejectsAnIdThatIsInUse) {
+// The gateway identifies requests by their ID. It could not distinguish the outcomes of two concurrent
+// requests with the same ID.
+TEST(Gateway, RejectsARequestWhoseIdIsInUse) {
   GatewayHarness harness;
   const auto first = harness.Connect(), second = harness.Connect();
   first->Send(ApiCall("r1"));
@@ -180,9 +181,9 @@
   return failures;
 }
 
-// A retry of a non-idempotent request that has run would execute it twice, and a rejection would invite its
-// client to do the same. So in case of doubt the request fails. The first host fails it, the second would
-// serve it.
+// If the first host may have executed a non-idempotent request, a retry by the gateway could execute it
+// twice. So could a retry by the client, which a rejection (503) would allow. The gateway must then respond
+// with 502. It retries only if the request cannot have run. The second host would serve a retry.
 TEST(Gateway, RetriesANonIdempotentRequestOnlyIfItNeverRan) {
   for (const HostFailure& failure : HostFailures()) {
     SCOPED_TRACE(failure.description);
@@ -202,7 +203,7 @@
   }
 }
 
-// An idempotent request must not fail because a single host failed it.
+// An idempotent request must not fail because one of the two hosts fails it: the other host serves the retry.
 TEST(Gateway, RetriesAnIdempotentRequest) {
   for (const HostFailure& failure : HostFailures()) {
     SCOPED_TRACE(failure.description);
@@ -220,7 +221,8 @@
   }
 }
 
-// If a refused connection counted as a request that may have run, the client could not retry.
+// A host that refuses the connection cannot have executed the request. The response must be 503 with
+// Retry-After, so that the client may retry, and not 502.
 TEST(Gateway, RejectsARequestWhoseConnectionIsRefused) {
   GatewayHarness harness;
   harness.host().StopListening();
@@ -230,9 +232,9 @@
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
 }
 
-// A request to a stalled host ends by its deadline. Its connection is closed: a late response on a reused
-// connection would be taken for that of another request.
-TEST(Gateway, FailsARequestWhoseHostStalls) {
+// A request whose host stalls must fail at its deadline, and the gateway must close the connection to the
+// host. If the connection were reused, a late response would be taken for the response to the next request.
+TEST(Gateway, FailsARequestAtItsDeadlineIfTheHostStalls) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   const auto sent_at = std::chrono::steady_clock::now();
@@ -242,13 +244,13 @@
   EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(300));
   ASSERT_TRUE(harness.Until([&] { return harness.host().connections[0]->closed_by_gateway; }));
   harness.host().requests[0].Respond(200, "late");
-  client->Send("GET /up HTTP/1.1\r\n\r\n");  // its response is the next one on the connection
+  client->Send("GET /up HTTP/1.1\r\n\r\n");  // its response must be the next one that this client receives
   EXPECT_EQ(client->Await(2).body(), "");
   EXPECT_EQ(client->responses().size(), 2u);
 }
 
-// New connections cost hosts work. Consecutive requests share a connection, and of several idle ones the most
-// recently used one is chosen.
+// Opening a connection costs the host time. Consecutive requests must reuse an idle connection, and the most
+// recently used one if several are idle.
 TEST(Gateway, ReusesTheMostRecentlyUsedConnection) {
   GatewayHarness harness;
   FakeServer& host = harness.host();
@@ -268,8 +270,8 @@
   EXPECT_EQ(host.requests[2].connection, host.requests[1].connection);
 }
 
-// A non-idempotent request that is written to a connection which the host closed while it was idle would fail
-// with a reset, although another connection would have served it.
+// A host may close a connection while it is idle. If the gateway wrote a non-idempotent request to it, the
+// request would fail with a reset, although a new connection would serve it.
 TEST(Gateway, DetectsAConnectionClosedWhileIdle) {
   GatewayHarness harness;
   FakeServer& host = harness.host();
@@ -300,8 +302,8 @@
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// Without a cancellation hosts would work for a client that has disconnected. The attempt is cancelled by
-// closing its connection.
+// Without cancellation a host would work for a client that has disconnected. The gateway cancels an attempt
+// by closing its connection to the host.
 TEST(Gateway, CancelsTheAttemptIfTheClientDisconnects) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -316,8 +318,9 @@
   EXPECT_EQ(other->Await().result(), http::status::ok);
 }
 
-// A client that pipelines requests and then disconnects has unread data before its FIN. Its active attempt is
-// cancelled nevertheless, and neither a retry nor a pipelined request reaches a host.
+// If a client pipelines requests and then disconnects, unread data precedes its FIN. The gateway must still
+// detect the disconnect and cancel the active attempt. Neither a retry nor a pipelined request may reach a
+// host.
 TEST(Gateway, DetectsADisconnectAfterPipelinedRequests) {
   for (const std::size_t pipelined : {1u, 600u}) {  // 600 requests exceed the read-ahead limit
     GatewayHarness harness;
@@ -327,7 +330,7 @@
     std::string requests;
     for (std::size_t i = 0; i < pipelined; ++i) requests += ApiCall("more" + std::to_string(i));
     client->Send(requests);
-    harness.Call("check\n");  // once it is answered, the gateway has read from the client's connection
+    harness.Call("check\n");  // when this call returns, the gateway has read the client's data
     client->Disconnect();
     const Millis disconnected_at = proxy::Now();
     EXPECT_TRUE(harness.Until([&] { return harness.host().connections[0]->closed_by_gateway; })) << pipelined;
@@ -337,9 +340,9 @@
   }
 }
 
-// A host's reset can be handled while the client's close is still unread in its socket, and the retry would
-// be sent at once on the other host's idle connection. The client disconnects after a varying number of event
-// loop iterations, so that some of them hit that moment.
+// The gateway may handle a host's reset before it has read the client's close from the client's socket. It
+// must not send a retry in this case, although the other host has an idle connection. The client disconnects
+// after 0 to 7 iterations of the event loop; at least one of these runs must hit that case.
 TEST(Gateway, StartsNoRetryIfTheClientsCloseIsUnread) {
   int closes_before_retry = 0;
   for (int iterations = 0; iterations < 8; ++iterations) {
@@ -387,7 +390,7 @@
 }
 
 // If the client disconnects while the connection to the host is being established, nothing may be sent on it,
-// whether or not the settings allow the cancellation of attempts.
+// whether the setting `cancelling` (cancellation of attempts) is on or off.
 TEST(Gateway, SendsNothingIfTheClientDisconnectsDuringTheConnect) {
   for (const bool cancelling : {true, false}) {
     asio::io_context listener_io;
@@ -423,8 +426,8 @@
   }
 }
 
-// Pipelined requests, which arrive before the first response is written, must not be lost nor answered out of
-// order.
+// Pipelined requests arrive before the first response is written. None may be lost, and the responses must be
+// in the order of the requests.
 TEST(Gateway, RespondsToPipelinedRequestsInOrder) {
   GatewayHarness harness;
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) {
@@ -437,8 +440,8 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client->responses()[i].body(), "r" + std::to_string(i + 1));
 }
 
-// A list that marks a host as draining takes effect with the next attempt, and closes the idle connections to
-// the host.
+// When a list marks a host as draining, the gateway must close its idle connections to the host and send no
+// further attempt to it.
 TEST(Gateway, SendsNothingToADrainingHost) {
   GatewayHarness harness(2);
   for (auto& host : harness.hosts)
@@ -462,8 +465,8 @@
   EXPECT_EQ(harness.host(0).requests.size(), requests_before);
 }
 
-// If a host begins to drain while a connection to it is being established, nothing may be sent on it. The
-// connect is delayed by a full accept queue, and succeeds once the queue has room.
+// If a host begins to drain while a connection to it is being established, nothing may be sent on the
+// connection. A full accept queue delays the connect, which succeeds once the queue has room.
 TEST(UpstreamPool, SendsNothingIfTheHostDrainsDuringTheConnect) {
   asio::io_context io;
   tcp::acceptor listener(io, tcp::v4());
@@ -498,9 +501,10 @@
   }
 }
 
-// The callback `may_send` is called once the connection is established, and may cancel the attempt itself.
-// The attempt must end once, and the callback must not be destroyed while it runs.
-TEST(UpstreamPool, EndsAnAttemptThatMayNotBeSentOnceConnected) {
+// The pool calls `may_send` when the connection is established. If the callback returns false, with or
+// without cancelling the attempt itself, the attempt must end exactly once. The callback must not be
+// destroyed while it runs.
+TEST(UpstreamPool, EndsAnAttemptIfMaySendReturnsFalse) {
   asio::io_context io;
   FakeServer host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
@@ -527,8 +531,8 @@
   EXPECT_TRUE(host.requests.empty());
 }
 
-// At the connection limit an attempt ends with kNotSent, unless an idle connection can be closed to make
-// room.
+// The pool has a limit of 2 connections. At the limit an attempt must end with kNotSent if no connection is
+// idle. If one is idle, the pool must close it and open another.
 TEST(UpstreamPool, EnforcesItsConnectionLimit) {
   asio::io_context io;
   FakeServer first_host(io), second_host(io);
@@ -557,8 +561,8 @@
   EXPECT_EQ(pool.connections(), 1u);
 }
 
-// An attempt may be cancelled before the completion of its write is delivered. The buffers must stay valid
-// until then.
+// An attempt may be cancelled before the event loop has delivered the completion of its write. The buffers of
+// the write must stay valid until the completion is delivered.
 TEST(UpstreamPool, CancelsAnAttemptDuringItsWrite) {
   asio::io_context io;
   FakeServer host(io);
@@ -577,16 +581,17 @@
   };
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
-  pool.Cancel(start());  // on the idle connection, where the write starts at once
+  pool.Cancel(start());  // reuses the idle connection, so the write starts at once
   EXPECT_EQ(results.back(), policy::AttemptResult::kCancelled);
   start();
   EXPECT_TRUE(RunUntil(io, [&] { return results.size() == 3; }));
   EXPECT_EQ(results.back(), policy::AttemptResult::kServed);
 }
 
-// The watch starts at the revision of the configured list and continues from each response. A call that
-// fails, in whatever way, is repeated from the last valid revision, so that no change is lost.
-TEST(Gateway, ResumesTheWatchAfterFailures) {
+// The watch starts at the revision of the configured list and continues from the revision of each valid
+// response. After any kind of failed call the next call must continue from the last valid revision. Otherwise
+// the gateway would miss changes.
+TEST(Gateway, ResumesTheWatchAtTheLastValidRevisionAfterFailures) {
   GatewayHarness harness;
   FakeServer& discovery = harness.discovery;
   const auto target_of_call = [&](std::size_t n) {
@@ -614,8 +619,8 @@
   EXPECT_EQ(harness.Vars().at("pool_size"), 1);
 }
 
-// HTTP does not limit the length of a chunk extension. A request with an endless one must not exhaust the
-// memory.
+// HTTP does not limit the length of a chunk extension. A request with an endless chunk extension must not
+// exhaust the gateway's memory.
 TEST(Gateway, RejectsARequestWithAnEndlessChunkHeader) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -625,7 +630,8 @@
   EXPECT_TRUE(client->AwaitClose());
 }
 
-// The same limit for responses: the attempt fails, and its request may have run.
+// A response with an endless chunk extension must not exhaust the gateway's memory either. The attempt fails,
+// and the client receives 502, because its request may have run.
 TEST(Gateway, FailsAResponseWithAnEndlessChunkHeader) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -636,7 +642,8 @@
   EXPECT_EQ(client->Await().result(), http::status::bad_gateway);
 }
 
-// A host may send any number of interim (1xx) responses, which must not be taken for the final one.
+// A host may send any number of interim (1xx) responses. The gateway must not take them for the final
+// response.
 TEST(Gateway, WaitsForTheFinalResponseAfterInterimResponses) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -652,8 +659,8 @@
   EXPECT_EQ(harness.host().connections.size(), 1u);  // still usable after interim responses
 }
 
-// A response whose Content-Length exceeds the limit on bodies fails at its head, before memory is spent on
-// it.
+// A response whose Content-Length exceeds the body limit must fail as soon as its head has arrived, before
+// the gateway spends memory on the body.
 TEST(Gateway, FailsAResponseWithAnExcessiveContentLength) {
   for (const std::string length : {"33554433", "3000000000"}) {
     GatewayHarness harness;
@@ -667,8 +674,8 @@
   }
 }
 
-// Clients that send nothing, or only a part of their first request, must not occupy connections for as long
-// as a client that is idle between two requests may.
+// Clients that send nothing, or only a part of their first request, could occupy all connections. The gateway
+// must close their connections sooner than connections that are idle between two requests.
 TEST(Gateway, ClosesConnectionsWithoutACompleteFirstRequest) {
   GatewayHarness harness;
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
@@ -683,7 +690,7 @@
 
 // A flood of idle connections must not lock out a client that sends a request.
 TEST(Gateway, EvictsIdleConnectionsForANewClient) {
-  GatewayHarness harness(1, TestSettings(), 200);  // which allows 106 client connections
+  GatewayHarness harness(1, TestSettings(), 200);  // a limit of 200 sockets leaves 106 for clients
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 150; ++i) {
@@ -701,9 +708,9 @@
   EXPECT_LE(closed, 46u);
 }
 
-// A flood of requests that stay incomplete, in the head or in the body, must not lock out a client that sends
-// a complete one. The connections without progress for longest are evicted, long before their requests time
-// out.
+// A flood of requests whose head or body stays incomplete must not lock out a client that sends a complete
+// request. The gateway must evict the connections that have made no progress for the longest time, long
+// before their requests time out.
 TEST(Gateway, EvictsStalledConnectionsForANewClient) {
   const std::string body = ApiCall("r0", "pay", "9000m", std::string(2000, 'x')).substr(0, 1000);
   for (const std::string& incomplete : {std::string("GET /api HTTP/1.1\r\nReq-Id:"), body}) {
@@ -721,13 +728,14 @@
     EXPECT_EQ(client->Await().result(), http::status::ok);
     const auto timed_out =
         std::count_if(flood.begin(), flood.end(), [](const auto& c) { return !c->responses().empty(); });
-    EXPECT_LT(timed_out, 100);  // without eviction all of them would time out first
+    EXPECT_LT(timed_out, 100);  // without eviction, all of the connections would time out first
   }
 }
 
-// Clients that wait in the accept queue while all connections are busy are served once requests end.
-TEST(Gateway, ServesQueuedClientsWhenBusyConnectionsBecomeFree) {
-  GatewayHarness harness(1, TestSettings(), 10);  // which allows 3 client connections
+// While all connections are busy, further clients wait in the accept queue. They must receive a response when
+// the requests on the busy connections have ended.
+TEST(Gateway, RespondsToQueuedClientsWhenBusyConnectionsBecomeFree) {
+  GatewayHarness harness(1, TestSettings(), 10);  // a limit of 10 sockets leaves 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(harness.Connect());
@@ -736,8 +744,8 @@
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// A planned stop must not lose requests. Meanwhile the gateway fails its readiness check but still accepts
-// clients, completes all requests with Connection: close, and closes idle connections.
+// A planned stop must not lose requests. During the stop the gateway fails its readiness check but still
+// accepts clients. It responds to all requests with Connection: close, and closes idle connections.
 TEST(Gateway, CompletesAllRequestsBeforeItStops) {
   GatewayHarness harness;
   const auto idle = harness.Connect(), busy = harness.Connect();
@@ -767,7 +775,8 @@
   EXPECT_TRUE(harness.Until([&] { return stopped; }));
 }
 
-// With a host that never responds, the remaining requests fail before the process would be killed.
+// If a host never responds, the gateway must respond to the remaining requests with 504 before the platform
+// would kill the process.
 TEST(Gateway, FailsRemainingRequestsWhenTheStopTimesOut) {
   GatewayHarness harness;
   const auto client = harness.Connect();
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Tests of hot restart: replacing the running process by a new one, and the messages between the two.
+// Tests of hot restart: a new process replaces the running one, and the two processes exchange messages.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -13,7 +13,8 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// The environment that both processes share: discovery, one host, the client address and the folder.
+// The environment of the old and the new process: discovery, one host, the client address, the configuration
+// file and the folder of the Unix socket.
 struct Platform {
   Platform() {
     folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
@@ -65,13 +66,13 @@
 
   asio::io_context io;
   FakeServer host{io}, discovery{io};
-  std::vector<FakeServer::ReceivedRequest> held;  // requests "held", to which the test responds
+  std::vector<FakeServer::ReceivedRequest> held;  // requests with the ID "held"; the test responds to them
   const tcp::endpoint listen = FreeAddress(io);
   std::filesystem::path folder;
   const ConfigFile file{nlohmann::json{
       {"seed", "1f"},
-      // Several endpoints, because during an overlap each process sends at most
-      // one concurrent request to a new endpoint, and "held" occupies that slot.
+      // Several endpoints at the address of the one host: during an overlap each process sends at most one
+      // concurrent request to a new endpoint, and the request "held" occupies one endpoint.
       {"known",
        List(1, true,
             {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
@@ -79,7 +80,8 @@
        TestSettings()}}.dump()};
 };
 
-// The two processes may be of different builds, so the encoding on their socket must not change.
+// The two processes may run different versions of the program, so the encoding of the messages must not
+// change.
 TEST(HotRestartMessage, HasAStableEncoding) {
   EXPECT_EQ(proxy::EncodeMessage(proxy::Hello{}).text, "forkwick 1");
   EXPECT_EQ(proxy::EncodeMessage(proxy::ListenerTransfer{}).text, "listener");
@@ -93,8 +95,8 @@
             R"("mean_latency":0.0,"rate":0.0,"samples":0,"servers":[],"spent":0.0})");
 }
 
-// A message that must carry a descriptor but has none, or one of another protocol version, must not be
-// accepted.
+// Decoding must return UnknownMessage for a malformed message, for a message of another protocol version, and
+// for a message that lacks the file descriptor it must carry.
 TEST(HotRestartMessage, IsUnknownIfIncompleteOrOfAnotherVersion) {
   for (const char* text : {"forkwick 2", "listener", "client", "{}", ""}) {
     const proxy::HotRestartMessage message = proxy::DecodeMessage({text, {}});
@@ -106,9 +108,9 @@
   EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
 }
 
-// During a hot restart a client could lose its connection or its request. An idle connection and one with a
-// request in flight must survive the end of the old process, that request must complete, and no client may be
-// rejected.
+// During a hot restart a client could lose its connection or its request. The test has an idle connection and
+// a connection with a request in flight. When the old process exits, both connections must stay open and the
+// request must complete. No client may be rejected.
 TEST(HotRestart, TakesOverWithoutRejectingClients) {
   Platform platform;
   auto old = platform.Start();
@@ -119,7 +121,7 @@
   ASSERT_TRUE(RunUntil(platform.io, [&] { return platform.held.size() == 1; }));
   auto next = platform.Start();
   ASSERT_TRUE(platform.BecomesReady(next));
-  EXPECT_EQ(platform.Call(old, "check\n"), "SUCCESS");  // both serve until the old one receives SIGTERM
+  EXPECT_EQ(platform.Call(old, "check\n"), "SUCCESS");  // the old process serves until SIGTERM
   old.process->Terminate();
   for (int i = 0; i < 50; ++i) {
     Client another(platform.io, platform.listen);
@@ -142,14 +144,14 @@
   EXPECT_EQ(platform.Request(idle, "four", 3), "four");
 }
 
-// A predecessor that an operator drains during the overlap must fail its health check although its successor
-// is ready.
+// If an operator drains the old process during the overlap, the old process must fail its health check,
+// although its successor is ready.
 TEST(HotRestart, PredecessorFailsItsHealthCheckWhileDraining) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.BecomesReady(old));
   Client client(platform.io, platform.listen);
-  EXPECT_EQ(platform.Request(client, "one"), "one");  // the old process has the connection
+  EXPECT_EQ(platform.Request(client, "one"), "one");  // the connection is accepted by the old process
   auto next = platform.Start();
   ASSERT_TRUE(platform.BecomesReady(next));
   EXPECT_EQ(platform.Call(old, "drain-on\n"), "SUCCESS");
@@ -159,7 +161,7 @@
 }
 
 // If either process is killed by SIGKILL during the overlap, the other one must continue to serve.
-TEST(HotRestart, SurvivesTheEndOfEitherProcess) {
+TEST(HotRestart, ContinuesToServeAfterEitherProcessIsKilled) {
   Platform platform;
   auto old = platform.Start();
   ASSERT_TRUE(platform.BecomesReady(old));
@@ -181,9 +183,9 @@
   }
 }
 
-// Any file at the path of the socket, or an old process that hangs, prevents a transfer. The new process must
-// start nevertheless and share the client address.
-TEST(HotRestart, StartsWithoutATransfer) {
+// No transfer is possible if the old process hangs, or if a file, a folder or a stale socket is at the path
+// of the Unix socket. The new process must still start and share the client address.
+TEST(HotRestart, StartsEvenIfNoTransferIsPossible) {
   for (const std::string obstacle : {"file", "folder", "stale socket", "hung process"}) {
     SCOPED_TRACE(obstacle);
     Platform platform;
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the operators' interface: the management port, metrics, saved state, log and drain.
+// Tests of what operators use: the management port, metrics, saved state, the log and drains.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,7 +13,8 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// Scripts of operators rely on the first word of a response, which must also be right for invalid commands.
+// Operators' scripts rely on the first word of a response, SUCCESS or FAILURE. It must be correct for valid
+// and for invalid commands.
 TEST(Management, RespondsToValidAndInvalidCommands) {
   GatewayHarness harness;
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
@@ -25,7 +26,8 @@
   }
 }
 
-// A gateway without a host can't serve clients, so its check must fail until it has received a list.
+// A gateway without hosts can't serve clients. The command `check` must fail until the gateway has received a
+// list.
 TEST(Management, CheckFailsUntilAListIsReceived) {
   GatewayHarness harness(0);
   EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE"));
@@ -36,18 +38,19 @@
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
 }
 
-// Clients that send no complete command could use up all connections. Others must be served meanwhile, and a
-// client that closes its side without a line end must receive a failure.
-TEST(Management, ServesOthersDespiteIncompleteCommands) {
+// Clients with incomplete commands could use up all management connections. Other clients must still be
+// served. A client that closes its side of the connection before the line end must receive FAILURE.
+TEST(Management, ServesACommandDespiteManyIncompleteCommands) {
   GatewayHarness harness;
   std::vector<tcp::socket> slow;
-  for (int i = 0; i < 100; ++i) {  // far more than the server allows
+  for (int i = 0; i < 100; ++i) {  // far more connections than the server allows
     slow.emplace_back(harness.io).connect(*harness.gateway->management());
     asio::write(slow.back(), asio::buffer("chec", i % 5));
   }
   const auto started_at = std::chrono::steady_clock::now();
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
-  EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(9));  // before their timeout
+  // The incomplete commands time out after 10 s. The server must not wait for that.
+  EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(9));
   tcp::socket half_closed(harness.io);
   half_closed.connect(*harness.gateway->management());
   asio::write(half_closed, asio::buffer("check", 5));
@@ -60,8 +63,8 @@
   EXPECT_TRUE(response.starts_with("FAILURE"));
 }
 
-// Each counter must change by exactly the requests or attempts of its kind, and exist for each class from the
-// start.
+// Each counter must change by exactly the number of requests or attempts that it counts. The counters of
+// every traffic class must exist from the start.
 TEST(Metrics, CountResponsesAndAttemptsByClass) {
   GatewayHarness harness(2);
   const nlohmann::json none = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
@@ -105,9 +108,9 @@
   EXPECT_EQ(vars["tries"], 6);
 }
 
-// A malformed exposition would break scrapes: each sample must occur once and each type be declared once, and
-// the buckets of a histogram must not decrease. The counts must match the requests sent.
-TEST(Metrics, HaveAValidPrometheusForm) {
+// Prometheus can't scrape a malformed exposition. Each sample must occur once, each type must be declared
+// once, and the cumulative buckets of a histogram must not decrease. The counts must match the requests sent.
+TEST(Metrics, HaveAValidPrometheusFormat) {
   GatewayHarness harness(2);
   for (auto& host : harness.hosts) {
     host->serve = [](const FakeServer::ReceivedRequest& request) {
@@ -164,15 +167,15 @@
   const std::string path = ::testing::TempDir() + "gateway-state-" + std::to_string(getpid());
 };
 
-// The configuration of a gateway that saves its state. Its listeners get free ports, so the name alone
-// identifies the owner.
+// Returns the configuration of a gateway that saves its state. Its listeners use free ports, so the owner of
+// the state is identified by the name alone.
 nlohmann::json WithState(const StateFolder& folder, const std::string& name = "n1") {
   return {{"state_dir", folder.path}, {"name", name}};
 }
 
-// The next process must start with the newest list, reported as loaded from disk until discovery responds,
-// and with the drain. It must then accept a list of a lower revision, because the service may have restarted
-// its count.
+// After a restart the gateway must use the newest saved list and the saved drain. Until discovery responds,
+// it must report that the list was loaded from disk. It must then accept a list with a lower revision,
+// because the service may have restarted its revision count.
 TEST(SavedState, IsRestoredByTheNextProcess) {
   const StateFolder folder;
   {
@@ -195,9 +198,9 @@
     EXPECT_FALSE(proxy::LoadSavedState(folder.path, "another"));
     const auto saved = proxy::LoadSavedState(folder.path, harness.owner());
     ASSERT_TRUE(saved);
-    harness.Restart(/*with_state=*/false);  // as after two crashes with the state
+    harness.Restart(/*load_state=*/false);  // ignores the saved state, as a start after two crashes does
     EXPECT_EQ(harness.Vars()["pool_size"], 2);
-    harness.Restart();  // discovery has not responded to it yet
+    harness.Restart();  // discovery does not respond to the new gateway yet
     EXPECT_EQ(harness.Vars()["list_from"], "state");
     EXPECT_EQ(harness.Vars()["pool_size"], 1);
     EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE draining"));
@@ -213,8 +216,8 @@
   }
 }
 
-// Damaged or truncated state files, or a file in place of the folder, must not keep a gateway from starting
-// and serving.
+// A gateway must start and serve even if its state files are damaged or truncated, or if the path of the
+// state folder is a file.
 TEST(SavedState, IsIgnoredIfUnreadable) {
   const StateFolder folder;
   for (const int damage : {0, 1, 2}) {
@@ -245,7 +248,7 @@
   }
 }
 
-// After an upgrade the gateway must read the state of program 0.1.0, which did not save learned state.
+// After an upgrade the gateway must read the state that program 0.1.0 saved, which contains no learned state.
 TEST(SavedState, IsReadFromAnOlderProgram) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
@@ -256,7 +259,7 @@
   EXPECT_FALSE(saved->learned);
 }
 
-// After a downgrade the gateway must neither read nor overwrite the state of a newer program.
+// After a downgrade the gateway must neither read nor overwrite the state that a newer program saved.
 TEST(SavedState, IsUnchangedIfSavedByANewerProgram) {
   const StateFolder folder;
   const std::string newer = R"({"draining":"maybe"})";
@@ -282,7 +285,8 @@
   EXPECT_EQ(found.snapshot->payload, newer);
 }
 
-// The learned state must be saved while the gateway serves requests, and the next process must start with it.
+// The gateway must save the learned state while it serves requests, and a restarted gateway must load that
+// state.
 TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
   GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
@@ -300,7 +304,8 @@
                : 0;
   };
   ASSERT_TRUE(harness.Until([&] { return samples() == 5; }));
-  harness.Restart();  // discovery does not respond, so the next save contains the restored state
+  // No request follows and discovery does not respond, so the next save must contain the restored state.
+  harness.Restart();
   EXPECT_TRUE(harness.Call("drain-off\n").starts_with("SUCCESS"));
   ASSERT_TRUE(harness.Until([&] {
     const auto saved = proxy::LoadSavedState(folder.path, harness.owner());
@@ -309,7 +314,8 @@
   EXPECT_EQ(samples(), 5);
 }
 
-// Part of a malformed state must not be used.
+// If the list, the drain or the time in a saved state is malformed or missing, no part of the state may be
+// used.
 TEST(SavedState, IsRejectedIfAnyPartIsMalformed) {
   const std::string good = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
   ASSERT_TRUE(proxy::ParseSavedState(good));
@@ -324,8 +330,8 @@
   }
 }
 
-// Log parsers rely on both forms: a record is one line with the unchanged text, and in JSON the numbers named
-// in the text of a "counts" record are fields too.
+// Log parsers rely on the text and the JSON format. In each format a record must be one line that contains
+// the unchanged text. In JSON, the numbers in the text of a "counts" record must also be fields.
 TEST(Log, FormatsARecordAsTextOrJson) {
   const std::string text = "sockets: hosts 7 clients 3 left 0 | dialled 4 reused 9 | reset new 1 reused 2";
   EXPECT_EQ(base::FormatRecord(base::LogFormat::kText, 1780000000123.0, base::Level::kInfo, "sockets",
@@ -351,8 +357,8 @@
   EXPECT_EQ(record, expected);
 }
 
-// The count of listed hosts must include draining ones. The count of ejected hosts must include neither
-// draining nor removed ones.
+// The count of listed hosts must include draining hosts. The count of ejected hosts must include neither
+// draining nor removed hosts.
 TEST(Metrics, CountListedAndEjectedHosts) {
   GatewayHarness harness(2);
   for (auto& host : harness.hosts)
@@ -374,8 +380,9 @@
   EXPECT_EQ(harness.Vars()["pool_ejected"], 0);
 }
 
-// A drain must fail the health check at once, complete the requests in flight, close their connections and
-// idle ones, and be reversible without a restart. Repeating a command must have no further effect.
+// During a drain the health check must fail at once, requests in flight must complete, and their connections
+// and idle connections must be closed. An operator must be able to end the drain without a restart. Repeating
+// a drain command must have no further effect.
 TEST(Drain, ClosesConnectionsAndCanBeReverted) {
   GatewayHarness harness;
   const auto health_status = [&] {
@@ -392,7 +399,7 @@
   EXPECT_EQ(health_status(), 503u);
   EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE"));
   const auto partial = harness.Connect(), late = harness.Connect();
-  late->Send(ApiCall("r2"));  // sent before the front proxy learned of the drain
+  late->Send(ApiCall("r2"));  // sent before the load balancer has noticed the drain
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
   EXPECT_TRUE(idle->AwaitClose());
   for (const auto& request : harness.host().requests) request.Respond(200, "");
@@ -412,8 +419,7 @@
   EXPECT_TRUE(kept->Await().keep_alive());
 }
 
-// SIGTERM during a drain must end the process as it does without one, and no management command may prevent
-// that.
+// A drain must not prevent a stop, and no management command may prevent or revert a stop.
 TEST(Drain, DoesNotPreventAStop) {
   GatewayHarness harness;
   harness.Call("drain-on\n");
--- a/tests/proxy/peers.hpp
+++ b/tests/proxy/peers.hpp
@@ -33,8 +33,8 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// Runs the event loop until `condition` returns true. Returns false after 30 s, far longer than any condition
-// takes in a test that passes.
+// Runs the event loop until `condition` returns true, and then returns true. Returns false after 30 s, which
+// is far longer than a passing test waits for any condition.
 template <typename Condition>
 bool RunUntil(asio::io_context& io, Condition condition) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -45,7 +45,8 @@
   return true;
 }
 
-// An HTTP server that records each request. The test responds to it, or installs `serve`.
+// An HTTP server that records each request. The test responds to the recorded requests, or sets `serve` to
+// respond to each request when it arrives.
 class FakeServer {
  public:
   struct Connection : std::enable_shared_from_this<Connection> {
@@ -149,7 +150,7 @@
       error_code ec;
       sent += state_->socket.write_some(asio::buffer(text.data() + sent, text.size() - sent), ec);
       if (ec == asio::error::would_block) {
-        io_.run_one_for(std::chrono::milliseconds(10));  // lets the gateway read, which shares the event loop
+        io_.run_one_for(std::chrono::milliseconds(10));  // the gateway shares the event loop; lets it read
       } else if (ec) {
         state_->write_failed = true;
         return;  // the gateway may close the connection before it has read all of the text
@@ -161,14 +162,14 @@
     state_->socket.close(ignored);
   }
 
-  // Waits for the `n`th response on the connection, counted from 1, and returns it.
+  // Waits for response number `n` on the connection, counted from 1, and returns it.
   const HttpResponse& Await(std::size_t n = 1) {
     static const HttpResponse kNone(http::status::unknown, 11);
     if (RunUntil(io_, [&] { return responses().size() >= n; })) return responses()[n - 1];
     ADD_FAILURE() << "response " << n << " has not arrived";
     return kNone;
   }
-  // Waits until the gateway has closed the connection. Returns false after the time of RunUntil.
+  // Waits until the gateway has closed the connection. Returns false if RunUntil times out.
   bool AwaitClose() {
     return RunUntil(io_, [&] { return closed_by_gateway(); });
   }
@@ -226,13 +227,13 @@
           {"size", 1.0},     {"up_since_ms", 0}};
 }
 
-// Returns a response body of discovery: the complete list, or a delta if not `complete`.
+// Returns a response body of discovery: a snapshot if `complete` is true, otherwise a delta.
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
   return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
 }
 
-// The configuration's settings: a class of each idempotency, with latency objectives that a busy machine
-// meets easily.
+// Returns the settings of the configuration: one traffic class for each kind of idempotency, with latency
+// objectives that even a busy machine meets.
 inline nlohmann::json TestSettings() {
   const auto traffic_class = [](const char* name, const char* idempotency) {
     return nlohmann::json{{"name", name},      {"sloMs", 20000.0},           {"deadlineMs", 20000.0},
--- a/tests/proxy/process.hpp
+++ b/tests/proxy/process.hpp
@@ -24,8 +24,8 @@
 
 class Process {
  public:
-  // Starts the program with these environment variables, and with this limit on file descriptors unless it is
-  // 0. Standard error is redirected to a file.
+  // Starts the program with the environment `variables`. A `descriptor_limit` other than 0 limits its file
+  // descriptors. Standard error is redirected to a file.
   explicit Process(const std::vector<std::pair<std::string, std::string>>& variables,
                    rlim_t descriptor_limit = 0)
       : stderr_path_(::testing::TempDir() + "gateway-err-" + std::to_string(getpid()) + "-" +
@@ -34,7 +34,7 @@
     if (pid_ != 0) return;
     for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
     if (descriptor_limit > 0) {
-      for (int fd = 3; fd < 1024; ++fd) close(fd);  // those that were inherited from the test
+      for (int fd = 3; fd < 1024; ++fd) close(fd);  // descriptors inherited from the test process
       const rlimit limit{descriptor_limit, descriptor_limit};
       setrlimit(RLIMIT_NOFILE, &limit);
     }
@@ -76,7 +76,7 @@
   bool exited_ = false;
 };
 
-// A configuration file that is removed at the end of the test.
+// A configuration file that the destructor removes.
 struct ConfigFile {
   explicit ConfigFile(const std::string& text)
       : path(::testing::TempDir() + "gateway-process-" + std::to_string(getpid()) + ".json") {
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the gateway program as a process: its start, its error messages and its end.
+// Tests of the gateway program as a process: its start, its error messages and its exit.
 #include "process.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// With an invalid configuration the program must exit with one line of error that names the invalid value.
+// With an invalid configuration the program must exit with code 1 and write one error line that names the
+// invalid setting.
 TEST(Program, ReportsAnInvalidConfiguration) {
   const auto config = [](const std::function<void(nlohmann::json&)>& modify) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
@@ -43,7 +44,7 @@
 }
 
 // In a planned restart the platform sends SIGTERM while requests are in flight. The program must respond to
-// them and then exit with code 0.
+// these requests and then exit with code 0.
 TEST(Program, CompletesRequestsOnSigtermAndExitsCleanly) {
   asio::io_context io;
   FakeServer host(io), discovery(io);
@@ -75,8 +76,9 @@
   EXPECT_EQ(process.Wait(), 0);
 }
 
-// To change the address of discovery the platform replaces the file and sends SIGHUP. The program must then
-// watch the address in the file and ignore NODE_DISCOVERY. An invalid file must change nothing.
+// To change the address of discovery, the platform replaces the configuration file and sends SIGHUP. The
+// program must then use the address in the file and ignore NODE_DISCOVERY. An invalid file must change
+// nothing.
 TEST(Program, WatchesTheDiscoveryAddressOfTheReloadedFile) {
   asio::io_context io;
   FakeServer first(io), second(io), discovery(io), new_discovery(io);
@@ -111,8 +113,8 @@
   EXPECT_FALSE(process.HasExited());
 }
 
-// If another process listens on the client or management address, the program must exit with one line of
-// error that names the address.
+// If another process listens on the client address or the management address, the program must exit and write
+// one error line that names the address.
 TEST(Program, ReportsAnAddressInUse) {
   asio::io_context io;
   tcp::acceptor occupied(io, Loopback());
@@ -133,9 +135,10 @@
   }
 }
 
-// Idle clients and requests in flight on every client connection could use up the descriptors while discovery
-// is down. The management port, hosts and discovery must keep theirs, and further clients must be rejected at
-// once. The descriptor limit of the process equals its configuration, so that the process can't exceed it.
+// While discovery is down, idle clients and requests in flight could use up all file descriptors. Descriptors
+// must stay available for the management port, hosts and discovery, and further clients must be rejected at
+// once. The process runs with a descriptor limit equal to its configured limit, so that the test fails if it
+// needs more.
 TEST(Program, ReservesDescriptorsForDiscoveryHostsAndOperators) {
   constexpr int kSockets = 128;
   constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
@@ -182,7 +185,8 @@
   late.Send(ApiCall("late"));
   EXPECT_EQ(late.Await().result(), http::status::service_unavailable);
   EXPECT_FALSE(late.Await()[http::field::retry_after].empty());
-  EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(3));  // the queue timeout is 5 s
+  // A queued request would wait for 5 s.
+  EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(3));
   EXPECT_TRUE(check().starts_with("SUCCESS"));
   // Discovery recovers: the gateway connects to it while all client connections are still in use.
   discovery.listen();
@@ -208,8 +212,8 @@
 
 constexpr std::chrono::seconds kReadyTimeout{10};
 
-// Returns whether the response to GET /up is 200 within the time that a restarted process has to become
-// ready. Connections are refused until the process listens.
+// Returns whether GET /up responds with 200 within kReadyTimeout, the time in which a restarted process must
+// become ready. Retries while connections are refused, because the process may not listen yet.
 bool BecomesReadyInTime(asio::io_context& io, const tcp::endpoint& listen) {
   const auto deadline = std::chrono::steady_clock::now() + kReadyTimeout;
   while (std::chrono::steady_clock::now() < deadline) {
@@ -227,11 +231,11 @@
   return false;
 }
 
-// How discovery fails while gateways are restarted.
+// A way in which discovery fails while a gateway is restarted.
 struct DiscoveryFailure {
   std::string name;
-  bool listens;                                                     // false: connections are refused
-  std::function<void(const FakeServer::ReceivedRequest&)> respond;  // empty: it never responds
+  bool listens;                                                     // if false, connections are refused
+  std::function<void(const FakeServer::ReceivedRequest&)> respond;  // if empty, it never responds
 };
 
 std::vector<DiscoveryFailure> DiscoveryFailures() {
@@ -251,8 +255,8 @@
 
 class Restart : public ::testing::TestWithParam<DiscoveryFailure> {};
 
-// Discovery may fail while a gateway is restarted. A process with a configured list must be ready within 10 s
-// and serve by that list, whether the process before it was killed or terminated.
+// Discovery may fail while a gateway is restarted. The new process must be ready within 10 s and serve
+// requests by the list in its configuration, whether the previous process was killed or terminated.
 TEST_P(Restart, IsReadyWithTheKnownListDespiteFailuresOfDiscovery) {
   const DiscoveryFailure& failure = GetParam();
   asio::io_context io;
@@ -287,8 +291,8 @@
 INSTANTIATE_TEST_SUITE_P(Discovery, Restart, ::testing::ValuesIn(DiscoveryFailures()),
                          [](const auto& param) { return param.param.name; });
 
-// A process without a list can't serve clients: it must not be ready while discovery is down, and must be
-// ready in time after discovery recovers.
+// A process without a list can't serve clients. It must not be ready while discovery is down, and must become
+// ready within 10 s after discovery recovers.
 TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryRecovers) {
   asio::io_context io;
   FakeServer host(io);
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -1,4 +1,4 @@
-// The rules by which the head of a client's request is rejected.
+// Tests of the rules by which the gateway accepts or rejects the head of a client's request.
 #include "proxy/client/request_validation.hpp"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   return head;
 }
 
-// Returns the status of the error response, or ok if there is no error.
+// Returns the status of `error`, or ok if there is no error.
 http::status StatusOf(const std::optional<RequestError>& error) {
   return error ? error->status : http::status::ok;
 }
--- a/tests/proxy/response_classification_test.cpp
+++ b/tests/proxy/response_classification_test.cpp
@@ -1,4 +1,4 @@
-// The classification of endpoints' responses as results of attempts.
+// Tests of the mapping from an endpoint's response to the result of the attempt.
 #include "proxy/upstream/response_classification.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,8 @@
   return ClassifyResponse(response);
 }
 
-// Only 503 and 504 with Srv-Declined: 1 prove that a request was not executed, and so may be retried.
+// Only a response 503 or 504 with Srv-Declined: 1 proves that the endpoint did not execute the request. The
+// gateway may retry a non-idempotent request after such a response, but after no other response.
 TEST(ResponseClassification, TreatsOnlyMarkedResponsesAsRejections) {
   EXPECT_EQ(Classify(http::status::ok, nullptr), AttemptResult::kServed);
   EXPECT_EQ(Classify(http::status::ok, "1"), AttemptResult::kServed);
--- a/tests/proxy/saved_state_compatibility_test.cpp
+++ b/tests/proxy/saved_state_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// Compatibility with the state folder that program 0.1.0 wrote (fixtures/gateway-state-0.1.0): this program
-// must read every value of it exactly, and write the same bytes.
+// Compatibility with the state folder that program 0.1.0 wrote (fixtures/gateway-state-0.1.0). This program
+// must read every value in the folder exactly, and must write the same bytes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -67,7 +67,7 @@
   EXPECT_EQ(learned.samples, 115);
 }
 
-TEST_F(SavedStateCompatibility, ReadsTheLearnedClasses) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedStateOfTrafficClasses) {
   struct Expected {
     const char* name;
     double latency;
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_F(SavedStateCompatibility, ReadsTheLearnedMachineTypes) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedStateOfMachineTypes) {
   ASSERT_TRUE(state.learned);
   ASSERT_EQ(state.learned->machine_types.size(), 2u);
   EXPECT_EQ(state.learned->machine_types[0].name, "m2");
@@ -100,7 +100,7 @@
   EXPECT_EQ(state.learned->machine_types[1].endpoint_time, 15905.6868880562);
 }
 
-TEST_F(SavedStateCompatibility, ReadsTheLearnedEndpoints) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedStateOfEndpoints) {
   struct Expected {
     const char* id;
     double latency, long_term_latency, base_latency, failure_rate, concurrency_limit;
@@ -136,7 +136,7 @@
 }
 
 // Serializing the loaded state must produce the bytes that program 0.1.0 wrote.
-TEST_F(SavedStateCompatibility, WritesTheSameForm) {
+TEST_F(SavedStateCompatibility, WritesTheSameBytes) {
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
   ASSERT_TRUE(storage::Examine(*files, kFixture, kOwner, found).ok());
--- a/tests/proxy/world.hpp
+++ b/tests/proxy/world.hpp
@@ -1,4 +1,4 @@
-// A gateway on loopback with fake servers for its discovery and its hosts.
+// A gateway on loopback, with fake servers for discovery and for the hosts.
 #ifndef GATEWAY_TESTS_PROXY_WORLD_HPP_
 #define GATEWAY_TESTS_PROXY_WORLD_HPP_
 
@@ -16,10 +16,10 @@
 
 namespace gateway::proxy::testing {
 
-// Runs one gateway in the test's process, with its discovery and some hosts.
+// Runs one gateway in the process of the test, with a fake discovery and fake hosts.
 struct GatewayHarness {
-  // Starts the gateway with hosts h0, h1 ... in its configuration. The fields of `extra_config` are added to
-  // the configuration file, or replace those set here.
+  // Starts the gateway with the hosts h0, h1 ... in its configuration. Adds the fields of `extra_config` to
+  // the configuration file; they replace fields of the same name.
   explicit GatewayHarness(std::size_t host_count = 1, nlohmann::json settings = TestSettings(),
                           std::size_t socket_limit = 300,
                           const nlohmann::json& extra_config = nlohmann::json::object()) {
@@ -48,22 +48,23 @@
     Restart();
   }
 
-  // Replaces the gateway by a new one with the same configuration, as a restart of its process does.
+  // Replaces the gateway by a new one with the same configuration, like a restart of the process. If
+  // `load_state` is false, the new gateway ignores the saved state.
   void Restart(bool load_state = true) {
     config_.load_state = load_state;
     gateway.reset();
     gateway.emplace(io, config_);
   }
-  // Restarts the gateway with the guard against mass removal, which is on in a configuration that names list
-  // services in `discovery_endpoints`.
+  // Restarts the gateway with the guard against mass removal. A configuration turns the guard on by naming
+  // list services in `discovery_endpoints`.
   void EnableMassRemovalGuard() {
     config_.guard_mass_removal = true;
     Restart();
   }
-  // The owner that the gateway's saved state names.
+  // The owner that is named in the gateway's saved state.
   const std::string& owner() const { return config_.state_owner; }
 
-  // Runs the event loop until `condition` returns true. Fails after the time of RunUntil.
+  // Runs the event loop until `condition` returns true. Returns a failure if RunUntil times out.
   template <typename Condition>
   ::testing::AssertionResult Until(Condition condition) {
     if (RunUntil(io, condition)) return ::testing::AssertionSuccess();
