--- a/src/proxy/admin/gateway_status.hpp
+++ b/src/proxy/admin/gateway_status.hpp
@@ -17,22 +17,22 @@
 
   std::size_t active_requests = 0;
   std::size_t client_connections = 0;
-  std::uint64_t disconnected_clients = 0;  // before their response, since the start
+  std::uint64_t disconnected_clients = 0;  // clients that disconnected before their response, since the start
 
   std::size_t upstream_connections = 0;
-  UpstreamCounts upstream_counts;  // since the start
+  UpstreamCounts upstream_counts;  // counted since the start
 
-  std::size_t endpoints = 0;          // in the list, including draining ones
-  std::size_t ejected_endpoints = 0;  // by outlier detection
+  std::size_t endpoints = 0;          // endpoints in the list, including draining ones
+  std::size_t ejected_endpoints = 0;  // endpoints ejected by outlier detection
   std::int64_t list_revision = 0;
-  std::size_t list_service = 0;  // index of the list service that is watched, from 0
-  Millis list_age = 0;           // since the list was last known to be current
-  bool list_stale = false;       // no list service has responded for `list_stale_after`
+  std::size_t list_service = 0;  // index of the watched list service, from 0
+  Millis list_age = 0;           // time since the list was last known to be current
+  bool list_stale = false;       // no list was accepted for `list_stale_after`
   bool list_from_state = false;  // the list in force was loaded from disk
 
   bool saves_state = false;        // whether a state folder is configured
-  bool state_ok = true;            // false once a write has failed
-  std::uint64_t state_writes = 0;  // since the start
+  bool state_ok = true;            // false after the first failed write
+  std::uint64_t state_writes = 0;  // states written since the start
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -18,10 +18,10 @@
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kMaxLineBytes = 256;
-constexpr Millis kCommandTimeoutMs = 10000;  // for the complete line: an operator may type it
+constexpr Millis kCommandTimeoutMs = 10000;  // until the command line is complete: an operator may type it
 constexpr Millis kResponseTimeoutMs = 2000;  // for the client to read the response and close
-constexpr Millis kMinLifetimeMs = 50;        // before a connection may be closed to make room for another
-// After a failed accept, or while every connection is younger than kMinLifetimeMs.
+constexpr Millis kMinLifetimeMs = 50;        // until a connection may be closed to make room for another
+// The delay after a failed accept, and while every connection is younger than kMinLifetimeMs.
 constexpr Millis kAcceptRetryDelayMs = 20;
 
 }  // namespace
@@ -149,8 +149,9 @@
   });
 }
 
-// Closes the oldest connection whose command is incomplete or, if there is none, the oldest one that has a
-// response; never one that is younger than kMinLifetimeMs. Returns whether it closed one.
+// Closes the oldest connection whose command is incomplete. If there is none, closes the oldest connection to
+// which a response was sent. Never closes a connection that is younger than kMinLifetimeMs. Returns whether
+// it closed one.
 bool ManagementServer::CloseOldestConnection() {
   const Millis now = Now();
   for (const bool has_response : {false, true}) {
--- a/src/proxy/admin/management.hpp
+++ b/src/proxy/admin/management.hpp
@@ -17,7 +17,7 @@
 // command is still incomplete.
 class ManagementServer {
  public:
-  // Returns the complete response to a command, with its line ends.
+  // Returns the complete response to a command, including line ends.
   using CommandHandler = std::function<std::string(const std::string& command)>;
 
   // Starts to listen. Throws ConfigError if that fails.
--- a/src/proxy/admin/management_commands.cpp
+++ b/src/proxy/admin/management_commands.cpp
@@ -54,7 +54,8 @@
   };
   for (const Metrics::Sample& sample : ConnectionSamples(status)) samples.push_back(sample);
   for (const Metrics::Sample& sample : ListSamples(status)) samples.push_back(sample);
-  samples.push_back({"state_ok", "gauge", "0 once saving the state has failed", FlagValue(status.state_ok)});
+  samples.push_back(
+      {"state_ok", "gauge", "0 after saving the state has failed, otherwise 1", FlagValue(status.state_ok)});
   samples.push_back(
       {"state_writes_total", "counter", "States written to disk", CountValue(status.state_writes)});
   return samples;
--- a/src/proxy/admin/management_commands.hpp
+++ b/src/proxy/admin/management_commands.hpp
@@ -24,7 +24,7 @@
   ManagementCommands(ManagedGateway& gateway, const Metrics& metrics)
       : gateway_(gateway), metrics_(metrics) {}
 
-  // Executes a command and returns its complete response, with line ends.
+  // Executes a command and returns the complete response, including line ends.
   std::string Run(const std::string& command);
 
  private:
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -22,7 +22,7 @@
 // In the order of Metrics::Interval.
 constexpr IntervalDescription kIntervalDescriptions[] = {
     {"first_attempt", "Time from the last byte of a request to its first attempt"},
-    {"queued", "Time that a request not sent at once waits for its first attempt or its rejection"},
+    {"queued", "Time from the last byte of a queued request to its first attempt or its rejection"},
     {"at_host", "Time from sending an attempt to the response of the host"},
     {"request", "Time from the last byte of a request to its response"}};
 
--- a/src/proxy/admin/metrics.hpp
+++ b/src/proxy/admin/metrics.hpp
@@ -21,8 +21,8 @@
  public:
   explicit Metrics(const policy::Settings& settings);
 
-  // Counts the response to a request of the class. `complete`: its last byte was written; an incomplete
-  // response counts as an error whatever its status.
+  // Counts the response to a request of the class. `complete` is whether the last byte of the response was
+  // written. An incomplete response counts as an error, regardless of its status.
   void RecordResponse(const std::string& class_name, unsigned status, bool complete = true);
   // Counts an attempt whose last byte was written to an endpoint.
   void RecordAttempt() { ++attempts_; }
@@ -30,7 +30,7 @@
   // The intervals of a request that are measured.
   enum class Interval {
     kFirstAttempt,  // from the end of the request to its first attempt
-    kQueued,        // the same, or to the rejection, for a request that the policy queued
+    kQueued,        // for a queued request: from its end to its first attempt or its rejection
     kUpstream,      // from sending an attempt to the response of the endpoint
     kTotal,         // from the end of the request to its response
   };
--- a/src/proxy/body_framing.hpp
+++ b/src/proxy/body_framing.hpp
@@ -13,9 +13,9 @@
 using FramedPiece = std::array<boost::asio::const_buffer, 3>;
 
 // Frames a piece of a body for a gathering write. `prefix` holds the bytes to write before the piece, for
-// example a message head; the chunk header is appended to it. The last piece is copied into `prefix` too,
-// because its memory is not valid for the duration of the write. Both `prefix` and any other piece must stay
-// unchanged until the write has completed.
+// example a message head. Appends the chunk header to `prefix`, and also the last piece of a body, whose
+// memory may be reused before the write completes. The caller must keep `prefix`, and a piece that is not the
+// last one, unchanged until the write has completed.
 FramedPiece FrameBodyPiece(std::string& prefix, std::string_view piece, bool last, bool chunked);
 
 }  // namespace gateway::proxy
--- a/src/proxy/body_source.hpp
+++ b/src/proxy/body_source.hpp
@@ -15,8 +15,9 @@
 // The part of a body that has not been read from its connection yet. Pieces are pulled one at a time: the
 // next one is read from the socket only when it is requested, which applies backpressure to the sender.
 //
-// The connection that the body arrives on implements this interface. A shared pointer to the source keeps the
-// connection object alive, but not its socket. All calls are made on the thread of the event loop.
+// The connection on which the body arrives implements this interface. A shared pointer to the source keeps
+// the connection object alive, but does not keep its socket open. All calls are made on the event loop's
+// thread.
 class BodySource {
  public:
   // Receives one piece, or an error after which nothing follows. `piece` stays valid until the next call to
@@ -31,7 +32,7 @@
   virtual void ReadNext(PieceHandler handler) = 0;
   // Discards the rest of the body. ReadNext must not be called afterwards.
   virtual void Cancel() = 0;
-  // Returns whether ReadNext was called. From then on the body cannot be read again from its start.
+  // Returns whether ReadNext was called. After the first call the body can't be read again from its start.
   virtual bool started() const = 0;
 };
 
--- a/src/proxy/buffer_budget.hpp
+++ b/src/proxy/buffer_budget.hpp
@@ -1,4 +1,5 @@
-// Accounting of the memory that incomplete bodies occupy on all connections of one side of the proxy.
+// Accounting of the memory for incomplete bodies on all connections to clients, or on all connections to
+// endpoints.
 #ifndef GATEWAY_PROXY_BUFFER_BUDGET_HPP_
 #define GATEWAY_PROXY_BUFFER_BUDGET_HPP_
 
@@ -7,8 +8,8 @@
 
 namespace gateway::proxy {
 
-// The sum of all charges and its limit. Exceeding the limit is no error: it is the signal to stream bodies
-// that would otherwise be buffered.
+// The sum of all charges and its limit. The sum may exceed the limit. While it does, bodies are streamed that
+// would otherwise be buffered.
 class BufferBudget {
  public:
   explicit BufferBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
--- a/src/proxy/client/accept_queue.hpp
+++ b/src/proxy/client/accept_queue.hpp
@@ -10,8 +10,8 @@
 
 namespace gateway::proxy {
 
-// Returns the time since data last arrived on a TCP connection, whether or not it has been read, with a
-// resolution of some milliseconds. Returns nothing where the system does not provide it.
+// Returns the time since data last arrived on a TCP connection, whether or not the data was read, with a
+// resolution of some milliseconds. Returns nothing if the system does not report the time.
 std::optional<Millis> TimeSinceLastReceived(int socket);
 
 // Returns whether connections wait to be accepted on a listener.
--- a/src/proxy/client/body_progress.hpp
+++ b/src/proxy/client/body_progress.hpp
@@ -24,7 +24,8 @@
 // Now().
 class BodyProgress {
  public:
-  // Starts the tracking of a body at `now`. The grace period is at least the unused part of the head timeout.
+  // Starts to track a body at `now`. The grace period is kBodyGraceMs, or the unused part of the head timeout
+  // if that is longer.
   void Start(Millis request_started_at, Millis now) {
     grace_ms_ = std::max(kBodyGraceMs, kHeadTimeoutMs - (now - request_started_at));
     received_bytes_ = 0;
@@ -43,11 +44,11 @@
   }
 
   bool waiting() const { return waiting_; }
-  // The start of the current wait, or of the last one.
+  // The start of the current wait, or of the last wait if none is in progress.
   Millis wait_started_at() const { return wait_started_at_; }
 
-  // Returns whether the client is too slow: it has paused for too long, or the gateway has waited for longer
-  // than the body takes at the minimum rate.
+  // Returns whether the client is too slow: it has paused for too long, or the gateway has waited in total
+  // for longer than the received bytes take at the minimum rate plus the grace period.
   bool TimedOut(Millis now) const {
     if (!waiting_) return false;
     const Millis pause_ms = now - wait_started_at_;
@@ -58,7 +59,7 @@
  private:
   bool waiting_ = false;
   Millis wait_started_at_ = 0;
-  Millis waited_ms_ = 0;  // without the current wait
+  Millis waited_ms_ = 0;  // total of the waits that have ended
   Millis grace_ms_ = kBodyGraceMs;
   std::uint64_t received_bytes_ = 0;
 };
--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -117,8 +117,8 @@
 
 // --- Reading a request
 
-// Begins to read the next request: at once if a part of it was read with the previous one, else when it
-// arrives.
+// Begins to read the next request. Reads at once if a part of that request was read together with the
+// previous request, otherwise when the socket is readable.
 void ClientConnection::AwaitRequest() {
   reading_request_ = reader_.has_unparsed_bytes();
   if (reading_request_) return reader_.ReadHead();
@@ -140,7 +140,7 @@
   is_readiness_check_ = IsReadinessCheck(head);
   if (!is_readiness_check_) {
     if (const auto error = context_.validator.Validate(head, attributes_)) {
-      // The start of the next request is known only if this one has no body.
+      // If the invalid request has a body, the start of the next request is unknown.
       if (!reader_.done()) return RejectAndClose(*error);
       EnterPhase(Phase::kServing);
       return RespondWithError(*error);
@@ -194,7 +194,9 @@
   WatchForDisconnect();
 }
 
-// Returns an upper bound on the time since the last bytes arrived at this machine.
+// Returns the time since the last bytes of the request arrived at this machine. Where the system does not
+// report it, returns the bound on the time in the accept queue for the first request of the connection, and 0
+// for a later one.
 Millis ClientConnection::TimeInKernelQueues() {
   if (const auto since_received = TimeSinceLastReceived(socket_.native_handle())) return *since_received;
   return request_number_ == 0 ? accept_wait_ms_ : 0;
@@ -253,8 +255,8 @@
 void ClientConnection::CheckReadingTimeouts(Millis now) {
   const bool in_request = !IsBetweenRequests();
   const bool is_first_request = request_number_ == 0;
-  // The head timeout of a connection's first request counts from the start of the connection; that of a later
-  // request from the last check at which no part of it had arrived.
+  // The head timeout of the first request counts from the start of the connection. The head timeout of a
+  // later request counts from the last check at which no part of the request had arrived.
   if (!in_request && !is_first_request) request_started_at_ = now;
   reader_.ObserveHeadProgress(now);
   const bool too_slow =
@@ -341,8 +343,7 @@
   reading_request_ = reader_.has_unparsed_bytes();
   if (!reading_request_) reader_.ShrinkBuffer();
   if (context_.transfer && Transfer()) return;
-  // Once the listener is closed, CheckTimeouts closes the connection once the response has had time to
-  // arrive.
+  // If the listener is closed, CheckTimeouts closes the connection when the response has had time to arrive.
   AwaitRequest();
 }
 
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -27,8 +27,8 @@
 
 class ClientConnection;
 
-// Transfers a client's idle connection to another process. Returns false if that process does not accept it;
-// the connection is closed in this case.
+// Transfers a client's idle connection to another process. Closes the connection and returns false if that
+// process does not accept it.
 using ConnectionTransfer = std::function<bool(base::FileDescriptor client)>;
 
 // Implemented by the owner of the connections.
@@ -51,7 +51,7 @@
   BufferBudget body_budget;          // for the buffered parts of request bodies
   DrainState drain = {};
   std::size_t active_requests = 0;   // complete requests whose response is not written yet
-  ConnectionTransfer transfer = {};  // set once idle connections are to be transferred
+  ConnectionTransfer transfer = {};  // set when the transfer of idle connections begins
 };
 
 // Serves the requests of one client, one after the other.
@@ -87,10 +87,10 @@
 
   // Whether the connection is between requests with nothing unread, so that closing it loses nothing.
   bool IsIdle();
-  // Whether it has been idle for long enough that no request should be in transit, nor a response that a
-  // reset would destroy.
+  // Whether the connection has been idle for so long that neither a request nor a response should be in
+  // transit. Closing the connection could reset it, which would destroy a response in transit.
   bool IsSettled(Millis now) { return now - phase_entered_at_ > kSettleTimeMs && IsIdle(); }
-  // Whether a request was read in part, and no more of it has arrived.
+  // Whether only a part of a request was read and no more of the request has arrived.
   bool IsRequestStalled();
   // Whether the connection can end soon without waiting for an endpoint: it can be evicted, or is closing.
   bool IsReclaimable() const;
@@ -161,23 +161,23 @@
 
   Phase phase_ = Phase::kReading;
   Millis phase_entered_at_ = Now();
-  Millis request_started_at_ = phase_entered_at_;  // at or before the first byte of the current request
+  Millis request_started_at_ = phase_entered_at_;  // not later than the first byte of the request
   bool reading_request_ = false;                   // in kReading: a part of a request has arrived
-  std::uint64_t wait_number_ = 0;        // of the latest wait for readability; earlier ones are ignored
-  bool watches_for_disconnect_ = false;  // in kServing: such a wait is pending
+  std::uint64_t wait_number_ = 0;  // number of the latest wait for readability; earlier waits are ignored
+  bool watches_for_disconnect_ = false;  // in kServing: a wait for readability is pending
 
   bool keep_alive_ = true;  // the connection may stay open after the current response
   bool shed_ = false;
   unsigned http_version_ = 11;
-  std::uint64_t request_number_ = 0;  // of the last dispatched request; 0 if there was none
-  Millis accept_wait_ms_ = 0;         // for bytes that had arrived when the connection was accepted
+  std::uint64_t request_number_ = 0;  // number of the last dispatched request; 0 if there was none
+  Millis accept_wait_ms_ = 0;         // bound on the time in the accept queue
 
   bool is_readiness_check_ = false;
-  RequestAttributes attributes_;  // of the request that is being read
-  std::string request_id_;        // of the request that was dispatched
+  RequestAttributes attributes_;  // the request that is being read
+  std::string request_id_;        // the request that was dispatched
   std::string class_name_;
   bool request_open_ = false;    // a request was dispatched and has not ended
-  bool counted_active_ = false;  // in the context's active_requests
+  bool counted_active_ = false;  // the request is counted in the context's active_requests
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/client/client_request.hpp
+++ b/src/proxy/client/client_request.hpp
@@ -30,7 +30,7 @@
   void Respond(HttpResponse response, std::shared_ptr<BodySource> remaining_body) const;
 
   // Asks the socket whether the client has disconnected. If it has, and ClientCallbacks::on_disconnect was
-  // not called yet, that call follows after this returns.
+  // not called yet, on_disconnect is called after this function has returned.
   bool ClientDisconnected() const;
 
  private:
@@ -50,7 +50,7 @@
 // The callbacks by which a ClientServer reports to the gateway. All of them are required, are called on the
 // event loop's thread, and may call back into the ClientServer and the ClientResponder.
 struct ClientCallbacks {
-  // Returns whether GET /up is answered with 200, else with 503.
+  // Returns whether the response to GET /up is 200; otherwise it is 503.
   std::function<bool()> is_ready;
   // A valid request has arrived. The gateway must respond exactly once, unless on_disconnect follows.
   std::function<void(ClientRequest request)> on_request;
@@ -60,7 +60,7 @@
   // The client of a request has disconnected, or was too slow with its body, before a response was sent. A
   // later response is discarded.
   std::function<void(const std::string& request_id)> on_disconnect;
-  // The response to a request was written completely, or was interrupted if not `complete`.
+  // The response to a request has ended. `complete` is false if the response was not written completely.
   std::function<void(const std::string& class_name, unsigned status, bool complete)> on_response_end;
 };
 
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -47,7 +47,8 @@
   return table_.MakeRoom() || (table_.ShedsNewClients() && table_.HasRoomToShed());
 }
 
-// Checks again whether there is room, because the accept may have been pending for a long time.
+// Checks again whether there is room for a connection, because the accept may have been pending for a long
+// time.
 void ClientServer::OnAccepted(tcp::socket socket) {
   if (!table_.MakeRoom() && table_.ShedsNewClients()) {
     AddConnection(std::move(socket), /*transferred=*/false)->Shed();
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -22,13 +22,13 @@
   boost::asio::ip::tcp::endpoint address;
   bool shared = false;               // other processes may listen at the address too
   std::size_t connection_limit = 1;  // see ClientServer::SetConnectionLimit
-  // Bytes of request bodies that are buffered over all connections, beyond which bodies are streamed sooner.
+  // Bytes of request bodies that are buffered on all connections together. Above this number bodies are
+  // streamed sooner.
   std::size_t body_budget_bytes = 0;
 };
 
 // Accepts clients' connections and reports valid requests to the gateway. Responds by itself to invalid
-// requests and to GET /up. Runs on the event loop's thread, and must outlive the events of `io` that concern
-// it.
+// requests and to GET /up. Runs on the event loop's thread. Must outlive its pending operations on `io`.
 class ClientServer final : private ClientConnectionOwner, private ClientListener::Delegate {
  public:
   // Starts to accept connections: on `inherited_listener` if it is open, else at the options' address. Throws
@@ -43,7 +43,7 @@
   std::size_t active_requests() const { return context_.active_requests; }
 
   // Begins or ends a drain. During a drain each response closes its connection. Idle connections are closed
-  // after a delay, when the load balancer in front has stopped sending new requests.
+  // after a delay in which the load balancer stops sending new requests.
   void SetDraining(bool draining);
   // Changes the limit on connections. When it is reached, idle connections are evicted for new clients.
   void SetConnectionLimit(std::size_t limit);
@@ -51,10 +51,10 @@
   // The listening socket, for the transfer to another process. Still owned by this object; -1 if it is
   // closed.
   int listener() { return listener_.native_handle(); }
-  // Accepts a client's connection that another process transfers, where it was between two requests.
+  // Takes over a client's connection from another process. The connection must be between two requests.
   void AcceptTransferredConnection(base::FileDescriptor client);
-  // Stops accepting, since another process accepts from the same queue, and transfers each connection as soon
-  // as it is between requests. Calls `done` when no connection is left.
+  // Stops accepting, because another process accepts from the same queue. Transfers each connection as soon
+  // as the connection is between two requests. Calls `done` when no connection is left.
   void TransferConnections(ConnectionTransfer transfer, std::function<void()> done);
   // Begins a drain, accepts the pending connections, then closes the listener and the idle connections. Calls
   // `done` when no connection is left.
--- a/src/proxy/client/connection_table.cpp
+++ b/src/proxy/client/connection_table.cpp
@@ -5,14 +5,13 @@
 namespace gateway::proxy {
 namespace {
 
-// The idle time after which a connection may be evicted. Until then its client has the chance to send a
-// request.
+// The idle time after which a connection may be evicted. The client has this time to send a request.
 constexpr Millis kMinIdleTimeMs = 50;
 // The time without progress after which a connection with an incomplete request may be evicted.
 constexpr Millis kMinStallTimeMs = 1000;
 // The time without a reclaimable connection after which new clients are shed.
 constexpr Millis kShedDelayMs = 300;
-// The number of connections beyond the limit that may be open at a time to be shed.
+// The number of connections beyond the limit that may be open at the same time for shedding.
 constexpr std::size_t kMaxShedConnections = 8;
 
 }  // namespace
--- a/src/proxy/client/connection_table.hpp
+++ b/src/proxy/client/connection_table.hpp
@@ -13,8 +13,9 @@
 
 namespace gateway::proxy {
 
-// Owns the connections. Once their limit is reached, an idle or stalled connection is evicted for each new
-// client. If none has been reclaimable for some time, new clients are shed. Times are those of Now().
+// Owns the connections. At the connection limit, an idle or stalled connection is evicted for each new
+// client. If no connection has been reclaimable for some time, new clients are shed. Times are those of
+// Now().
 class ConnectionTable {
  public:
   explicit ConnectionTable(std::size_t limit) : limit_(limit) {}
@@ -32,15 +33,15 @@
 
   // Returns whether there is room for another connection. Evicts one if necessary.
   bool MakeRoom();
-  // Closes the connection that has been idle for longest. If none is idle, closes the one whose incomplete
-  // request has made no progress for longest: stalled clients must not lock out those that send complete
-  // requests. Returns false if no connection may be closed. Takes time proportional to the number of
-  // connections.
+  // Closes the connection that has been idle for the longest time. If no connection is idle, closes the one
+  // whose incomplete request has made no progress for the longest time, because stalled clients must not lock
+  // out clients that send complete requests. Returns false if no connection may be closed. Takes time
+  // proportional to the number of connections.
   bool EvictOne();
   // Returns whether no connection has been reclaimable for so long that new clients get the response 503.
   // Valid after a call to MakeRoom.
   bool ShedsNewClients() const;
-  // Returns whether there is room for a connection that only receives that response.
+  // Returns whether there is room for a connection that only receives the response 503.
   bool HasRoomToShed() const;
 
  private:
--- a/src/proxy/client/drain_state.hpp
+++ b/src/proxy/client/drain_state.hpp
@@ -8,9 +8,10 @@
 
 namespace gateway::proxy {
 
-// The time into a drain by which the load balancer in front has stopped sending new requests.
+// The time after the start of a drain at which idle connections are closed. The load balancer has stopped
+// sending new requests by then.
 constexpr Millis kDrainIdleCloseDelayMs = 500;
-// The time into a drain after which requests that are still incomplete are rejected.
+// The time after the start of a drain from which incomplete requests are rejected.
 constexpr Millis kDrainRequestTimeoutMs = 1700;
 
 // Records whether, and since when, the gateway drains. Every response closes its connection during a drain;
--- a/src/proxy/client/lingering_close.cpp
+++ b/src/proxy/client/lingering_close.cpp
@@ -48,7 +48,7 @@
   if (received_bytes == 0 && error != asio::error::would_block) return delegate_.OnLingerFinished();
   discarded_bytes_ += received_bytes;
   if (discarded_bytes_ > kMaxBodyBytes) return delegate_.OnLingerFinished();
-  // The client still sends, so it may not have seen its response yet.
+  // The client is still sending, so it may not have received its response yet.
   last_received_at_ = Now();
   DiscardInput();
 }
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -76,7 +76,7 @@
   awaits_continue ? SendContinue() : ReadPiece();
 }
 
-// The client waits for this interim response before it sends the body.
+// Sends the interim response 100. The client waits for it before it sends the body.
 void RequestReader::SendContinue() {
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
   asio::async_write(socket_, asio::buffer(kContinue),
@@ -150,7 +150,7 @@
 
 bool RequestReader::DetectDisconnect() {
   const int socket = socket_.native_handle();
-  if (in_body_) {  // its bytes are left for ReadNextPiece
+  if (in_body_) {  // the bytes of the body are left for ReadNextPiece
     char byte = 0;
     return !IsOpen(::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT));
   }
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -23,17 +23,17 @@
 
 namespace gateway::proxy {
 
-// Reads one request at a time: first its head; then its body, buffered as long as it is small and the budget
-// allows, else streamed piece by piece. Also reads ahead past the current request, since only a read can
-// detect that the client has closed the connection.
+// Reads one request at a time: first the head, then the body. A small body is buffered if the budget allows
+// it; any other body is streamed piece by piece. Also reads ahead past the current request, because only a
+// read can detect that the client has closed the connection.
 class RequestReader {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
     // The head is complete: request() returns it. The delegate calls ReadBody, or writes a response.
     virtual void OnRequestHead() = 0;
-    // The body is complete, or the limit for buffering it is reached; in_body() is true in the latter case.
-    // The delegate takes the request with ReleaseRequest.
+    // The body is complete or, if in_body() is true, the limit for buffering the body is reached. The
+    // delegate takes the request with ReleaseRequest.
     virtual void OnRequestBuffered() = 0;
     // The last byte of a streamed body was read. The last piece is delivered afterwards.
     virtual void OnStreamedBodyComplete() = 0;
@@ -53,7 +53,7 @@
   // Reads the body of the request whose head is complete. `request_started_at` is at or before the arrival of
   // the request's first byte.
   void ReadBody(Millis request_started_at);
-  // Streams the body, see BodySource::ReadNext. Only while the request is incomplete.
+  // Streams the body, see BodySource::ReadNext. May be called only while the request is incomplete.
   void ReadNextPiece(BodySource::PieceHandler handler);
   // Stops the notifications of the delegate until the next call to ReadHead. A pending piece handler stays
   // pending.
@@ -110,7 +110,7 @@
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
   HttpRequest request_;
   std::vector<char> piece_;
-  BodySource::PieceHandler piece_handler_;  // of the pending ReadNextPiece; empty if there is none
+  BodySource::PieceHandler piece_handler_;  // handler of the pending ReadNextPiece; empty if there is none
   BodyProgress progress_;
   bool stopped_ = false;
   bool in_body_ = false;
--- a/src/proxy/client/request_validation.hpp
+++ b/src/proxy/client/request_validation.hpp
@@ -24,7 +24,7 @@
 // The values of a request's platform header fields.
 struct RequestAttributes {
   std::string id;
-  std::string class_name;    // of the traffic class
+  std::string class_name;    // name of the traffic class
   std::string tenant;        // empty if there is none
   std::string affinity_key;  // empty if there is none
   Millis time_allowed = 0;   // how long the client waits, from when it sent the request
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -93,8 +93,8 @@
   delegate_.OnResponseWritten(error);
 }
 
-// The source has failed. Where only the end of the connection delimits the body, the connection is reset: an
-// orderly close would make the response look complete.
+// Called when the source of the body has failed. If only the end of the connection delimits the body, resets
+// the connection: an orderly close would make the response look complete.
 void ResponseWriter::Abort() {
   error_code ignored;
   if (ends_by_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -15,8 +15,8 @@
 
 namespace gateway::proxy {
 
-// Writes one response at a time: at once if its body is complete, else piece by piece as its source delivers
-// them.
+// Writes one response at a time. A complete body is written at once, a streamed body piece by piece as its
+// source delivers the pieces.
 class ResponseWriter {
  public:
   class Delegate : public ConnectionPartOwner {
@@ -36,9 +36,9 @@
       : socket_(socket), delegate_(delegate) {}
 
   // Starts to write a response with the HTTP version of its request (10 or 11). `remaining_body` is the part
-  // of the body that follows what `response` contains, or null. `keep_alive` is whether the connection may
-  // stay open afterwards. Calls one of the delegate's methods once, never before this returns, unless
-  // stopped.
+  // of the body that follows the part in `response`, or null. `keep_alive` is whether the connection may stay
+  // open afterwards. Unless Stop is called, exactly one method of the delegate is called once, after this
+  // function has returned.
   void Write(HttpResponse response, std::shared_ptr<BodySource> remaining_body, unsigned version,
              bool keep_alive);
   // Stops the notifications of the delegate, and cancels the remaining body if there is one.
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -20,8 +20,9 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Converts the settings to the path=value pairs of the simulator's first message, which use the same names
-// and units. Both are read by the same parser, so that a setting has one meaning.
+// Flattens the settings of the configuration file to path=value pairs, the form of the simulator's first
+// message. One parser thus reads the settings from either source, and a setting has the same name and unit in
+// both.
 void Flatten(const json& node, const std::string& path, std::vector<std::string>& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
   if (node.is_object()) {
@@ -61,7 +62,8 @@
   return file[pointer].get<double>();
 }
 
-// Reads an address from `variable` if it is set, otherwise from `field` of the file. Errors call it `name`.
+// Reads an address from `variable` if it is not null, otherwise from `field` of the file. Error messages
+// refer to the address by `name`.
 boost::asio::ip::tcp::endpoint ReadAddress(const char* variable, const std::string& name, const json& file,
                                            const std::string& field) {
   std::string text;
@@ -127,7 +129,7 @@
   const std::string text = ScalarToText(file["seed"]);
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
   if (error != std::errc() || end != text.data() + text.size()) {
-    throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
+    throw ConfigError("seed: must consist of 1 to 16 hex digits, not '" + text + "'");
   }
 }
 
@@ -167,7 +169,7 @@
 void ReadKnownList(const json& file, Config& config) {
   if (!HasValue(file, "known")) return;
   const auto known = ParseEndpointList(file["known"].dump());
-  if (!known) throw ConfigError("known: not a valid host list in the form of discovery");
+  if (!known) throw ConfigError("known: not a valid host list in the format of a discovery response");
   config.known = *known;
 }
 
@@ -189,7 +191,7 @@
 }
 
 boost::asio::ip::tcp::endpoint LoadDiscoveryAddress(const std::function<const char*(const char*)>& variable) {
-  // Ignores NODE_DISCOVERY, which is the address at the start of the process.
+  // Ignores NODE_DISCOVERY, which holds the address at the start of the process and may be out of date.
   return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");
 }
 
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -28,24 +28,25 @@
   std::vector<boost::asio::ip::tcp::endpoint> other_list_services;  // more services of the same list
   bool guard_mass_removal = false;                                  // see EndpointListWatcher::Options
   double max_removed_share = 0.5;
-  Millis list_stale_after = 30000;                           // time without a response of a list service
+  Millis list_stale_after = 30000;  // time without a new list after which the list is stale
   std::optional<boost::asio::ip::tcp::endpoint> management;  // management address; empty: no management port
-  std::string hot_restart_path;   // path of the Unix socket for hot restarts; empty: none is possible
+  std::string hot_restart_path;   // path of the Unix socket for hot restarts; empty: disabled
   std::uint64_t seed = 0;         // for the random choices of the policy and for jitter
   std::size_t sockets = 1024;     // file descriptors that the process may hold
   std::size_t memory = 64 << 20;  // memory that the process may use, in bytes
   policy::Settings settings;
   Millis connect_timeout = 250;
-  Millis idle_timeout = 15000;  // after which an endpoint closes an idle connection
+  Millis idle_timeout = 15000;  // time after which an endpoint closes an idle connection
   EndpointList known;           // the initial list; may be out of date
-  std::string state_folder;     // where the gateway saves its state; empty: it saves none
+  std::string state_folder;     // folder for the saved state; empty: no state is saved
   bool load_state = true;       // false: this start ignores the saved state and overwrites it
-  Millis state_sync_delay = 0;  // added to each sync of the state, to test with a slow disk
+  Millis state_sync_delay = 0;  // delay added to each sync of the state, for tests of a slow disk
   std::string state_owner;      // name and client address of the gateway that owns the state
   base::LogFormat log = base::LogFormat::kText;
 };
 
-// `variable` returns the value of an environment variable, or null if it is not set. Throws ConfigError.
+// Loads the configuration from the environment and the file. `variable` returns the value of an environment
+// variable, or null if the variable is not set. Throws ConfigError.
 Config LoadConfig(const std::function<const char*(const char*)>& variable);
 
 // Reads the address of discovery from the configuration file, for a reload. Throws ConfigError.
--- a/src/proxy/connection_part.hpp
+++ b/src/proxy/connection_part.hpp
@@ -1,4 +1,4 @@
-// The interface between a connection and its asynchronous parts, on both sides of the proxy.
+// The interface between a connection and its asynchronous parts, for connections to clients and to endpoints.
 #ifndef GATEWAY_PROXY_CONNECTION_PART_HPP_
 #define GATEWAY_PROXY_CONNECTION_PART_HPP_
 
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -7,10 +7,10 @@
 namespace gateway::proxy {
 namespace {
 
-// For listeners, the management port, discovery and the event loop, with a margin.
+// Descriptors for listeners, the management port, discovery and the event loop, with a margin.
 constexpr std::size_t kReservedDescriptors = 40;
 
-// Returns `configured`, or the process's limit if that is lower.
+// Returns the lower of `configured` and the descriptor limit of the process.
 std::size_t LimitToProcess(std::size_t configured) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -10,12 +10,12 @@
   std::size_t client_connections = 1;
   std::size_t upstream_connections = 1;
 
-  // Returns half of the budget, for the time that another process runs as the same gateway.
+  // Returns half of the budget, for the time in which another process runs as the same gateway.
   DescriptorBudget Half() const;
 };
 
-// Divides `configured` descriptors, or the process's limit if it is lower, between clients and endpoints.
-// Reserves some for listeners, discovery and the management port.
+// Divides descriptors between clients and endpoints: `configured` descriptors, or as many as the process's
+// limit allows if that is fewer. Reserves some of them for listeners, discovery and the management port.
 DescriptorBudget MakeDescriptorBudget(std::size_t configured);
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/call_log.hpp
+++ b/src/proxy/discovery/call_log.hpp
@@ -11,7 +11,8 @@
 
 namespace gateway::proxy {
 
-// Writes at most two lines a second, of either kind, and drops the others. Not thread-safe.
+// Writes at most two lines per second, for lists and failures together, and drops further lines. Not
+// thread-safe.
 class CallLog {
  public:
   // Logs a list that was accepted from a call of `duration`.
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -13,21 +13,27 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A dead watch can be detected only by a call that receives no response in time, and a change counts as
-// received 6 s after discovery had it. So a call times out after 3.5 s, and the policy begins the next one
-// within 4.5 s.
+// Discovery treats a change as received 6 s after publishing it. A call that receives no response in time is
+// the only sign of a broken watch. So a call times out after 3.5 s, and the policy begins the next call
+// within 4.5 s, counted from the start of the failed call.
 constexpr Millis kResponseTimeoutMs = 3500;
 constexpr Millis kConnectTimeoutMs = 1000;
-constexpr Millis kMaxWaitMs = 2500;  // of a long poll on an open connection
-constexpr Millis kMaxFirstWaitMs =
-    1000;  // of the first long poll on a connection, which must be opened first
-// Random share of a wait, so that gateways whose watches failed at the same time do not retry together.
+// The maximum wait of a long poll on an open connection.
+constexpr Millis kMaxWaitMs = 2500;
+// The maximum wait of the first long poll on a new connection. It is shorter because the connection must be
+// opened.
+constexpr Millis kMaxFirstWaitMs = 1000;
+// The share by which a wait is shortened at random, so that gateways whose watches failed at the same time do
+// not retry at the same time.
 constexpr double kWaitJitterShare = 0.2;
-// From the start of one call to the start of the next. Keeps the client from calling a service that responds
-// at once, as an agent with pushed lists does, in a tight loop. A watch lapses after 200 ms without a call.
+// The minimum time between the starts of two calls. It prevents a tight loop if a service responds at once,
+// as an agent with pushed lists does. It must be shorter than 200 ms: a watch ends after 200 ms without a
+// call.
 constexpr Millis kMinCallIntervalMs = 100;
 constexpr Millis kMaxFailoverDelayMs = 200;
-constexpr Millis kFormerCallTimeoutMs = 1500;  // discovery closes connections at its former address by then
+// The timeout, after a change of address, of the call at the former address. Discovery has closed its
+// connections there by then.
+constexpr Millis kFormerCallTimeoutMs = 1500;
 constexpr Millis kProbeTimeoutMs = 1000;
 constexpr double kProbeJitterShare = 0.25;  // of the probe interval, in either direction
 
@@ -101,7 +107,7 @@
 void DiscoveryClient::WatchCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), position_is_current_);
   if (const auto* const error = std::get_if<ListError>(&result)) return WatchCallFailed(*error);
-  DropFormerCall();  // a list from the new address supersedes one from the former address
+  DropFormerCall();  // a list from the new address supersedes a list from the former address
   position_is_current_ = true;
   failover_.RecordSuccess();
   const std::shared_ptr<ListCall> call = std::exchange(call_, nullptr);
@@ -145,8 +151,8 @@
   connection_.reset();
 }
 
-// Keeps the call open because discovery treats a list that it has written as received, even if the gateway
-// had not read it when the address changed.
+// Keeps the call at the former address open. Discovery treats a list that it has written as received, even if
+// the gateway had not read the list when the address changed.
 void DiscoveryClient::KeepFormerCall() {
   DropFormerCall();
   if (!call_ || !call_->connected()) return DropCall();  // no request was sent, so no list can arrive
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -33,29 +33,30 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    // A list from a service was accepted; the position of the watch is that of `list` already.
+    // A list from a service was accepted. The position of the watch is already the position after `list`.
     virtual void OnEndpointList(EndpointList list) = 0;
-    // The watch has ended because every service failed in turn. `call_duration`: time since the last call
-    // began. No method is called again until Watch() begins a new watch, which this method may do.
+    // The watch has ended because every service failed in turn. `call_duration` is the time since the last
+    // call began. A new watch begins with Watch(), which this method may call, with ChangeAddress(), or when
+    // a probe finds another service that is ahead or responds again.
     virtual void OnWatchFailed(Millis call_duration) = 0;
-    // Returns the reason, for the log, why `list` must be rejected; empty if it may be accepted. A rejected
-    // list counts as a failed call. May apply the drains of a list that it rejects.
+    // Returns the reason for rejecting `list`, as a text for the log; empty if the list is acceptable. The
+    // call that returned a rejected list counts as failed. May apply the drains of a rejected list.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
   };
 
   struct Options {
     // Services of the same list, in the order in which they are tried; at least one.
     std::vector<boost::asio::ip::tcp::endpoint> services;
-    WatchPosition position;  // from which the first call continues
+    WatchPosition position;  // the position from which the first call continues
     // Whether the position is known to come from these services. If it is not, as after a start from disk,
     // the services may have restarted their revision count, so the first list is accepted whatever its
     // revision is.
     bool position_is_current = true;
-    std::uint64_t seed = 0;  // of the jitter
-    // The following apply to several services only.
+    std::uint64_t seed = 0;  // seed of the jitter
+    // The following options apply only if there are several services.
     Millis probe_interval = 5000;   // mean time from one probe to the next
-    Millis catch_up_within = 2000;  // time for a watched service that lags behind a probed one
-    Millis return_after = 30000;    // see ServiceFailover
+    Millis catch_up_within = 2000;  // time in which a watched service that lags behind must catch up
+    Millis return_after = 30000;    // time until a return to the first service, see ServiceFailover
   };
 
   // `observer` must outlive the client and is not called before Watch(). Probes begin at once.
@@ -118,7 +119,7 @@
 
   bool watching_ = false;
   std::shared_ptr<ListCall> call_;   // null between two calls
-  ListCall::Connection connection_;  // kept between two calls for the next one
+  ListCall::Connection connection_;  // kept between two calls, for reuse by the next call
   boost::asio::steady_timer next_call_;
 
   std::shared_ptr<ListCall> former_call_;
--- a/src/proxy/discovery/endpoint_list.hpp
+++ b/src/proxy/discovery/endpoint_list.hpp
@@ -18,7 +18,7 @@
 // An endpoint of the list.
 struct ListedEndpoint {
   policy::EndpointInfo info;
-  boost::asio::ip::tcp::endpoint address;  // default-constructed for a removed endpoint without one
+  boost::asio::ip::tcp::endpoint address;  // default-constructed if a removed endpoint has no address
 };
 
 // A snapshot of the endpoint list, or a delta to an earlier snapshot.
@@ -29,7 +29,7 @@
   // Identifies the history to which `revision` belongs; revisions of different epochs can't be compared.
   // Letters and digits; empty if the service sends none.
   std::string epoch;
-  std::int64_t confirmed_revision = 0;  // of the last removal that an operator confirmed; 0: none
+  std::int64_t confirmed_revision = 0;  // revision of the last removal that an operator confirmed; 0: none
 };
 
 // Returns std::nullopt if any part of `text` is malformed, so that a truncated list is never taken for a
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -1,6 +1,6 @@
 // The endpoint list in force: applies the lists that the discovery client accepts, and rejects unconfirmed
-// mass removals. Independent of requests and of connections to endpoints, so a gateway without a request path
-// can use it unchanged.
+// mass removals. Independent of requests and of connections to endpoints, so that a gateway that only watches
+// the list and forwards no requests can use it unchanged.
 #ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 #define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 
@@ -34,7 +34,8 @@
     std::string epoch;
     bool position_is_current = true;
     bool guard_mass_removal = false;  // whether a mass removal needs an operator's confirmation
-    double max_removed_share = 0.5;   // of the known endpoints, removable without confirmation; 0 to 1
+    // The share of the known endpoints, 0 to 1, that a list may remove without confirmation.
+    double max_removed_share = 0.5;
   };
 
   // Called from the event loop; list_changed is also called from within Apply(). Each may call Watch() and
@@ -44,8 +45,8 @@
     std::function<void()> list_received;
     // `list`, a snapshot or a delta, was applied to the list in force.
     std::function<void(const EndpointList& list)> list_changed;
-    // The watch has ended, `call_duration` after its last call began. No callback from the watch follows
-    // until Watch().
+    // The watch has ended. `call_duration` is the time since its last call began. A new watch begins with
+    // Watch(), with ChangeAddress(), or when a probe finds another service that is ahead or responds again.
     std::function<void(Millis call_duration)> watch_failed;
   };
 
@@ -77,7 +78,7 @@
   const double max_removed_share_;
   EndpointsById endpoints_;
   std::int64_t revision_ = 0;
-  std::string epoch_;  // of the revision; empty if the service sends none
+  std::string epoch_;  // epoch of the revision; empty if the service sends none
   DiscoveryClient client_;
 };
 
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -46,13 +46,15 @@
   };
 
   // `connection`: an open connection to the service from an earlier call; if null, Start() opens one.
-  // `observer` must outlive the call or Abandon() it.
+  // `observer` must outlive the call, unless Abandon() is called.
   ListCall(boost::asio::io_context& io, const Options& options, Connection connection, Observer& observer);
 
   void Start();
-  // Ends the call with kResponseTimeout after `timeout` from now. Overrides the timeouts of the options.
+  // Ends the call with kResponseTimeout when `timeout` has passed from now. Replaces the timeouts of the
+  // options.
   void SetTimeout(Millis timeout);
-  // Ends the call without notifying the observer, and closes the connection. Does nothing once it has ended.
+  // Ends the call without notifying the observer, and closes the connection. Does nothing if the call has
+  // ended.
   void Abandon();
 
   Millis started_at() const { return started_at_; }
--- a/src/proxy/discovery/mass_removal_guard.hpp
+++ b/src/proxy/discovery/mass_removal_guard.hpp
@@ -20,8 +20,8 @@
   std::size_t known = 0;
 };
 
-// Returns what `list` removes if it removes more than one endpoint and more than `max_removed_share` (0 to 1)
-// of the endpoints `known` at `revision`, and no operator has confirmed a removal since that revision.
+// Returns a MassRemoval if `list` removes more than one endpoint and more than `max_removed_share` (0 to 1)
+// of the endpoints `known` at `revision`, and no operator has confirmed a removal after that revision.
 // Otherwise returns std::nullopt.
 std::optional<MassRemoval> FindUnconfirmedMassRemoval(const EndpointList& list, const EndpointsById& known,
                                                       std::int64_t revision, double max_removed_share);
--- a/src/proxy/discovery/service_failover.hpp
+++ b/src/proxy/discovery/service_failover.hpp
@@ -22,23 +22,24 @@
 
 class ServiceFailover {
  public:
-  // `service_count` must be at least 1. `return_after`: time after a failure of the first service until the
-  // watch may return to it; doubles, up to ten minutes, each time that the first service fails again within
-  // that time of a return.
+  // `service_count` must be at least 1. `return_after` is the time after a failure of the first service until
+  // the watch may return to it. This time doubles, up to ten minutes, whenever the first service fails within
+  // this time after a return.
   ServiceFailover(std::size_t service_count, Millis return_after);
 
   // Index of the service to watch, from 0; the first one is preferred.
   std::size_t current() const { return current_; }
 
   // Records that a call to the current service failed, and makes the next service the current one. Returns
-  // whether every service has now failed in turn, so that an immediate call would only repeat the round.
+  // whether every service has now failed in turn. An immediate call would then only start another round of
+  // failures.
   bool RecordFailure(Millis now);
   // Records that a list from the current service was accepted.
   void RecordSuccess() { consecutive_failures_ = 0; }
 
   // Makes `service` the current one.
   void SwitchTo(std::size_t service, Millis now);
-  // Makes the first service the current one, after an address has changed.
+  // Makes the first service the current one. To be called when its address has changed.
   void StartOver() { current_ = 0; }
 
   // Returns the service to probe next: the first one if a return to it is due, otherwise each of the others
@@ -59,7 +60,7 @@
   std::size_t consecutive_failures_ = 0;
   std::size_t last_probe_ = 0;
   Millis left_first_at_ = 0;
-  Millis returned_at_ = 0;  // to the first service; 0: never
+  Millis returned_at_ = 0;  // time of the last return to the first service; 0: never
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/watch_position.hpp
+++ b/src/proxy/discovery/watch_position.hpp
@@ -12,7 +12,7 @@
 
 namespace gateway::proxy {
 
-// The list from which a watch continues.
+// The revision and epoch of the list from which a watch continues.
 struct WatchPosition {
   std::int64_t revision = 0;
   std::string epoch;  // empty: unknown, or the service sends none
@@ -24,9 +24,10 @@
 
 // Returns an error if `list` can't follow `position`, otherwise std::nullopt.
 //
-// A list with a lower revision of the same epoch comes from a replica that lags behind, and would restore
-// removed endpoints. That applies only with `same_service`, that is, if `position` is known to come from the
-// service of `list`. A delta of another epoch does not apply to the list at `position`.
+// A list with a lower revision in the epoch of `position` comes from a replica that lags behind, and would
+// restore removed endpoints. This check applies only with `same_service`, that is, if `position` is known to
+// come from the service that sent `list`. A delta of another epoch can't be applied to the list at
+// `position`.
 std::optional<ListError> CheckSuccession(const EndpointList& list, const WatchPosition& position,
                                          bool same_service);
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -16,11 +16,11 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// The front proxy sends new connections for up to 400 ms after SIGTERM.
+// The load balancer sends new connections for up to 400 ms after SIGTERM.
 constexpr Millis kAcceptAfterStopMs = 500;
-constexpr Millis kRespondWithinMs = 3300;  // after SIGTERM; SIGKILL follows at 3,700 ms or later
-constexpr Millis kFlushTimeMs = 200;       // for sending the last responses
-// Each side, clients and endpoints, may buffer this fraction of the memory for bodies.
+constexpr Millis kRespondWithinMs = 3300;  // after SIGTERM; SIGKILL follows 3,700 ms after SIGTERM or later
+constexpr Millis kFlushTimeMs = 200;       // time in which the last responses are sent
+// The buffered request bodies and the buffered response bodies may each use 1/4 of the memory.
 constexpr std::size_t kBodyBudgetDivisor = 4;
 constexpr std::size_t kMinManagementConnections = 2;
 constexpr std::size_t kMaxManagementConnections = 16;
@@ -36,8 +36,8 @@
   return LoadSavedState(config.state_folder, config.state_owner);
 }
 
-// The watch begins at the newest known revision. The revision of a list loaded from disk is not trusted,
-// because the service may have restarted its revision count.
+// The watch begins at the newest known revision. The revision of a list that was loaded from disk is not
+// treated as current, because the service may have restarted its revision count since then.
 EndpointListWatcher::Options WatcherOptions(const Config& config, const InheritedState& inherited,
                                             const std::optional<SavedState>& saved) {
   EndpointListWatcher::Options options;
@@ -165,8 +165,8 @@
                       [this](const std::string& command) { return commands_.Run(command); });
 }
 
-// Prefers the list of a predecessor, then the newer one of the saved and the configured list. An operator's
-// drain is restored from disk only: a successor starts undrained.
+// Applies the list of a predecessor if there is one, otherwise the newer of the saved and the configured
+// list. A drain by an operator is restored from the saved state only: a successor starts without a drain.
 void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
   list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
@@ -198,7 +198,8 @@
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
-  upstream_.ApplyEndpointList(list);  // before the policy, which then sends nothing by the former list
+  // Applied before the policy receives the list, so that the policy's actions can't use removed endpoints.
+  upstream_.ApplyEndpointList(list);
   has_listed_endpoints_ = has_listed_endpoints_ || !list.endpoints.empty();
   driver_.Report(ToListEvent(list));
   hot_restart_.NotifyReadiness();
@@ -280,8 +281,8 @@
   });
 }
 
-// The successor accepts from the same listener and receives the connections that are between two requests.
-// This process completes its active requests.
+// The successor accepts connections from the same listener, and this process transfers the connections that
+// are between two requests to it. This process completes its active requests.
 void Gateway::StopForSuccessor(const std::function<void()>& done) {
   hot_restart_.AnnounceLeaving();
   clients_.TransferConnections(
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -1,7 +1,7 @@
 // One gateway: composes the client side, the upstream side, discovery, the policy and hot restart.
 //
-// Owns the lifecycle (start, drain, stop, replacement by another process) and the endpoint list in force; the
-// policy decides on requests. To be used in the event loop's thread only.
+// Owns the lifecycle (start, drain, stop, replacement by another process) and the endpoint list in force. The
+// policy decides how requests are handled. To be used in the event loop's thread only.
 #ifndef GATEWAY_PROXY_GATEWAY_HPP_
 #define GATEWAY_PROXY_GATEWAY_HPP_
 
@@ -33,9 +33,9 @@
 
 class Gateway final : private ManagedGateway {
  public:
-  // Begins to listen and to watch the endpoint list. Takes over the state of a running process of the same
-  // gateway or, if there is none, loads the state folder. Throws std::exception if the settings are invalid
-  // or an address can't be used.
+  // Begins to listen and to watch the endpoint list. If another process of the same gateway is running, takes
+  // over its state; otherwise loads the state from the state folder. Throws std::exception if the settings
+  // are invalid or an address can't be used.
   Gateway(boost::asio::io_context& io, const Config& config);
 
   // The address on which clients connect.
@@ -46,9 +46,8 @@
   // Watches the endpoint list at `address` from now on.
   void ChangeDiscoveryAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // Stops gracefully: accepts connections for a short time, responds to all requests, then calls `done`. If
-  // another process has replaced this one, it transfers the idle connections to that process instead of
-  // accepting.
+  // Stops gracefully: accepts connections for a short time, responds to all requests, then calls `done`. If a
+  // successor process is ready, stops accepting at once and transfers the idle connections to the successor.
   void Stop(std::function<void()> done);
 
  private:
@@ -84,7 +83,7 @@
 
   boost::asio::io_context& io_;
   const policy::Settings settings_;
-  const DescriptorBudget budget_;  // while no other process runs as the same gateway
+  const DescriptorBudget budget_;  // applies while no other process runs as the same gateway
   PolicyDriver driver_;
   UpstreamPool upstream_;
   EndpointListWatcher list_;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -35,7 +35,8 @@
     acceptor.open(address.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     if (shared) {
-      // Without this option other processes cannot share the address, which is no error.
+      // If setting this option fails, other processes can't share the address. The gateway works without
+      // that.
       boost::system::error_code ignored;
       acceptor.set_option(ReusePort(true), ignored);
     }
--- a/src/proxy/load_report.hpp
+++ b/src/proxy/load_report.hpp
@@ -8,8 +8,9 @@
 
 namespace gateway::proxy {
 
-// Parses "inflight=7,util=0.61" into values in the order of `fields`. A field that is missing or malformed is
-// NaN; unknown ones are ignored. Returns an empty vector for an empty text.
+// Parses a report such as "inflight=7,util=0.61" into values in the order of `fields`. The value of a missing
+// or malformed field is NaN. Other fields of the report are ignored. Returns an empty vector for an empty
+// text.
 std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace gateway::proxy
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -19,7 +19,7 @@
     const auto variable = [](const char* name) -> const char* { return std::getenv(name); };
     const proxy::Config config = proxy::LoadConfig(variable);
     std::signal(SIGXFSZ, SIG_IGN);  // reaching the file size limit must fail the write, not end the process
-    std::signal(SIGPIPE, SIG_IGN);  // the same for writing to a closed log pipe
+    std::signal(SIGPIPE, SIG_IGN);  // a write to a closed log pipe must not end the process
     base::SetLogFormat(config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -35,9 +35,9 @@
           if (ec) return;
           try {
             gateway.ChangeDiscoveryAddress(proxy::LoadDiscoveryAddress(variable));
-          } catch (const proxy::ConfigError& error) {  // the former address stays in force
+          } catch (const proxy::ConfigError& error) {  // the gateway keeps the former address
             base::Log(base::Level::kError, "config", "not_reloaded",
-                      std::string("not reloaded: ") + error.what());
+                      std::string("configuration not reloaded: ") + error.what());
           }
           reloads.async_wait(reload);
         };
--- a/src/proxy/policy_driver.cpp
+++ b/src/proxy/policy_driver.cpp
@@ -11,7 +11,8 @@
 namespace gateway::proxy {
 namespace {
 
-// Returns the id of the request that the event concerns; empty if it concerns none.
+// Returns the ID of the request that has arrived, whose attempt has ended, or whose client has disconnected.
+// Returns an empty ID for any other event.
 std::string RequestIdOf(const policy::Event& event) {
   if (const auto* request = std::get_if<policy::Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<policy::AttemptOutcome>(&event)) return outcome->request;
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -25,17 +25,19 @@
   virtual void Execute(const policy::Fail& fail) = 0;
   virtual void Execute(const policy::Cancel& cancel) = 0;
 
-  // Whether the client needs no response any more: the request has one, or is no longer active.
+  // Returns whether the request needs no response any more: it has a response already, or is no longer
+  // active.
   virtual bool IsFinished(const std::string& request) const = 0;
 
-  // Called after the actions of an event that concerns the request.
+  // Called after the actions of each event. `request` is the request that has arrived, whose attempt has
+  // ended, or whose client has disconnected; empty for any other event.
   virtual void OnEventHandled(const std::string& request) = 0;
 };
 
 class PolicyDriver {
  public:
-  // `requests` and `io` must remain valid until the last call of the driver. `watch_list` begins a watch of
-  // the endpoint list.
+  // `requests` and `io` must outlive the driver's use. `watch_list` is called to begin a watch of the
+  // endpoint list.
   PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
                RequestActions& requests, std::function<void()> watch_list);
 
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -13,12 +13,12 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned kHttpVersion = 11;  // HTTP/1.1
-// The policy must respond this much before the client's timeout: responses take time to arrive, and timers
-// fire late.
+// The time before the client's timeout by which the policy must respond: responses take time to arrive, and
+// timers may fire late.
 constexpr Millis kResponseMarginMs = 10;
-// A request that the policy has not responded to is timed out this much before the client's timeout.
+// The time before the client's timeout at which the forwarder times out a request without a response.
 constexpr Millis kTimeoutMarginMs = 4;
-constexpr Millis kMaxUploadMs = 1200000;  // for the largest body at the minimum accepted rate
+constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at the minimum rate
 const char* const kLoadReportField = "Srv-Load";
 
 void StripUpstreamFields(HttpResponse& response) {
@@ -33,7 +33,7 @@
     : io_(io), settings_(settings), driver_(driver), upstream_(upstream), metrics_(metrics) {}
 
 void RequestForwarder::OnRequest(ClientRequest request) {
-  if (requests_.contains(request.id)) {  // their outcomes could not be told apart
+  if (requests_.contains(request.id)) {  // the outcomes of two requests with one ID can't be distinguished
     HttpResponse response(http::status::conflict, kHttpVersion);
     response.body() = "Req-Id is in use\n";
     return request.responder.Respond(std::move(response), nullptr);
@@ -142,7 +142,8 @@
   return false;
 }
 
-// The policy responds in time by its own timers. This covers timers that fire late.
+// The timers of the policy normally produce a response before this timeout, which covers timers that fire
+// late.
 void RequestForwarder::TimeOut(const std::string& id) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || active->responded) return;
@@ -173,8 +174,8 @@
   active->attempts[index].id = number;
 }
 
-// Reports that the attempt was not sent, because the request has ended since the policy decided, or must not
-// be sent again.
+// Reports that the attempt was not sent: the request has ended since the policy's decision, or must not be
+// sent again.
 void RequestForwarder::ReportNotSent(const policy::Send& send, ActiveRequest* active) {
   policy::AttemptOutcome outcome;
   outcome.request = send.request;
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -34,12 +34,13 @@
 
   // Begins to handle a request. Rejects it if another request with the same ID is active.
   void OnRequest(ClientRequest request);
-  // Records that the last byte of a request whose body was incomplete was read at `completed_at`.
+  // Records that the last byte of a request was read at `completed_at`. Called only for a request that was
+  // passed to OnRequest before its body was complete.
   void OnRequestComplete(const std::string& id, Millis completed_at);
   // Records that the client of the request has disconnected.
   void OnClientDisconnected(const std::string& id);
 
-  // Responds to all requests that have no response yet with a timeout.
+  // Responds with 504 to all requests that have no response yet.
   void TimeOutAll();
 
   // The number of clients that disconnected before their response, since the start.
@@ -55,20 +56,20 @@
  private:
   struct Attempt {
     std::string endpoint;
-    Millis sent_at = 0;  // or the time at which the request was complete, if that was later
+    Millis sent_at = 0;  // time of sending or of the request's completion, whichever is later
     Millis timeout = 0;  // counted from sent_at
     AttemptId id = 0;    // in the upstream pool
     bool in_flight = true;
   };
-  // A client's request until it has a response and all its attempts have ended.
+  // A request, kept until it has a response and all of its attempts have ended.
   struct ActiveRequest {
     explicit ActiveRequest(boost::asio::io_context& io) : timeout_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
-    std::shared_ptr<BodySource> remaining_body;  // if the request was reported before it was complete
+    std::shared_ptr<BodySource> remaining_body;  // null if the request arrived complete
     bool complete = true;
     std::string class_name;
     Millis received_at = 0;
-    Millis time_allowed = 0;         // for which the client waits, counted from received_at
+    Millis time_allowed = 0;         // how long the client waits, from received_at
     bool handled_on_arrival = true;  // the policy sent, rejected or failed it while its arrival was reported
     ClientResponder responder;
     Millis respond_by = 0;  // deadline for the policy
@@ -81,7 +82,8 @@
   ActiveRequest& Add(ClientRequest& request);
   void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_timeout_at);
   void TimeOut(const std::string& id);
-  // Returns whether the client still waits for the response. Detects a disconnect that was not reported yet.
+  // Returns whether the client still waits for the response. Asks the socket, and so detects a disconnect
+  // that was not reported yet.
   bool IsAwaited(const std::string& id);
   void ReportNotSent(const policy::Send& send, ActiveRequest* active);
   UpstreamRequest MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -13,7 +13,7 @@
 using boost::system::error_code;
 
 constexpr Millis kUnresponsiveOverlapMs = 11000;  // assumed overlap with an unresponsive predecessor
-constexpr Millis kTransferPollIntervalMs = 10;    // between checks whether all transfers were sent
+constexpr Millis kTransferPollIntervalMs = 10;    // interval of the checks whether all transfers were sent
 
 }  // namespace
 
@@ -98,7 +98,7 @@
   EndOverlap();
 }
 
-// There is at most one successor at a time.
+// Refuses a transfer while there is a successor, because there may be only one, and while this process stops.
 int HotRestart::ListenerForSuccessor() {
   if (successor_ || callbacks_.is_stopping()) return -1;
   return callbacks_.listener();
@@ -135,8 +135,9 @@
   callbacks_.limit_connections(/*half=*/true);
 }
 
-// Restores the full rate, because the other process has stopped sending. The connections of the other process
-// become available only after it has disconnected.
+// Restores the full rate, because the other process has stopped accepting clients or has exited. Restores the
+// full connection limit only if the other process has disconnected, because it keeps its connections until
+// then.
 void HotRestart::EndOverlap() {
   if (std::exchange(rate_is_halved_, false)) callbacks_.scale_rate(2);
   if (!predecessor_ && !successor_) callbacks_.limit_connections(/*half=*/false);
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -32,8 +32,8 @@
 
 namespace gateway::proxy {
 
-// Both roles of a process: it may replace another process and later be replaced itself. To be used in the
-// event loop's thread only.
+// Implements the roles of successor and predecessor: a process may replace another process and later be
+// replaced itself. To be used in the event loop's thread only.
 class HotRestart final : private HotRestartChannel::Observer, private SuccessorAcceptor::Delegate {
  public:
   // What the gateway provides. All callbacks must be set and remain valid for this object's lifetime. They
@@ -47,15 +47,16 @@
     std::function<TransferredState()> export_state;
     // Multiplies the request rate by `factor`: 0.5 when an overlap begins, 2 when it ends.
     std::function<void(double factor)> scale_rate;
-    // Limits the connections to clients and endpoints to half of the budget, or restores all of it.
+    // Limits the connections to clients and endpoints to half of the budget, or to the full budget if `half`
+    // is false.
     std::function<void(bool half)> limit_connections;
     // Takes over from the predecessor a client connection that is between two requests.
     std::function<void(base::FileDescriptor connection)> adopt_client;
   };
 
   // `path`: path of the Unix socket on which successors connect; empty: this process can't be replaced.
-  // `predecessor`: the connection to the process that this one replaces; empty: there is none.
-  // `address_in_use`: whether, at the start, another process listened on the client address but transferred
+  // `predecessor`: the connection to the process that this one replaces; empty: there is no such process.
+  // `address_in_use`: whether another process listened on the client address at the start but transferred
   // nothing.
   HotRestart(boost::asio::io_context& io, const std::string& path, base::FileDescriptor predecessor,
              bool address_in_use, Callbacks callbacks);
@@ -70,8 +71,8 @@
   // Whether a successor is connected and accepts clients.
   bool HasReadySuccessor() const;
 
-  // The following require HasReadySuccessor().
-  // Notifies the successor that this process is leaving.
+  // The following methods require HasReadySuccessor().
+  // Notifies the successor that this process stops accepting clients and will exit.
   void AnnounceLeaving();
   // Transfers a client connection that is between two requests to the successor. If the successor is no
   // longer connected, closes the connection and returns false.
@@ -81,14 +82,14 @@
 
  private:
   enum class PredecessorState {
-    kNone,          // there is none, or it has ended
-    kUnresponsive,  // it listens on the client address but does not respond: the overlap has a fixed length
+    kNone,          // there is no predecessor, or it has ended
+    kUnresponsive,  // listens on the client address but does not respond; the overlap has a fixed length
     kServing,       // connected
     kNotified,      // connected, and was notified that this process accepts clients
-    kLeaving,       // connected; it no longer accepts clients and finishes its requests
+    kLeaving,       // connected; no longer accepts clients, and completes its requests
   };
   enum class SuccessorState {
-    kNone,      // none has connected, or it has ended
+    kNone,      // no successor has connected, or it has ended
     kStarting,  // connected
     kReady,     // connected, and accepts clients
   };
--- a/src/proxy/restart/hot_restart_channel.hpp
+++ b/src/proxy/restart/hot_restart_channel.hpp
@@ -33,7 +33,7 @@
   HotRestartChannel(const HotRestartChannel&) = delete;
   HotRestartChannel& operator=(const HotRestartChannel&) = delete;
 
-  // Begins to receive. A later call replaces the observer. An observer must outlive the channel or be
+  // Begins to receive. A later call replaces the observer. An observer must outlive the channel unless it is
   // replaced.
   void SetObserver(Observer& observer);
 
--- a/src/proxy/restart/hot_restart_message.hpp
+++ b/src/proxy/restart/hot_restart_message.hpp
@@ -1,5 +1,5 @@
-// The messages between a running process and its replacement, and their encoding on the socket. This module
-// alone maps the words of the encoding to messages.
+// The messages between a running process and its replacement, and the encoding of the messages on the socket.
+// Only this module knows the encoding.
 //
 //   message             from         text on the socket   descriptor
 //   Hello               successor    "forkwick 1"         -
--- a/src/proxy/restart/inherited_state.cpp
+++ b/src/proxy/restart/inherited_state.cpp
@@ -16,7 +16,7 @@
 
 using boost::asio::ip::tcp;
 
-constexpr Millis kTransferTimeoutMs = 500;  // for the complete exchange: the predecessor may hang
+constexpr Millis kTransferTimeoutMs = 500;  // limit for the complete exchange: the predecessor may hang
 
 // Returns an empty descriptor if no process of the same user listens at `path`.
 base::FileDescriptor Connect(const std::string& path) {
--- a/src/proxy/restart/inherited_state.hpp
+++ b/src/proxy/restart/inherited_state.hpp
@@ -14,7 +14,7 @@
 // All members are empty if there is no running process or it transferred nothing.
 struct InheritedState {
   base::FileDescriptor listener;  // the listening socket for clients, shared with the predecessor
-  std::optional<TransferredState> transferred;  // also empty if it is malformed or arrived too late
+  std::optional<TransferredState> transferred;  // also empty if malformed or too late
   base::FileDescriptor predecessor;             // the connection to the predecessor, for a HotRestartChannel
 };
 
--- a/src/proxy/restart/learned_state_json.cpp
+++ b/src/proxy/restart/learned_state_json.cpp
@@ -15,10 +15,11 @@
 constexpr double kMaxNumber = 1e12;  // above any time or rate that a policy can have
 constexpr double kMaxCount = 1e9;
 
-// Index in an element of "servers".
+// The index of last_outcome_at in an element of "servers".
 constexpr std::size_t kLastOutcomeIndex = 10;
 
-// Checks the range, because the checksums of a file detect damage but not values that no policy has written.
+// Checks the range of the number. The checksums of a file detect damage, but not numbers that no policy could
+// have written.
 double ParseNumber(const json& value) {
   const double number = value.get<double>();
   if (!std::isfinite(number) || number < 0 || number > kMaxNumber) {
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -20,9 +20,10 @@
 
 nlohmann::json LearnedStateToJson(const policy::LearnedState& learned);
 
-// Values that earlier versions did not write (at, gateways, kinds, last_outcome_at) may be absent; their
-// fields keep their defaults. Throws std::exception if any other value is missing, if a value has the wrong
-// type, or if a number is negative, infinite or implausibly large. Points in time are not checked.
+// Parses the JSON form. The values at, gateways, kinds and last_outcome_at may be absent, because earlier
+// versions did not write them; the fields then keep their defaults. Throws std::exception if any other value
+// is missing, if a value has the wrong type, or if a number is negative, infinite or implausibly large. Does
+// not check points in time.
 policy::LearnedState LearnedStateFromJson(const nlohmann::json& form);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/packet_socket.hpp
+++ b/src/proxy/restart/packet_socket.hpp
@@ -1,5 +1,5 @@
-// Unix sockets of type SOCK_SEQPACKET, which preserve message boundaries and carry file descriptors
-// (SCM_RIGHTS).
+// Functions for Unix sockets of type SOCK_SEQPACKET, which preserve message boundaries and carry file
+// descriptors (SCM_RIGHTS).
 #ifndef GATEWAY_PROXY_RESTART_PACKET_SOCKET_HPP_
 #define GATEWAY_PROXY_RESTART_PACKET_SOCKET_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace gateway::proxy {
 
-// One message on such a socket.
+// One message on a socket of type SOCK_SEQPACKET.
 struct Packet {
   std::string text;                 // truncated to 256 KiB when received
   base::FileDescriptor descriptor;  // empty if the packet carries none
@@ -22,7 +22,7 @@
 enum class SendResult {
   kSent,
   kTryLater,  // the receiver's queue is full, or the kernel's limit on descriptors in transit is reached
-  kTooLong,   // for a single packet; a retry can't succeed
+  kTooLong,   // the text is too long for a single packet; a retry can't succeed
   kBroken,
 };
 
--- a/src/proxy/restart/saved_state.hpp
+++ b/src/proxy/restart/saved_state.hpp
@@ -1,6 +1,6 @@
-// The state that a gateway saves on disk for the next process: its JSON form, and loading it at the start.
-// The keys of the form are "list" (the endpoint list), "draining", "kept_at_ms" (list_valid_at) and "learned"
-// (see learned_state_json.hpp).
+// The state that a gateway saves on disk for the next process, the JSON form of the state, and its loading at
+// the start. The keys of the JSON form are "list" (the endpoint list), "draining", "kept_at_ms"
+// (list_valid_at) and "learned" (see learned_state_json.hpp).
 #ifndef GATEWAY_PROXY_RESTART_SAVED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_SAVED_STATE_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace gateway::proxy {
 
-// Version of the form. A state of a higher version is neither read nor replaced.
+// Version of the JSON form. A saved state with a higher version is neither read nor replaced.
 constexpr std::uint16_t kSavedStateVersion = 1;
 
 struct SavedState {
@@ -26,8 +26,9 @@
 
 std::string SerializeSavedState(const SavedState& state);
 
-// Returns std::nullopt if any part except `learned` is malformed. If only `learned` is malformed, logs a
-// warning and returns the state without it. Early program versions did not write `learned`.
+// Parses the JSON form. Returns std::nullopt if any part except `learned` is malformed. If only `learned` is
+// malformed, logs a warning and returns the state without `learned`. Early program versions did not write
+// `learned`.
 std::optional<SavedState> ParseSavedState(const std::string& text);
 
 // Reads the state of `owner` from `folder` without writing to it. If there is a state that can't be used,
--- a/src/proxy/restart/state_save_schedule.cpp
+++ b/src/proxy/restart/state_save_schedule.cpp
@@ -8,7 +8,7 @@
 
 constexpr Millis kSaveIntervalMs = 2000;  // the learned state changes continuously
 constexpr Millis kMaxListChangeDelayMs = 1000;
-constexpr int kListChangeSteps = 16;  // steps of that delay over the gateway indices
+constexpr int kListChangeSteps = 16;  // number of different delays among the gateways
 
 }  // namespace
 
--- a/src/proxy/restart/state_save_schedule.hpp
+++ b/src/proxy/restart/state_save_schedule.hpp
@@ -1,4 +1,4 @@
-// Schedules the saves of the gateway's state: soon after a change, and at a fixed interval from then on.
+// Schedules the saves of the gateway's state: soon after a change, and then at a fixed interval.
 #ifndef GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 #define GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto kOpenPollInterval = std::chrono::milliseconds(50);
-constexpr int kPollsPerOpenAttempt = 20;  // so that opening a busy folder is tried once a second
+constexpr int kPollsPerOpenAttempt = 20;  // the saver tries to open a busy folder once per second
 constexpr auto kMaxLastWriteTime = std::chrono::milliseconds(200);
 constexpr auto kLastWritePollInterval = std::chrono::milliseconds(1);
 
@@ -36,7 +36,7 @@
   ~Shared() { delete newest.load(); }
 
   std::atomic<std::string*> newest{nullptr};  // owned by the thread that exchanges it for null
-  std::atomic<std::uint32_t> wakes{0};        // counts the wake-ups of the thread: new states and the stop
+  std::atomic<std::uint32_t> wakes{0};  // incremented for each new state and at the stop, to wake the thread
   std::atomic<bool> stopping{false};
   std::atomic<bool> done{false};  // the thread has finished
   std::atomic<bool> ok{true};
@@ -44,7 +44,7 @@
   std::atomic<std::uint64_t> bytes{0};
 };
 
-// The work of the thread.
+// Opens the folder and writes the states. Runs in the saver's thread.
 class StateSaver::Writer {
  public:
   Writer(std::string folder, const std::string& owner, Millis sync_delay, std::shared_ptr<Shared> shared);
@@ -67,7 +67,7 @@
   storage::FaultyFileSystem slow_disk_;
   storage::FileSystem& files_;
   storage::StoreOptions options_;
-  std::unique_ptr<storage::Store> store_;  // null until it has been opened
+  std::unique_ptr<storage::Store> store_;  // null until the folder has been opened
   int open_polls_ = 0;
   std::string last_open_error_;  // an error is logged again only if it changes
   std::uint32_t seen_wakes_ = 0;
--- a/src/proxy/restart/state_saver.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -29,10 +29,10 @@
   // thread.
   void Save(const SavedState& state);
 
-  // The following may be called from any thread.
+  // The following methods may be called from any thread.
   bool ok() const;
   std::uint64_t writes() const;  // number of states written
-  std::uint64_t bytes() const;   // size of the last one
+  std::uint64_t bytes() const;   // size of the last state written
 
  private:
   struct Shared;
--- a/src/proxy/restart/successor_acceptor.cpp
+++ b/src/proxy/restart/successor_acceptor.cpp
@@ -93,7 +93,7 @@
   return true;
 }
 
-// Posts the release, because a method of the channel is still running.
+// Posts the release, because a method of the channel, which calls this function, is still running.
 void SuccessorAcceptor::ReleaseCandidate(bool is_successor) {
   asio::post(io_, [this, alive = alive_, is_successor, released = candidate_.get()] {
     if (!*alive || candidate_.get() != released) return;
--- a/src/proxy/restart/successor_acceptor.hpp
+++ b/src/proxy/restart/successor_acceptor.hpp
@@ -32,8 +32,8 @@
     virtual void OnSuccessor(std::unique_ptr<HotRestartChannel> channel) = 0;
   };
 
-  // Replaces a socket file at `path`, but no other kind of file. If it can't listen it logs a warning, and no
-  // successor can connect. `delegate` must outlive this.
+  // Listens at `path`. Replaces an existing socket file, but no other kind of file. If listening fails, logs
+  // a warning, and no successor can connect. `delegate` must outlive this object.
   SuccessorAcceptor(boost::asio::io_context& io, const std::string& path, Delegate& delegate);
   ~SuccessorAcceptor() override;
   SuccessorAcceptor(const SuccessorAcceptor&) = delete;
--- a/src/proxy/upstream/request_writer.hpp
+++ b/src/proxy/upstream/request_writer.hpp
@@ -16,20 +16,20 @@
 
 namespace gateway::proxy {
 
-// Writes one request at a time: at once if its body is complete, else piece by piece as its source delivers
-// them.
+// Writes one request at a time. A complete body is written at once, a streamed body piece by piece as its
+// source delivers the pieces.
 class RequestWriter {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // A part of a streamed request is being written, and the endpoint has to read it.
+    // The write of a part of a streamed request has begun. It completes when the endpoint reads the part.
     virtual void OnWaitForEndpoint() = 0;
-    // The next piece of a streamed request was requested, and its client has to send it.
+    // The next piece of a streamed request was requested from its source. The client has to send the piece.
     virtual void OnWaitForBody() = 0;
     // The head and the buffered part of a streamed request were written. May stop the writer.
     virtual void OnBufferedPartSent() = 0;
-    // The last byte was handed to the kernel; or a write has failed, so that the endpoint cannot have
-    // received the last byte.
+    // The last byte was handed to the kernel or, with an `error`, a write has failed. After a failed write
+    // the endpoint cannot have received the last byte.
     virtual void OnRequestSent(boost::system::error_code error) = 0;
     // The body's source has failed: the request will never be complete.
     virtual void OnBodyFailed() = 0;
@@ -44,8 +44,8 @@
 
   // Writes a complete request, and states the remaining time until `deadline` in it.
   void Write(const HttpRequest& request, Millis deadline);
-  // Writes a request whose body continues with `remaining_body`. States the same deadline as the client did,
-  // since that counts from the last byte of the request.
+  // Writes a request whose body continues with `remaining_body`. Keeps the client's Req-Deadline, because a
+  // deadline counts from the last byte of the request.
   void WriteStreamed(std::shared_ptr<const HttpRequest> request, std::shared_ptr<BodySource> remaining_body);
   // Stops the notifications of the delegate. The buffers of a pending write stay valid until it has
   // completed.
@@ -53,7 +53,7 @@
   // Frees the memory of a request that was written completely.
   void Reset() { head_and_body_ = {}; }
 
-  // Whether the last part of the body is being written, or was.
+  // Whether the write of the last part of the request has begun.
   bool last_part_started() const { return last_part_started_; }
   // The traffic class and the body size of the current request. The size is 0 for a streamed request.
   std::string_view class_name() const;
@@ -67,7 +67,7 @@
 
   boost::asio::ip::tcp::socket& socket_;
   Delegate& delegate_;
-  HttpRequest head_and_body_;  // as sent; without the body if that is streamed
+  HttpRequest head_and_body_;  // the request as sent; without the body of a streamed request
   std::shared_ptr<BodySource> remaining_body_;
   std::string frame_;               // what is written before the current piece
   bool active_ = false;             // a request is being written
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
 // The read size while a body is buffered. Beast's default is 512 bytes.
 constexpr std::size_t kBufferedReadBytes = kBodyPieceBytes / 4;
-// The time for which a body of unknown length is buffered. It may be long, and the client may wait for its
-// first bytes.
+// The time for which a body of unknown length is buffered. Such a body may take long to arrive, and the
+// client may be waiting for its first bytes.
 constexpr Millis kMaxUnsizedBufferTimeMs = 50;
 
 }  // namespace
@@ -28,8 +28,8 @@
                                Delegate& delegate)
     : io_(io), socket_(socket), charge_(budget), delegate_(delegate), buffer_(kMaxUnparsedBytes) {}
 
-// The head is read by itself, because http::async_read of Boost 1.74 does not apply the body limit to a
-// Content-Length.
+// Reads the head separately from the body, because http::async_read of Boost 1.74 does not apply the body
+// limit to a Content-Length.
 void ResponseReader::ReadHead() {
   parser_.emplace();
   parser_->body_limit(kMaxBodyBytes);
--- a/src/proxy/upstream/response_reader.hpp
+++ b/src/proxy/upstream/response_reader.hpp
@@ -21,16 +21,16 @@
 
 namespace gateway::proxy {
 
-// Reads one response at a time: its head; then its body, which is buffered as long as it is small and the
-// budget allows. Beyond that the delegate decides whether the rest is streamed.
+// Reads one response at a time: first the head, then the body. A small body is buffered if the budget allows
+// it. For any other body the delegate decides whether the rest is streamed.
 class ResponseReader {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // A head has arrived, or the read has failed. Called as well if the endpoint closes an idle connection or
-    // sends something on it. The delegate calls ReadBody, or ReadHead after an interim response.
+    // A head has arrived, or the read has failed. Also called if the endpoint closes an idle connection or
+    // sends data on it. The delegate calls ReadBody, or ReadHead if the head is that of an interim response.
     virtual void OnResponseHead(boost::system::error_code error) = 0;
-    // The response is complete, and buffered.
+    // All of the response has arrived and is buffered.
     virtual void OnResponseBuffered() = 0;
     // The limit for buffering the body is reached. The delegate calls StartStreaming, or Stop.
     virtual void OnBufferLimitReached() = 0;
@@ -55,20 +55,20 @@
   void ReadBody();
   // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the part that is buffered already.
   void StartStreaming();
-  // Streams the body, see BodySource::ReadNext. Only between StartStreaming and the last piece.
+  // Streams the body, see BodySource::ReadNext. May be called only between StartStreaming and the last piece.
   void ReadNextPiece(BodySource::PieceHandler handler);
   // Stops the notifications about the body, and releases its share of the buffer budget. A pending piece
   // handler stays pending.
   void Stop();
   // Calls a pending piece handler with an error, after this returns.
   void FailPendingPiece();
-  // Does the same for a handler that was passed after the end of the attempt.
+  // Calls `handler`, which was passed after the end of the attempt, with an error after this returns.
   void Fail(BodySource::PieceHandler handler);
 
   // The head of the current response, before ReadBody.
   const HttpResponse::header_type& head() const { return parser_->get().base(); }
-  // Whether the head is that of an interim response such as 100 Continue, which the final response follows. A
-  // switch of protocols does not count as interim, because the gateway never requests one.
+  // Whether the head belongs to an interim response such as 100 Continue, after which the final response
+  // follows. 101 Switching Protocols does not count as interim, because the gateway never requests a switch.
   bool is_interim() const;
   // Whether the Content-Length exceeds the limit on bodies.
   bool exceeds_body_limit() const;
@@ -96,7 +96,7 @@
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
   std::vector<char> piece_;
   HttpResponse response_;
-  BodySource::PieceHandler piece_handler_;  // of the pending ReadNextPiece; empty if there is none
+  BodySource::PieceHandler piece_handler_;  // handler of the pending ReadNextPiece; empty if there is none
   Millis head_arrived_at_ = 0;
   bool reading_body_ = false;
   bool streaming_ = false;
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -59,8 +59,8 @@
   });
 }
 
-// While the connection was being established the endpoint may have begun to drain or have moved, and the
-// client may have disconnected.
+// While the connection was being established, the endpoint may have begun to drain, its address may have
+// changed, or the client may have disconnected.
 void UpstreamConnection::OnConnected(error_code error) {
   connecting_ = false;
   if (error) return EndAttempt(AttemptResult::kConnectFailed);
@@ -160,7 +160,7 @@
   SetTimer(std::min(attempt_->request.deadline, Now() + kEndpointReadTimeoutMs));
 }
 
-// The client side enforces the timeouts of the client's body.
+// ClientConnection enforces the timeouts for the client's body, so only the deadline applies here.
 void UpstreamConnection::OnWaitForBody() { SetTimer(attempt_->request.deadline); }
 
 void UpstreamConnection::OnBufferedPartSent() {
@@ -214,7 +214,7 @@
   FinishAttempt(result, std::move(response));
 }
 
-// For a failed attempt the head of the response is sufficient.
+// Streams the response of a successful attempt. For a failed attempt the head of the response is sufficient.
 void UpstreamConnection::OnBufferLimitReached() {
   const AttemptResult result = ClassifyResponse(reader_.response());
   result == AttemptResult::kServed ? StartStreaming() : EndAttempt(result);
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -32,7 +32,8 @@
   virtual ~UpstreamConnectionOwner() = default;
   // Returns whether requests may be sent to this endpoint at this address.
   virtual bool MayUse(const std::string& endpoint, const boost::asio::ip::tcp::endpoint& address) const = 0;
-  // The connection has begun to serve the attempt, or has ceased to.
+  // OnAttemptStarted: the connection has begun to serve the attempt. OnAttemptEnded: it no longer serves the
+  // attempt.
   virtual void OnAttemptStarted(AttemptId attempt, const std::shared_ptr<UpstreamConnection>& connection) = 0;
   virtual void OnAttemptEnded(AttemptId attempt) = 0;
   // The connection can serve another attempt. Called only while MayUse returns true.
@@ -46,17 +47,17 @@
   std::uint64_t connects = 0;       // connections that were started
   std::uint64_t reuses = 0;         // attempts that were sent on an idle connection
   std::uint64_t stale = 0;          // idle connections that were found closed on reuse
-  std::uint64_t resets_new = 0;     // connections that broke after their first request was sent
-  std::uint64_t resets_reused = 0;  // connections that broke after a later request was sent
+  std::uint64_t resets_new = 0;     // connections that broke after sending their first request
+  std::uint64_t resets_reused = 0;  // connections that broke after sending a later request
   std::uint64_t not_started = 0;    // attempts for which there was no endpoint or no connection
 };
 
-// State that all connections of a pool share. Must outlive their last event.
+// State that all connections of a pool share. Must outlive the last event of each connection.
 struct UpstreamConnectionContext {
   boost::asio::io_context& io;
   UpstreamConnectionOwner& owner;
   const Millis connect_timeout_ms;
-  const Millis idle_timeout_ms;  // after which a connection is closed
+  const Millis idle_timeout_ms;  // idle time after which a connection is closed
   BufferBudget response_budget;  // for the buffered parts of response bodies
   std::size_t open_connections = 0;
   UpstreamCounts counts = {};
@@ -64,8 +65,8 @@
 };
 
 // Serves the attempts for one endpoint, one after the other. A read is always pending, so that a close by the
-// endpoint is detected while the connection is idle. For a response that is streamed the connection is the
-// body's source.
+// endpoint is detected while the connection is idle. The connection is the body source of a streamed
+// response.
 //
 // The owner holds a shared pointer while the connection serves an attempt or is idle; pending operations and
 // streamed bodies hold others. Runs on the event loop's thread.
@@ -79,7 +80,8 @@
 
   const std::string& endpoint() const { return endpoint_; }
 
-  // Creates the socket. Returns false if no descriptor is available. To be followed by Connect.
+  // Creates the socket. Returns false if no descriptor is available. If it succeeds, the caller must call
+  // Connect.
   bool Open();
   // Connects to the endpoint, and then sends the request.
   void Connect(AttemptId id, UpstreamRequest request);
@@ -145,9 +147,9 @@
   std::optional<Attempt> attempt_;
   bool open_ = false;
   bool connecting_ = false;
-  bool request_sent_ = false;        // to its last byte
+  bool request_sent_ = false;        // the last byte of the request was sent
   bool broken_before_sent_ = false;  // the endpoint responded or closed while the last part was being sent
-  int attempt_count_ = 0;            // attempts served on it, including the current one
+  int attempt_count_ = 0;            // attempts on this connection, including the current one
   Millis attempt_started_at_ = 0;
   Millis idle_since_ = 0;  // start of the last idle period
 };
--- a/src/proxy/upstream/upstream_error_log.hpp
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -15,14 +15,15 @@
 struct ConnectionReset {
   const std::string& endpoint;
   boost::system::error_code error;
-  std::string_view class_name;  // of the request's traffic class
+  std::string_view class_name;  // name of the request's traffic class
   std::size_t request_body_bytes;
   int request_number;  // number of the request on the connection, from 1
-  Millis idle_ms;      // for which the connection was idle before the request; 0 if it was new
+  Millis idle_ms;      // idle time of the connection before the request; 0 if it was new
   Millis attempt_ms;   // time since the request was assigned to the connection
 };
 
-// Logs at most one failure, of either kind, per interval, because an outage breaks many connections at once.
+// Logs error responses and connection resets: together at most one per interval, because an outage breaks
+// many connections at once.
 class UpstreamErrorLog {
  public:
   void LogReset(const ConnectionReset& reset);
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -11,8 +11,8 @@
 using policy::AttemptResult;
 using tcp = asio::ip::tcp;
 
-// The fraction of the endpoints' own idle timeout after which the pool closes an idle connection, so that
-// a request rarely coincides with a close by the endpoint.
+// The pool closes an idle connection after this fraction of the endpoints' idle timeout, so that a request
+// rarely coincides with a close by the endpoint.
 constexpr double kIdleTimeoutFraction = 1.0 / 3;
 
 void CloseAll(std::vector<std::shared_ptr<UpstreamConnection>> connections) {
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -25,12 +25,13 @@
   Millis endpoint_idle_timeout_ms = 15000;
   // The limit on connections to all endpoints together, see SetConnectionLimit.
   std::size_t connection_limit = 256;
-  // Bytes of response bodies that are buffered over all connections, beyond which bodies are streamed sooner.
+  // Bytes of response bodies that are buffered on all connections together. Above this number bodies are
+  // streamed sooner.
   std::size_t response_budget_bytes = 16 * 1024 * 1024;
 };
 
-// Sends attempts to endpoints, on idle connections if there are any, else on new ones. Runs on the event
-// loop's thread, and must outlive the events of `io` that concern it.
+// Sends attempts to endpoints, on an idle connection if there is one, otherwise on a new connection. Runs on
+// the event loop's thread. Must outlive its pending operations on `io`.
 class UpstreamPool final : private UpstreamConnectionOwner {
  public:
   UpstreamPool(boost::asio::io_context& io, const UpstreamPoolOptions& options);
--- a/src/proxy/upstream/upstream_request.hpp
+++ b/src/proxy/upstream/upstream_request.hpp
@@ -17,8 +17,8 @@
 using AttemptId = std::uint64_t;
 
 // The request to send, and the callbacks that report the attempt's progress. Callbacks are called on the
-// event loop's thread and may call back into the pool. `on_end` is required, and `on_response_streaming` too
-// unless all responses are short enough to be buffered; the others may be empty.
+// event loop's thread and may call back into the pool. `on_end` is required. `on_response_streaming` is
+// required unless all responses are short enough to be buffered. The other callbacks may be empty.
 struct UpstreamRequest {
   // The head, and the buffered part of the body. Shared among the attempts of one request.
   std::shared_ptr<const HttpRequest> request;
@@ -34,12 +34,12 @@
   std::function<void()> on_buffered_part_sent;
   // The last byte of the request was handed to the kernel.
   std::function<void()> on_request_sent;
-  // The head of a response with status 200 has arrived whose body is streamed instead of buffered. `response`
-  // holds the part of the body that has arrived, `remaining_body` delivers the rest. `on_end` follows.
+  // A response with status 200 has begun whose body is streamed instead of buffered. `response` holds the
+  // head and the part of the body that has arrived; `remaining_body` delivers the rest. `on_end` follows.
   std::function<void(HttpResponse response, std::shared_ptr<BodySource> remaining_body)>
       on_response_streaming;
-  // The attempt has ended; called exactly once, possibly before UpstreamPool::Start returns. `response` is
-  // that of the endpoint if it was buffered completely, else empty.
+  // The attempt has ended. Called exactly once, possibly before UpstreamPool::Start returns. `response` is
+  // the endpoint's response if it was buffered completely, otherwise empty.
   std::function<void(policy::AttemptResult result, HttpResponse response)> on_end;
 };
 
