--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -254,7 +254,9 @@
 
   const CloseCause cause_;
   const WriteTime write_time_;
-  const std::string racing_text_;  // the part of the request that is written during the race
+  // The first bytes of the request. The client writes them just before or after the server closes the
+  // connection.
+  const std::string racing_text_;
   asio::io_context io_;
   TestServer server_{io_};
   DeferredReadClient client_{io_, server_.client_server.address()};
