--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -25,7 +25,9 @@
 constexpr Millis kKillDelay = 3700;  // after SIGTERM: the longest deadline, 3 s, plus a margin
 constexpr Millis kSuccessorReadyWithin = 6000;
 constexpr Millis kSuccessorCheckPeriod = 50;
-constexpr Millis kExcuseAfterFault = 1000;  // after SIGCONT, and after a restarted process is ready
+// The time after SIGCONT, or after a restarted process is ready, in which the fault may still affect
+// requests. A request that is sent to the gateway in this time and gets no response does not count as lost.
+constexpr Millis kExcuseAfterFault = 1000;
 constexpr Millis kForever = std::numeric_limits<double>::infinity();
 constexpr std::uint64_t kBytesPerKb = 1024;
 
--- a/src/lab/link_table.hpp
+++ b/src/lab/link_table.hpp
@@ -35,8 +35,8 @@
   static constexpr int kSeedsPerGateway = 1000;
 
   const std::size_t hosts_;
-  std::vector<std::unique_ptr<Link>> to_hosts_;  // by gateway, then host
-  std::vector<std::unique_ptr<Link>> to_list_;   // by gateway
+  std::vector<std::unique_ptr<Link>> to_hosts_;  // links to the hosts, by gateway, then host
+  std::vector<std::unique_ptr<Link>> to_list_;   // links to the list service, by gateway
 };
 
 }  // namespace gateway::lab
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -19,8 +19,10 @@
 constexpr Millis kMaxWatchCallMs = 2500;  // longest duration of a watch call without changes
 constexpr Millis kStartCostDelayMs = 50;  // from readiness to reading the CPU time of the start
 constexpr Millis kIsolatedStartMs = 400;  // from start to reading, for a gateway that never becomes ready
-constexpr Millis kHollowReadyTimeoutMs = 60000;  // until all hollow gateways have a list
-constexpr Millis kChangeTimeoutMs = 20000;       // until all gateways have the last change
+// The time in which all hollow gateways, which call the list service but forward no requests, must have
+// received a list.
+constexpr Millis kHollowReadyTimeoutMs = 60000;
+constexpr Millis kChangeTimeoutMs = 20000;  // until all gateways have the last change
 
 constexpr double kUsPerMs = 1000;
 constexpr double kUsPerSecond = 1e6;
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -128,7 +128,8 @@
   command.action = registry::Action::kSetSize;
   command.by_operator = true;
   command.member.id = MemberId(std::uniform_int_distribution<int>(0, size_.hosts - 1)(random_));
-  // The size differs from the host's previous one, so that every request is a change.
+  // Consecutive requests set different relative capacities, so that a request hardly ever sets the value that
+  // the host already has, which would not change the list.
   command.member.size = 1 + static_cast<double>(++changes_sent_ % kDistinctSizes) / kDistinctSizes;
   if (!operator_connection_ || !operator_connection_->usable()) {
     operator_connection_ = std::make_shared<ClientConnection>(loop_.io(), list_service_);
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -78,7 +78,7 @@
   std::string axis, unit;
   double full = 0;         // the size expected in two years
   double largest = 0;      // the largest measured point
-  std::string limited_by;  // reason why `largest` is below `full`; empty if it is not
+  std::string limited_by;  // why `largest` is less than the expected size `full`; empty if it is not
   std::uint64_t seed = 0;
   unsigned runs = 0;
   std::string revision;
--- a/src/proxy/client/accept_queue.hpp
+++ b/src/proxy/client/accept_queue.hpp
@@ -1,5 +1,6 @@
 // Measures how long data and connections have waited in the kernel before the gateway reads them. A client's
-// deadline counts from the arrival of its request at this machine, so this time is subtracted from it.
+// deadline counts from the arrival of its request at this machine, so the waiting time reduces the time
+// that is left for the request.
 #ifndef GATEWAY_PROXY_CLIENT_ACCEPT_QUEUE_HPP_
 #define GATEWAY_PROXY_CLIENT_ACCEPT_QUEUE_HPP_
 
--- a/src/proxy/client/connection_table.cpp
+++ b/src/proxy/client/connection_table.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kMinStallTimeMs = 1000;
 // The time without a reclaimable connection after which new clients are shed.
 constexpr Millis kShedDelayMs = 300;
-// The number of connections beyond the limit that may be open at the same time for shedding.
+// The number of connections that may be open beyond the limit. They are accepted only to be rejected.
 constexpr std::size_t kMaxShedConnections = 8;
 
 }  // namespace
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -36,8 +36,9 @@
   return LoadSavedState(config.state_folder, config.state_owner);
 }
 
-// The watch begins at the newest known revision. The revision of a list that was loaded from disk is not
-// treated as current, because the service may have restarted its revision count since then.
+// The watch continues from the list of the predecessor process if there is one, and otherwise from the newer
+// of the configured and the saved revision. If the saved revision is newer, the first list from the service
+// is accepted whatever its revision is, because the service may have restarted its revision count since then.
 EndpointListWatcher::Options WatcherOptions(const Config& config, const InheritedState& inherited,
                                             const std::optional<SavedState>& saved) {
   EndpointListWatcher::Options options;
--- a/tests/policy/request_controller_test.cpp
+++ b/tests/policy/request_controller_test.cpp
@@ -31,7 +31,8 @@
 }
 
 TEST(RequestControllerTest, RejectsClientRetryAfterItsObjectiveWithoutLateWeight) {
-  Settings settings = MakeSettings();  // latency objective 1000 ms, deadline 2000 ms, no late weight
+  // The latency objective is 1000 ms and the deadline 2000 ms. A response after the objective has no weight.
+  Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
   gateway.ServeRequests(5);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -97,9 +97,10 @@
   EXPECT_GT(warming_later, warming);
 }
 
-// Each gateway uses a subset of the endpoints. All gateways that use a warming endpoint must together send it
-// about its warm-up fraction of the load of a warm endpoint. Otherwise they overload the endpoint or leave it
-// idle. A gateway without samples of the warm endpoints uses the rate of arriving requests instead.
+// Each gateway uses a subset of the endpoints. The total load that a warming endpoint receives from all
+// gateways must be about its warm-up fraction times the load of a warm endpoint. Otherwise the gateways
+// overload the endpoint or leave it idle. A gateway without samples of the warm endpoints uses the rate of
+// arriving requests instead.
 TEST(SlowStartTest, GatewaysWithSubsetsSendTheWarmUpFractionInTotal) {
   Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 100;
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -254,7 +254,9 @@
 
   const CloseCause cause_;
   const WriteTime write_time_;
-  const std::string racing_text_;  // the part of the request that is written during the race
+  // The request, or its first bytes, which the client writes while the server checks and closes the idle
+  // connection, or just after that.
+  const std::string racing_text_;
   asio::io_context io_;
   TestServer server_{io_};
   DeferredReadClient client_{io_, server_.client_server.address()};
