--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -97,8 +97,8 @@
   EXPECT_GT(warming_later, warming);
 }
 
-// Each gateway uses a subset of the endpoints. The total load that a warming endpoint receives from
-// all gateways must be about its warm-up fraction times the load of a warm endpoint. Otherwise the gateways
+// Each gateway uses a subset of the endpoints. The total load that a warming endpoint receives from all
+// gateways must be about its warm-up fraction times the load of a warm endpoint. Otherwise the gateways
 // overload the endpoint or leave it idle. A gateway without samples of the warm endpoints uses the rate of
 // arriving requests instead.
 TEST(SlowStartTest, GatewaysWithSubsetsSendTheWarmUpFractionInTotal) {
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -254,8 +254,8 @@
 
   const CloseCause cause_;
   const WriteTime write_time_;
-  // The first bytes of the request. The client writes them just before or after the server closes the
-  // connection.
+  // The request, or its first bytes, which the client writes while the server checks and closes the idle
+  // connection, or just after that.
   const std::string racing_text_;
   asio::io_context io_;
   TestServer server_{io_};
