--- a/src/lab/experiment_reader.cpp
+++ b/src/lab/experiment_reader.cpp
@@ -20,7 +20,7 @@
 using base::TomlTable;
 
 constexpr double kMillisPerSecond = 1000;
-constexpr int kMaxGateways = 200;      // limited by the addresses in the block of a run
+constexpr int kMaxGateways = 200;      // each needs an address of its own among the 254 of a run
 constexpr int kMaxPeerGateways = 100;  // the peer network has two sockets for each pair
 constexpr int kMaxHosts = 600;
 constexpr int kMaxSlots = 1 << 20;
