--- a/tests/policy/admission_rate_test.cpp
+++ b/tests/policy/admission_rate_test.cpp
@@ -1,4 +1,4 @@
-// Tests of increases and decreases of the admission rate.
+// Tests that failed attempts decrease the admission rate and that served attempts increase it.
 #include "policy/admission_rate.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(AdmissionRateTest, DecreasesWhenAllEndpointsFail) {
+TEST(AdmissionRateTest, DecreasesWhenHalfOfTheAttemptsAtEachEndpointFail) {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
   gateway.ServeRequests(100);
@@ -42,8 +42,8 @@
   gateway.ServeRequests(200, 20);
   int decreases = 0;
   int requests = 0;
-  // The attempts in flight by the time at which they finish. The tuple contains request, endpoint and
-  // latency.
+  // The attempts in flight, by the time at which they finish. A tuple contains the request id, the endpoint
+  // id and the latency.
   std::map<Millis, std::vector<std::tuple<std::string, std::string, Millis>>> in_flight;
   for (int step = 0; step < 120; ++step) {
     for (int i = 0; i < 4 && step < 20; ++i) {
@@ -89,8 +89,9 @@
   EXPECT_GT(count_decreases(2), 1);
 }
 
-// A decrease starts from the rate of sent attempts. In the first second of a process, the rate must not be
-// underestimated because attempts have been sent only for a short time. Otherwise the decrease is too large.
+// A decrease multiplies the rate at which attempts were sent by 0.85. In the first second of a process,
+// attempts have been sent only for a short time. If the time before the start counted as time without
+// attempts, the sent rate would be underestimated and the decrease would be too large.
 TEST(AdmissionRateTest, DecreasesToNearTheSentRateInTheFirstSecond) {
   FakeGateway gateway;
   gateway.AddEndpoints(9);
@@ -131,12 +132,12 @@
   const double decreased = rate.rate();
   rate.RecordOutcome(/*within_objective=*/true, 1000, 1200, kFleet);
   EXPECT_DOUBLE_EQ(rate.rate(), decreased + 0.3);
-  rate.Advance(1e6, kFleet);  // nothing is sent
+  rate.Advance(1e6, kFleet);  // no attempt is sent for 1000 s
   rate.Decrease(1e6, 200, kFleet);
-  EXPECT_EQ(rate.rate(), 10) << "the minimum is one per second and endpoint";
+  EXPECT_EQ(rate.rate(), 10) << "the minimum is one attempt per second for each endpoint";
 }
 
-TEST(RateEstimatorTest, ExcludesTimeBeforeItsStartAndDecays) {
+TEST(RateEstimatorTest, RateExcludesTimeBeforeTheStartAndDecaysWithoutEvents) {
   RateEstimator estimator;
   estimator.Advance(100, /*time_constant=*/1000);
   estimator.Add(10);
--- a/tests/policy/class_queues_test.cpp
+++ b/tests/policy/class_queues_test.cpp
@@ -21,11 +21,11 @@
     FakeGateway gateway;  // has no endpoint, so that nothing can be sent
     int rejected = FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "view", time_left));
     if (time_left > 0) rejected += FakeGateway::CountActions<Reject>(gateway.AdvanceTime(time_left));
-    EXPECT_EQ(rejected, 1) << time_left;
+    EXPECT_EQ(rejected, 1) << "time left: " << time_left << " ms";
   }
 }
 
-TEST(ClassQueuesTest, RejectsRequestInTimeWhenQueuedAfterOneWithALaterDeadline) {
+TEST(ClassQueuesTest, RejectsRequestAtItsDeadlineWhenQueuedAfterARequestWithALaterDeadline) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
@@ -34,7 +34,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(110)), 1);
 }
 
-TEST(ClassQueuesTest, RejectsWhenFull) {
+TEST(ClassQueuesTest, RejectsRequestsWhenQueueIsFull) {
   FakeGateway gateway;
   int rejected = 0;
   for (int i = 0; i < 5000; ++i) {
@@ -43,14 +43,14 @@
   EXPECT_GT(rejected, 4000);
 }
 
-TEST(ClassQueuesTest, RejectsRequestQueuedLongerThanAQuarterOfItsObjective) {
+TEST(ClassQueuesTest, RejectsRequestQueuedLongerThanAQuarterOfItsLatencyObjective) {
   FakeGateway gateway;  // has no endpoint; the latency objective is 1000 ms
   gateway.SendRequest("a");
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(200)), 0);
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(70)), 1);
 }
 
-TEST(ClassQueuesTest, ReleasesClientRetryAfterItsObjectiveLast) {
+TEST(ClassQueuesTest, ReleasesClientRetryThatIsPastItsLatencyObjectiveLast) {
   Settings settings = MakeSettings();  // latency objective 1000 ms, deadline 2000 ms
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
@@ -72,13 +72,14 @@
   EXPECT_EQ(gateway.sent[3].request, "late");
 }
 
-TEST(ClassQueuesTest, TreatsRequestsAsFirstTriesWhenAllClientsHaveShortTimeouts) {
+TEST(ClassQueuesTest, TreatsRequestsWithNearlyTheLongestTimeLeftAsFirstTries) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
   FakeGateway gateway(settings);
-  gateway.SendRequest("short", "view", 900);  // all clients of this gateway have short timeouts
+  // All clients of this gateway time out earlier than the deadline of the class, which is 2000 ms.
+  gateway.SendRequest("short", "view", 900);
   gateway.SendRequest("longer", "view", 902);
-  gateway.SendRequest("late", "view", 500);
+  gateway.SendRequest("late", "view", 500);  // a client's retry: less than 95% of the longest time left
   gateway.SendRequest("last", "view", 898);
   gateway.AddEndpoints(1);
   gateway.AdvanceTime(10);
@@ -132,7 +133,7 @@
   EXPECT_NEAR(static_cast<double>(pay) / (view + pay), 0.75, 0.1);
 }
 
-TEST(ClassSchedulingTest, ReleasesOnlyBackloggedClassDespiteNegativeCredit) {
+TEST(ClassSchedulingTest, ReleasesTheOnlyBackloggedClassDespiteNegativeCredit) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Idempotency::kIdempotent, 1),
                       MakeClass("pay", Idempotency::kIdempotent, 99)};
@@ -156,7 +157,7 @@
   EXPECT_GT(served, 30);
 }
 
-TEST(ClassQueuesTest, ReleasesRetriesThenRequestsWithinThenBeyondQuota) {
+TEST(ClassQueuesTest, ReleasesRetriesFirstThenRequestsWithinQuotaThenBeyondQuota) {
   ClassQueues queues({MakeClass("view")});
   std::array<ActiveRequest, 4> requests;  // in the expected order
   for (const std::size_t i : {0, 2, 3}) requests[i].within_quota = false;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_LT(sent, 60);
 }
 
-TEST(ConcurrencyLimitTest, LimitsTrafficBeyondQuotaWhenEndpointIsBusy) {
+TEST(ConcurrencyLimitTest, LimitsRequestsBeyondQuotaWhenEndpointIsBusy) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 1000}, {"big", 0.001}};
   settings.load_report_fields = {"util"};
@@ -36,7 +36,7 @@
       gateway.Handle(AttemptOutcome{id, 0, "s0", AttemptResult::kServed, true, 20, {utilization}});
     }
     int sent = 0;
-    // Uses the initial token of the tenant "big", if there is one.
+    // Consumes the token of the tenant "big" if it has one, so that its further requests are beyond quota.
     gateway.SendRequest("own", "view", 2000, "big");
     gateway.FinishAttempt("own", "s0", AttemptResult::kServed, 20);
     for (int i = 0; i < 30; ++i) {
@@ -51,8 +51,8 @@
 }
 
 // Serves 60 requests one after the other. The first response reports the utilization `first_utilization`, and
-// the other responses report `utilization`. Then 30 requests arrive at once. Returns how many of them are
-// sent.
+// the other responses report `utilization`. Then 30 requests arrive at the same time. Returns the number of
+// attempts that are sent for these 30 requests.
 int SentAfterLoadReports(double utilization, double first_utilization = 0.5) {
   constexpr int kReports = 60;
   Settings settings = MakeSettings();
@@ -85,8 +85,8 @@
 }
 
 TEST(ConcurrencyLimitTest, ReservesMoreCapacityWithManyGateways) {
-  // A utilization of 0.85 is acceptable with few gateways, but too high if eight gateways decide
-  // independently.
+  // With few gateways, a utilization of 0.85 is acceptable. With eight gateways it is too high, since each
+  // gateway sends attempts without knowledge of the other gateways.
   const auto count_sends = [](double utilization) {
     Settings settings = MakeSettings();
     settings.gateway_count = 8;
@@ -120,7 +120,7 @@
   EXPECT_FALSE(FakeGateway::SentEndpoint(gateway.SendRequest("next")).empty());
 }
 
-TEST(ConcurrencyLimitTest, InitialLimitDependsOnKeyCachingAndLoadReports) {
+TEST(ConcurrencyLimitTest, InitialLimitIsHigherWithKeyCachingAndLowerWithLoadReports) {
   const auto sent_at_once = [](bool endpoints_cache_keys, bool reports) {
     Settings settings = MakeSettings();
     settings.endpoints_cache_keys = endpoints_cache_keys;
--- a/tests/policy/endpoint_ring_test.cpp
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -19,8 +19,7 @@
 namespace gateway::policy {
 namespace {
 
-// Returns all endpoints in the order of their positions, as defined by EndpointRing, by sorting the complete
-// list.
+// Returns all endpoints, sorted by their positions on the ring. endpoint_ring.hpp defines the positions.
 std::vector<const Endpoint*> SortedByPosition(const std::vector<Endpoint*>& endpoints) {
   std::map<const MachineType*, std::vector<const Endpoint*>> types;
   for (const Endpoint* endpoint : endpoints) types[endpoint->machine_type].push_back(endpoint);
@@ -55,7 +54,8 @@
     ASSERT_EQ(ring.size(), sorted.size());
     EndpointRing::Walk walk(ring, first);
     for (std::size_t i = 0; i < 2 * sorted.size() + 1; ++i) {
-      ASSERT_EQ(&walk.Next(), sorted[(first + i) % sorted.size()]) << "from " << first << ", step " << i;
+      ASSERT_EQ(&walk.Next(), sorted[(first + i) % sorted.size()])
+          << "walk from index " << first << ", step " << i;
     }
   }
 
@@ -94,9 +94,9 @@
   Endpoint& endpoint = Add(1, type);
   ring.Insert(endpoint);
   ring.Erase(endpoint);
-  ring.Erase(endpoint);  // not on the ring any more: has no effect
+  ring.Erase(endpoint);  // has no effect, since the endpoint is no longer on the ring
   EXPECT_EQ(ring.size(), 0u);
-  const EndpointRing::Walk walk(ring, 0);  // can be constructed, but has no next endpoint
+  const EndpointRing::Walk walk(ring, 0);  // a walk of an empty ring can be constructed
 }
 
 TEST_F(EndpointRingTest, OrdersEndpointsByHashWhenEachHasItsOwnMachineType) {
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Tests of endpoints that are draining, removed or no longer listed.
+// Tests that no attempts are sent to endpoints that are draining, removed or no longer listed.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(EndpointTableTest, SendsNothingToDrainingOrUnlistedEndpoints) {
+TEST(EndpointTableTest, SendsNoAttemptsToDrainingOrUnlistedEndpoints) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   EndpointInfo draining = MakeEndpoint("s0");
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(EndpointTableTest, SendsNothingToEndpointsRemovedBySnapshots) {
+TEST(EndpointTableTest, SendsNoAttemptsToEndpointsThatASnapshotRemoved) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   gateway.ReplaceEndpoints({});
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -28,8 +28,8 @@
   return traffic_class;
 }
 
-// Returns settings with the classes "view" (idempotent), "key" (with idempotency key) and "pay" (not
-// idempotent).
+// Returns settings with three classes: "view" (idempotent), "key" (requests with an idempotency key) and
+// "pay" (not idempotent).
 inline Settings MakeSettings() {
   Settings settings;
   settings.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
@@ -51,7 +51,7 @@
   return endpoint;
 }
 
-// Returns endpoints named s0, s1 ... that started long ago.
+// Returns endpoints with the ids s0, s1 ..., which started long ago.
 inline std::vector<EndpointInfo> MakeEndpoints(int count) {
   std::vector<EndpointInfo> endpoints;
   endpoints.reserve(static_cast<std::size_t>(count));
@@ -79,7 +79,8 @@
     Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, std::move(endpoints)});
   }
 
-  // Reports a snapshot of `count` endpoints named s0, s1 ... that started long ago.
+  // Reports a snapshot of `count` endpoints with the ids s0, s1 ..., which started long ago. Like any
+  // snapshot, it replaces the earlier list.
   void AddEndpoints(int count) { ReplaceEndpoints(MakeEndpoints(count)); }
 
   // Reports the arrival of a client's request.
@@ -112,7 +113,7 @@
   }
 
   // Serves `count` requests one after the other, each in `latency` ms, so that the estimates converge.
-  // Returns the number of requests by endpoint. Requests that were not sent at once are counted under "".
+  // Returns the number of requests by endpoint id. Counts a request that is not sent immediately under "".
   std::map<std::string, int> ServeRequests(int count, Millis latency = 50,
                                            const std::string& class_name = "view") {
     std::map<std::string, int> sent_by_endpoint;
@@ -127,7 +128,7 @@
     return sent_by_endpoint;
   }
 
-  // Returns the endpoint of the first attempt among the actions; empty if there is none.
+  // Returns the endpoint id of the first Send among the actions, or "" if there is no Send.
   static std::string SentEndpoint(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) return send->endpoint;
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -49,8 +49,8 @@
 }
 
 // The predecessor has already granted the initial credit of a warming endpoint. If the successor granted it
-// again, warming endpoints would get too many attempts. If an endpoint has restarted since the export, its
-// state must not be imported.
+// again, warming endpoints would receive too many attempts. The state of an endpoint that has restarted since
+// the export must not be imported.
 TEST(LearnedStateTest, SuccessorGrantsNoInitialCreditToWarmingEndpoints) {
   FakeGateway predecessor;
   predecessor.AddEndpoints(1);
@@ -69,7 +69,8 @@
   EXPECT_EQ(sent, 0);
 }
 
-// Returns the state learned from five endpoints, of which s1 fails and s2 has four times the latency.
+// Sends 400 requests to five endpoints and returns the learned state. All attempts at s1 end with
+// kConnectFailed, and the latency of s2 is four times the latency of the other endpoints.
 LearnedState LearnFromFiveEndpoints(FakeGateway& predecessor) {
   predecessor.AddEndpoints(5);
   for (int i = 0; i < 400; ++i) {
@@ -84,37 +85,38 @@
   return predecessor.policy.ExportState();
 }
 
-// State that is restored from disk keeps its weight after a short downtime and loses weight with age. It is
-// ignored if the clock was set back, since its age is then unknown.
+// State that is restored from disk keeps its weight after a short downtime and loses weight with age. If the
+// clock was set back, the age of the state is unknown, and the state is ignored.
 TEST(LearnedStateTest, EjectionsLatenciesAndRatesDecayWithAge) {
   FakeGateway predecessor;
   const LearnedState learned = LearnFromFiveEndpoints(predecessor);
   ASSERT_TRUE(learned.endpoints[1].ejected);
   struct Case {
     Millis downtime;
-    bool ejected;
+    bool ejected;  // whether the ejection of s1 is imported
     bool measured;
-    double minimum_rate_factor;  // minimum of the imported rate divided by the exported rate
+    double minimum_rate_factor;  // minimum of imported rate / exported rate
   };
   for (const Case& test_case :
        {Case{1000, true, true, 1}, Case{30000, true, true, 2.5}, Case{120000, false, true, 5},
         Case{600000, false, false, 5}, Case{-1000, false, false, 5}}) {
+    SCOPED_TRACE("downtime " + std::to_string(test_case.downtime) + " ms");
     LearnedState state = learned;
-    state.rate = 10;  // after a decrease
+    state.rate = 10;  // attempts per second, after a decrease
     FakeGateway successor;
     successor.now = predecessor.now + test_case.downtime;
     successor.AddEndpoints(5);
     successor.policy.ImportState(successor.now, state);
     const LearnedState imported = successor.policy.ExportState();
-    EXPECT_EQ(successor.policy.EjectedEndpointCount(), test_case.ejected ? 1u : 0u) << test_case.downtime;
-    EXPECT_EQ(imported.endpoints[0].latency > 0, test_case.measured) << test_case.downtime;
-    EXPECT_GE(imported.rate, 10 * test_case.minimum_rate_factor) << test_case.downtime;
+    EXPECT_EQ(successor.policy.EjectedEndpointCount(), test_case.ejected ? 1u : 0u);
+    EXPECT_EQ(imported.endpoints[0].latency > 0, test_case.measured);
+    EXPECT_GE(imported.rate, 10 * test_case.minimum_rate_factor);
     for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(imported.endpoints[i].samples, state.endpoints[i].samples);
   }
 }
 
-// When the number of gateways changes, each gateway must use its share of the total rate.
-TEST(LearnedStateTest, DividesRateWhenNumberOfGatewaysChanges) {
+// When the number of gateways changes, each gateway must use an equal share of the total rate.
+TEST(LearnedStateTest, DividesTotalRateByTheNewNumberOfGateways) {
   FakeGateway predecessor;
   LearnedState learned = LearnFromFiveEndpoints(predecessor);
   learned.rate = 60;
@@ -128,9 +130,10 @@
   EXPECT_DOUBLE_EQ(successor.policy.ExportState().rate, 20);
 }
 
-// s1 and s2 recover while the gateway is down. If the age of the state were ignored, the gateway would keep
-// avoiding them. Counts how many of the next 300 requests they receive, once with the true age of the state
-// (`aged`) and once with an age of 0. In an even distribution, they would receive 120 requests.
+// s1 and s2 recover while the gateway is down. If the gateway ignored the age of the state, it would still
+// avoid s1 and s2. The test counts how many of the next 300 requests s1 and s2 receive, once with the true
+// age of the state (`aged`) and once with an age of 0. In an even distribution, s1 and s2 would receive 120
+// requests in total.
 TEST(LearnedStateTest, UsesRecoveredEndpointsWhenStateIsOld) {
   FakeGateway predecessor;
   const LearnedState learned = LearnFromFiveEndpoints(predecessor);
@@ -155,10 +158,10 @@
       }
     }
     const std::string name = "down_" + std::to_string(static_cast<int>(downtime / 1000)) + "s";
-    RecordProperty(name, std::to_string(received[0] / 20) + " with ages ignored, " +
-                             std::to_string(received[1] / 20) + " aged");
-    std::printf("%s: s1 and s2 are sent %d of 300 with ages ignored, %d with ages\n", name.c_str(),
-                received[0] / 20, received[1] / 20);
+    RecordProperty(name, std::to_string(received[0] / 20) + " with age 0, " +
+                             std::to_string(received[1] / 20) + " with the true age");
+    std::printf("%s: s1 and s2 receive %d of 300 requests if the state has age 0, %d with its true age\n",
+                name.c_str(), received[0] / 20, received[1] / 20);
     EXPECT_GE(received[1], received[0]) << name;
     EXPECT_GT(received[1], downtime < 600000 ? 0 : 20 * 100) << name;
   }
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the times at which a gateway calls for the endpoint list, at the start and after failed calls.
+// Tests of the times at which a gateway calls the list service: at the start and after failed calls.
 #include "policy/list_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -29,9 +29,9 @@
 }
 
 // A pushed list comes from an agent on the gateway's machine, and its changes must take effect immediately. A
-// failed watch must be restarted within 100 ms, regardless of the number of failures and gateways, but not by
-// all gateways at the same moment.
-TEST(ListPollingTest, RestartsFailedWatchOfPushedListWithin100MsAtSpreadTimes) {
+// failed watch must be restarted within 100 ms, regardless of the number of failures and gateways. The
+// gateways must restart their watches at different times.
+TEST(ListPollingTest, RestartsFailedWatchOfPushedListWithin100MsAtDifferentTimes) {
   Settings settings = MakeSettings();
   settings.gateway_count = 300;
   std::set<int> delays;
@@ -45,7 +45,7 @@
       while (steps < 20 && FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(10)) == 0) {
         ++steps;
       }
-      EXPECT_LT(steps, 11) << "steps of 10 ms, failure " << failure;
+      EXPECT_LT(steps, 11) << "steps of 10 ms until the restart after failure " << failure;
       if (failure == 0) delays.insert(steps);
     }
   }
@@ -54,7 +54,7 @@
 
 // Changes of a polled list must take effect within 6 s, even if calls fail. Therefore the next call must
 // start within 4.5 s of the start of the failed call, regardless of the number of failures and gateways.
-TEST(ListPollingTest, RepeatsFailedCallWithinMaximumInterval) {
+TEST(ListPollingTest, RepeatsFailedCallWithin4500MsOfItsStart) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   for (const Millis maximum_poll_interval : {5000.0, 10000.0, 60000.0}) {
@@ -69,23 +69,23 @@
           gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}, call_duration});
           const int calls = FakeGateway::CountActions<WatchEndpointList>(
               gateway.AdvanceTime(std::max(0.0, 4500 - call_duration) + 20));
-          EXPECT_EQ(calls, 1) << settings.gateway_count << " gateways, failure " << failure << " after "
-                              << call_duration << " ms";
+          EXPECT_EQ(calls, 1) << settings.gateway_count << " gateways, failure " << failure
+                              << ", call duration " << call_duration << " ms";
         }
       }
     }
   }
 }
 
-// The calls of a hundred gateways fail at the same moment, and the list service can serve about twenty calls
-// per second. The repeated calls must be spread evenly. The first calls of gateways that start at the same
-// moment must be spread too, but within one second. The initial list of a gateway may be outdated, and
-// changes since then must take effect within 6 s of the start.
+// The calls of a hundred gateways fail at the same time, and the list service can serve about twenty calls
+// per second. Therefore the repeated calls must be spread evenly. The first calls of gateways that start at
+// the same time must be spread too, but over one second at most: the initial list of a gateway may be
+// outdated, and later changes must take effect within 6 s of the start.
 TEST(ListPollingTest, SpreadsCallsOfGatewaysThatStartTogether) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
   settings.gateway_count = 100;
-  // Numbers of calls in each interval of 100 ms.
+  // The number of calls of all gateways in each interval of 100 ms.
   std::vector<int> started(10);
   std::vector<int> repeated(100);
   int immediate = 0;
@@ -103,13 +103,13 @@
     }
   }
   EXPECT_LT(immediate, 5);
-  // Each gateway makes its first call within a second.
+  // Each gateway makes its first call within 1 s.
   EXPECT_EQ(immediate + std::accumulate(started.begin(), started.end(), 0), 100);
   EXPECT_LE(*std::max_element(started.begin(), started.end()), 12);
   // Each gateway repeats its call once within 10 s.
   EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);
   EXPECT_LT(*std::max_element(repeated.begin(), repeated.end()), 10);
-  // A gateway without endpoints calls immediately.
+  // A gateway without endpoints makes its first call immediately. So does a single gateway.
   FakeGateway without_endpoints(settings);
   EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
                 without_endpoints.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {}})),
@@ -121,11 +121,11 @@
             1);
 }
 
-// A zone is down for 5 s. Its endpoints are removed from the list 1 s after the start of the outage. At the
-// end of the outage, the gateways of the zone restart with the old list, which still contains these
-// endpoints. The removal must take effect within 6 s and a grace period of 0.5 s, which is 2.5 s after the
-// restart. Each gateway must call for the list by then.
-TEST(ListPollingTest, CallsInTimeAfterDowntime) {
+// A zone is down for 5 s. The list service removes the endpoints of the zone 1 s after the start of the
+// outage. At the end of the outage, the gateways of the zone restart with an old list that still contains
+// these endpoints. The removal must take effect within 6 s plus a grace period of 0.5 s. This time ends 2.5 s
+// after the restart, and each gateway must have called the list service by then.
+TEST(ListPollingTest, CallsListServiceWithinPropagationLimitAfterDowntime) {
   constexpr Millis kDowntimeMs = 5000;
   constexpr Millis kRemovedAtMs = 1000;
   constexpr Millis kMaximumPropagationMs = 6000;
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the choice of the endpoint of an attempt.
+// Tests of how the load balancer chooses the endpoint of an attempt.
 #include "policy/load_balancer.hpp"
 
 #include <gtest/gtest.h>
@@ -47,6 +47,7 @@
   EXPECT_LT(sent_to_failing, 10);
 }
 
+// s5 is added with the machine type of s4, which is slower than the other endpoints.
 TEST(LoadBalancerTest, UsesMachineTypeLatencyWhenManyGatewaysShareAnEndpoint) {
   const auto received = [](int gateway_count) {
     int sent = 0;
@@ -73,11 +74,12 @@
     }
     return sent;
   };
-  EXPECT_GT(received(1), 15);  // until s5 has latency samples, its latency is assumed to be the median
+  // A single gateway assumes that s5 has the median latency until s5 has latency samples.
+  EXPECT_GT(received(1), 15);
   EXPECT_LT(received(20), 12);
 }
 
-TEST(LoadBalancerTest, SendsSameKeyToSameEndpointsFromEveryGateway) {
+TEST(LoadBalancerTest, AllGatewaysSendAKeyToTheSameTwoEndpoints) {
   Settings settings = MakeSettings();
   settings.endpoints_cache_keys = true;
   std::map<std::string, std::set<std::string>> endpoints_by_key;
@@ -95,7 +97,7 @@
   for (const auto& [key, endpoints] : endpoints_by_key) EXPECT_LE(endpoints.size(), 2u) << key;
 }
 
-TEST(LoadBalancerTest, CostIsLatencyTimesAttemptsAndHigherInOtherZones) {
+TEST(LoadBalancerTest, CostIsLatencyTimesAttemptsInFlightAndHigherInOtherZones) {
   EndpointTable table("z0");
   Endpoint& measured = table.Update(MakeEndpoint("a", "0")).endpoint;
   Endpoint& unmeasured = table.Update(MakeEndpoint("b", "1")).endpoint;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -62,14 +62,14 @@
   EXPECT_LE(SendToUnresponsiveEndpoint(3).first, 2);
 }
 
-TEST(OutlierDetectionTest, KeepsAdmissionRateWhenOneEndpointIsUnresponsive) {
+TEST(OutlierDetectionTest, KeepsAdmissionRateWhenOneOfFourEndpointsIsUnresponsive) {
   EXPECT_FALSE(SendToUnresponsiveEndpoint(4).second);
 }
 
-// Three requests are sent every 10 ms to three endpoints. Most of them are served in 10 ms, but one in about
-// thirty times out after 250 ms at any endpoint. The timeouts must neither eject endpoints nor lower their
-// limits, so almost all requests are sent without queueing.
-TEST(OutlierDetectionTest, IsolatedTimeoutsDoNotDelayOtherRequests) {
+// Three requests are sent every 10 ms to three endpoints. Most requests are served in 10 ms, but one in 31
+// times out after 250 ms, regardless of its endpoint. The timeouts must neither eject endpoints nor lower
+// their concurrency limits, so almost all requests are sent without queueing.
+TEST(OutlierDetectionTest, SendsOtherRequestsWithoutQueueingDespiteIsolatedTimeouts) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   gateway.ServeRequests(100, 10);
@@ -120,9 +120,9 @@
   EXPECT_LT(sent_to_unresponsive, 15);
 }
 
-// Sends sixteen requests every 20 ms to four endpoints. The given percentages of the connections to s0 and to
-// the other endpoints break before the response. Returns the log lines about events, and the number of
-// requests sent to s0 in the last second.
+// Sends sixteen requests every 20 ms to four endpoints. `s0_percent` of the connections to s0 and
+// `others_percent` of the connections to the other endpoints break before the response. Returns the log lines
+// about ejections, readmissions and rate decreases, and the number of attempts sent to s0 in the last second.
 std::pair<std::vector<std::string>, int> SendOverBreakingConnections(unsigned s0_percent,
                                                                      unsigned others_percent) {
   FakeGateway gateway;
@@ -158,15 +158,15 @@
   return {lines, sent_in_last_second};
 }
 
-TEST(OutlierDetectionTest, NeitherEjectsNorDecreasesRateWhenConnectionsBreakEverywhere) {
+TEST(OutlierDetectionTest, NeitherEjectsNorDecreasesRateWhenTwelvePercentOfAllConnectionsBreak) {
   EXPECT_EQ(SendOverBreakingConnections(12, 12).first, std::vector<std::string>());
 }
 
-TEST(OutlierDetectionTest, EjectsEndpointThatBreaksAllConnections) {
+TEST(OutlierDetectionTest, EjectsEndpointWhenAllItsConnectionsBreak) {
   EXPECT_LE(SendOverBreakingConnections(100, 0).second, 2);
 }
 
-TEST(OutlierDetectionTest, EjectsEndpointThatBreaksMostConnections) {
+TEST(OutlierDetectionTest, EjectsEndpointWhenMostOfItsConnectionsBreak) {
   EXPECT_LE(SendOverBreakingConnections(80, 0).second, 20);
 }
 
@@ -177,9 +177,9 @@
   return static_cast<int>(count);
 }
 
-// s0 starts to drain before the list reports the drain, so it rejects all attempts immediately. The gateway
-// must avoid s0, and the rejections must not decrease the admission rate. Eight requests are sent every 20 ms
-// to eight endpoints.
+// Eight requests are sent every 20 ms to eight endpoints. s0 starts to drain before the endpoint list reports
+// the drain, and rejects all attempts immediately. The gateway must avoid s0, and the rejections must not
+// decrease the admission rate.
 TEST(OutlierDetectionTest, AvoidsEndpointThatRejectsAllAttemptsAndKeepsAdmissionRate) {
   FakeGateway gateway;
   gateway.AddEndpoints(8);
@@ -209,8 +209,8 @@
 }
 
 // Sends ten requests every 20 ms to four endpoints. One of the ten requests has the class "pay". For the
-// first 8 s, s0 and s1 fail the requests of this class. Returns the number of failed requests, and the number
-// of "pay" requests that are sent to s0 in the following 8 s.
+// first 8 s, s0 and s1 answer "pay" requests with errors. Returns the number of failed "pay" requests, and
+// the number of "pay" requests that are sent to s0 in the following 8 s.
 std::pair<int, int> SendWithErrorsOfOneClass() {
   FakeGateway gateway;
   gateway.AddEndpoints(4);
@@ -261,9 +261,9 @@
   }
 }
 
-// Client requests serve as probes of failing endpoints. Probes must use few requests and a timeout that
-// leaves time for a retry at another endpoint. If the only endpoint is ejected, it must still be probed until
-// it recovers.
+// Client requests serve as probes of ejected endpoints. Only few requests may be used as probes, and the
+// timeout of a probe must leave time for a retry at another endpoint. If the only endpoint is ejected, it
+// must be probed until it recovers.
 TEST(OutlierDetectionTest, ProbesUseFewRequestsAndLeaveTimeForARetry) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
@@ -308,15 +308,15 @@
   EXPECT_GT(finished, 45);
 }
 
-// If a zone fails, the gateway must avoid all of its endpoints without failed attempts at each of them. Three
-// unresponsive endpoints suffice to avoid the zone, until a probe is served.
+// If a zone fails, the gateway must avoid all endpoints of the zone without failed attempts at each of them.
+// Once three endpoints of the zone are unresponsive, the gateway avoids the zone until a probe is served.
 TEST(OutlierDetectionTest, AvoidsUnresponsiveZoneUntilAProbeIsServed) {
   Settings settings = MakeSettings();
   settings.gateway_count = 30;
   settings.max_attempts = 1;
   auto endpoints = MakeEndpoints(60);
   for (int i = 0; i < 60; ++i) endpoints[i].zone = "z" + std::to_string(i % 3);
-  // Attempts sent to zone 1 before, during and after its outage.
+  // Numbers of attempts sent to zone 1 before, during and after its outage.
   int before = 0;
   int during = 0;
   int after = 0;
@@ -338,10 +338,10 @@
     }
   }
   EXPECT_GT(before, 10 * 10);
-  // Each of the 10 gateways has up to 3 failed attempts until it avoids the zone, and up to 5 probes.
+  // Each of the 10 gateways sends up to 3 failed attempts until it avoids the zone, and then up to 5 probes.
   // Ejecting each of 8 endpoints separately would take 16 failed attempts.
   EXPECT_LT(during, 10 * 9);
-  EXPECT_GT(after, 10 * 15);  // the zone is used again after a served probe
+  EXPECT_GT(after, 10 * 15);  // after a served probe, the gateways use the zone again
 }
 
 // An attempt is recorded as served when its response starts. If the connection breaks while the response is
@@ -355,7 +355,7 @@
     const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id));
     gateway.AdvanceTime(50);
     gateway.Handle(ResponseStarted{id, 0});
-    gateway.AdvanceTime(1500);  // no other attempt is served in the meantime
+    gateway.AdvanceTime(1500);  // no other attempt is served during this time
     gateway.Handle(AttemptOutcome{id, 0, endpoint, AttemptResult::kReset, true, 1550, {}});
   }
   EXPECT_GT(gateway.policy.EjectedEndpointCount(), 0u);
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -1,6 +1,6 @@
-// Checks the invariants of a Policy under random events, independently of its code: each request gets one
-// answer in time, no request can be executed more often than its idempotency allows, attempts are sent only
-// to endpoints that are up, and the number of attempts is within the settings.
+// Checks invariants of a Policy under random events, without use of the Policy's own code. Each request gets
+// one answer in time. No request can be executed more often than its idempotency allows. Attempts are sent
+// only to endpoints that are up. The number of attempts does not exceed Settings::max_attempts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,7 +43,7 @@
   }
 };
 
-// Checks each action of the policy against the requests and endpoints that were reported to it.
+// Checks each action of the policy against the requests and endpoints that were reported to the policy.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Settings& settings) : settings_(settings) {}
@@ -61,7 +61,7 @@
   void CheckAnsweredInTime(Millis now) const {
     for (const auto& [id, request] : requests) {
       ASSERT_TRUE(request.answered || now <= request.deadline_at + kAnswerToleranceMs)
-          << "never answered: " << id;
+          << "not answered by its deadline: " << id;
     }
   }
 
@@ -81,14 +81,14 @@
 
   void CheckSend(Millis now, const Send& send) {
     ClientRequest& request = requests.at(send.request);
-    ASSERT_FALSE(request.answered) << "sent after its final answer: " << send.request;
-    ASSERT_TRUE(IsUp(send.endpoint)) << "sent to an endpoint that is not up";
-    ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
+    ASSERT_FALSE(request.answered) << "attempt sent after the final answer: " << send.request;
+    ASSERT_TRUE(IsUp(send.endpoint)) << "attempt sent to an endpoint that is not up: " << send.endpoint;
+    ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts) << send.request;
     for (const SentAttempt& attempt : request.attempts) {
-      ASSERT_TRUE(!attempt.in_flight) << "two attempts at once";
+      ASSERT_TRUE(!attempt.in_flight) << "two attempts in flight: " << send.request;
       if (request.traffic_class->idempotency == Idempotency::kNotIdempotent) {
         ASSERT_TRUE(attempt.IsProvenNotExecuted())
-            << "sent a request again that is not idempotent and may have been executed";
+            << "request is not idempotent and was retried, but may have been executed: " << send.request;
       }
     }
     if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey) CheckRepeat(now, request, send);
@@ -100,9 +100,9 @@
     for (const SentAttempt& attempt : request.attempts) {
       if (attempt.not_executed) continue;
       ASSERT_EQ(endpoints_.at(attempt.endpoint).cell, endpoints_.at(send.endpoint).cell)
-          << "repeat outside the deduplication scope";
+          << "retry outside the deduplication scope: " << send.request;
       ASSERT_LT(now - attempt.sent_at, request.traffic_class->deduplication_window)
-          << "repeat after the deduplication window";
+          << "retry after the deduplication window: " << send.request;
     }
   }
 
@@ -112,7 +112,8 @@
     ASSERT_LE(now, request.deadline_at + kAnswerToleranceMs) << "answered too late: " << id;
     if (rejected && request.traffic_class->idempotency != Idempotency::kIdempotent) {
       for (const SentAttempt& attempt : request.attempts) {
-        ASSERT_TRUE(attempt.IsProvenNotExecuted()) << "rejected though it may have been executed";
+        ASSERT_TRUE(attempt.IsProvenNotExecuted())
+            << "request was rejected, but may have been executed: " << id;
       }
     }
     request.answered = true;
@@ -157,7 +158,8 @@
       checker_.CheckAnsweredInTime(gateway_.now);
     }
     EXPECT_GT(request_count_, 1000);
-    EXPECT_TRUE(checker_.requests.empty()) << checker_.requests.size() << " requests are not finished";
+    EXPECT_TRUE(checker_.requests.empty())
+        << checker_.requests.size() << " requests are unfinished at the end";
   }
 
  private:
@@ -203,7 +205,8 @@
     ReportEndpoint(endpoint);
   }
 
-  // Draws the attempts that finish and the clients that disconnect in this step.
+  // Randomly chooses the attempts that finish and the clients that disconnect in this step, and returns their
+  // events.
   std::vector<Event> DrawEvents() {
     std::vector<Event> events;
     for (auto& [id, request] : checker_.requests) {
@@ -216,7 +219,8 @@
     return events;
   }
 
-  // Draws whether the attempt finishes in this step. If so, appends its outcome and returns true.
+  // Randomly decides whether the attempt finishes in this step. If so, appends its outcome to `events` and
+  // returns true.
   bool FinishAttemptByChance(const std::string& id, ClientRequest& request, std::size_t index,
                              std::vector<Event>& events) {
     SentAttempt& attempt = request.attempts[index];
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// Tests of a Policy with invalid, duplicate and stale events, and of its determinism.
+// Tests that a Policy handles invalid, duplicate and unexpected events, and that it is deterministic.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -43,7 +43,7 @@
   EXPECT_TRUE(gateway.Handle(ResponseStarted{"b", 0}).empty());
 }
 
-TEST(PolicyTest, InvalidTimesNeitherStopTheClockNorLoseRequests) {
+TEST(PolicyTest, AdvancesClockAndAnswersRequestsAfterEventsWithInvalidTimes) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double invalid : {nan, -1e12}) {
     FakeGateway gateway;
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(PolicyTest, AnswersEachRequestOnceWhenClockIsStopped) {
+TEST(PolicyTest, AnswersEachRequestOnceWhenAllArriveAtTheSameTime) {
   FakeGateway gateway;
   gateway.AddEndpoints(3);
   int sent = 0;
@@ -77,7 +77,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(300)), 3000 - sent - rejected);
 }
 
-TEST(PolicyTest, SameEventsGiveTheSameActions) {
+TEST(PolicyTest, SameSeedAndEventsSelectTheSameEndpoints) {
   FakeGateway first(MakeSettings(), 7);
   FakeGateway second(MakeSettings(), 7);
   first.AddEndpoints(5);
--- a/tests/policy/request_controller_test.cpp
+++ b/tests/policy/request_controller_test.cpp
@@ -8,13 +8,13 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(RequestControllerTest, SendsDirectlyWhenQueuesAreEmpty) {
+TEST(RequestControllerTest, SendsRequestImmediatelyWhenQueuesAreEmpty) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 1);
 }
 
-TEST(RequestControllerTest, RejectsQueuedRequestInTimeWithoutEndpointList) {
+TEST(RequestControllerTest, RejectsQueuedRequestBeforeClientTimeoutWithoutEndpointList) {
   FakeGateway gateway;
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 0);
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.AdvanceTime(990)) +
@@ -26,12 +26,12 @@
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "no such class")), 1);
-  EXPECT_TRUE(gateway.FinishAttempt("ghost", "s0", AttemptResult::kServed, 10).empty());
-  EXPECT_TRUE(gateway.Handle(ClientDisconnected{"ghost"}).empty());
+  EXPECT_TRUE(gateway.FinishAttempt("unknown", "s0", AttemptResult::kServed, 10).empty());
+  EXPECT_TRUE(gateway.Handle(ClientDisconnected{"unknown"}).empty());
 }
 
-TEST(RequestControllerTest, RejectsClientRetryAfterItsObjectiveWithoutLateWeight) {
-  // The latency objective is 1000 ms and the deadline 2000 ms. A response after the objective has no weight.
+TEST(RequestControllerTest, RejectsClientRetryThatIsPastItsLatencyObjectiveWithoutLateWeight) {
+  // The latency objective is 1000 ms, the deadline is 2000 ms, and late_weight is 0.
   Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
@@ -45,8 +45,8 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(with_late_weight.SendRequest("late", "view", 900)), 1);
 }
 
-// A slow client must not change the admission rate or the latency of its endpoint. Therefore the latency of a
-// request starts with its last byte and ends with the first byte of the response.
+// A slow client must not change the admission rate or the latency estimate of the endpoint. Therefore the
+// latency of a request is measured from the last byte of the request to the first byte of the response.
 TEST(RequestControllerTest, ExcludesBodyTransferFromLatency) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Tests of which requests are retried, at which endpoints, and how many.
+// Tests of the conditions for a retry, of the endpoints of retries and of the retry budget.
 #include "policy/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Fail>(actions), 1);
 }
 
-TEST(RetryPolicyTest, KeepsRetryWithIdempotencyKeyInItsCell) {
+TEST(RetryPolicyTest, RetriesRequestWithIdempotencyKeyInTheSameCell) {
   for (int seed = 0; seed < 20; ++seed) {
     FakeGateway gateway(MakeSettings(), seed);
     gateway.ReplaceEndpoints(
@@ -48,7 +48,7 @@
   }
 }
 
-TEST(RetryPolicyTest, KeepsRetryWithIdempotencyKeyInItsZone) {
+TEST(RetryPolicyTest, RetriesRequestWithIdempotencyKeyInTheSameZone) {
   Settings settings = MakeSettings();
   settings.classes[1].deduplication_scope = DeduplicationScope::kZone;
   const auto make_endpoint = [](std::string id, std::string zone, std::string cell) {
@@ -66,13 +66,14 @@
     gateway.FinishAttempt("r", first, AttemptResult::kError, 20);
     if (gateway.sent.size() < 2) continue;
     ++retried;
-    EXPECT_EQ(gateway.sent[1].endpoint[0], first[0]) << "endpoints of another zone do not drop repeats";
+    EXPECT_EQ(gateway.sent[1].endpoint[0], first[0])
+        << "the retry was sent to another zone, whose endpoints do not deduplicate it";
     EXPECT_NE(gateway.sent[1].endpoint, first);
   }
   EXPECT_GT(retried, 10);
 }
 
-TEST(RetryPolicyTest, BudgetLimitsRetries) {
+TEST(RetryPolicyTest, BudgetLimitsRetriesToATenthOfTheRequests) {
   FakeGateway gateway;
   gateway.AddEndpoints(300);
   gateway.ServeRequests(200);
@@ -99,9 +100,9 @@
   EXPECT_LT(retries, 0.1 * (first_attempts + 200) + 2);
 }
 
-// A request with an idempotency key would be executed twice if its repeat arrived after the deduplication
-// window. Therefore the policy must not retry it too late, and `start_writing_within` must prevent that the
-// gateway writes the retry too late.
+// A request with an idempotency key would be executed twice if its retry arrived after the deduplication
+// window. Therefore the policy must not send a retry too late, and Send::start_writing_within must keep the
+// gateway from writing the retry too late.
 TEST(RetryPolicyTest, RetryWithIdempotencyKeyArrivesWithinTheDeduplicationWindow) {
   for (const Millis window : {50.0, 400.0, 5000.0}) {
     Settings settings = MakeSettings();
@@ -117,16 +118,16 @@
       gateway.FinishAttempt("k", first, AttemptResult::kReset, latency);
       gateway.AdvanceTime(20);
       if (latency >= window - 100) {
-        EXPECT_EQ(gateway.sent.size(), sent) << window << " " << latency;
+        EXPECT_EQ(gateway.sent.size(), sent) << "window " << window << " ms, latency " << latency << " ms";
       }
       if (gateway.sent.size() == sent) continue;
       EXPECT_LE(latency + gateway.sent.back().start_writing_within, window - 100 + 20)
-          << window << " " << latency;
+          << "window " << window << " ms, latency " << latency << " ms";
     }
   }
 }
 
-TEST(RetryPolicyTest, DoesNotRetryUnbufferedRequest) {
+TEST(RetryPolicyTest, RejectsRequestInsteadOfRetryWhenItIsNotBuffered) {
   for (const bool buffered : {true, false}) {
     FakeGateway gateway;
     gateway.AddEndpoints(2);
@@ -135,12 +136,12 @@
     const auto actions = gateway.Handle(
         AttemptOutcome{"r", 0, endpoint, AttemptResult::kConnectFailed, false, 0, {}, buffered});
     EXPECT_EQ(FakeGateway::CountActions<Send>(actions), buffered ? 1 : 0);
-    // The request was not executed, so it is rejected instead of failed.
+    // Not executed, so the request is answered with a Reject, not with a Fail.
     EXPECT_EQ(FakeGateway::CountActions<Reject>(actions), buffered ? 0 : 1);
   }
 }
 
-TEST(RetryBudgetTest, EarnsOneRetryPerTenRequestsUpToTwenty) {
+TEST(RetryBudgetTest, GrantsOneRetryPerTenRequestsAndStoresUpToTwenty) {
   RetryBudget budget;
   budget.TakeToken();
   for (int i = 0; i < 9; ++i) budget.RecordRequest();
@@ -152,7 +153,7 @@
   EXPECT_FALSE(budget.HasToken());
 }
 
-// Provides a request whose only attempt, at an endpoint of cell 0, has ended.
+// Provides a request with one attempt, which has ended at an endpoint of cell 0 and may have been executed.
 class RetryRulesTest : public ::testing::Test {
  protected:
   RetryRulesTest() {
@@ -192,11 +193,12 @@
   EXPECT_FALSE(MaySendTo(request_, with_key_, MakeEndpoint("c", "1"), 0));
 }
 
-TEST_F(RetryRulesTest, IsSafeForClientToRetryWhenAnyEndpointMayReceiveTheRetry) {
+TEST_F(RetryRulesTest, IsSafeForClientToRetryOnlyWhenIdempotentOrNotExecuted) {
   const TrafficClassSettings not_idempotent = MakeClass("pay", Idempotency::kNotIdempotent);
   EXPECT_TRUE(IsSafeForClientToRetry(request_, idempotent_));
   EXPECT_FALSE(IsSafeForClientToRetry(request_, not_idempotent));
-  EXPECT_FALSE(IsSafeForClientToRetry(request_, with_key_)) << "deduplicated within one cell only";
+  EXPECT_FALSE(IsSafeForClientToRetry(request_, with_key_))
+      << "only the endpoints of one cell deduplicate the request";
   request_.attempts[0].may_have_executed = false;
   EXPECT_TRUE(IsSafeForClientToRetry(request_, not_idempotent));
 }
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -11,7 +11,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(SettingsTest, ErrorTextContainsTheInvalidField) {
+TEST(SettingsTest, ErrorTextContainsTheNameOfTheInvalidField) {
   const auto error_text = [](auto change) -> std::string {
     Settings settings = MakeSettings();
     change(settings);
@@ -39,13 +39,13 @@
   EXPECT_EQ(error_text([](Settings&) {}), "");
 }
 
-TEST(SettingsTest, ErrorReturnsTheFieldOfTheInvalidValue) {
+TEST(SettingsTest, ErrorFieldIsTheNameOfTheInvalidField) {
   const auto expect_field = [](const std::string& field, void (*invalidate)(Settings&)) {
     Settings settings = MakeSettings();
     invalidate(settings);
     try {
       ValidateSettings(settings);
-      ADD_FAILURE() << "no error for an invalid value of " << field;
+      ADD_FAILURE() << "ValidateSettings accepted an invalid value of " << field;
     } catch (const SettingsError& error) {
       EXPECT_EQ(error.field(), field);
     }
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Simulates many gateways that share endpoints, some of which restart. Slow start must bound the total number
-// of attempts that all gateways send to a warming endpoint, regardless of the number of gateways and the
-// distribution of clients.
+// Simulates many gateways that share endpoints. Some of the endpoints restart. Slow start must bound the
+// total number of attempts that all gateways send to a warming endpoint, regardless of the number of gateways
+// and of the distribution of the traffic among them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -41,8 +41,8 @@
 
 // The result of a simulation.
 struct Measurement {
-  // The number of attempts in a time window divided by N + 2 sqrt(N) + 2, where N is the budget of the
-  // window; maximum over all windows. The terms after N allow for random variation. Must not exceed 1.
+  // The maximum over all time windows of: the number of attempts in the window divided by N + 2 sqrt(N) + 2,
+  // where N is the budget of the window. The terms after N allow for random variation. Must not exceed 1.
   double worst_ratio = 0;
   int sent_to_restarted = 0;
 };
@@ -184,7 +184,7 @@
   const Scenario scenario_;
   Settings settings_;
   std::mt19937_64 random_;
-  std::deque<Member> members_;  // a deque keeps the addresses valid
+  std::deque<Member> members_;  // a deque, since AttemptInFlight points to its elements
   Millis now_ = 0;
   int request_count_ = 0;
   std::deque<AttemptInFlight> in_flight_;  // ordered by finishes_at, since all attempts have the same latency
@@ -217,7 +217,7 @@
                 Simulate({gateways, TrafficShares(gateways, even), load, notification_delay}, seed);
             EXPECT_LE(measured.worst_ratio, 1)
                 << gateways << " gateways, even " << even << ", load " << load << ", notified within "
-                << notification_delay << ", seed " << seed;
+                << notification_delay << " ms, seed " << seed;
             EXPECT_GT(measured.sent_to_restarted, 0);
           }
         }
@@ -226,8 +226,8 @@
   }
 }
 
-// When clients move to other gateways, these gateways have learned the service rates from different traffic.
-// The total number of attempts must stay bounded nevertheless.
+// When clients move to other gateways, these gateways have learned the service rates from less or more
+// traffic than they now receive. The total number of attempts must stay bounded nevertheless.
 TEST(SlowStartFleetTest, BoundsTotalAttemptsWhileTrafficShifts) {
   for (const int gateways : {5, 20, 30}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -12,7 +12,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(SlowStartTest, LimitsStartedEndpointToItsWarmUpFraction) {
+TEST(SlowStartTest, LimitsRecentlyStartedEndpointToItsWarmUpFraction) {
   Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.now = 100000;
@@ -90,18 +90,19 @@
     const auto following = gateway.ServeRequests(30, 200);  // the following 6 s
     if (following.contains("new")) warming_later += following.at("new");
   }
-  // A warm endpoint receives about 100 attempts in the first 2 s. If each gateway that uses "new" sent it one
-  // attempt at once, it would receive 60 and more. The mean warm-up fraction in these 2 s is 0.28. With an
-  // overload factor of 3, 3 * 0.28 = 0.84 times the load of a warm endpoint would overload "new".
+  // A warm endpoint receives about 100 attempts in the first 2 s. If each gateway that uses "new" immediately
+  // sent one attempt, "new" would receive 60 attempts or more. The mean warm-up fraction in these 2 s is
+  // 0.28. With an overload factor of 3, 3 * 0.28 = 0.84 times the load of a warm endpoint would overload
+  // "new".
   EXPECT_LT(warming, 0.5 * all / 20);
   EXPECT_GT(warming_later, warming);
 }
 
 // Each gateway uses a subset of the endpoints. The total load that a warming endpoint receives from all
 // gateways must be about its warm-up fraction times the load of a warm endpoint. Otherwise the gateways
-// overload the endpoint or leave it idle. A gateway without samples of the warm endpoints uses the rate of
-// arriving requests instead.
-TEST(SlowStartTest, GatewaysWithSubsetsSendTheWarmUpFractionInTotal) {
+// overload the endpoint or leave it idle. A gateway that has just started has no responses of warm endpoints,
+// and uses the rate of arriving requests instead.
+TEST(SlowStartTest, TotalAttemptsOfGatewaysWithSubsetsMatchTheWarmUpFraction) {
   Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 100;
   double warming = 0;
@@ -124,15 +125,16 @@
       }
     }
     // The warm-up fraction grows from 0.2 to 0.44 in these 3 s, so its mean is 0.32. A warming endpoint
-    // should receive a part of 0.32 times the load of a warm endpoint. An endpoint fails at 2.5 to 3 times
-    // its current capacity, which is 0.8 to 0.96 times the load of a warm endpoint.
-    EXPECT_GT(warming, 0.08 * warm) << just_started;
-    EXPECT_LT(warming, 0.6 * warm) << just_started;
+    // should receive about 0.32 times the load of a warm endpoint. An endpoint fails at 2.5 to 3 times its
+    // current capacity, which is 0.8 to 0.96 times the load of a warm endpoint.
+    EXPECT_GT(warming, 0.08 * warm) << "gateways just started: " << just_started;
+    EXPECT_LT(warming, 0.6 * warm) << "gateways just started: " << just_started;
   }
 }
 
-// The latency of the machine type "slow" is three times the latency of "fast". A warming endpoint of the slow
-// type must receive fewer requests than one of the fast type, since it would be overloaded otherwise.
+// The latency of the machine type "slow" is three times the latency of the machine type "fast". A warming
+// endpoint of the slow type must receive fewer requests than a warming endpoint of the fast type. Otherwise
+// the slow endpoint would be overloaded.
 TEST(SlowStartTest, LimitsWarmingEndpointByTheServiceRateOfItsMachineType) {
   FakeGateway gateway;
   gateway.now = 100000;
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -31,13 +31,13 @@
   EXPECT_LE(largest_subset, 9u);
   ASSERT_EQ(gateways_by_endpoint.size(), 60u);
   for (const auto& [id, count] : gateways_by_endpoint) {
-    EXPECT_TRUE(count >= 20 && count <= 50) << id << " " << count;
+    EXPECT_TRUE(count >= 20 && count <= 50) << id << " is in the subsets of " << count << " gateways";
   }
 }
 
 // Subsets are small, so that few requests suffice to learn the state of their endpoints. A gateway that
-// receives most requests must use a larger subset, since it would overload a small one.
-TEST(SubsettingTest, SubsetGrowsWhenMoreRequestsAreInFlight) {
+// receives most of the requests would overload the endpoints of a small subset, so its subset must be larger.
+TEST(SubsettingTest, SubsetGrowsWithTheNumberOfRequestsInFlight) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   FakeGateway gateway(settings);
@@ -58,8 +58,8 @@
   EXPECT_GT(used.size(), 30u);
 }
 
-// Cross-zone requests are more expensive, so gateways prefer their own zone. The preference must not cause
-// uneven loads of the endpoints.
+// Cross-zone requests are more expensive, so gateways prefer endpoints in their own zone. Nevertheless all
+// endpoints must receive a similar load.
 TEST(SubsettingTest, PrefersOwnZoneAndLoadsEndpointsEvenly) {
   Settings settings = MakeSettings();
   settings.gateway_count = 99;
@@ -99,7 +99,7 @@
   EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
 }
 
-TEST(SubsettingTest, SubsetSizeIsTheLargerOfEvenShareAndNeedOfConcurrentRequests) {
+TEST(SubsettingTest, SubsetSizeIsTheLargerOfEvenShareAndThreePerConcurrentRequest) {
   Settings settings = MakeSettings();
   settings.gateway_count = 100;
   EndpointTable table("");
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,4 +1,4 @@
-// Tests of requests within and beyond their tenant's quota.
+// Tests of how requests within and beyond the quota of their tenant are treated.
 #include "policy/tenant_quotas.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace gateway::policy::testing {
 namespace {
 
-TEST(TenantQuotasTest, SendsTrafficWithinQuotaFirst) {
+TEST(TenantQuotasTest, SendsRequestsWithinQuotaFirst) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 10}, {"big", 10}};
   FakeGateway gateway(settings);
@@ -34,16 +34,16 @@
   EXPECT_EQ(order.size(), 21u);
 }
 
-TEST(TenantQuotasTest, ServesUnknownTenantAfterTrafficWithinQuota) {
+TEST(TenantQuotasTest, SendsRequestOfUnknownTenantAfterRequestsWithinQuota) {
   Settings settings = MakeSettings();
   settings.tenants = {{"known", 100}};
   FakeGateway gateway(settings);
-  gateway.SendRequest("stranger", "view", 2000, "nobody");
-  gateway.SendRequest("guest", "view", 2000, "known");
+  gateway.SendRequest("of_unknown_tenant", "view", 2000, "unknown");
+  gateway.SendRequest("of_known_tenant", "view", 2000, "known");
   gateway.AddEndpoints(1);
   gateway.AdvanceTime(10);
   ASSERT_EQ(gateway.sent.size(), 2u);
-  EXPECT_EQ(gateway.sent[0].request, "guest");
+  EXPECT_EQ(gateway.sent[0].request, "of_known_tenant");
 }
 
 TEST(TenantQuotasTest, AllowsBurstWhenShareOfQuotaIsSmall) {
@@ -52,7 +52,7 @@
   settings.tenants = {{"t", 30}};  // the share of each gateway is 0.1 requests per second
   FakeGateway gateway(settings);
   gateway.AddEndpoints(3);
-  // Failures of requests of another tenant stop all traffic beyond quota.
+  // Failed requests of another tenant raise the failure rate, so that no request beyond quota is sent.
   for (int i = 0; i < 20; ++i) {
     const std::string id = "f" + std::to_string(i);
     if (const std::string endpoint = FakeGateway::SentEndpoint(gateway.SendRequest(id, "pay", 2000, "other"));
@@ -64,7 +64,7 @@
   gateway.now += 20000;
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a", "view", 2000, "t")), 1);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("b", "view", 2000, "t")), 1);
-  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("spare", "view", 2000, "other")), 0);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("beyond_quota", "view", 2000, "other")), 0);
 }
 
 TEST(TenantQuotasTest, GrantsShareOfQuotaToEachGateway) {
@@ -72,7 +72,7 @@
   settings.gateway_count = 2;
   settings.tenants = {{"limited", 10}, {"unlimited", 0}};
   TenantQuotas quotas(settings);
-  for (int i = 0; i < 5; ++i) EXPECT_TRUE(quotas.TakeToken("limited", 100000)) << "tokens of the last second";
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(quotas.TakeToken("limited", 100000)) << "tokens of one second";
   EXPECT_FALSE(quotas.TakeToken("limited", 100199));
   EXPECT_TRUE(quotas.TakeToken("limited", 100201));
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(quotas.TakeToken("unlimited", 0));
