--- a/tests/policy/endpoint_ring_test.cpp
+++ b/tests/policy/endpoint_ring_test.cpp
@@ -41,7 +41,7 @@
 
 class EndpointRingTest : public testing::Test {
  protected:
-  Endpoint& Add(int number, MachineType& type) {
+  Endpoint& CreateEndpoint(int number, MachineType& type) {
     endpoints_.push_back(std::make_unique<Endpoint>());
     Endpoint& endpoint = *endpoints_.back();
     endpoint.info.id = "host-" + std::to_string(number);
@@ -75,7 +75,7 @@
     endpoints_.clear();
     const int endpoint_count = 1 + static_cast<int>(random() % kMaximumEndpoints);
     for (int number = 0; number < endpoint_count; ++number) {
-      Endpoint& endpoint = Add(number, types[random() % types.size()]);
+      Endpoint& endpoint = CreateEndpoint(number, types[random() % types.size()]);
       ring.Insert(endpoint);
       on_ring.push_back(&endpoint);
       if (random() % 3 > 0) continue;
@@ -91,7 +91,7 @@
 TEST_F(EndpointRingTest, IsEmptyAfterAllEndpointsAreErased) {
   MachineType type;
   EndpointRing ring;
-  Endpoint& endpoint = Add(1, type);
+  Endpoint& endpoint = CreateEndpoint(1, type);
   ring.Insert(endpoint);
   ring.Erase(endpoint);
   ring.Erase(endpoint);  // has no effect, since the endpoint is no longer on the ring
@@ -104,7 +104,7 @@
   std::vector<Endpoint*> on_ring;
   EndpointRing ring;
   for (std::size_t i = 0; i < types.size(); ++i) {
-    on_ring.push_back(&Add(static_cast<int>(i), types[i]));
+    on_ring.push_back(&CreateEndpoint(static_cast<int>(i), types[i]));
     ring.Insert(*on_ring.back());
   }
   ExpectSortedWalk(ring, on_ring, 0);
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -94,7 +94,7 @@
   struct Case {
     Millis downtime;
     bool ejected;  // whether the ejection of s1 is imported
-    bool measured;
+    bool latencies_imported;
     double minimum_rate_factor;  // minimum of imported rate / exported rate
   };
   for (const Case& test_case :
@@ -109,7 +109,7 @@
     successor.policy.ImportState(successor.now, state);
     const LearnedState imported = successor.policy.ExportState();
     EXPECT_EQ(successor.policy.EjectedEndpointCount(), test_case.ejected ? 1u : 0u);
-    EXPECT_EQ(imported.endpoints[0].latency > 0, test_case.measured);
+    EXPECT_EQ(imported.endpoints[0].latency > 0, test_case.latencies_imported);
     EXPECT_GE(imported.rate, 10 * test_case.minimum_rate_factor);
     for (std::size_t i = 0; i < 5; ++i) EXPECT_LE(imported.endpoints[i].samples, state.endpoints[i].samples);
   }
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -86,29 +86,29 @@
   settings.poll_endpoint_list = true;
   settings.gateway_count = 100;
   // The number of calls of all gateways in each interval of 100 ms.
-  std::vector<int> started(10);
-  std::vector<int> repeated(100);
-  int immediate = 0;
+  std::vector<int> first_calls(10);
+  std::vector<int> repeated_calls(100);
+  int immediate_calls = 0;
   for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
        ++settings.gateway_index) {
     FakeGateway gateway(settings, settings.gateway_index);
-    immediate += FakeGateway::CountActions<WatchEndpointList>(
+    immediate_calls += FakeGateway::CountActions<WatchEndpointList>(
         gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {MakeEndpoint("s0")}}));
-    for (int& calls : started) {
+    for (int& calls : first_calls) {
       calls += FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(100));
     }
     gateway.Handle(EndpointListEvent{EndpointListEvent::Kind::kFailure, {}});
-    for (int& calls : repeated) {
+    for (int& calls : repeated_calls) {
       calls += FakeGateway::CountActions<WatchEndpointList>(gateway.AdvanceTime(100));
     }
   }
-  EXPECT_LT(immediate, 5);
+  EXPECT_LT(immediate_calls, 5);
   // Each gateway makes its first call within 1 s.
-  EXPECT_EQ(immediate + std::accumulate(started.begin(), started.end(), 0), 100);
-  EXPECT_LE(*std::max_element(started.begin(), started.end()), 12);
+  EXPECT_EQ(immediate_calls + std::accumulate(first_calls.begin(), first_calls.end(), 0), 100);
+  EXPECT_LE(*std::max_element(first_calls.begin(), first_calls.end()), 12);
   // Each gateway repeats its call once within 10 s.
-  EXPECT_EQ(std::accumulate(repeated.begin(), repeated.end(), 0), 100);
-  EXPECT_LT(*std::max_element(repeated.begin(), repeated.end()), 10);
+  EXPECT_EQ(std::accumulate(repeated_calls.begin(), repeated_calls.end(), 0), 100);
+  EXPECT_LT(*std::max_element(repeated_calls.begin(), repeated_calls.end()), 10);
   // A gateway without endpoints makes its first call immediately. So does a single gateway.
   FakeGateway without_endpoints(settings);
   EXPECT_EQ(FakeGateway::CountActions<WatchEndpointList>(
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -49,7 +49,7 @@
 
 // s5 is added with the machine type of s4, which is slower than the other endpoints.
 TEST(LoadBalancerTest, UsesMachineTypeLatencyWhenManyGatewaysShareAnEndpoint) {
-  const auto received = [](int gateway_count) {
+  const auto sent_to_added_endpoint = [](int gateway_count) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       Settings settings = MakeSettings();
@@ -75,8 +75,8 @@
     return sent;
   };
   // A single gateway assumes that s5 has the median latency until s5 has latency samples.
-  EXPECT_GT(received(1), 15);
-  EXPECT_LT(received(20), 12);
+  EXPECT_GT(sent_to_added_endpoint(1), 15);
+  EXPECT_LT(sent_to_added_endpoint(20), 12);
 }
 
 TEST(LoadBalancerTest, AllGatewaysSendAKeyToTheSameTwoEndpoints) {
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -91,12 +91,13 @@
             << "request is not idempotent and was retried, but may have been executed: " << send.request;
       }
     }
-    if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey) CheckRepeat(now, request, send);
+    if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey)
+      CheckRetryWithIdempotencyKey(now, request, send);
     const Millis times_out_at = std::min(now + send.timeout, request.deadline_at);
     request.attempts.push_back({send.endpoint, now, times_out_at, true, false});
   }
 
-  void CheckRepeat(Millis now, const ClientRequest& request, const Send& send) {
+  void CheckRetryWithIdempotencyKey(Millis now, const ClientRequest& request, const Send& send) {
     for (const SentAttempt& attempt : request.attempts) {
       if (attempt.not_executed) continue;
       ASSERT_EQ(endpoints_.at(attempt.endpoint).cell, endpoints_.at(send.endpoint).cell)
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -34,11 +34,11 @@
   EXPECT_EQ(FakeGateway::CountActions<Fail>(gateway.FinishAttempt("a", endpoint, AttemptResult::kError, 5)),
             1);
   EXPECT_TRUE(gateway.FinishAttempt("a", endpoint, AttemptResult::kError, 5).empty());
-  const std::string other = FakeGateway::SentEndpoint(gateway.SendRequest("b"));
+  const std::string endpoint_of_b = FakeGateway::SentEndpoint(gateway.SendRequest("b"));
   for (const int attempt : {-1, 1, 1000000}) {
-    EXPECT_TRUE(gateway.FinishAttempt("b", other, AttemptResult::kServed, 5, attempt).empty());
+    EXPECT_TRUE(gateway.FinishAttempt("b", endpoint_of_b, AttemptResult::kServed, 5, attempt).empty());
   }
-  gateway.FinishAttempt("b", other, AttemptResult::kServed, 5);
+  gateway.FinishAttempt("b", endpoint_of_b, AttemptResult::kServed, 5);
   EXPECT_TRUE(gateway.Handle(ClientDisconnected{"b"}).empty());
   EXPECT_TRUE(gateway.Handle(ResponseStarted{"b", 0}).empty());
 }
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -32,11 +32,11 @@
 // The parameters of a simulation.
 struct Scenario {
   int gateways = 1;
-  std::vector<double> share;              // share of the traffic by gateway
-  double load = 0.7;                      // as a multiple of the capacity of all endpoints
-  Millis maximum_notification_delay = 0;  // maximum time from the restart to the list update of a gateway
-  bool gateways_run_before = true;        // false: all gateways start when the endpoints restart
-  bool traffic_shifts = false;            // traffic moves to other gateways at the restart
+  std::vector<double> share;                  // share of the traffic by gateway
+  double load = 0.7;                          // as a multiple of the capacity of all endpoints
+  Millis maximum_notification_delay = 0;      // maximum time from the restart to the list update of a gateway
+  bool gateways_start_before_restart = true;  // false: all gateways start when the endpoints restart
+  bool traffic_shifts = false;                // traffic moves to other gateways at the restart
 };
 
 // The result of a simulation.
@@ -81,7 +81,7 @@
   }
 
   Measurement Run() {
-    for (now_ = scenario_.gateways_run_before ? kFirstListAtMs : kRestartAtMs; now_ < kEndAtMs;
+    for (now_ = scenario_.gateways_start_before_restart ? kFirstListAtMs : kRestartAtMs; now_ < kEndAtMs;
          now_ += kStepMs) {
       for (Member& member : members_) UpdateList(member);
       FinishAttempts();
@@ -249,7 +249,7 @@
     for (const bool even : {true, false}) {
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         const Scenario scenario = {gateways, TrafficShares(gateways, even), 0.7, 0,
-                                   /*gateways_run_before=*/false};
+                                   /*gateways_start_before_restart=*/false};
         EXPECT_LE(Simulate(scenario, seed).worst_ratio, 1)
             << gateways << " gateways, even " << even << ", seed " << seed;
       }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -74,7 +74,7 @@
   Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 200;
   int warming = 0;
-  int all = 0;
+  int warm = 0;
   int warming_later = 0;
   for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
        ++settings.gateway_index) {
@@ -86,7 +86,7 @@
     endpoints.push_back(MakeEndpoint("new", "0", gateway.now));
     gateway.ReplaceEndpoints(endpoints);
     const auto first = gateway.ServeRequests(10, 200);  // the first 2 s after the start of "new"
-    for (const auto& [id, count] : first) (id == "new" ? warming : all) += count;
+    for (const auto& [id, count] : first) (id == "new" ? warming : warm) += count;
     const auto following = gateway.ServeRequests(30, 200);  // the following 6 s
     if (following.contains("new")) warming_later += following.at("new");
   }
@@ -94,7 +94,7 @@
   // sent one attempt, "new" would receive 60 attempts or more. The mean warm-up fraction in these 2 s is
   // 0.28. With an overload factor of 3, 3 * 0.28 = 0.84 times the load of a warm endpoint would overload
   // "new".
-  EXPECT_LT(warming, 0.5 * all / 20);
+  EXPECT_LT(warming, 0.5 * warm / 20);
   EXPECT_GT(warming_later, warming);
 }
 
