--- a/include/gateway/actions.hpp
+++ b/include/gateway/actions.hpp
@@ -1,4 +1,4 @@
-// Actions that a Policy returns for its gateway to carry out.
+// Actions that a Policy returns. The gateway carries them out.
 #ifndef GATEWAY_ACTIONS_HPP_
 #define GATEWAY_ACTIONS_HPP_
 
@@ -21,7 +21,7 @@
 // Answers the request with a rejection. The client can safely retry the request.
 struct Reject {
   std::string request;
-  Millis retry_after = 0;  // recommended delay before the retry; 0 = no recommendation
+  Millis retry_after = 0;  // recommended delay before the client retries; 0 = no recommendation
 };
 
 // Answers the request with a failure. The request may have been executed, so a retry by the client may be
--- a/include/gateway/events.hpp
+++ b/include/gateway/events.hpp
@@ -14,17 +14,18 @@
 // the first attempt that ends with kServed. The gateway forwards that response without a further action.
 struct Request {
   std::string id;          // unique for the Policy's lifetime; a retry by the client has a new id
-  std::string class_name;  // name of one of Settings::classes
+  std::string class_name;  // name of a class in Settings::classes
   std::string tenant;      // empty if tenants are not used
   std::string key;         // routing key; empty if unknown
-  Millis time_left = 0;    // until the client times out
+  Millis time_left = 0;    // time until the client times out
 };
 
 // The gateway may report a Request while the client is still sending its body. In this case, RequestComplete
-// reports that the last byte has arrived. The latency and the deadline of the request are counted from then.
+// reports that the last byte has arrived. The latency and the deadline of the request are measured from that
+// time.
 struct RequestComplete {
   std::string request;
-  Millis time_left = 0;  // until the client times out
+  Millis time_left = 0;  // time until the client times out
 };
 
 // The gateway has started to stream the response of an attempt to the client. The client gets no other
@@ -40,10 +41,10 @@
   kError,          // answered with an error; may have been executed
   kRejected,       // rejected by the endpoint before execution
   kTimedOut,       // no response in time; may have been executed
-  kConnectFailed,  // no connection, or it closed before the request was sent completely; not executed
+  kConnectFailed,  // no connection, or closed before the request was sent completely; not executed
   kReset,          // connection lost after the request was sent; may have been executed
   kCancelled,      // ended by Cancel; may have been executed
-  kNotSent,        // not sent by this gateway; not executed
+  kNotSent,        // the gateway did not send it, see Send::start_writing_within; not executed
 };
 constexpr int kAttemptResultCount = 8;
 
@@ -76,7 +77,7 @@
 
 // An upstream endpoint as reported by service discovery.
 struct EndpointInfo {
-  std::string id;  // unchanged when the machine restarts
+  std::string id;  // stays the same when the machine restarts
   std::string zone;
   std::string machine_type;
   std::string cell;  // group of endpoints that share deduplication; see DeduplicationScope::kCell
@@ -90,7 +91,7 @@
   enum class Kind {
     kSnapshot,  // replaces the complete list
     kDelta,     // adds or replaces the endpoints in `endpoints`; the other endpoints are unchanged
-    kFailure,   // a call to the list service failed; the list is unchanged
+    kFailure,   // the watch or a call to the list service failed; the list is unchanged
   };
   Kind kind = Kind::kSnapshot;
   std::vector<EndpointInfo> endpoints;
--- a/include/gateway/learned_state.hpp
+++ b/include/gateway/learned_state.hpp
@@ -17,14 +17,17 @@
     std::string name;
     double latency = 0;  // smoothed, ms
     int samples = 0;
-    Millis longest_time_left = 0;  // largest observed Request::time_left; clients' first tries have it
+    // Largest observed Request::time_left. A request with about this value is a client's first try.
+    Millis longest_time_left = 0;
   };
   struct EndpointStatistics {
-    double latency = 0;            // ms, smoothed, divided by the class's relative latency; 0 = no sample yet
-    double long_term_latency = 0;  // ms, smoothed over more samples
-    double base_latency = 0;       // ms, estimate of the latency without queueing
+    // The three latencies are in ms. Each sample is divided by the relative latency of its traffic class.
+    double latency = 0;            // smoothed; 0 = no sample yet
+    double long_term_latency = 0;  // smoothed over more samples
+    double base_latency = 0;       // estimate of the latency without queueing
     double failure_rate = 0;       // smoothed share of failed attempts, 0 to 1
-    double concurrency_limit = 1;  // attempts of this gateway in flight; below 1: pauses between attempts
+    // Maximum number of attempts of this gateway in flight. Below 1, the gateway pauses between attempts.
+    double concurrency_limit = 1;
     int samples = 0;
     bool ejected = false;
     bool restart_suspected = false;  // connections failed, so the process may have restarted
@@ -38,7 +41,7 @@
   struct MachineType {
     std::string name;
     double served = 0;         // responses
-    double endpoint_time = 0;  // ms, sum over the endpoints of the time in which they served the responses
+    double endpoint_time = 0;  // ms, sum over the endpoints of observed time * weight
   };
   double rate = 0;       // admission rate, attempts per second
   double sent_rate = 0;  // attempts sent per second, smoothed
@@ -46,7 +49,7 @@
   double mean_latency = 0;  // ms, over all classes
   int samples = 0;
   Millis exported_at = 0;
-  int gateway_count = 0;  // gateways that shared the endpoints at the export; 0 = same as in Settings
+  int gateway_count = 0;  // gateways that shared the endpoints at the export; 0 = as in Settings
   std::vector<TrafficClass> classes;
   std::vector<Endpoint> endpoints;
   std::vector<MachineType> machine_types;
--- a/include/gateway/policy.hpp
+++ b/include/gateway/policy.hpp
@@ -30,8 +30,8 @@
   Policy& operator=(Policy&&) noexcept;
 
   // Handles one event at time `now` and appends the resulting actions to `actions`. If `now` is earlier than
-  // the time of a previous call, the latest of these times is used instead. No attempt is sent before the
-  // first endpoint list.
+  // the time of a previous call, the latest time so far is used instead. No attempt is sent before the first
+  // endpoint list arrives.
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
   // Returns the number of endpoints that are listed as up but ejected by outlier detection.
@@ -42,7 +42,7 @@
 
   // Restores the state that another Policy exported. The older the state is, the less weight it gets. Must be
   // called after the first endpoint list and before the first request. Endpoints and classes that `state`
-  // does not contain are unchanged.
+  // does not contain keep their initial estimates.
   void ImportState(Millis now, const LearnedState& state);
 
   // Multiplies the admission rate and the concurrency limits of all endpoints by `factor`. While two
--- a/include/gateway/settings.hpp
+++ b/include/gateway/settings.hpp
@@ -13,8 +13,8 @@
 // Whether a request may be executed more than once.
 enum class Idempotency {
   kIdempotent,      // may be executed any number of times
-  kIdempotencyKey,  // the endpoints of a DeduplicationScope drop repeats within the deduplication window
-  kNotIdempotent,   // at most once: retried only if no earlier attempt can have been executed
+  kIdempotencyKey,  // the endpoints of the deduplication scope drop repeats within deduplication_window
+  kNotIdempotent,   // may be executed at most once: retried only if no attempt can have been executed
 };
 
 // The endpoints that share deduplication: if one of them has executed a request with an idempotency key, all
@@ -31,7 +31,7 @@
   Millis latency_objective = 0;  // a response within this time has the value `priority_weight`
   Millis deadline = 0;           // total timeout of a client, including all of its own retries
   double priority_weight = 1;    // relative to the other classes
-  double late_weight = 0;        // share of priority_weight that a response after the objective is worth
+  double late_weight = 0;        // share of priority_weight that a response after latency_objective has
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
   Millis deduplication_window = 0;  // kIdempotencyKey: repeats are dropped this long after the first attempt
@@ -59,9 +59,9 @@
   Millis warm_up_duration = 0;           // time from an endpoint's start until it has its full capacity
   double overload_factor = 3;            // a warming endpoint fails at this multiple of its current capacity
   bool endpoints_cache_keys = false;     // a request is faster at an endpoint that recently served its key
-  bool send_retry_after = false;         // clients receive Reject::retry_after
-  Millis maximum_retry_after = 0;        // longest retry_after that clients respect
-  std::vector<std::string> load_report_fields;  // names of the values in AttemptOutcome::load
+  bool send_retry_after = false;         // the policy sets Reject::retry_after
+  Millis maximum_retry_after = 0;        // longest Reject::retry_after that clients respect
+  std::vector<std::string> load_report_fields;  // names of the values in AttemptOutcome::load, in this order
 };
 
 // Reports a setting with an invalid value. what() is "FIELD: REASON".
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -17,13 +17,13 @@
 
 struct Endpoint;
 
-// Returns whether an attempt with this result may have been executed by its endpoint.
+// Returns whether the endpoint may have executed an attempt with this result.
 inline bool MayHaveExecuted(AttemptResult result) {
   return result != AttemptResult::kRejected && result != AttemptResult::kConnectFailed &&
          result != AttemptResult::kNotSent;
 }
 
-// An attempt to have a request served by one endpoint.
+// One attempt of a request at an endpoint.
 struct Attempt {
   Endpoint* endpoint;
   Millis sent_at;
@@ -40,8 +40,8 @@
   Millis arrived_at = 0;
   Millis objective_ends_at = 0;  // a response after this time does not meet the latency objective
   Millis deadline_at = 0;        // time at which the client times out
-  // Latest start of a further attempt after an attempt that may have been executed. Endpoints drop repeats
-  // only within the deduplication window.
+  // Latest time at which a retry may start if an earlier attempt may have been executed. Limited only for
+  // requests with an idempotency key, since endpoints drop repeats only within the deduplication window.
   Millis repeat_deadline_at = std::numeric_limits<Millis>::infinity();
   bool within_quota = true;
   bool answered = false;
--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -5,15 +5,16 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second; more than any endpoint serves
-constexpr double kAdditiveIncrease = 0.3;         // tokens per second for each response within its objective
-constexpr double kMaximumRelativeIncrease = 0.05;
+constexpr double kInitialRatePerEndpoint = 1000;   // tokens per second; more than any endpoint serves
+constexpr double kAdditiveIncrease = 0.3;          // tokens per second for each response within its objective
+constexpr double kMaximumRelativeIncrease = 0.05;  // maximum of an increase, as a share of the rate
 constexpr double kDecreaseFactor = 0.85;
 constexpr Millis kMinimumDecreaseIntervalMs = 100;
 constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens that are added in this period
 constexpr double kMinimumBucketTokens = 2;        // tokens
 constexpr Millis kSentRateTimeConstantMs = 1000;  // for the rate of sent attempts
-constexpr double kSharedTimeConstantFactor = 4;   // if many gateways share an endpoint: fewer samples
+// Factor on the time constant if many gateways share an endpoint, since each gateway then has fewer samples.
+constexpr double kSharedTimeConstantFactor = 4;
 
 // Failure rate above which the admission rate is decreased. The threshold is higher if many gateways share an
 // endpoint, since the decreases of all gateways add up.
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -16,26 +16,27 @@
   struct Fleet {
     int endpoints_up = 0;
     int gateway_count = 1;
-    bool many_gateways_per_endpoint = false;  // each gateway sees little of an endpoint's traffic
+    bool many_gateways_per_endpoint = false;  // each gateway gets few samples from an endpoint
   };
 
   // Refills the bucket for the elapsed time. The first call with an endpoint that is up sets the initial
   // rate, which is high and proportional to the number of endpoints.
   void Advance(Millis elapsed, const Fleet& fleet);
 
-  // Returns whether an attempt may be sent. A fraction of a token suffices, so that TakeToken() can make the
-  // number of tokens negative, but by less than 1.
+  // Returns whether an attempt may be sent. A fraction of a token suffices. Therefore the number of tokens
+  // can be negative after TakeToken(), but is always greater than -1.
   bool HasToken() const { return tokens_ > 0; }
 
-  // Consumes a token for an attempt that is sent.
+  // Consumes a token for an attempt that the caller sends.
   void TakeToken(const Fleet& fleet);
 
   // Records the outcome of an attempt. Increases the rate if the attempt was served within its latency
-  // objective. Returns whether the caller has to call Decrease(). Ignores failures of attempts that were sent
+  // objective. Returns true if the caller must call Decrease(). Ignores failures of attempts that were sent
   // before the last decrease.
   bool RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet);
 
-  // Decreases the rate. Within the next `round_trip`, RecordOutcome() does not return true again.
+  // Decreases the rate. RecordOutcome() then returns false for the time `round_trip`, or for 100 ms if
+  // `round_trip` is shorter.
   void Decrease(Millis now, Millis round_trip, const Fleet& fleet);
 
   // Returns whether requests beyond their tenant's quota may be sent. Applies only if many gateways share an
@@ -54,7 +55,7 @@
   // Restores the learned state. `remaining_weight` in [0, 1] is the weight of the state after decay by its
   // age. `load_share` is the factor that converts the exported rates to rates of this gateway.
   void Import(const LearnedState& state, double remaining_weight, double load_share, const Fleet& fleet);
-  // Multiplies the rates by `factor`.
+  // Multiplies the admission rate and the sent rate by `factor`.
   void Scale(double factor, const Fleet& fleet);
 
  private:
@@ -66,7 +67,7 @@
   double tokens_ = 1;
   double rate_ = 0;
   double failure_rate_ = 0;
-  RateEstimator sent_;  // attempts per second
+  RateEstimator sent_;  // estimates the attempts sent per second
   Millis decreased_at_ = kNever;
   Millis next_decrease_at_ = kNever;
 };
--- a/src/policy/class_queues.cpp
+++ b/src/policy/class_queues.cpp
@@ -7,8 +7,8 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kMaximumCredit = 4;          // requests; the minimum credit is -kMaximumCredit
-constexpr double kMinimumQueueRequests = 32;  // minimum capacity of a class, for all of its queues together
+constexpr double kMaximumCredit = 4;          // requests; the credit is in [-kMaximumCredit, kMaximumCredit]
+constexpr double kMinimumQueueRequests = 32;  // minimum capacity of a class, as the total of its queues
 constexpr double kMaximumWaitShare = 0.25;    // longest time in a queue, as a share of the latency objective
 
 }  // namespace
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -1,8 +1,9 @@
 // Class queues. Each traffic class has bounded queues for retries, for requests within their tenant's quota
 // and for requests beyond it. The classes are scheduled by weighted round-robin with credits.
 //
-// Whenever a request is released, each class with queued requests earns credit equal to its weight, and the
-// class of the released request pays 1. The class with queued requests and the most credit is served next.
+// When a request is released, the credit of each class with queued requests increases by the weight of the
+// class, and the credit of the class of the released request decreases by 1. Among the classes with queued
+// requests, the class with the largest sum of credit and weight releases the next request.
 #ifndef GATEWAY_POLICY_CLASS_QUEUES_HPP_
 #define GATEWAY_POLICY_CLASS_QUEUES_HPP_
 
@@ -23,8 +24,9 @@
 // since timers may be late.
 constexpr Millis kQueueAnswerMarginMs = 20;
 
-// Returns the time by which a queued request must be released. After this time, too little of the latency
-// objective would be left for the request.
+// Returns the queue deadline: the time at which a queued request is answered with a rejection or failure
+// instead of being sent. A request may be queued for a quarter of its latency objective, so that enough time
+// is left for the attempt, and until kQueueAnswerMarginMs before its client times out.
 Millis QueueDeadline(const ActiveRequest& request);
 
 // The queued requests of all classes. Stores pointers to requests, which the caller must remove before it
@@ -39,8 +41,8 @@
   // latency objective at the rate `sent_per_second`, plus a fixed minimum.
   bool IsFull(std::size_t class_index, double sent_per_second) const;
 
-  // Returns the last queued request beyond its tenant's quota, or null. If the class is full, this request is
-  // evicted first.
+  // Returns the last queued request beyond its tenant's quota, or null. If the queues of the class are full,
+  // this request is evicted when a request within quota arrives.
   ActiveRequest* LastBeyondQuota(std::size_t class_index) const;
 
   // Add a request to a queue of its class. Retries are released first, then requests within their tenant's
@@ -52,14 +54,14 @@
   void Remove(ActiveRequest& request);
 
   // Appends the requests whose queue deadline has passed to `expired`. Checks every entry, since a request
-  // with an early deadline may be queued after others.
+  // may be queued after requests with later deadlines.
   void CollectExpired(Millis now, std::vector<ActiveRequest*>& expired) const;
 
   // A set of classes, as a bit mask.
   using ClassMask = std::uint64_t;
   static ClassMask MaskOf(std::size_t class_index) { return ClassMask{1} << class_index; }
 
-  // Returns the class whose next request is released first, ignoring the classes in `skipped`. Returns
+  // Returns the class from which the next request is released, ignoring the classes in `skipped`. Returns
   // std::nullopt if no other class has a queued request.
   std::optional<std::size_t> NextClass(ClassMask skipped) const;
   // Returns the next request of the class. The class must have a queued request.
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -13,24 +13,25 @@
 // With each sample, the base latency of an endpoint approaches its current latency by this share of their
 // difference.
 constexpr double kBaseLatencyDriftShare = 0.001;
-// With fewer samples, the base latency of a machine type is its long-term latency.
+// Until a machine type has this number of samples, its base latency is its long-term latency.
 constexpr int kMinimumBaseSamples = 20;
 // Multiple of the base latency up to which an endpoint counts as not queueing. The tolerance is higher if
 // endpoints cache keys, since the latency then also depends on the key.
 constexpr double kLatencyTolerance = 1.1;
 constexpr double kCachedLatencyTolerance = 2;
-constexpr double kMinimumGradient = 0.2;
+constexpr double kMinimumGradient = 0.2;        // minimum of the factor that lowers a limit
 constexpr double kLimitGrowthFactor = 0.7;      // increase of a limit, in multiples of its square root
 constexpr double kInitialLimit = 8;             // attempts, sum over all gateways
-constexpr double kInitialLimitWithReports = 2;  // attempts; lower, as load reports soon show free capacity
+constexpr double kInitialLimitWithReports = 2;  // attempts; low, since load reports soon show free capacity
 constexpr double kMinimumLimit = 1;             // attempts, sum over all gateways
 
-constexpr double kUtilizationReserve = 0.07;  // utilization kept free, per square root of the gateway count
-constexpr double kUtilizationGain = 4;        // relative decrease of a limit per unit of excess utilization
+// Utilization that is kept free, multiplied by the square root of the gateway count.
+constexpr double kUtilizationReserve = 0.07;
+constexpr double kUtilizationGain = 4;  // relative decrease of a limit per unit of excess utilization
 constexpr double kUtilizationSampleWeight = 0.3;
-constexpr double kMaximumUtilization = 1.1;    // higher reported values are reduced to it: reports are noisy
+constexpr double kMaximumUtilization = 1.1;    // higher values count as this one, since reports are noisy
 constexpr double kBusyUtilization = 0.6;       // endpoints are busy if their machine type reaches this value
-constexpr double kBusyShareBeyondQuota = 0.3;  // share of the slots of a busy endpoint
+constexpr double kBusyShareBeyondQuota = 0.3;  // share of a busy endpoint's slots for requests beyond quota
 
 constexpr Millis kMaximumBackoffMs = 300;
 constexpr int kMaximumBackoffDoublings = 30;
@@ -119,8 +120,8 @@
     UpdateLimit(endpoint, relative, sample.served, gateways_per_endpoint);
   }
   if (state.limit < 1) state.backing_off_until = now + sample.latency * (1 / state.limit - 1);
-  // The limit is rounded up or down at random. If all gateways rounded up, each gateway would send the
-  // endpoint one attempt more than its limit allows.
+  // Rounds the limit up or down at random. If all gateways rounded up, each gateway would send the endpoint
+  // up to one attempt more than its limit allows.
   state.slots = std::max(1.0, std::floor(state.limit + random.Uniform()));
 }
 
@@ -145,13 +146,13 @@
       excess > 0 || !served ? 0 : kLimitGrowthFactor * std::sqrt(state.limit / gateways_per_endpoint);
   const double target = state.limit * gradient + growth;
   const bool in_use = 2.0 * (endpoint.in_flight + 1) >= state.limit;
-  if (target > state.limit && !in_use) return;  // an unused limit was not tested, so it is not increased
+  if (target > state.limit && !in_use) return;  // an unused limit is untested, so it is not increased
   const double minimum = kMinimumLimit / gateways_per_endpoint;
   state.limit = std::max(minimum, state.limit + (target - state.limit) / std::max(2.0, state.limit));
 }
 
-// Returns by how much the endpoint exceeds its target utilization. The target leaves enough capacity for
-// attempts that other gateways send before they see the current utilization.
+// Returns by how much the endpoint exceeds its target utilization. The target leaves free capacity for
+// attempts that other gateways send before a load report shows them the current utilization.
 double ConcurrencyLimit::ExcessUtilization(const Endpoint& endpoint) const {
   const double mean = (endpoint.concurrency.utilization + endpoint.machine_type->utilization) / 2;
   return mean - (1 - kUtilizationReserve * std::sqrt(gateway_count_));
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,6 +1,6 @@
 // Concurrency limit of each endpoint: the number of attempts of this gateway that the endpoint can process
-// concurrently without queueing. The limit is learned from the latency gradient and from the reported
-// utilization.
+// concurrently without queueing. The limit is learned from the latency gradient, which is the ratio of
+// the base latency to the current latency, and from the reported utilization.
 //
 // If many gateways share each endpoint, the limit of one gateway would be a fraction of an attempt, learned
 // from very little traffic. In that case limits are learned but not applied, and only the admission rate
@@ -25,8 +25,8 @@
 // The state of the concurrency limit for one endpoint.
 struct ConcurrencyState {
   LatencyEstimate latency;
-  double utilization = 0;  // reported, smoothed
-  double limit = 1;        // attempts; below 1: pauses between attempts
+  double utilization = 0;  // from load reports, smoothed
+  double limit = 1;        // maximum attempts in flight; below 1: pauses between attempts
   double slots = 1;        // the limit, randomly rounded up or down; at least 1
   Millis backing_off_until = kNever;
   int consecutive_rejections = 0;
@@ -61,14 +61,16 @@
     double relative_latency = 1;  // latency of the request's class divided by the mean latency of all classes
     bool served = false;
   };
-  // Updates latency and limit after the end of an attempt. Slots are the limit, rounded up or down at random.
+  // Updates latency and limit after the end of an attempt. Sets the slots to the limit, rounded up or down at
+  // random.
   void RecordLatency(Endpoint& endpoint, const Sample& sample, double gateways_per_endpoint,
                      RandomSource& random, Millis now) const;
 
   // Multiplies the limit by `factor`, for a change of this gateway's share of the load.
   void Scale(ConcurrencyState& state, double factor, double gateways_per_endpoint) const;
 
-  // Moves the limit towards a limit learned earlier, whose weight is `remaining_weight` in [0, 1].
+  // Sets the limit to a weighted mean of the current limit and `learned_limit`. `remaining_weight` in [0, 1]
+  // is the weight of `learned_limit`.
   static void Restore(ConcurrencyState& state, double learned_limit, double remaining_weight);
 
  private:
@@ -79,7 +81,7 @@
 
   const bool endpoints_cache_keys_;
   const double gateway_count_;
-  const std::size_t utilization_index_;  // index in a load report; past the end of the report if not reported
+  const std::size_t utilization_index_;  // index in a load report; beyond its last index if not reported
   const bool reports_utilization_;
 };
 
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,4 +1,5 @@
-// The state of an upstream endpoint in a Policy. Each mechanism defines its own part of the state.
+// The state of an upstream endpoint in a Policy. Slow start, outlier detection and the concurrency limit each
+// define a part of the state.
 #ifndef GATEWAY_POLICY_ENDPOINT_HPP_
 #define GATEWAY_POLICY_ENDPOINT_HPP_
 
@@ -11,10 +12,10 @@
 
 namespace gateway::policy {
 
-// Estimates that the endpoints of one machine type share.
+// Estimates over all endpoints of one machine type.
 struct MachineType {
   LatencyEstimate latency;
-  double utilization = 0;  // reported, smoothed
+  double utilization = 0;  // from load reports, smoothed
   Throughput throughput;
 };
 
@@ -27,10 +28,10 @@
 
   bool up = false;                      // listed with the state kUp
   bool in_subset = false;               // used by this gateway
-  std::uint64_t listed_generation = 0;  // generation of the last list event that contained it
+  std::uint64_t listed_generation = 0;  // generation of the last list event with the endpoint
 
-  int references = 0;  // attempts of active requests that point to it
-  int in_flight = 0;   // attempts of this gateway without a response so far
+  int references = 0;  // attempts of active requests that point to the endpoint
+  int in_flight = 0;   // attempts of this gateway that wait for a response
 
   SlowStartState slow_start;
   OutlierState outlier;
--- a/src/policy/endpoint_ring.cpp
+++ b/src/policy/endpoint_ring.cpp
@@ -13,7 +13,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr int kHashBits = 53;  // highest bits of a hash, as many as a double represents exactly
+constexpr int kHashBits = 53;  // the highest 53 bits of a hash, since a double represents them exactly
 
 std::uint64_t OrderingHash(const Endpoint& endpoint) { return endpoint.hash >> (64 - kHashBits); }
 
@@ -42,7 +42,7 @@
     const std::size_t total = endpoints.size();
     const double estimate = std::ceil(position * static_cast<double>(total));
     auto count = static_cast<std::size_t>(std::clamp(estimate, 0.0, static_cast<double>(total)));
-    while (count > 0 && Position(count - 1) >= position) --count;  // `estimate` is rounded
+    while (count > 0 && Position(count - 1) >= position) --count;  // corrects a rounding error of `estimate`
     while (count < total && Position(count) < position) ++count;
     return count;
   }
@@ -70,7 +70,7 @@
   const Order* order;
   Order::Endpoints::const_iterator iterator;
   std::size_t rank;
-  int lap = 0;  // completed rounds of the ring
+  int lap = 0;  // number of completed laps around the ring
 
   void Advance() {
     ++iterator;
@@ -95,7 +95,8 @@
 
 EndpointRing::Walk::Walk(const EndpointRing& ring, std::size_t first) : ring_(ring) {
   // Before any position, a machine type has at most one endpoint more than its proportional share. Therefore
-  // the walk begins as many endpoints before `first` as there are types, and one more to allow for rounding.
+  // the walk begins `types` + 1 endpoints before `first`, where the 1 allows for rounding, and then skips the
+  // endpoints up to `first`.
   const double types = static_cast<double>(ring.orders_.size());
   const double total = static_cast<double>(ring.size_);
   std::size_t skipped = BeginAt((static_cast<double>(first) - types - 1) / total);
--- a/src/policy/endpoint_ring.hpp
+++ b/src/policy/endpoint_ring.hpp
@@ -2,9 +2,8 @@
 // machine type are evenly spaced. All gateways use the same order.
 //
 // The position of an endpoint is its rank by hash among the endpoints of its type, divided by the number of
-// endpoints of this type.
-// Positions are not stored. Insertion and removal take O(log n), finding a position on the ring takes O(k log
-// n) for k machine types, and each further endpoint O(log k).
+// endpoints of this type. Positions are not stored. For n endpoints and k machine types, insertion and
+// removal take O(log n), the start of a walk takes O(k log n), and each step of a walk takes O(log k).
 #ifndef GATEWAY_POLICY_ENDPOINT_RING_HPP_
 #define GATEWAY_POLICY_ENDPOINT_RING_HPP_
 
@@ -29,18 +28,18 @@
   // Adds an endpoint that is not on the ring. Its machine type and hash must not change while it is on the
   // ring.
   void Insert(Endpoint& endpoint);
-  // Removes the endpoint. Does nothing if it is not on the ring.
+  // Removes the endpoint. Does nothing if the endpoint is not on the ring.
   void Erase(Endpoint& endpoint);
   std::size_t size() const { return size_; }
 
-  // Iterates over the ring from a given position. After the last endpoint, the walk continues with the first
-  // one. A change of the ring invalidates the walk. Next() must not be called on an empty ring.
+  // Iterates over the endpoints in ring order, starting at a given index. After the last endpoint, the walk
+  // continues with the first endpoint. A change of the ring invalidates the walk.
   class Walk {
    public:
-    // Starts with the endpoint that has the index `first` on the ring. `first` must be less than the ring's
-    // size.
+    // Starts at the index `first` of the ring, which must be less than the size of the ring.
     Walk(const EndpointRing& ring, std::size_t first);
     ~Walk();
+    // Returns the next endpoint. The ring must not be empty.
     Endpoint& Next();
 
    private:
@@ -53,7 +52,7 @@
   };
 
  private:
-  struct Order;  // ordered endpoints of one machine type
+  struct Order;  // the endpoints of one machine type, ordered by hash
   std::map<const MachineType*, std::unique_ptr<Order>> orders_;
   std::size_t size_ = 0;
 };
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -13,7 +13,7 @@
   Endpoint& endpoint = entry->second;
   const bool started = added || info.started_at > endpoint.info.started_at;
   const bool moved = info.machine_type != endpoint.info.machine_type || info.zone != endpoint.info.zone;
-  if (moved) SetIsUp(endpoint, false);  // erases the endpoint from the ring before its position changes
+  if (moved) SetIsUp(endpoint, false);  // removes the endpoint from the ring before its position changes
   endpoint.info = info;
   endpoint.listed_generation = list_generation_;
   endpoint.machine_type = &machine_types_[info.machine_type];
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -21,18 +21,19 @@
  public:
   explicit EndpointTable(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  // To apply a list event, call BeginListUpdate(), Update() for each of its endpoints, RemoveUnlisted() if
-  // the event is a snapshot, and RemoveUnreferenced() once no subset contains the removed endpoints.
+  // To apply a list event, call these methods in this order: BeginListUpdate(), Update() for each endpoint of
+  // the event, RemoveUnlisted() if the event is a snapshot, and RemoveUnreferenced() once the subset no
+  // longer contains the removed endpoints.
   void BeginListUpdate() { ++list_generation_; }
 
   struct UpdateResult {
     Endpoint& endpoint;
-    bool started;  // the endpoint is new or has a new process
+    bool started;  // the endpoint is new in the table or its process has restarted
   };
   UpdateResult Update(const EndpointInfo& info);
-  // Marks the endpoints that the current list does not contain as not up.
+  // Marks each endpoint as not up unless Update() was called for it since BeginListUpdate().
   void RemoveUnlisted();
-  // Erases the endpoints that are not up and that no active request refers to.
+  // Erases each endpoint that is not up, unless an active request refers to it.
   void RemoveUnreferenced();
 
   // Returns the endpoint with this id, or null.
@@ -53,7 +54,7 @@
   MachineTypes& machine_types() { return machine_types_; }
   const MachineTypes& machine_types() const { return machine_types_; }
 
-  // Marks an endpoint as measured: it has a latency sample.
+  // Marks an endpoint as measured. Must be called once the endpoint has a latency sample.
   void MarkMeasured(Endpoint& endpoint) { measured_.insert(&endpoint); }
   // Returns the median latency of the endpoints that are up and measured; 0 if there are none.
   Millis MedianLatency() const;
@@ -67,8 +68,8 @@
   MachineTypes machine_types_;
   std::map<std::string, Zone> zones_;
   EndpointRing ring_;
-  std::set<Endpoint*> measured_;
-  std::set<Endpoint*> removal_candidates_;  // endpoints that were not up; some may be up again
+  std::set<Endpoint*> measured_;            // endpoints with a latency sample
+  std::set<Endpoint*> removal_candidates_;  // endpoints marked as not up; some may be up again
   mutable std::vector<Millis> latencies_;   // reused buffer of MedianLatency()
   int own_zone_up_count_ = 0;
   std::uint64_t list_generation_ = 0;
--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -1,4 +1,4 @@
-// The context in which an event is handled: the current time and the list of actions to append to.
+// The context in which an event is handled: the current time and the list to which actions are appended.
 #ifndef GATEWAY_POLICY_EVENT_CONTEXT_HPP_
 #define GATEWAY_POLICY_EVENT_CONTEXT_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace gateway::policy {
 
-// Passed to the handlers of an event.
+// Passed to each function that handles an event.
 struct EventContext {
   Millis now;
   std::vector<Action>& actions;
--- a/src/policy/latency_estimate.hpp
+++ b/src/policy/latency_estimate.hpp
@@ -11,7 +11,7 @@
 struct LatencyEstimate {
   Millis current = 0;    // smoothed; 0 = no sample yet
   Millis long_term = 0;  // smoothed over more samples
-  Millis base = 0;       // estimate of the latency without queueing; follows the lowest values of `long_term`
+  Millis base = 0;       // estimate of the latency without queueing, from the lowest values of `long_term`
   int samples = 0;
 };
 
--- a/src/policy/learned_state_age.hpp
+++ b/src/policy/learned_state_age.hpp
@@ -18,8 +18,8 @@
   return learned_at > now ? 0 : std::exp2((learned_at - now) / half_life);
 }
 
-// Returns the factor that converts an exported rate to this gateway's share, when the number of gateways
-// changes from `exported_count` to `gateway_count`. The total rate of all gateways stays the same, and each
+// Returns the factor that converts an exported rate to a rate of this gateway if the number of gateways has
+// changed from `exported_count` to `gateway_count`. The total rate of all gateways stays the same, and each
 // gateway gets an equal share. An `exported_count` of 0 means that the number has not changed.
 inline double ShareOfExportedTotal(int exported_count, int gateway_count) {
   return exported_count > 0 ? 1.0 * exported_count / gateway_count : 1;
--- a/src/policy/list_polling.cpp
+++ b/src/policy/list_polling.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Millis kMinimumBackoffMs = 100;
-constexpr Millis kSpreadPerGatewayMs = 40;       // added to the spread of the calls by each other gateway
-constexpr double kMaximumSpreadShare = 0.4;      // share of the maximum poll interval
+constexpr Millis kSpreadPerGatewayMs = 40;   // added to the call spread for each gateway after the first
+constexpr double kMaximumSpreadShare = 0.4;  // maximum call spread, as a share of the maximum poll interval
 constexpr Millis kMaximumInitialDelayMs = 1000;  // from the start to the first call
 constexpr Millis kMaximumCallIntervalMs = 4500;  // from the start of a failed call to the next call
-constexpr double kMaximumBackoffShare = 0.25;    // share of the maximum poll interval
+constexpr double kMaximumBackoffShare = 0.25;    // maximum backoff, as a share of the maximum poll interval
 
 constexpr Millis kNotScheduled = std::numeric_limits<Millis>::infinity();
 
--- a/src/policy/list_polling.hpp
+++ b/src/policy/list_polling.hpp
@@ -1,8 +1,9 @@
-// List polling: schedules the calls for the endpoint list at the start and after failed calls.
+// List polling: schedules the calls to the list service at the start and after failed calls.
 //
 // If the list is polled, each consecutive failure doubles the backoff, since the list service may be
-// overloaded. Jitter spreads the calls. The backoff is bounded, since changes of the list must arrive in time
-// even after many failures. If the list is pushed, a failed watch is restarted within the minimum backoff.
+// overloaded. Jitter spreads the calls of the gateways. The backoff is bounded, since changes of the list
+// must arrive in time even after many failures. If the list is pushed, a failed watch is restarted within the
+// minimum backoff.
 #ifndef GATEWAY_POLICY_LIST_POLLING_HPP_
 #define GATEWAY_POLICY_LIST_POLLING_HPP_
 
@@ -13,20 +14,20 @@
 
 namespace gateway::policy {
 
-// Schedules the calls for the endpoint list.
+// Schedules the calls to the list service.
 class ListPolling {
  public:
   // `ring_position` in [0, 1) determines the delay of the first call. It differs between gateways, so that
   // the first calls are spread if gateways start at the same time.
   ListPolling(const Settings& settings, double ring_position);
 
-  // Records that a call was answered, which resets the backoff.
+  // Records that the list service answered a call. Resets the backoff.
   void RecordSuccess() { backoff_ = 0; }
   // Records a failed call and schedules the next call. `call_duration` is the duration of the failed call.
   void RecordFailure(Millis call_duration, Millis now, RandomSource& random);
 
-  // Returns whether a call is due. After a return of true, the caller must make the call at once, and no call
-  // is due until the next failure. `list_known` is whether any endpoint is up.
+  // Returns true if a call is due. The caller must then make the call immediately, and no further call is due
+  // until the next failure. `list_known`: whether any endpoint is up.
   bool StartCallIfDue(bool list_known, Millis now);
 
  private:
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr double kOtherZoneCost = 1.3;           // factor on the cost of an endpoint in another zone
-constexpr double kMachineTypeWeightSamples = 2;  // weight of the machine type's latency
-constexpr double kMaximumOwnWeightSamples = 10;  // maximum weight of the endpoint's own latency
+constexpr double kMachineTypeWeightSamples = 2;  // weight of the machine type's latency, in samples
+constexpr double kMaximumOwnWeightSamples = 10;  // maximum weight of the endpoint's own latency, in samples
 constexpr std::size_t kCandidateCount = 2;       // endpoints whose costs are compared
 
 void MoveRandomToFront(std::vector<Endpoint*>& candidates, RandomSource& random) {
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -3,7 +3,7 @@
 // Uses the power of two choices: draws two candidates at random and chooses the one with the lower cost. The
 // cost of an endpoint is its smoothed latency times the number of this gateway's attempts at the endpoint,
 // including the new attempt. If endpoints cache keys, the two candidates are selected by weighted rendezvous
-// hashing of the routing key, so that all gateways send requests with the same key to the same endpoints.
+// hashing of the routing key. Thus all gateways send requests with the same key to the same endpoints.
 #ifndef GATEWAY_POLICY_LOAD_BALANCER_HPP_
 #define GATEWAY_POLICY_LOAD_BALANCER_HPP_
 
@@ -22,9 +22,9 @@
  public:
   explicit LoadBalancer(const Settings& settings) : endpoints_cache_keys_(settings.endpoints_cache_keys) {}
 
-  // Chooses one of `candidates`. The list must not be empty; its order changes. `key_hash` is the hash of the
-  // routing key, or 0 if there is no key. If `many_gateways_per_endpoint` is true, the latency of an endpoint
-  // is averaged with the latency of its machine type.
+  // Chooses one of `candidates`, which must not be empty. Reorders `candidates`. `key_hash` is the hash of
+  // the routing key, or 0 if there is no key. If `many_gateways_per_endpoint` is true, the latency of an
+  // endpoint is averaged with the latency of its machine type.
   Endpoint& Choose(std::vector<Endpoint*>& candidates, std::uint64_t key_hash,
                    bool many_gateways_per_endpoint, const EndpointTable& table, RandomSource& random);
 
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -16,16 +16,17 @@
 
 constexpr Millis kInitialProbeBackoffMs = 300;
 constexpr Millis kMaximumProbeBackoffMs = 4000;
-constexpr double kProbesPerRequest = 0.05;  // if many gateways share an endpoint
-constexpr double kMaximumProbeBudget = 2;   // probes
-constexpr double kProbeTimeShare = 0.5;     // share of the time left until the latency objective
+constexpr double kProbesPerRequest = 0.05;  // added to the probe budget if many gateways share an endpoint
+constexpr double kMaximumProbeBudget = 2;   // in probes
+constexpr double kProbeTimeShare = 0.5;     // probe timeout, as a share of the time left until the objective
 
 constexpr Millis kInitialClassErrorBackoffMs = 300;
 constexpr Millis kMaximumClassErrorBackoffMs = 4000;
 constexpr int kMaximumBackoffDoublings = 30;
 
-constexpr std::size_t kUnresponsiveZoneEndpoints = 3;  // endpoints that failed since the zone's last response
-// Time without a response after which failed connections suggest a restart.
+// A zone is unresponsive if this many of its endpoints failed since the last response from the zone.
+constexpr std::size_t kUnresponsiveZoneEndpoints = 3;
+// If an endpoint has not served an attempt for this time, failed connections indicate a restart.
 constexpr Millis kRestartDetectionPeriodMs = 1000;
 
 // Returns a random duration between 75 and 125% of the backoff.
@@ -102,8 +103,8 @@
   if (unresponsive && sent_at > zone.last_response_at) zone.unresponsive.insert(endpoint.info.id);
 }
 
-// Ejects the endpoint, or increases the probe backoff if it is already ejected. Returns whether it is newly
-// ejected.
+// Ejects the endpoint, schedules its next probe and doubles the probe backoff. Returns whether the endpoint
+// was not ejected before.
 bool OutlierDetection::Eject(OutlierState& state, Millis now, RandomSource& random) const {
   const bool newly_ejected = !std::exchange(state.ejected, true);
   state.next_probe_at = now + WithJitter(state.probe_backoff, random);
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -62,15 +62,15 @@
     kNone,
     kEjected,
     kReadmitted,
-    kRestarted,  // readmitted after a suspected restart, so that it counts as a new process
+    kRestarted,  // readmitted after a suspected restart; the caller must treat it as a new process
   };
   // The conclusions from an outcome.
   struct Assessment {
     Change change = Change::kNone;
-    bool is_latency_sample = true;  // false: the duration of the attempt is no evidence of queueing
+    bool is_latency_sample = true;  // false: the latency does not show whether requests queue
   };
   // Records the outcome of an attempt at the endpoint, and ejects or readmits the endpoint if necessary.
-  // Draws the jitter of the probe backoff from `random`, so that the probes of many gateways are spread.
+  // The probe backoff has random jitter, so that the probes of many gateways are spread.
   Assessment RecordOutcome(Endpoint& endpoint, const Outcome& outcome, Millis now,
                            RandomSource& random) const;
 
@@ -81,26 +81,27 @@
   // Returns whether the endpoint is avoided for requests of the class because of recent errors.
   bool IsAvoidedForClass(const OutlierState& state, std::size_t class_index, Millis now) const;
 
-  // Returns whether several endpoints of the zone are unresponsive. Always false if there is only one zone.
+  // Returns whether at least three endpoints of the zone are unresponsive. Always false if there is only one
+  // zone.
   bool IsZoneUnresponsive(const Zone& zone, std::size_t zone_count) const;
 
   // Returns whether a probe is due for an endpoint that is ejected or in an unresponsive zone.
   bool IsProbeDue(const Endpoint& endpoint, Millis now) const;
 
-  // Adds the share of a request to the probe budget. Client requests serve as probes, and the probes of all
+  // Increases the probe budget for an arrived request. Client requests serve as probes, and the probes of all
   // gateways add up at an endpoint. Therefore each request adds only a fraction of a probe if many gateways
-  // share each endpoint, and one probe otherwise.
+  // share each endpoint. Otherwise each request adds one probe.
   void AddProbeBudget(bool many_gateways_per_endpoint);
   bool HasProbeBudget() const { return probe_budget_ >= 1; }
   void SpendProbeBudget();
 
-  // Returns the time by which a probe must be answered. If it is not, enough time is left to retry the
+  // Returns the deadline of a probe. If the probe is not answered by then, enough time is left to retry the
   // request at another endpoint.
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const;
 
   // Restores state that another process has learned. `remaining_weight` in [0, 1] is the weight of the state
-  // after decay by its age. An endpoint whose ejection is old is probed sooner than one that was ejected
-  // recently, and a very old ejection is dropped.
+  // after decay by its age. The older an ejection is, the sooner the endpoint is probed. If the failure rate
+  // has decayed below the readmission threshold, the ejection is dropped.
   void Restore(OutlierState& state, const LearnedState::EndpointStatistics& learned, double remaining_weight,
                Millis now, RandomSource& random) const;
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -103,7 +103,7 @@
     requests_.Handle(context, event);
   }
 
-  // Performs periodic work and restarts the sweep timer.
+  // Performs the periodic work of all parts and restarts the sweep timer.
   void Sweep(EventContext& context) {
     context.Emit(SetTimer{kSweepIntervalMs, kSweepTimer});
     const bool list_known = upstream_.up_count() > 0;
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -13,17 +13,17 @@
 
 namespace gateway::policy {
 
-// Counts of events since the last status line. They influence no decision.
+// Counts of events since the last status line. The decisions of the policy do not depend on them.
 struct PolicyCounters {
   int arrived = 0;
   int sent_directly = 0;
-  int released = 0;                                 // requests sent from a queue
-  Millis time_in_queue = 0;                         // total over the released requests
-  int rejected_queue_full = 0;                      // requests that found the queue of their class full
-  int rejected_queue_timeout = 0;                   // requests whose queue deadline passed
-  int rejected_too_late = 0;                        // requests that arrived with no time or no weight left
-  int failed_attempts = 0;                          // requests answered after failed attempts without a retry
-  int served_late = 0;                              // attempts served after the latency objective
+  int released = 0;                // requests sent from a queue
+  Millis time_in_queue = 0;        // total over the released requests
+  int rejected_queue_full = 0;     // requests that arrived when the queues of their class were full
+  int rejected_queue_timeout = 0;  // requests whose queue deadline passed
+  int rejected_too_late = 0;       // requests that arrived too late for their deadline or objective
+  int failed_attempts = 0;         // requests whose last attempt failed and was not retried
+  int served_late = 0;             // attempts served after the latency objective
   std::array<int, kAttemptResultCount> outcomes{};  // attempts by AttemptResult
 
   void Count(AttemptResult result) { ++outcomes[static_cast<std::size_t>(result)]; }
@@ -43,16 +43,16 @@
   Millis latency = 0;
 };
 
-// Writes the log lines and owns the counters.
+// Emits the log lines and owns the counters.
 class PolicyLog {
  public:
   PolicyCounters& counters() { return counters_; }
 
-  // Emits a line about an event. Drops the line if the previous one was emitted shortly before.
+  // Emits a line about an event. Drops the line if another such line was emitted in the last 200 ms.
   void WriteEvent(EventContext& context, std::string text);
 
-  // Returns whether a status line is due. One line is due in each status interval. The first call starts the
-  // first interval and returns false.
+  // Returns whether a status line is due. One line is due every 5 s. The first call starts the first interval
+  // and returns false.
   bool IsStatusDue(Millis now);
   // Emits the status line and resets the counters.
   void WriteStatus(EventContext& context, const PolicyStatus& status);
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,4 +1,4 @@
-// The random number generator of a Policy. A seed gives the same sequence on every platform.
+// The random number generator of a Policy. The same seed gives the same sequence on every platform.
 #ifndef GATEWAY_POLICY_RANDOM_SOURCE_HPP_
 #define GATEWAY_POLICY_RANDOM_SOURCE_HPP_
 
@@ -13,7 +13,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Returns a number in [0, 1).
+  // Returns a number in [0, 1), a multiple of 1 / 2^53 = 1 / 9007199254740992.
   double Uniform() { return static_cast<double>(engine_() >> 11) / 9007199254740992.0; }
 
   // Returns an integer in [0, count). `count` must be positive.
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -1,4 +1,4 @@
-// Estimation of event rates.
+// Estimator of event rates.
 #ifndef GATEWAY_POLICY_RATE_ESTIMATOR_HPP_
 #define GATEWAY_POLICY_RATE_ESTIMATOR_HPP_
 
@@ -22,14 +22,14 @@
   // Counts one event. `weight` is the time unit of Rate() divided by the time constant.
   void Add(double weight) { decayed_sum_ += weight; }
 
-  // Returns the number of events per time unit. The time before the estimator's first Advance() does not
-  // count as time without events, so the estimate is not too low soon after the start.
+  // Returns the number of events per time unit. The time before the start of the estimator does not count as
+  // time without events. Therefore the estimate is not too low soon after the start.
   double Rate() const { return decayed_sum_ / std::max(observed_share_, kMinimumObservedShare); }
 
   // Multiplies the estimate by `factor`.
   void Scale(double factor) { decayed_sum_ *= factor; }
 
-  // Restores an earlier estimate that covers `observed_share` of the decay window.
+  // Restores an earlier estimate. `observed_share` is the share of the decay window that the estimate covers.
   void Restore(double decayed_sum, double observed_share) {
     decayed_sum_ = decayed_sum;
     observed_share_ = observed_share;
@@ -43,7 +43,7 @@
   static constexpr double kMinimumObservedShare = 0.05;  // limits the estimate soon after the start
 
   double decayed_sum_ = 0;
-  double observed_share_ = 0;  // share of the decay window, in [0, 1]
+  double observed_share_ = 0;  // share of the decay window since the start, in [0, 1]
 };
 
 }  // namespace gateway::policy
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -49,7 +49,7 @@
   Begin(active, request, found->second, context.now);
   ++log_.counters().arrived;
   const Millis client_waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
-  // If the latency objective has passed in earlier tries of the client, the request counts as beyond quota.
+  // If the latency objective passed during earlier tries of the client, the request counts as beyond quota.
   // Otherwise late requests would use the capacity, new requests would become late too, and an overload would
   // never end.
   const TrafficClassSettings& traffic_class = ClassOf(active);
@@ -115,7 +115,7 @@
 }
 
 void RequestController::ReleaseQueued(EventContext& context) {
-  ClassQueues::ClassMask blocked = 0;  // classes with a next request that no endpoint can accept now
+  ClassQueues::ClassMask blocked = 0;  // classes whose next request no endpoint can accept now
   while (queues_.size() > 0 && rate_.HasToken()) {
     const std::optional<std::size_t> class_index = queues_.NextClass(blocked);
     if (!class_index) return;
@@ -199,9 +199,9 @@
   upstream_.RecordOutcome(context, *attempt.endpoint, {outcome.result, latency, request.class_index});
 }
 
-// Updates the admission rate after the end of an attempt. Ignores outcomes of unhealthy endpoints, since an
-// endpoint that fails alone is ejected instead. Ignores broken connections, since they do not indicate an
-// overload.
+// Updates the admission rate after the end of an attempt. Ignores outcomes of unhealthy endpoints: if a
+// single endpoint fails, it is ejected, and the admission rate is not decreased. Ignores broken connections,
+// since they do not indicate an overload.
 void RequestController::UpdateAdmissionRate(EventContext& context, const ActiveRequest& request,
                                             const Attempt& attempt, AttemptResult result) {
   if (upstream_.IsUnhealthy(*attempt.endpoint) || result == AttemptResult::kReset) return;
@@ -240,7 +240,7 @@
 }
 
 // Returns the retry delay that is recommended to clients: the estimated time until all queued requests are
-// sent.
+// sent, but at most Settings::maximum_retry_after.
 Millis RequestController::RetryAfter() const {
   if (!settings_.send_retry_after) return 0;
   const Millis drain_time = 1000 * static_cast<double>(queues_.size()) / std::max(rate_.SentPerSecond(), 1.0);
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kRetriesPerRequest = 0.1;
 constexpr double kMaximumRetryTokens = 20;
-constexpr Millis kMaximumTransitMs = 100;  // from sending a request to its arrival at the endpoint
+constexpr Millis kMaximumTransitMs = 100;  // maximum time from sending a request to its arrival
 
 }  // namespace
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Retry policy: whether a request may be retried, at which endpoints, and the retry budget.
+// Retry policy: whether a request is retried, which endpoints may receive the retry, and the retry budget.
 #ifndef GATEWAY_POLICY_RETRY_POLICY_HPP_
 #define GATEWAY_POLICY_RETRY_POLICY_HPP_
 
@@ -12,7 +12,7 @@
 // Limits retries to a share of the requests, so that failures do not multiply the load.
 class RetryBudget {
  public:
-  // Adds the share of a token that a request earns.
+  // Adds a fraction of a token for an arrived request, up to a maximum number of tokens.
   void RecordRequest();
   bool HasToken() const { return tokens_ >= 1; }
   void TakeToken() { tokens_ -= 1; }
@@ -46,11 +46,11 @@
   bool budget_left = false;
 };
 
-// Returns whether a request without an attempt in flight is retried. The following must hold: the retry is
-// safe, the gateway still stores the complete request, attempts and retry budget are left, and a response is
-// expected within the latency objective. After a timeout at an endpoint that is not ejected, the request is
-// not retried, since the request itself is probably slow. The caller queues the retry in the class of the
-// request, with the request's QueueDeadline().
+// Returns whether the caller must retry a request that has no attempt in flight. All of these conditions must
+// hold: the retry is safe, the gateway still stores the complete request, attempts and retry budget are left,
+// and a response is expected within the latency objective. After a timeout at an endpoint that is not
+// ejected, the request is not retried, since the request itself is probably slow. The caller adds the retry
+// to the queues of the request's class. The QueueDeadline() of the request does not change.
 bool ShouldRetry(const ActiveRequest& request, const TrafficClassSettings& traffic_class,
                  const RetryConditions& conditions, Millis now);
 
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,4 +1,4 @@
-// Validation of the settings, and values that are derived only from them.
+// Validation of the settings, and values that are derived from the settings alone.
 #ifndef GATEWAY_POLICY_SETTINGS_HPP_
 #define GATEWAY_POLICY_SETTINGS_HPP_
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,7 +8,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor up to which credit is granted
+constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor that the credit rate may reach
 constexpr double kMaximumCreditAttempts = 1;
 constexpr Millis kThroughputTimeConstantMs = 10000;
 // Weights of prior estimates, in ms of endpoint time.
@@ -53,8 +53,9 @@
   if (IsWarm(endpoint.slow_start, now)) endpoint.machine_type->throughput.served += 1;
 }
 
-// Counts only the endpoints of the subset, since this gateway sends no requests to other endpoints. Otherwise
-// the credits that all gateways grant to a warming endpoint would not add up to its service rate.
+// Counts only the endpoints of the subset, since this gateway sends no requests to other endpoints. If other
+// endpoints were counted, the credits that all gateways grant to a warming endpoint would not add up to its
+// service rate.
 void SlowStart::UpdateServiceRates(MachineTypes& machine_types, const std::vector<Endpoint*>& subset,
                                    Millis elapsed, double arrivals_per_ms, Millis now) {
   const double decay = std::exp(-elapsed / kThroughputTimeConstantMs);
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -10,13 +10,14 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kGatewaysPerEndpoint = 12;      // mean number of gateways whose subsets contain an endpoint
-constexpr double kMinimumSubsetEndpoints = 6;    // several endpoints may fail together
-constexpr double kEndpointsPerRequest = 3;       // for each concurrent request of this gateway
-constexpr double kGrowthThresholdFactor = 1.25;  // a subset grows if more than this multiple is required
-constexpr double kMultiplexedShare = 0.5;        // factor on the size if connections are multiplexed
-constexpr double kOtherZoneShare = 0.4;          // share of the endpoints in other zones
-constexpr double kManyGatewaysThreshold = 8;
+constexpr double kGatewaysPerEndpoint = 12;    // mean number of gateways whose subsets contain an endpoint
+constexpr double kMinimumSubsetEndpoints = 6;  // several endpoints may fail at the same time
+constexpr double kEndpointsPerRequest = 3;     // for each concurrent request of this gateway
+// A subset grows if more endpoints are needed than this multiple of its target size.
+constexpr double kGrowthThresholdFactor = 1.25;
+constexpr double kMultiplexedShare = 0.5;     // factor on the subset size if connections are multiplexed
+constexpr double kOtherZoneShare = 0.4;       // share of the other zones' endpoints that a gateway may use
+constexpr double kManyGatewaysThreshold = 8;  // gateways per endpoint
 constexpr double kGoldenRatio = 0.6180339887498949;  // fractional part of the golden ratio
 
 double EndpointsForRequests(double concurrent_requests) { return kEndpointsPerRequest * concurrent_requests; }
--- a/src/policy/subsetting.hpp
+++ b/src/policy/subsetting.hpp
@@ -1,9 +1,10 @@
 // Subsetting: selects the endpoints that this gateway uses. See docs/design/subset.md.
 //
-// If many gateways share the endpoints, each gateway uses only a few of them. If it used all endpoints, it
-// would get too few samples from each of them, and each endpoint would have too many connections. The subsets
-// of the gateways start at evenly spaced positions of a common ring. An ejected endpoint stays in the subset
-// but does not count towards its size, so the next endpoint on the ring is added.
+// If many gateways share the endpoints, each gateway uses only a few endpoints. If a gateway used all
+// endpoints, it would get too few samples from each endpoint, and each endpoint would have too many
+// connections. The subsets of the gateways start at evenly spaced positions of a ring that is the same in all
+// gateways. An ejected endpoint stays in the subset but does not count towards the size of the subset, so the
+// next endpoint on the ring is added.
 #ifndef GATEWAY_POLICY_SUBSETTING_HPP_
 #define GATEWAY_POLICY_SUBSETTING_HPP_
 
@@ -29,7 +30,7 @@
   // Selects a new subset. `concurrent_requests`: mean number of concurrent requests of this gateway.
   void Choose(EndpointTable& table, double concurrent_requests);
 
-  // Returns whether `concurrent_requests` need considerably more endpoints than the subset was selected for.
+  // Returns whether `concurrent_requests` need considerably more endpoints than the current target size.
   bool IsTooSmall(double concurrent_requests) const;
 
   // Returns the subset, ordered by id. The pointers are valid until an endpoint of the subset is erased.
@@ -37,7 +38,7 @@
 
   // Returns the mean number of gateways that share each endpoint, at least 1.
   double gateways_per_endpoint() const { return gateways_per_endpoint_; }
-  // Returns whether so many gateways share each endpoint that a gateway sees little of an endpoint's traffic.
+  // Returns whether so many gateways share each endpoint that a gateway gets few samples from an endpoint.
   bool many_gateways_per_endpoint() const;
 
  private:
@@ -47,10 +48,10 @@
   const int gateway_count_;
   const bool multiplexes_connections_;
   const double ring_position_;
-  const std::uint64_t salt_;  // differs between gateways; selects the endpoints of other zones that are used
+  const std::uint64_t salt_;  // differs between gateways; decides which endpoints of other zones are used
   std::vector<Endpoint*> endpoints_;
   double gateways_per_endpoint_ = 1;
-  double target_size_ = 0;  // endpoints
+  double target_size_ = 0;  // number of endpoints that are not ejected
 };
 
 }  // namespace gateway::policy
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -5,8 +5,9 @@
 namespace gateway::policy {
 namespace {
 
-// A bucket holds the tokens that are added in `kBurstPeriodMs`, but at least `kMinimumBurstTokens`, since the
-// share of a quota that one gateway grants may be less than 1 token per second.
+// The capacity of a bucket is the number of tokens added in `kBurstPeriodMs`, but at least
+// `kMinimumBurstTokens`. The minimum is needed since a gateway's share of a quota may be less than 1 token
+// per second.
 constexpr double kMinimumBurstTokens = 3;
 constexpr Millis kBurstPeriodMs = 1000;
 
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kMinimumLatencySampleWeight = 0.01;  // weight of a sample in a smoothed latency
-// A request is a client's retry if its time left is less than this share of the longest time left of its
-// class.
+// A request counts as a client's retry if its time left is less than this share of the longest time left that
+// was observed in its class.
 constexpr double kFirstTryTimeLeftShare = 0.95;
 constexpr Millis kArrivalTimeConstantMs = 10000;
 
--- a/src/policy/traffic_statistics.hpp
+++ b/src/policy/traffic_statistics.hpp
@@ -12,7 +12,7 @@
 
 namespace gateway::policy {
 
-// Estimates latencies and the arrival rate.
+// Estimates the latencies of served attempts and the arrival rate of requests.
 class TrafficStatistics {
  public:
   explicit TrafficStatistics(const std::vector<TrafficClassSettings>& classes);
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -10,7 +10,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer pause of the process counts as this time
+constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer interval, as after a pause, counts as this time
 
 }  // namespace
 
@@ -40,7 +40,7 @@
   table_.RemoveUnreferenced();
 }
 
-// Resets the learned state of an endpoint that has a new process.
+// Resets the learned state of an endpoint whose process has restarted.
 void UpstreamController::ResetEndpoint(Endpoint& endpoint, Millis started_at, Millis now) {
   slow_start_.Begin(endpoint.slow_start, started_at, random_.Uniform(), now);
   limits_.Reset(endpoint.concurrency, subset_.gateways_per_endpoint());
@@ -58,8 +58,9 @@
   return has_slot && slow_start_.HasCredit(endpoint, now);
 }
 
-// Sorts the endpoints that may serve the request into candidates, avoided endpoints and due probes. Only
-// first attempts of idempotent requests are used as probes. The endpoint of the last attempt is excluded.
+// Divides the endpoints that may serve the request into candidates, avoided endpoints and endpoints that are
+// due for a probe. Only first attempts of idempotent requests are used as probes. Excludes the endpoint of
+// the last attempt.
 void UpstreamController::CollectCandidates(const ActiveRequest& request, bool admit_beyond_quota,
                                            Millis now) {
   candidates_.clear();
@@ -80,7 +81,7 @@
     const bool avoided = outliers_.IsAvoidedForClass(endpoint->outlier, request.class_index, now);
     (avoided ? avoided_ : candidates_).push_back(endpoint);
   }
-  // If the class avoids all endpoints, they are used nevertheless, since one of them may have recovered.
+  // If all endpoints are avoided for the class, uses them nevertheless, since one of them may have recovered.
   if (candidates_.empty()) candidates_.swap(avoided_);
 }
 
--- a/src/policy/upstream_controller.hpp
+++ b/src/policy/upstream_controller.hpp
@@ -25,7 +25,7 @@
 
 namespace gateway::policy {
 
-// Coordinates the mechanisms that depend on endpoints.
+// Coordinates the mechanisms that keep state per endpoint.
 class UpstreamController {
  public:
   // Stores references to all arguments except `ring_position`. They must outlive the controller.
@@ -36,14 +36,14 @@
   void ApplyList(const EndpointListEvent& event, Millis now);
 
   // Selects the endpoint of the request's next attempt. Returns null if no endpoint can accept the attempt
-  // now. `admit_beyond_quota` is whether requests beyond their tenant's quota may be sent. It applies only if
-  // many gateways share each endpoint; otherwise ConcurrencyLimit::HasSlot() decides.
+  // now. `admit_beyond_quota`: whether requests beyond their tenant's quota may be sent. Applies only if many
+  // gateways share each endpoint; otherwise ConcurrencyLimit::HasSlot() decides.
   Endpoint* Select(const ActiveRequest& request, bool admit_beyond_quota, Millis now);
 
   // Records an attempt that is sent to the endpoint.
   void RecordSend(Endpoint& endpoint, Millis now);
-  // Records that the response of an attempt has started or that the attempt has ended. After a start, the
-  // body of the response may still be streaming.
+  // Records that the response of an attempt has started, or that the attempt has ended and no start was
+  // reported. After the start, the body of the response may still be streaming.
   void RecordResponse(Endpoint& endpoint) { --endpoint.in_flight; }
   // Releases the reference of an attempt. Must be called once its request is finished.
   void ReleaseReference(Endpoint& endpoint) { --endpoint.references; }
@@ -61,11 +61,11 @@
   // Returns whether the endpoint is ejected or in an unresponsive zone. Such an endpoint receives only
   // probes.
   bool IsUnhealthy(const Endpoint& endpoint) const;
-  // Returns the time by which a probe of an unhealthy endpoint must be answered.
+  // Returns the deadline of a probe of an unhealthy endpoint.
   Millis ProbeDeadline(Millis now, Millis objective_ends_at) const {
     return outliers_.ProbeDeadline(now, objective_ends_at);
   }
-  // Adds the share of an arrived request to the probe budget.
+  // Increases the probe budget for an arrived request.
   void RecordRequest() { outliers_.AddProbeBudget(many_gateways_per_endpoint()); }
 
   // Performs periodic work: updates the service rates and enlarges the subset if necessary.
@@ -80,7 +80,8 @@
   void Export(LearnedState& state) const;
   // For `remaining_weight` and `load_share`, see AdmissionRate::Import.
   void Import(const LearnedState& state, double remaining_weight, double load_share, Millis now);
-  // Multiplies limits and service rates when this gateway's share of the load changes.
+  // Multiplies concurrency limits and service rates by `factor` when this gateway's share of the load
+  // changes.
   void Scale(double factor);
 
  private:
--- a/src/policy/upstream_learned_state.cpp
+++ b/src/policy/upstream_learned_state.cpp
@@ -35,8 +35,8 @@
   return latency;
 }
 
-// Updates the latency of a machine type, which is the mean over its endpoints, with the latency of its
-// `count`-th endpoint.
+// Adds the latency of an endpoint to the latency of its machine type, which is the mean over `count`
+// endpoints, including this endpoint.
 void AddToMean(LatencyEstimate& type, const LatencyEstimate& own, int count) {
   const double weight = 1.0 / count;
   type.current += weight * (own.current - type.current);
@@ -80,7 +80,7 @@
 // Restores the learned state of one endpoint. Returns whether a latency was restored.
 bool UpstreamController::ImportEndpoint(Endpoint& endpoint, const LearnedState::Endpoint& learned,
                                         Millis exported_at, Millis now) {
-  endpoint.slow_start.credit = 0;  // the previous process has already granted the initial credit
+  endpoint.slow_start.credit = 0;  // the previous gateway process has already granted the initial credit
   if (learned.samples <= 0 || exported_at > now) return false;
   const Millis started_at = endpoint.info.started_at;
   const bool restarted_since_export = started_at > 0 && started_at > learned.started_at;
--- a/tests/policy/policy_invariants_test.cpp
+++ b/tests/policy/policy_invariants_test.cpp
@@ -91,8 +91,9 @@
             << "request is not idempotent and was retried, but may have been executed: " << send.request;
       }
     }
-    if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey)
+    if (request.traffic_class->idempotency == Idempotency::kIdempotencyKey) {
       CheckRetryWithIdempotencyKey(now, request, send);
+    }
     const Millis times_out_at = std::min(now + send.timeout, request.deadline_at);
     request.attempts.push_back({send.endpoint, now, times_out_at, true, false});
   }
