--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -49,12 +49,12 @@
   if (first) rate_ = kInitialRatePerEndpoint * fleet.endpoints_up;
   const double capacity = BucketCapacity();
   tokens_ = first ? capacity : std::min(tokens_ + rate_ * elapsed / 1000, capacity);
-  sent_.Advance(elapsed, SentRateTimeConstant(fleet));
+  sent_rate_.Advance(elapsed, SentRateTimeConstant(fleet));
 }
 
 void AdmissionRate::TakeToken(const Fleet& fleet) {
   tokens_ -= 1;
-  sent_.Add(1000 / SentRateTimeConstant(fleet));
+  sent_rate_.Add(1000 / SentRateTimeConstant(fleet));
 }
 
 bool AdmissionRate::RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet) {
@@ -90,14 +90,14 @@
   // ended since.
   if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * load_share / remaining_weight);
   tokens_ = std::min(tokens_, BucketCapacity());
-  sent_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
+  sent_rate_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
   failure_rate_ = state.failure_rate * remaining_weight;
 }
 
 void AdmissionRate::Scale(double factor, const Fleet& fleet) {
   rate_ = std::clamp(rate_ * factor, MinimumRate(fleet), MaximumRate(fleet));
   tokens_ = std::min(tokens_, BucketCapacity());
-  sent_.Scale(factor);
+  sent_rate_.Scale(factor);
 }
 
 }  // namespace gateway::policy
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -47,9 +47,9 @@
   double tokens() const { return tokens_; }
   // Returns the smoothed share of outcomes that were not within the objective.
   double failure_rate() const { return failure_rate_; }
-  double SentPerSecond() const { return sent_.Rate(); }
+  double SentPerSecond() const { return sent_rate_.Rate(); }
   // Returns the decayed sum of the sent attempts. Soon after the start, the sum is less than SentPerSecond().
-  double sent_decayed_sum() const { return sent_.decayed_sum(); }
+  double sent_decayed_sum() const { return sent_rate_.decayed_sum(); }
 
   void Export(LearnedState& state) const;
   // Restores the learned state. `remaining_weight` in [0, 1] is the weight of the state after decay by its
@@ -67,7 +67,7 @@
   double tokens_ = 1;
   double rate_ = 0;
   double failure_rate_ = 0;
-  RateEstimator sent_;  // estimates the attempts sent per second
+  RateEstimator sent_rate_;  // estimates the attempts sent per second
   Millis decreased_at_ = kNever;
   Millis next_decrease_at_ = kNever;
 };
--- a/src/policy/class_queues.hpp
+++ b/src/policy/class_queues.hpp
@@ -73,12 +73,12 @@
 
  private:
   using Queue = std::deque<ActiveRequest*>;
-  enum QueueKind { kRetries, kWithinQuota, kBeyondQuota, kQueueKinds };
+  enum QueueKind { kRetries, kWithinQuota, kBeyondQuota, kQueueKindCount };
   struct Class {
     Millis latency_objective = 0;
     double weight = 0;
     double credit = 0;
-    std::array<Queue, kQueueKinds> queues;  // ordered by priority; the first non-empty queue is served
+    std::array<Queue, kQueueKindCount> queues;  // ordered by priority; the first non-empty queue is served
 
     std::size_t size() const;
   };
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -14,11 +14,11 @@
 // difference.
 constexpr double kBaseLatencyDriftShare = 0.001;
 // Until a machine type has this number of samples, its base latency is its long-term latency.
-constexpr int kMinimumBaseSamples = 20;
+constexpr int kMinimumBaseLatencySamples = 20;
 // Multiple of the base latency up to which an endpoint counts as not queueing. The tolerance is higher if
 // endpoints cache keys, since the latency then also depends on the key.
 constexpr double kLatencyTolerance = 1.1;
-constexpr double kCachedLatencyTolerance = 2;
+constexpr double kKeyCachingLatencyTolerance = 2;
 constexpr double kMinimumGradient = 0.2;        // minimum of the factor that lowers a limit
 constexpr double kLimitGrowthFactor = 0.7;      // increase of a limit, in multiples of its square root
 constexpr double kInitialLimit = 8;             // attempts, sum over all gateways
@@ -45,7 +45,7 @@
 
 void UpdateTypeBaseLatency(LatencyEstimate& type, double sample) {
   type.long_term += std::max(kMinimumLongTermSampleWeight, 1.0 / type.samples) * (sample - type.long_term);
-  if (type.samples < kMinimumBaseSamples || type.long_term < type.base) type.base = type.long_term;
+  if (type.samples < kMinimumBaseLatencySamples || type.long_term < type.base) type.base = type.long_term;
   type.base += kBaseLatencyDriftShare / 4 * (type.long_term - type.base);
 }
 
@@ -73,7 +73,7 @@
       reports_utilization_(utilization_index_ < settings.load_report_fields.size()) {}
 
 double ConcurrencyLimit::LatencyTolerance() const {
-  return endpoints_cache_keys_ ? kCachedLatencyTolerance : kLatencyTolerance;
+  return endpoints_cache_keys_ ? kKeyCachingLatencyTolerance : kLatencyTolerance;
 }
 
 // Endpoints that cache keys start with a higher limit, since their latency tolerance is higher.
--- a/src/policy/list_polling.cpp
+++ b/src/policy/list_polling.cpp
@@ -29,12 +29,12 @@
 }
 
 void ListPolling::RecordFailure(Millis call_duration, Millis now, RandomSource& random) {
-  const bool repeated = backoff_ > 0;
-  const double jitter = repeated ? 0.75 + random.Uniform() / 4 : random.Uniform();
+  const bool previous_call_failed = backoff_ > 0;
+  const double jitter = previous_call_failed ? 0.75 + random.Uniform() / 4 : random.Uniform();
   const Millis maximum_backoff = std::max(maximum_interval_ * kMaximumBackoffShare, 2 * CallSpread());
   backoff_ = std::min(std::max({kMinimumBackoffMs, CallSpread(), backoff_ * 2}), maximum_backoff);
-  const Millis limit = polling_enabled_ ? backoff_ : kMinimumBackoffMs;
-  next_call_at_ = now + std::clamp(kMaximumCallIntervalMs - call_duration, 0.0, limit) * jitter;
+  const Millis maximum_delay = polling_enabled_ ? backoff_ : kMinimumBackoffMs;
+  next_call_at_ = now + std::clamp(kMaximumCallIntervalMs - call_duration, 0.0, maximum_delay) * jitter;
 }
 
 bool ListPolling::StartCallIfDue(bool list_known, Millis now) {
--- a/src/policy/request_controller.cpp
+++ b/src/policy/request_controller.cpp
@@ -46,7 +46,7 @@
   if (requests_.Contains(request.id)) return;
   if (found == class_indices_.end()) return context.Emit(Reject{request.id, 0});
   ActiveRequest& active = *requests_.Add(request.id);
-  Begin(active, request, found->second, context.now);
+  Initialize(active, request, found->second, context.now);
   ++log_.counters().arrived;
   const Millis client_waited = traffic_.RecordArrival(active.class_index, ValidTimeLeft(request.time_left));
   // If the latency objective passed during earlier tries of the client, the request counts as beyond quota.
@@ -57,9 +57,9 @@
   active.within_quota = !late && quotas_.TakeToken(request.tenant, context.now);
   retry_budget_.RecordRequest();
   upstream_.RecordRequest();
-  const bool worthless = late && traffic_class.late_weight <= 0;
+  const bool has_no_weight = late && traffic_class.late_weight <= 0;
   const bool too_late = context.now >= active.deadline_at - kQueueAnswerMarginMs;
-  if (worthless || too_late) {
+  if (has_no_weight || too_late) {
     ++log_.counters().rejected_too_late;
     return Answer(context, active);
   }
@@ -72,8 +72,8 @@
   Enqueue(context, active);
 }
 
-void RequestController::Begin(ActiveRequest& active, const Request& request, std::size_t class_index,
-                              Millis now) {
+void RequestController::Initialize(ActiveRequest& active, const Request& request, std::size_t class_index,
+                                   Millis now) {
   active.class_index = class_index;
   active.key_hash = KeyHash(request.key);
   active.arrived_at = now;
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -61,7 +61,7 @@
     return settings_.classes[request.class_index];
   }
 
-  void Begin(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
+  void Initialize(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
   void Enqueue(EventContext& context, ActiveRequest& request);
   void Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint);
   void RecordAttemptEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -22,7 +22,8 @@
       duration_(settings.warm_up_duration),
       overload_factor_(settings.overload_factor) {}
 
-void SlowStart::Begin(SlowStartState& state, Millis started_at, double initial_credit, Millis now) const {
+void SlowStart::BeginWarmUp(SlowStartState& state, Millis started_at, double initial_credit,
+                            Millis now) const {
   state.started_at = std::max(state.started_at, started_at);
   state.credit = initial_credit;
   state.credited_at = now;
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -42,7 +42,7 @@
 
   // Starts the warm-up of an endpoint. `initial_credit` in [0, 1) must be random. Otherwise all gateways
   // would send their first attempts at the same time and overload the endpoint.
-  void Begin(SlowStartState& state, Millis started_at, double initial_credit, Millis now) const;
+  void BeginWarmUp(SlowStartState& state, Millis started_at, double initial_credit, Millis now) const;
 
   // Returns the current capacity of the endpoint as a share of its full capacity; 1 once the endpoint is
   // warm.
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -54,10 +54,12 @@
 void TrafficStatistics::Import(const LearnedState& state) {
   mean_latency_ = state.mean_latency;
   samples_ = state.samples;
-  for (const LearnedState::TrafficClass& known : state.classes) {
-    const auto same_name = [&known](const Class& traffic_class) { return traffic_class.name == known.name; };
+  for (const LearnedState::TrafficClass& learned : state.classes) {
+    const auto same_name = [&learned](const Class& traffic_class) {
+      return traffic_class.name == learned.name;
+    };
     const auto found = std::find_if(classes_.rbegin(), classes_.rend(), same_name);
-    if (found != classes_.rend()) static_cast<LearnedState::TrafficClass&>(*found) = known;
+    if (found != classes_.rend()) static_cast<LearnedState::TrafficClass&>(*found) = learned;
   }
 }
 
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -42,7 +42,7 @@
 
 // Resets the learned state of an endpoint whose process has restarted.
 void UpstreamController::ResetEndpoint(Endpoint& endpoint, Millis started_at, Millis now) {
-  slow_start_.Begin(endpoint.slow_start, started_at, random_.Uniform(), now);
+  slow_start_.BeginWarmUp(endpoint.slow_start, started_at, random_.Uniform(), now);
   limits_.Reset(endpoint.concurrency, subset_.gateways_per_endpoint());
   outliers_.Reset(endpoint.outlier);
 }
--- a/src/policy/upstream_learned_state.cpp
+++ b/src/policy/upstream_learned_state.cpp
@@ -37,12 +37,12 @@
 
 // Adds the latency of an endpoint to the latency of its machine type, which is the mean over `count`
 // endpoints, including this endpoint.
-void AddToMean(LatencyEstimate& type, const LatencyEstimate& own, int count) {
+void AddToMean(LatencyEstimate& type, const LatencyEstimate& endpoint, int count) {
   const double weight = 1.0 / count;
-  type.current += weight * (own.current - type.current);
-  type.long_term += weight * (own.long_term - type.long_term);
-  type.base += weight * (own.base - type.base);
-  type.samples += own.samples;
+  type.current += weight * (endpoint.current - type.current);
+  type.long_term += weight * (endpoint.long_term - type.long_term);
+  type.base += weight * (endpoint.base - type.base);
+  type.samples += endpoint.samples;
 }
 
 }  // namespace
