--- a/tests/policy/admission_rate_test.cpp
+++ b/tests/policy/admission_rate_test.cpp
@@ -89,9 +89,9 @@
   EXPECT_GT(count_decreases(2), 1);
 }
 
-// A decrease multiplies the rate at which attempts were sent by 0.85. In the first second of a process,
-// attempts have been sent only for a short time. If the time before the start counted as time without
-// attempts, the sent rate would be underestimated and the decrease would be too large.
+// A decrease sets the admission rate to 0.85 times the rate of sent attempts. In the first second of a
+// process, attempts have been sent only for a short time. If the time before the start counted as time
+// without attempts, the rate of sent attempts would be underestimated and the decrease would be too large.
 TEST(AdmissionRateTest, DecreasesToNearTheSentRateInTheFirstSecond) {
   FakeGateway gateway;
   gateway.AddEndpoints(9);
--- a/tests/policy/request_controller_test.cpp
+++ b/tests/policy/request_controller_test.cpp
@@ -22,7 +22,7 @@
             1);
 }
 
-TEST(RequestControllerTest, RejectsUnknownClassAndIgnoresUnknownIds) {
+TEST(RequestControllerTest, RejectsRequestOfUnknownClassAndIgnoresUnknownRequestIds) {
   FakeGateway gateway;
   gateway.AddEndpoints(2);
   EXPECT_EQ(FakeGateway::CountActions<Reject>(gateway.SendRequest("a", "no such class")), 1);
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -41,8 +41,9 @@
 
 // The result of a simulation.
 struct Measurement {
-  // The maximum over all time windows of: the number of attempts in the window divided by N + 2 sqrt(N) + 2,
-  // where N is the budget of the window. The terms after N allow for random variation. Must not exceed 1.
+  // The largest ratio of all time windows, which must not exceed 1. The ratio of a window is the number of
+  // attempts in the window divided by N + 2 sqrt(N) + 2, where N is the budget of the window. The terms after
+  // N allow for random variation.
   double worst_ratio = 0;
   int sent_to_restarted = 0;
 };
@@ -216,7 +217,7 @@
             const Measurement measured =
                 Simulate({gateways, TrafficShares(gateways, even), load, notification_delay}, seed);
             EXPECT_LE(measured.worst_ratio, 1)
-                << gateways << " gateways, even " << even << ", load " << load << ", notified within "
+                << gateways << " gateways, even shares " << even << ", load " << load << ", notified within "
                 << notification_delay << " ms, seed " << seed;
             EXPECT_GT(measured.sent_to_restarted, 0);
           }
@@ -251,7 +252,7 @@
         const Scenario scenario = {gateways, TrafficShares(gateways, even), 0.7, 0,
                                    /*gateways_start_before_restart=*/false};
         EXPECT_LE(Simulate(scenario, seed).worst_ratio, 1)
-            << gateways << " gateways, even " << even << ", seed " << seed;
+            << gateways << " gateways, even shares " << even << ", seed " << seed;
       }
     }
   }
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -67,7 +67,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("beyond_quota", "view", 2000, "other")), 0);
 }
 
-TEST(TenantQuotasTest, GrantsShareOfQuotaToEachGateway) {
+TEST(TenantQuotasTest, GrantsAnEqualShareOfTheQuotaToEachGateway) {
   Settings settings = MakeSettings();
   settings.gateway_count = 2;
   settings.tenants = {{"limited", 10}, {"unlimited", 0}};
