--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -2,8 +2,8 @@
 //
 // An endpoint is ejected when its smoothed failure rate exceeds a threshold. An ejected endpoint is
 // half-open: it receives one request at a time as a probe, with a backoff that doubles after each failed
-// probe. An endpoint that fails only requests of one class is avoided for that class. If several endpoints of
-// a zone are unresponsive, all endpoints of the zone are treated as ejected.
+// probe. An endpoint that fails only requests of one class is avoided for that class. If at least
+// three endpoints of a zone are unresponsive, all endpoints of the zone are treated as ejected.
 #ifndef GATEWAY_POLICY_OUTLIER_DETECTION_HPP_
 #define GATEWAY_POLICY_OUTLIER_DETECTION_HPP_
 
@@ -64,7 +64,7 @@
     kReadmitted,
     kRestarted,  // readmitted after a suspected restart; the caller must treat it as a new process
   };
-  // The conclusions from an outcome.
+  // The effects of an outcome on the endpoint and on the latency estimates.
   struct Assessment {
     Change change = Change::kNone;
     bool is_latency_sample = true;  // false: the latency does not show whether requests queue
--- a/src/policy/policy_log.hpp
+++ b/src/policy/policy_log.hpp
@@ -39,8 +39,8 @@
   int endpoints_up = 0;
   int endpoints_ejected = 0;
   int attempts_in_flight = 0;
-  double slots = 0;  // total of the endpoints that are up and not ejected
-  Millis latency = 0;
+  double slots = 0;    // total over the endpoints that are up and not ejected
+  Millis latency = 0;  // mean over all classes, smoothed
 };
 
 // Emits the log lines and owns the counters.
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -40,7 +40,7 @@
   double decayed_sum() const { return decayed_sum_; }
 
  private:
-  static constexpr double kMinimumObservedShare = 0.05;  // limits the estimate soon after the start
+  static constexpr double kMinimumObservedShare = 0.05;  // bounds the estimate soon after the start
 
   double decayed_sum_ = 0;
   double observed_share_ = 0;  // share of the decay window since the start, in [0, 1]
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -73,8 +73,8 @@
   void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
   void Answer(EventContext& context, ActiveRequest& request);
   Millis RetryAfter() const;
-  // Erases the request if it is answered, not queued, and has no attempt in flight. The reference may be
-  // invalid afterwards.
+  // Erases the request if it is answered, is not queued and has no attempt in flight. `request` may be
+  // destroyed afterwards.
   void EraseIfEnded(ActiveRequest& request);
 
   const Settings& settings_;
