--- a/src/policy/admission_rate.cpp
+++ b/src/policy/admission_rate.cpp
@@ -5,15 +5,16 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kInitialRatePerEndpoint = 1000;  // tokens per second; more than any endpoint serves
-constexpr double kAdditiveIncrease = 0.3;         // tokens per second for each response within its objective
-constexpr double kMaximumRelativeIncrease = 0.05;
+constexpr double kInitialRatePerEndpoint = 1000;   // tokens per second; more than any endpoint serves
+constexpr double kAdditiveIncrease = 0.3;          // tokens per second for each response within its objective
+constexpr double kMaximumRelativeIncrease = 0.05;  // maximum of an increase, as a share of the rate
 constexpr double kDecreaseFactor = 0.85;
 constexpr Millis kMinimumDecreaseIntervalMs = 100;
 constexpr Millis kBucketPeriodMs = 50;            // the bucket holds the tokens that are added in this period
 constexpr double kMinimumBucketTokens = 2;        // tokens
 constexpr Millis kSentRateTimeConstantMs = 1000;  // for the rate of sent attempts
-constexpr double kSharedTimeConstantFactor = 4;   // if many gateways share an endpoint: fewer samples
+// Factor on the time constant if many gateways share an endpoint, since each gateway then has fewer samples.
+constexpr double kSharedTimeConstantFactor = 4;
 
 // Failure rate above which the admission rate is decreased. The threshold is higher if many gateways share an
 // endpoint, since the decreases of all gateways add up.
@@ -48,12 +49,12 @@
   if (first) rate_ = kInitialRatePerEndpoint * fleet.endpoints_up;
   const double capacity = BucketCapacity();
   tokens_ = first ? capacity : std::min(tokens_ + rate_ * elapsed / 1000, capacity);
-  sent_.Advance(elapsed, SentRateTimeConstant(fleet));
+  sent_rate_.Advance(elapsed, SentRateTimeConstant(fleet));
 }
 
 void AdmissionRate::TakeToken(const Fleet& fleet) {
   tokens_ -= 1;
-  sent_.Add(1000 / SentRateTimeConstant(fleet));
+  sent_rate_.Add(1000 / SentRateTimeConstant(fleet));
 }
 
 bool AdmissionRate::RecordOutcome(bool within_objective, Millis sent_at, Millis now, const Fleet& fleet) {
@@ -89,14 +90,14 @@
   // ended since.
   if (state.rate > 0) rate_ = std::min(MaximumRate(fleet), state.rate * load_share / remaining_weight);
   tokens_ = std::min(tokens_, BucketCapacity());
-  sent_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
+  sent_rate_.Restore(state.sent_rate * load_share * remaining_weight, remaining_weight);
   failure_rate_ = state.failure_rate * remaining_weight;
 }
 
 void AdmissionRate::Scale(double factor, const Fleet& fleet) {
   rate_ = std::clamp(rate_ * factor, MinimumRate(fleet), MaximumRate(fleet));
   tokens_ = std::min(tokens_, BucketCapacity());
-  sent_.Scale(factor);
+  sent_rate_.Scale(factor);
 }
 
 }  // namespace gateway::policy
--- a/src/policy/request_controller.hpp
+++ b/src/policy/request_controller.hpp
@@ -61,7 +61,7 @@
     return settings_.classes[request.class_index];
   }
 
-  void Begin(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
+  void Initialize(ActiveRequest& active, const Request& request, std::size_t class_index, Millis now);
   void Enqueue(EventContext& context, ActiveRequest& request);
   void Send(EventContext& context, ActiveRequest& request, Endpoint& endpoint);
   void RecordAttemptEnd(EventContext& context, const ActiveRequest& request, const Attempt& attempt,
@@ -73,8 +73,8 @@
   void RetryOrAnswer(EventContext& context, ActiveRequest& request, AttemptResult last_result);
   void Answer(EventContext& context, ActiveRequest& request);
   Millis RetryAfter() const;
-  // Erases the request if it is answered, not queued, and has no attempt in flight. The reference may be
-  // invalid afterwards.
+  // Erases the request if it is answered, is not queued and has no attempt in flight. `request` may be
+  // destroyed afterwards.
   void EraseIfEnded(ActiveRequest& request);
 
   const Settings& settings_;
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kMinimumLatencySampleWeight = 0.01;  // weight of a sample in a smoothed latency
-// A request is a client's retry if its time left is less than this share of the longest time left of its
-// class.
+// A request counts as a client's retry if its time left is less than this share of the longest time left that
+// was observed in its class.
 constexpr double kFirstTryTimeLeftShare = 0.95;
 constexpr Millis kArrivalTimeConstantMs = 10000;
 
@@ -54,10 +54,12 @@
 void TrafficStatistics::Import(const LearnedState& state) {
   mean_latency_ = state.mean_latency;
   samples_ = state.samples;
-  for (const LearnedState::TrafficClass& known : state.classes) {
-    const auto same_name = [&known](const Class& traffic_class) { return traffic_class.name == known.name; };
+  for (const LearnedState::TrafficClass& learned : state.classes) {
+    const auto same_name = [&learned](const Class& traffic_class) {
+      return traffic_class.name == learned.name;
+    };
     const auto found = std::find_if(classes_.rbegin(), classes_.rend(), same_name);
-    if (found != classes_.rend()) static_cast<LearnedState::TrafficClass&>(*found) = known;
+    if (found != classes_.rend()) static_cast<LearnedState::TrafficClass&>(*found) = learned;
   }
 }
 
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Simulates many gateways that share endpoints, some of which restart. Slow start must bound the total number
-// of attempts that all gateways send to a warming endpoint, regardless of the number of gateways and the
-// distribution of clients.
+// Simulates many gateways that share endpoints. Some of the endpoints restart. Slow start must bound the
+// total number of attempts that all gateways send to a warming endpoint, regardless of the number of gateways
+// and of the distribution of the traffic among them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,17 +32,18 @@
 // The parameters of a simulation.
 struct Scenario {
   int gateways = 1;
-  std::vector<double> share;              // share of the traffic by gateway
-  double load = 0.7;                      // as a multiple of the capacity of all endpoints
-  Millis maximum_notification_delay = 0;  // maximum time from the restart to the list update of a gateway
-  bool gateways_run_before = true;        // false: all gateways start when the endpoints restart
-  bool traffic_shifts = false;            // traffic moves to other gateways at the restart
+  std::vector<double> share;                  // share of the traffic by gateway
+  double load = 0.7;                          // as a multiple of the capacity of all endpoints
+  Millis maximum_notification_delay = 0;      // maximum time from the restart to the list update of a gateway
+  bool gateways_start_before_restart = true;  // false: all gateways start when the endpoints restart
+  bool traffic_shifts = false;                // traffic moves to other gateways at the restart
 };
 
 // The result of a simulation.
 struct Measurement {
-  // The number of attempts in a time window divided by N + 2 sqrt(N) + 2, where N is the budget of the
-  // window; maximum over all windows. The terms after N allow for random variation. Must not exceed 1.
+  // The largest ratio of all time windows, which must not exceed 1. The ratio of a window is the number of
+  // attempts in the window divided by N + 2 sqrt(N) + 2, where N is the budget of the window. The terms after
+  // N allow for random variation.
   double worst_ratio = 0;
   int sent_to_restarted = 0;
 };
@@ -81,7 +82,7 @@
   }
 
   Measurement Run() {
-    for (now_ = scenario_.gateways_run_before ? kFirstListAtMs : kRestartAtMs; now_ < kEndAtMs;
+    for (now_ = scenario_.gateways_start_before_restart ? kFirstListAtMs : kRestartAtMs; now_ < kEndAtMs;
          now_ += kStepMs) {
       for (Member& member : members_) UpdateList(member);
       FinishAttempts();
@@ -184,7 +185,7 @@
   const Scenario scenario_;
   Settings settings_;
   std::mt19937_64 random_;
-  std::deque<Member> members_;  // a deque keeps the addresses valid
+  std::deque<Member> members_;  // a deque, since AttemptInFlight points to its elements
   Millis now_ = 0;
   int request_count_ = 0;
   std::deque<AttemptInFlight> in_flight_;  // ordered by finishes_at, since all attempts have the same latency
@@ -216,8 +217,8 @@
             const Measurement measured =
                 Simulate({gateways, TrafficShares(gateways, even), load, notification_delay}, seed);
             EXPECT_LE(measured.worst_ratio, 1)
-                << gateways << " gateways, even " << even << ", load " << load << ", notified within "
-                << notification_delay << ", seed " << seed;
+                << gateways << " gateways, even shares " << even << ", load " << load << ", notified within "
+                << notification_delay << " ms, seed " << seed;
             EXPECT_GT(measured.sent_to_restarted, 0);
           }
         }
@@ -226,8 +227,8 @@
   }
 }
 
-// When clients move to other gateways, these gateways have learned the service rates from different traffic.
-// The total number of attempts must stay bounded nevertheless.
+// When clients move to other gateways, these gateways have learned the service rates from less or more
+// traffic than they now receive. The total number of attempts must stay bounded nevertheless.
 TEST(SlowStartFleetTest, BoundsTotalAttemptsWhileTrafficShifts) {
   for (const int gateways : {5, 20, 30}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -249,9 +250,9 @@
     for (const bool even : {true, false}) {
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         const Scenario scenario = {gateways, TrafficShares(gateways, even), 0.7, 0,
-                                   /*gateways_run_before=*/false};
+                                   /*gateways_start_before_restart=*/false};
         EXPECT_LE(Simulate(scenario, seed).worst_ratio, 1)
-            << gateways << " gateways, even " << even << ", seed " << seed;
+            << gateways << " gateways, even shares " << even << ", seed " << seed;
       }
     }
   }
