--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -1,5 +1,5 @@
-// The time that a request spends in the kernel's queues before the gateway reads it counts against its
-// deadline.
+// Tests of the measurement of kernel queue time: the time for which a request waits in the kernel before the
+// gateway reads it. The gateway subtracts this time from the deadline of the request.
 #include "proxy/client/accept_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -16,12 +16,14 @@
 
 using proxy::Now;
 
-constexpr Millis kDeadlineMs = 5000;  // the deadline of the requests in this file (default of ApiCall)
-// The time for which requests wait before the gateway reads them. It is far longer than the margins that the
-// gateway subtracts from deadlines.
+constexpr Millis kDeadlineMs = 5000;  // the deadline of the requests in this file (the default of ApiCall)
+// The time for which requests wait in the kernel in these tests. It is far longer than the margins that the
+// gateway also subtracts from deadlines.
 constexpr Millis kQueueTimeMs = 400;
 
-// Makes the hosts fail the first attempt, and records the deadlines in further attempts, in order of arrival.
+// Makes the hosts fail the first attempt and serve later attempts. Records the deadlines of the later
+// attempts in order of arrival. Requests with an ID that starts with "warm" are always served and not
+// recorded.
 class FailingHosts {
  public:
   explicit FailingHosts(GatewayHarness& harness) {
@@ -50,8 +52,8 @@
   return Now() - start;
 }
 
-// A request may wait in the accept queue with its connection. The gateway must subtract that time from the
-// deadline of a retry, because the client counts it.
+// A connection may wait in the accept queue after the client has sent a request on it. The gateway must
+// subtract the waiting time from the deadline of a retry, because the client's deadline includes this time.
 TEST(KernelQueueTime, IncludesTimeInTheAcceptQueue) {
   GatewayHarness harness(2);
   const FailingHosts hosts(harness);
@@ -63,8 +65,8 @@
   EXPECT_LE(hosts.received_deadlines().front(), kDeadlineMs - waited_ms);
 }
 
-// A request on an open connection may wait in the receive buffer of the socket. The gateway must subtract
-// that time from the deadline of a retry.
+// A request on an accepted connection may wait in the receive buffer of the socket. The gateway must subtract
+// the waiting time from the deadline of a retry.
 TEST(KernelQueueTime, IncludesTimeInTheReceiveBuffer) {
   GatewayHarness harness(2);
   const FailingHosts hosts(harness);
@@ -79,7 +81,7 @@
 }
 
 // Clients that keep sending bytes of incomplete requests may occupy all connections, so that another client
-// waits in the accept queue. The gateway must subtract that time from the deadline of a retry.
+// waits in the accept queue. The gateway must subtract the waiting time from the deadline of a retry.
 TEST(KernelQueueTime, IncludesTimeInTheAcceptQueueAtTheConnectionLimit) {
   GatewayHarness harness(2, TestSettings(), 10);  // a limit of 10 sockets leaves 3 for clients
   const FailingHosts hosts(harness);
@@ -120,11 +122,11 @@
   const Millis elapsed_ms = Now() - sent_at;
   ASSERT_EQ(hosts.received_deadlines().size(), 1u);
   EXPECT_GE(hosts.received_deadlines().front(),
-            kDeadlineMs - elapsed_ms - 50);  // 50 ms: the gateway's margin and the kernel's clock tick
+            kDeadlineMs - elapsed_ms - 50);  // 50 ms for the gateway's margin and the kernel's clock tick
 }
 
-// The system reports when data last arrived only for an open TCP socket. The function must return nothing for
-// any other descriptor.
+// The system reports the time of the last received data only for a TCP connection. The function must return
+// nothing for an invalid descriptor and for a socket of another protocol.
 TEST(TimeSinceLastReceived, IsUnknownWithoutATcpConnection) {
   EXPECT_EQ(proxy::TimeSinceLastReceived(-1), std::nullopt);
   asio::io_context io;
@@ -132,9 +134,9 @@
   EXPECT_EQ(proxy::TimeSinceLastReceived(udp_socket.native_handle()), std::nullopt);
 }
 
-// The bound is used where the system does not report when data last arrived. A connection can't have entered
-// the queue before the time at which the queue was last empty.
-TEST(AcceptQueueDelay, IsTheTimeSinceTheQueueWasLastEmpty) {
+// A connection cannot have entered the accept queue before the time at which the queue was last empty. The
+// gateway uses this bound if the system does not report the time of the last received data.
+TEST(AcceptQueueDelay, LongestWaitIsTheTimeSinceTheQueueWasLastEmpty) {
   proxy::AcceptQueueDelay queue;
   EXPECT_EQ(queue.LongestWait(1000), 0);
   queue.Observe(1000, true);
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -1,4 +1,5 @@
-// Request and response bodies: streaming beyond the buffer limit, framing, backpressure and failures.
+// Tests of request and response bodies: streaming of bodies over the buffer limit, framing, backpressure and
+// failures.
 #include <gtest/gtest.h>
 
 #include "world.hpp"
@@ -6,7 +7,7 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// Returns a body whose bytes depend on their position, so that lost or repeated pieces are detected.
+// Returns a body in which each byte depends on its position, so that tests detect lost or repeated pieces.
 std::string MakeBody(std::size_t size) {
   std::string body(size, 0);
   for (std::size_t i = 0; i < size; ++i) body[i] = static_cast<char>('a' + (i * 7 + i / 1000) % 26);
@@ -28,7 +29,7 @@
          extra_header_lines + "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-// A client that records the raw bytes it receives. It reads nothing before the test calls Read.
+// A client that records the raw bytes that it receives. It reads nothing until the test calls Read.
 class RawClient {
  public:
   explicit RawClient(GatewayHarness& harness)
@@ -78,7 +79,7 @@
 
 // Long request and response bodies must arrive unchanged, with Content-Length and with chunked coding. The
 // connections to the client and to the host must stay reusable.
-TEST(Bodies, AreStreamedUnchangedInBothDirections) {
+TEST(BodyForwarding, LongBodiesAreStreamedUnchangedInBothDirections) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   const std::string long_body = MakeBody(5000000);
@@ -107,9 +108,10 @@
   EXPECT_EQ(harness.Vars()["active"], 0);
 }
 
-// Without backpressure the gateway would buffer a complete 32 MiB response for a client that does not read.
-// Once the client reads, it must receive all of the response.
-TEST(Bodies, ApplyBackpressureWhenTheClientDoesNotRead) {
+// Without backpressure, the gateway would buffer a complete 32 MiB response for a client that does not read.
+// The gateway must stop reading from the host instead. Once the client reads, it must receive the complete
+// response.
+TEST(BodyForwarding, GatewayStopsReadingFromTheHostIfTheClientDoesNotRead) {
   GatewayHarness harness;
   const std::string body = MakeBody(32 * 1024 * 1024);
   RawClient slow(harness);
@@ -124,9 +126,9 @@
   EXPECT_TRUE(slow.text().ends_with(body));
 }
 
-// A client may need the first bytes of a long response early. The gateway must forward them without waiting
-// for the rest.
-TEST(Bodies, AreForwardedFromTheFirstBytes) {
+// A client may need the first bytes of a long response early. The gateway must forward these bytes before the
+// rest of the response has arrived.
+TEST(BodyForwarding, FirstBytesOfAResponseAreForwardedBeforeTheRestArrives) {
   GatewayHarness harness;
   RawClient client(harness);
   client.Read();
@@ -141,8 +143,8 @@
 }
 
 // If a host resets the connection during its response, the client must be able to detect that the response is
-// incomplete, for each combination of the client's HTTP version and the framing of the response.
-TEST(Bodies, AreRecognizablyIncompleteIfTheHostResetsTheConnection) {
+// incomplete. This must hold for each HTTP version of the client and each framing of the response.
+TEST(BodyForwarding, ClientCanDetectAnIncompleteResponseIfTheHostResetsTheConnection) {
   struct Exchange {
     std::string request, response_head;
   };
@@ -174,13 +176,13 @@
   }
 }
 
-// A host may delimit a response by Content-Length, by chunked coding or by closing the connection. Clients
-// with HTTP/1.1 and HTTP/1.0 must receive the complete response in each case.
-TEST(Bodies, ReachTheClientWithEveryResponseFraming) {
+// A host may delimit a response by Content-Length, by chunked coding or by closing the connection. In each
+// case, clients with HTTP/1.1 and with HTTP/1.0 must receive the complete response.
+TEST(BodyForwarding, ClientReceivesTheCompleteResponseWithEveryFraming) {
   for (const std::size_t size : {std::size_t{0}, std::size_t{1000}, std::size_t{300000}}) {
     for (const bool http10_client : {false, true}) {
       const std::string body = MakeBody(size);
-      // Each response, and whether the host closes the connection to end it.
+      // Pairs of a response and whether the host closes the connection after it.
       const std::vector<std::pair<std::string, bool>> responses = {
           {"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n" + body, false},
           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunked(body, 999, "Later: x\r\n"),
@@ -211,9 +213,9 @@
   }
 }
 
-// Request smuggling: two HTTP parsers could frame the same request differently. The gateway must reject such
-// a request, and a malformed one, without sending anything to a host.
-TEST(Bodies, WithContradictoryFramingReachNoHost) {
+// If two HTTP parsers can frame a request differently, a client can use the request for request smuggling.
+// The gateway must reject each such request, and each malformed request, without sending anything to a host.
+TEST(BodyForwarding, RequestsWithContradictoryOrMalformedFramingReachNoHost) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n";
   const std::vector<std::string> inputs = {
       head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -249,7 +251,7 @@
     client.Read();
     client.Send(input);
     EXPECT_TRUE(client.AwaitClose());
-    // The status follows "HTTP/1.x", whose version is that of the client's request.
+    // The status follows "HTTP/1.x". The HTTP version in the response is that of the client's request.
     const std::string status = client.text().substr(8, 2);
     EXPECT_TRUE(status == " 4" || status == " 5") << client.text();
     EXPECT_EQ(client.text().find("HTTP/", 1), std::string::npos);  // only one response
@@ -258,8 +260,8 @@
 }
 
 // A client that sends Expect: 100-continue waits for the interim response 100 before it sends the body. If
-// its request is invalid, it must receive the error status instead.
-TEST(Bodies, AreRequestedFromAClientThatExpects100Continue) {
+// the request is invalid, the client must receive the error status instead.
+TEST(BodyForwarding, GatewaySends100ContinueOnlyIfTheRequestIsValid) {
   GatewayHarness harness;
   RawClient client(harness);
   client.Read();
@@ -284,7 +286,7 @@
 }
 
 // If the gateway merged trailer fields into the head, they could replace fields of the head.
-TEST(Bodies, AreForwardedWithoutTrailers) {
+TEST(BodyForwarding, TrailersOfChunkedRequestsAreNotForwarded) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send(MakeChunkedHead("r1") + EncodeChunked("abcde", 2, "Req-Id: r9\r\nX-Later: y\r\n") +
@@ -302,12 +304,12 @@
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// A long request can be retried on another host only before the streaming of its body has begun. If the
-// connection to the host breaks during the streaming, the gateway must not retry. It must respond with 503:
+// The gateway can retry a long request only before it begins to stream the body. If the connection to the
+// host breaks while the body is streamed, the gateway must not retry the request. It must respond with 503:
 // the host lacks the last byte, so it cannot have executed the request.
-TEST(Bodies, AreRetriedOnlyWhileBuffered) {
+TEST(BodyForwarding, LongRequestsAreRetriedOnlyBeforeStreamingBegins) {
   const std::string body = MakeBody(300000);
-  // Both runs select the same host first. In one of the runs that host refuses connections.
+  // The gateway selects the same host first in both runs. In one of the runs, this host refuses connections.
   for (const std::size_t down : {0, 1}) {
     GatewayHarness harness(2);
     FakeServer& alive = harness.host(1 - down);
@@ -329,10 +331,11 @@
   ASSERT_TRUE(harness.Until([&] { return connection_count() == 1; }));
   const auto& connection =
       (harness.host(0).connections.empty() ? harness.host(1) : harness.host(0)).connections[0];
-  ASSERT_TRUE(harness.Until([&] {  // the host has received over 80,000 bytes, more than the gateway buffers
-    return connection->parser->is_header_done() &&
-           connection->parser->content_length_remaining().value_or(300000) < 220000;
-  }));
+  ASSERT_TRUE(harness.Until(
+      [&] {  // the host has received more than 80,000 bytes, which exceeds the buffer limit of 64 KiB
+        return connection->parser->is_header_done() &&
+               connection->parser->content_length_remaining().value_or(300000) < 220000;
+      }));
   for (auto& host : harness.hosts) {
     for (auto& host_connection : host->connections) host_connection->Reset();
   }
@@ -341,9 +344,9 @@
   EXPECT_EQ(connection_count(), 1u);
 }
 
-// A body that never arrives completely must not occupy connections to the client and to a host. The client
-// must receive 408, and the gateway must close the connection to the host.
-TEST(Bodies, TimeOutWhenTheClientStopsSending) {
+// If a client stops sending its request body, the request must not occupy the connections to the client and
+// to the host for long. The client must receive 408, and the gateway must close the connection to the host.
+TEST(BodyForwarding, RequestFailsWith408IfTheClientStopsSendingTheBody) {
   GatewayHarness harness;
   RawClient buffered(harness), streamed(harness);
   buffered.Read();
@@ -358,9 +361,10 @@
   EXPECT_EQ(harness.Vars()["active"], 0);
 }
 
-// A host may hang while the gateway sends it a long request. The request cannot have run, so the client may
-// retry it. The client must receive 503 long before the deadline of its request.
-TEST(Bodies, TimeOutWhenTheHostDoesNotRead) {
+// A host may stop reading while the gateway sends a long request. The host cannot have executed the
+// incomplete request, so the client may retry it. The client must receive 503 long before the deadline of the
+// request.
+TEST(BodyForwarding, RequestFailsWith503IfTheHostDoesNotReadTheBody) {
   GatewayHarness harness;
   harness.host().never_reads = true;
   const auto client = harness.Connect();
@@ -368,9 +372,9 @@
   EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// After an error response the gateway discards further input. It must do so for a limited time only: a client
-// that keeps sending single bytes would otherwise occupy its connection forever.
-TEST(Bodies, AreDiscardedForALimitedTimeAfterAnErrorResponse) {
+// After an error response, the gateway discards further input for a limited time. Without this limit, a
+// client that keeps sending single bytes would occupy its connection forever.
+TEST(BodyForwarding, GatewayDiscardsInputForALimitedTimeAfterAnErrorResponse) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send("POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n");
--- a/tests/proxy/body_framing_test.cpp
+++ b/tests/proxy/body_framing_test.cpp
@@ -26,7 +26,8 @@
   EXPECT_EQ(Frame("abc", /*last=*/true, /*chunked=*/false), "head,abc");
 }
 
-// The memory of the last piece may be reused before the write completes, so the last piece must be copied.
+// The caller may reuse the memory of the last piece before the write completes. FrameBodyPiece must therefore
+// copy the last piece.
 TEST(BodyFraming, CopiesTheLastPiece) {
   std::string piece = "abc";
   std::string prefix;
--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the timeouts of request bodies and of the rules of a drain, in simulated time (ms).
+// Tests of BodyProgress and DrainState in simulated time. All times are in milliseconds.
 #include "proxy/client/body_progress.hpp"
 
 #include <gtest/gtest.h>
@@ -8,10 +8,11 @@
 namespace gateway::proxy::testing {
 namespace {
 
-TEST(BodyProgress, CountsOnlyTheTimeSpentWaitingForTheClient) {
+TEST(BodyProgress, TimeoutCountsOnlyTheTimeSpentWaitingForTheClient) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
-  EXPECT_FALSE(progress.TimedOut(100000));  // no BeginWait yet: the gateway does not wait for the client
+  EXPECT_FALSE(
+      progress.TimedOut(100000));  // BeginWait was not called: the gateway does not wait for the client
   progress.BeginWait(100000);
   EXPECT_FALSE(progress.TimedOut(100700));
   EXPECT_TRUE(progress.TimedOut(100701));
@@ -21,7 +22,7 @@
   EXPECT_TRUE(progress.TimedOut(200201));
 }
 
-TEST(BodyProgress, GrantsAtLeastTheUnusedHeadTimeAsGrace) {
+TEST(BodyProgress, GracePeriodIsAtLeastTheUnusedPartOfTheHeadTimeout) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/1000);
   progress.BeginWait(1000);
@@ -29,7 +30,7 @@
   EXPECT_TRUE(progress.TimedOut(2701));
 }
 
-TEST(BodyProgress, LimitsEachPause) {
+TEST(BodyProgress, TimesOutAfterALongPauseOfAFastClient) {
   BodyProgress progress;
   progress.Start(0, 0);
   progress.BeginWait(0);
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -1,8 +1,8 @@
-// Races between the close or transfer of an idle client connection and a request that the client sends at the
-// same time. The server must either serve such a request exactly once or not read it at all, so that the
-// client can safely retry it. The previous response must not be lost. Before the server closes a connection,
-// it asks the kernel for the number of unread bytes (ioctl FIONREAD). The tests intercept that call in order
-// to write the request right before or right after the call.
+// Tests of races between the close or transfer of an idle client connection and a request that the client
+// sends at that moment. The server must either serve the request exactly once, or leave it unread, so that
+// the client can safely retry it. The client must still receive the previous response. Before the server
+// closes a connection, it asks the kernel for the number of unread bytes (ioctl FIONREAD). The tests
+// intercept this system call, and write the request right before or right after it.
 #include "proxy/client/client_server.hpp"
 
 #include <gtest/gtest.h>
@@ -25,8 +25,8 @@
 using proxy::ClientRequest;
 using proxy::ClientServer;
 
-// Callbacks that run right before and right after the next FIONREAD system call on the connection of the
-// client with this port.
+// Callbacks that run right before and right after the server's next FIONREAD system call on a connection.
+// `port` is the client's port of that connection; 0 if no call is intercepted.
 struct UnreadBytesHook {
   unsigned short port = 0;
   std::function<void()> before, after;
@@ -44,7 +44,7 @@
 }  // namespace
 }  // namespace gateway::proxy::testing
 
-// Replaces the C library's function in this program.
+// Replaces the function of the C library in the test program.
 extern "C" int ioctl(int descriptor, unsigned long request, ...) noexcept {
   using gateway::proxy::testing::unread_bytes_hook;
   va_list arguments;
@@ -73,7 +73,7 @@
   return settings;
 }
 
-// A ClientServer that responds to each request at once, unless the test installs `serve`.
+// A ClientServer that responds to each request at once. A test can set `serve` to handle requests instead.
 struct TestServer {
   explicit TestServer(asio::io_context& io)
       : client_server(
@@ -98,8 +98,8 @@
   ClientServer client_server;
 };
 
-// A client that reads nothing before BeginReading. Until then, received bytes stay in the kernel, and a reset
-// of the connection would destroy them.
+// A client that reads nothing before BeginReading. Until then, received bytes stay in the kernel, which would
+// discard them if the connection were reset.
 class DeferredReadClient {
  public:
   DeferredReadClient(asio::io_context& io, const tcp::endpoint& address, int receive_buffer_bytes = 0)
@@ -152,7 +152,8 @@
 };
 
 enum class CloseCause { kIdleTimeout, kEviction, kDrain, kStop };
-// The time at which the client writes its request. The check is the server's FIONREAD call before the close.
+// The time at which the client writes its request, relative to the server's check for unread bytes (the
+// FIONREAD call) and the close of the connection.
 enum class WriteTime { kBeforeCheck, kBetweenCheckAndClose, kAfterClose };
 
 std::string Name(CloseCause cause) {
@@ -168,15 +169,15 @@
   return count;
 }
 
-// Runs one race between the close of an idle connection and the first bytes of a request.
+// Runs one race between the close of an idle connection and a request that arrives on it.
 class CloseRace {
  public:
   CloseRace(CloseCause cause, WriteTime write_time, std::size_t racing_bytes)
       : cause_(cause), write_time_(write_time), racing_text_(RacingRequest().substr(0, racing_bytes)) {}
 
   void Run() {
-    // The idle timeout after a response is too long for a test. So kIdleTimeout sends no first request and
-    // uses the shorter timeout for the first request of a connection.
+    // The idle timeout after a response is too long for a test. With kIdleTimeout, the client therefore sends
+    // no first request, and the shorter timeout for the first request of a connection applies.
     if (cause_ != CloseCause::kIdleTimeout) {
       client_.Write(ApiCall("first"));
       ASSERT_TRUE(RunUntil(io_, [&] { return server_.written_responses == 1; }));
@@ -200,11 +201,11 @@
   }
 
  private:
-  static std::string RacingRequest() { return ApiCall("crossing"); }
+  static std::string RacingRequest() { return ApiCall("racing"); }
 
   void CauseClose() {
     switch (cause_) {
-      case CloseCause::kIdleTimeout: return;  // the server's own timer checks the timeouts
+      case CloseCause::kIdleTimeout: return;  // the timer of the server closes the connection
       case CloseCause::kEviction:
         server_.client_server.SetConnectionLimit(1);
         other_.emplace(io_, server_.client_server.address());
@@ -216,46 +217,45 @@
     }
   }
 
-  // A stop closes a connection at once only if its last response was written more than 300 ms before.
+  // A stop closes a connection at once only if the last response was written more than 300 ms earlier.
   void WaitUntilSettled() {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(310);
     ASSERT_TRUE(RunUntil(io_, [&] { return std::chrono::steady_clock::now() > end; }));
   }
 
-  long TimesReceived() const { return std::ranges::count(server_.received_ids, "crossing"); }
+  long CountReceivedRacingRequests() const { return std::ranges::count(server_.received_ids, "racing"); }
 
-  // If bytes arrived before the check, the connection must stay open and the request must be served on it.
+  // If bytes arrived before the check, the server must keep the connection open and serve the request on it.
   void ExpectServed() {
     client_.Write(RacingRequest().substr(racing_text_.size()));
-    ASSERT_TRUE(client_.ReadUntil("answer to crossing")) << client_.text();
+    ASSERT_TRUE(client_.ReadUntil("answer to racing")) << client_.text();
     EXPECT_EQ(CountResponses(client_.text()), cause_ == CloseCause::kIdleTimeout ? 1u : 2u);
-    EXPECT_EQ(TimesReceived(), 1);
+    EXPECT_EQ(CountReceivedRacingRequests(), 1);
     const bool closes_connection = client_.text().find("Connection: close") != std::string::npos;
     EXPECT_EQ(closes_connection, cause_ != CloseCause::kIdleTimeout);
   }
 
-  // If bytes arrived after the check, they must not be read. The client must still receive the previous
-  // response, and a retry of the request must be served.
+  // If bytes arrived after the check, the server must not read them. The client must still receive the
+  // previous response, and the server must serve a retry of the request.
   void ExpectClosed() {
     const std::string text = client_.ReadToEnd();
     EXPECT_TRUE(cause_ == CloseCause::kIdleTimeout || text.ends_with("answer to first")) << text;
     EXPECT_EQ(CountResponses(text), cause_ == CloseCause::kIdleTimeout ? 0u : 1u);
-    EXPECT_EQ(TimesReceived(), 0);
+    EXPECT_EQ(CountReceivedRacingRequests(), 0);
     if (cause_ == CloseCause::kStop) {
       EXPECT_TRUE(RunUntil(io_, [&] { return stopped_; }));
-      EXPECT_EQ(TimesReceived(), 0);
-      return;  // a retry would go to another gateway
+      EXPECT_EQ(CountReceivedRacingRequests(), 0);
+      return;  // the client would send a retry to another gateway
     }
     DeferredReadClient retry_client(io_, server_.client_server.address());
     retry_client.Write(RacingRequest());
-    EXPECT_TRUE(retry_client.ReadUntil("answer to crossing")) << retry_client.text();
-    EXPECT_EQ(TimesReceived(), 1);
+    EXPECT_TRUE(retry_client.ReadUntil("answer to racing")) << retry_client.text();
+    EXPECT_EQ(CountReceivedRacingRequests(), 1);
   }
 
   const CloseCause cause_;
   const WriteTime write_time_;
-  // The request, or its first bytes, which the client writes while the server checks and closes the idle
-  // connection, or just after that.
+  // The bytes that the client writes at `write_time_`: the racing request, or its first bytes.
   const std::string racing_text_;
   asio::io_context io_;
   TestServer server_{io_};
@@ -266,9 +266,9 @@
 
 class IdleConnectionClose : public ::testing::TestWithParam<std::tuple<CloseCause, std::size_t>> {};
 
-// A complete request, or the first 11 bytes of one, may arrive while the server closes the idle connection:
-// before the check for unread bytes, between the check and the close, or after the close.
-TEST_P(IdleConnectionClose, ServesARequestThatArrivesBeforeTheCheckAndLeavesALaterOneUnread) {
+// A complete request, or the first 11 bytes of a request, may arrive while the server closes the idle
+// connection: before the check for unread bytes, between the check and the close, or after the close.
+TEST_P(IdleConnectionClose, ServesARequestThatArrivesBeforeTheCheckAndDoesNotReadALaterRequest) {
   const auto [cause, bytes] = GetParam();
   for (const WriteTime write_time :
        {WriteTime::kBeforeCheck, WriteTime::kBetweenCheckAndClose, WriteTime::kAfterClose}) {
@@ -288,12 +288,12 @@
                                                                         : "WithCompleteRequest");
                          });
 
-// The time at which the client writes its request, relative to the transfer of its connection.
+// The time at which the client writes its request, relative to the transfer of the connection.
 enum class TransferWriteTime { kBefore, kDuring, kAfter };
 
-// A request may arrive while its idle connection is transferred to another process. The other process must
-// serve the request exactly once, and the first process must not read it.
-TEST(ConnectionTransfer, MovesARequestThatArrivesDuringTheTransfer) {
+// A request may arrive while the server transfers an idle connection to its successor process. The successor
+// must serve the request exactly once, and the predecessor must not read it.
+TEST(ConnectionTransfer, SuccessorServesARequestThatArrivesDuringTheTransfer) {
   for (const TransferWriteTime write_time :
        {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
     for (const std::size_t bytes : {std::string::npos, std::size_t{11}}) {
@@ -303,7 +303,7 @@
       DeferredReadClient client(io, predecessor.client_server.address());
       client.Write(ApiCall("first"));
       ASSERT_TRUE(RunUntil(io, [&] { return predecessor.written_responses == 1; }));
-      const std::string request = ApiCall("crossing");
+      const std::string request = ApiCall("racing");
       const auto write = [&] { client.Write(request.substr(0, bytes)); };
       if (write_time == TransferWriteTime::kBefore) write();
       bool done = false;
@@ -317,18 +317,18 @@
       if (write_time == TransferWriteTime::kAfter) write();
       ASSERT_TRUE(RunUntil(io, [&] { return done; }));
       if (bytes < request.size()) client.Write(request.substr(bytes));
-      ASSERT_TRUE(client.ReadUntil("answer to crossing")) << client.text();
+      ASSERT_TRUE(client.ReadUntil("answer to racing")) << client.text();
       EXPECT_EQ(CountResponses(client.text()), 2u);
       EXPECT_EQ(predecessor.received_ids, std::vector<std::string>{"first"});
-      EXPECT_EQ(successor.received_ids, std::vector<std::string>{"crossing"});
+      EXPECT_EQ(successor.received_ids, std::vector<std::string>{"racing"});
     }
   }
 }
 
-// If the other process does not accept the connection, the first process closes it. The client must have
-// received the previous response completely, and the request that arrives during the transfer must not be
-// read.
-TEST(ConnectionTransfer, ClosesAConnectionThatTheOtherProcessDoesNotAccept) {
+// If the successor process does not accept the connection, the predecessor closes the connection. The client
+// must receive the complete previous response, and the predecessor must not read a request that arrives
+// during the transfer.
+TEST(ConnectionTransfer, ClosesAConnectionThatTheSuccessorDoesNotAccept) {
   for (const TransferWriteTime write_time :
        {TransferWriteTime::kBefore, TransferWriteTime::kDuring, TransferWriteTime::kAfter}) {
     SCOPED_TRACE(static_cast<int>(write_time));
@@ -337,15 +337,15 @@
     DeferredReadClient client(io, predecessor.client_server.address());
     client.Write(ApiCall("first"));
     ASSERT_TRUE(RunUntil(io, [&] { return predecessor.written_responses == 1; }));
-    if (write_time == TransferWriteTime::kBefore) client.Write(ApiCall("crossing"));
+    if (write_time == TransferWriteTime::kBefore) client.Write(ApiCall("racing"));
     bool done = false;
     predecessor.client_server.TransferConnections(
         [&](base::FileDescriptor) {
-          if (write_time == TransferWriteTime::kDuring) client.Write(ApiCall("crossing"));
+          if (write_time == TransferWriteTime::kDuring) client.Write(ApiCall("racing"));
           return false;
         },
         [&] { done = true; });
-    if (write_time == TransferWriteTime::kAfter) client.Write(ApiCall("crossing"));
+    if (write_time == TransferWriteTime::kAfter) client.Write(ApiCall("racing"));
     ASSERT_TRUE(RunUntil(io, [&] { return done; }));
     const std::string text = client.ReadToEnd();
     EXPECT_TRUE(text.ends_with("answer to first")) << text;
@@ -354,22 +354,23 @@
   }
 }
 
-// A client may be connected but not accepted yet when the listener is to be closed. The server must accept
-// the client first and serve its request.
+// A client may still be in the accept queue when the server stops listening. The server must accept the
+// client before it closes the listener, and must serve the client's request.
 TEST(IdleConnectionClose, ServesAClientThatIsStillInTheAcceptQueueAtTheStop) {
   asio::io_context io;
   TestServer server(io);
   server.client_server.SetDraining(true);
-  DeferredReadClient client(io, server.client_server.address());  // not accepted: the event loop has not run
+  DeferredReadClient client(
+      io, server.client_server.address());  // not accepted yet, because the event loop has not run
   bool done = false;
   server.client_server.StopListening([&] { done = true; });
-  client.Write(ApiCall("crossing"));
+  client.Write(ApiCall("racing"));
   const std::string text = client.ReadToEnd();
-  EXPECT_TRUE(text.ends_with("answer to crossing")) << text;
-  EXPECT_EQ(server.received_ids, std::vector<std::string>{"crossing"});
+  EXPECT_TRUE(text.ends_with("answer to racing")) << text;
+  EXPECT_EQ(server.received_ids, std::vector<std::string>{"racing"});
 }
 
-// A remaining response body that delivers nothing until the test calls Finish.
+// The rest of a response body, which arrives only when the test calls Finish.
 class PausedBody : public BodySource {
  public:
   void ReadNext(PieceHandler handler) override { handler_ = std::move(handler); }
@@ -382,18 +383,18 @@
   PieceHandler handler_;
 };
 
-// A response may still be in transit when the server closes the connection after a stop. If an unread request
-// arrived on it at that moment, the close would reset the connection and the client would lose the rest of
-// the response.
+// A response may still be in transit when the server closes the connection during a stop. If another request
+// has arrived and is unread at that moment, the close resets the connection, and the client loses the rest of
+// the response. The server must prevent this.
 TEST(IdleConnectionClose, DeliversTheResponseIfAnotherRequestArrivesDuringAStop) {
   constexpr std::size_t kBodyBytes = 64 * 1024;
   asio::io_context io;
   TestServer server(io);
   const auto remaining_body = std::make_shared<PausedBody>();
   server.serve = [&](ClientRequest request) {
-    if (request.id == "crossing") {
+    if (request.id == "racing") {
       HttpResponse response(http::status::ok, 11);
-      response.body() = "answer to crossing";
+      response.body() = "answer to racing";
       return request.responder.Respond(std::move(response), nullptr);
     }
     HttpResponse head(http::status::ok, 11);
@@ -405,7 +406,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return remaining_body->read_pending(); }));
   bool done = false;
   server.client_server.StopListening([&] { done = true; });
-  unread_bytes_hook = {client.port(), nullptr, [&] { client.Write(ApiCall("crossing")); }};
+  unread_bytes_hook = {client.port(), nullptr, [&] { client.Write(ApiCall("racing")); }};
   const std::string body(kBodyBytes, 'x');
   client.BeginReading();
   remaining_body->Finish(body);
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The gateway, tested over loopback sockets with fake clients, hosts and discovery.
+// Tests of the gateway over loopback sockets, with fake clients, fake hosts and a fake list service.
 #include "proxy/gateway.hpp"
 
 #include <gtest/gtest.h>
@@ -26,9 +26,9 @@
   return host;
 }
 
-// A header field or a body that is lost or changed on the way would break hosts and clients. Only the
-// deadline changes: the host receives the remaining time.
-TEST(Gateway, ForwardsARequestAndItsResponse) {
+// If the gateway lost or changed a header field or a body, it would break hosts and clients. It changes only
+// the value of Req-Deadline: the host receives the remaining time.
+TEST(Gateway, ForwardsARequestAndItsResponseUnchangedExceptTheDeadline) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send(ApiCall("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
@@ -50,7 +50,8 @@
   EXPECT_TRUE(client->Await().keep_alive());
 }
 
-// Bodies of up to 64 KiB are buffered. An off-by-one error at this limit would lose a body of exactly 64 KiB.
+// The gateway buffers bodies of up to 64 KiB. An off-by-one error at this limit would lose a body of exactly
+// 64 KiB.
 TEST(Gateway, ForwardsBodiesOfTheLargestBufferedSize) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -66,20 +67,20 @@
   unsigned status;
 };
 
-// Invalid input must neither reach a host nor stop the gateway. The client receives a 4xx status: a retry
-// would fail again.
+// Invalid input must neither reach a host nor stop the gateway. The client must receive a 4xx status, because
+// a retry of the same request would fail again.
 TEST(Gateway, RejectsInvalidRequestsWithoutForwardingThem) {
   const std::string head = "GET /api HTTP/1.1\r\nHost: b\r\n";
   const std::string valid_fields = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
   const std::vector<InvalidRequest> inputs = {
       {"not HTTP", "BOGUS\r\n\r\n", 400},
       {"binary", std::string("\x16\x03\x01\x02\0\x01\r\n\r\n", 10), 400},
-      {"bad length", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
-      {"large body",
+      {"Content-Length that is not a number", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
+      {"body over the size limit",
        "POST /api HTTP/1.1\r\n" + valid_fields.substr(0, valid_fields.find("view")) +
            "pay\r\nReq-Deadline: 900m\r\nContent-Length: 33554433\r\n\r\nx",
        413},
-      {"large header", head + "X: " + std::string(20000, 'x') + "\r\n\r\n", 431},
+      {"header over the size limit", head + "X: " + std::string(20000, 'x') + "\r\n\r\n", 431},
       {"no id", head + "Req-Kind: view\r\nReq-Deadline: 900m\r\n\r\n", 400},
       {"long id", ApiCall(std::string(300, 'i')), 400},
       {"unknown class", ApiCall("a", "steal"), 400},
@@ -93,7 +94,7 @@
       {"wrong path", "GET /apix HTTP/1.1\r\n" + valid_fields + "\r\n", 404},
       {"idempotent class with POST", "POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + valid_fields + "\r\n",
        405},
-      {"other method", "DELETE /api HTTP/1.1\r\n" + valid_fields + "\r\n", 405},
+      {"unsupported method", "DELETE /api HTTP/1.1\r\n" + valid_fields + "\r\n", 405},
       {"non-idempotent class with GET", head + "Req-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n",
        405},
       {"class with idempotency keys without a key", ApiCall("a", "key"), 400},
@@ -115,7 +116,7 @@
 
 // The gateway identifies requests by their ID. It could not distinguish the outcomes of two concurrent
 // requests with the same ID.
-TEST(Gateway, RejectsARequestWhoseIdIsInUse) {
+TEST(Gateway, RejectsARequestIfAnActiveRequestHasTheSameId) {
   GatewayHarness harness;
   const auto first = harness.Connect(), second = harness.Connect();
   first->Send(ApiCall("r1"));
@@ -126,27 +127,28 @@
   EXPECT_EQ(first->Await().result(), http::status::ok);
 }
 
-// A request that the policy rejects must not stay queued, and its client needs to know when to retry.
-TEST(Gateway, SendsRetryAfterWithARejection) {
+// If the policy rejects a request, the gateway must not keep the request queued. The response must contain
+// Retry-After, so that the client knows when to retry.
+TEST(Gateway, SendsRetryAfterIfThePolicyRejectsARequest) {
   GatewayHarness harness;
   const auto client = harness.Connect();
-  client->Send(ApiCall("r1", "pay", "15m"));  // too short for an attempt
+  client->Send(ApiCall("r1", "pay", "15m"));  // the deadline is too short for an attempt
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
   EXPECT_TRUE(harness.host().requests.empty());
 }
 
-// A way in which a host fails a request, and whether it may have executed the request.
+// One way in which a host can fail a request.
 struct HostFailure {
   std::string description;
   std::function<void(const FakeServer::ReceivedRequest&)> fail;
-  bool may_have_run;
+  bool may_have_run;  // the host may have executed the request
 };
 
 const std::vector<HostFailure>& HostFailures() {
   static const std::vector<HostFailure> failures = {
-      {"reset", [](const auto& request) { request.connection->Reset(); }, true},
-      {"closed", [](const auto& request) { request.connection->Close(); }, true},
+      {"connection reset", [](const auto& request) { request.connection->Reset(); }, true},
+      {"connection closed", [](const auto& request) { request.connection->Close(); }, true},
       {"incomplete response",
        [](const auto& request) {
          request.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
@@ -162,12 +164,12 @@
        },
        true},
       {"not HTTP", [](const auto& request) { request.connection->WriteRaw("220 mail ready\r\n\r\n"); }, true},
-      {"too large",
+      {"body over the size limit",
        [](const auto& request) {
          request.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nsome");
        },
        true},
-      {"error", [](const auto& request) { request.Respond(500, "oops"); }, true},
+      {"status 500", [](const auto& request) { request.Respond(500, "oops"); }, true},
       {"503 without Srv-Declined", [](const auto& request) { request.Respond(503, ""); }, true},
       {"503 with Srv-Declined: 0", [](const auto& request) { request.Respond(503, "", "Srv-Declined", "0"); },
        true},
@@ -181,10 +183,10 @@
   return failures;
 }
 
-// If the first host may have executed a non-idempotent request, a retry by the gateway could execute it
-// twice. So could a retry by the client, which a rejection (503) would allow. The gateway must then respond
-// with 502. It retries only if the request cannot have run. The second host would serve a retry.
-TEST(Gateway, RetriesANonIdempotentRequestOnlyIfItNeverRan) {
+// If the first host may have executed a non-idempotent request, a second attempt could execute the request
+// again. The gateway must not retry such a request. It must respond with 502, because a rejection (503) would
+// allow the client to retry. If the first host cannot have executed the request, the gateway must retry it.
+TEST(Gateway, RetriesANonIdempotentRequestOnlyIfTheHostCannotHaveExecutedIt) {
   for (const HostFailure& failure : HostFailures()) {
     SCOPED_TRACE(failure.description);
     GatewayHarness harness(2);
@@ -203,8 +205,9 @@
   }
 }
 
-// An idempotent request must not fail because one of the two hosts fails it: the other host serves the retry.
-TEST(Gateway, RetriesAnIdempotentRequest) {
+// If the first attempt of an idempotent request fails, the gateway must retry the request. The second attempt
+// succeeds.
+TEST(Gateway, RetriesAnIdempotentRequestAfterAnyHostFailure) {
   for (const HostFailure& failure : HostFailures()) {
     SCOPED_TRACE(failure.description);
     GatewayHarness harness(2);
@@ -221,9 +224,9 @@
   }
 }
 
-// A host that refuses the connection cannot have executed the request. The response must be 503 with
-// Retry-After, so that the client may retry, and not 502.
-TEST(Gateway, RejectsARequestWhoseConnectionIsRefused) {
+// A host that refuses the connection cannot have executed the request. The gateway must respond with 503 and
+// Retry-After, which allow the client to retry, instead of 502.
+TEST(Gateway, RejectsARequestIfTheHostRefusesTheConnection) {
   GatewayHarness harness;
   harness.host().StopListening();
   const auto client = harness.Connect();
@@ -232,8 +235,9 @@
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
 }
 
-// A request whose host stalls must fail at its deadline, and the gateway must close the connection to the
-// host. If the connection were reused, a late response would be taken for the response to the next request.
+// If a host stalls, the request must fail at its deadline, and the gateway must close the connection to the
+// host. If the gateway reused the connection, it would take a late response for the response to the next
+// request.
 TEST(Gateway, FailsARequestAtItsDeadlineIfTheHostStalls) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -244,14 +248,14 @@
   EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(300));
   ASSERT_TRUE(harness.Until([&] { return harness.host().connections[0]->closed_by_gateway; }));
   harness.host().requests[0].Respond(200, "late");
-  client->Send("GET /up HTTP/1.1\r\n\r\n");  // its response must be the next one that this client receives
+  client->Send("GET /up HTTP/1.1\r\n\r\n");  // the client must receive this response next
   EXPECT_EQ(client->Await(2).body(), "");
   EXPECT_EQ(client->responses().size(), 2u);
 }
 
-// Opening a connection costs the host time. Consecutive requests must reuse an idle connection, and the most
-// recently used one if several are idle.
-TEST(Gateway, ReusesTheMostRecentlyUsedConnection) {
+// Each new connection costs the host time. A request must reuse an idle connection. If several connections
+// are idle, the request must reuse the one that was used last.
+TEST(Gateway, ReusesTheMostRecentlyUsedIdleConnection) {
   GatewayHarness harness;
   FakeServer& host = harness.host();
   const auto first = harness.Connect(), second = harness.Connect();
@@ -270,9 +274,9 @@
   EXPECT_EQ(host.requests[2].connection, host.requests[1].connection);
 }
 
-// A host may close a connection while it is idle. If the gateway wrote a non-idempotent request to it, the
-// request would fail with a reset, although a new connection would serve it.
-TEST(Gateway, DetectsAConnectionClosedWhileIdle) {
+// A host may close or reset an idle connection. If the gateway sent a non-idempotent request on this
+// connection, the request would fail with a reset, although it would succeed on a new connection.
+TEST(Gateway, OpensANewConnectionIfTheHostHasClosedTheIdleOne) {
   GatewayHarness harness;
   FakeServer& host = harness.host();
   host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
@@ -285,8 +289,9 @@
   EXPECT_EQ(host.connections.size(), 6u);
 }
 
-// An unsolicited response on an idle connection must not be taken for the response to the next request.
-TEST(Gateway, ClosesAConnectionWithAnUnsolicitedResponse) {
+// The gateway must not take an unsolicited response on an idle connection for the response to the next
+// request.
+TEST(Gateway, ReusesNoConnectionWithAnUnsolicitedResponse) {
   GatewayHarness harness;
   FakeServer& host = harness.host();
   const auto client = harness.Connect();
@@ -302,8 +307,8 @@
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// Without cancellation a host would work for a client that has disconnected. The gateway cancels an attempt
-// by closing its connection to the host.
+// Without cancellation a host would execute a request for a client that has disconnected. The gateway cancels
+// an attempt by closing the connection to the host.
 TEST(Gateway, CancelsTheAttemptIfTheClientDisconnects) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -311,7 +316,7 @@
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
   client->Disconnect();
   EXPECT_TRUE(harness.Until([&] { return harness.host().connections[0]->closed_by_gateway; }));
-  const auto other = harness.Connect();  // the ID is available again
+  const auto other = harness.Connect();  // the ID is no longer in use
   other->Send(ApiCall("r1"));
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
   harness.host().requests[1].Respond(200, "");
@@ -340,11 +345,12 @@
   }
 }
 
-// The gateway may handle a host's reset before it has read the client's close from the client's socket. It
-// must not send a retry in this case, although the other host has an idle connection. The client disconnects
-// after 0 to 7 iterations of the event loop; at least one of these runs must hit that case.
-TEST(Gateway, StartsNoRetryIfTheClientsCloseIsUnread) {
-  int closes_before_retry = 0;
+// A host may reset its connection shortly before the client disconnects. The gateway then handles the reset
+// while the client's FIN is still unread in the client's socket. It must not send a retry, although it has an
+// idle connection to the other host. In each run the client disconnects after a different number of event
+// loop iterations (0 to 7). In at least one run it must disconnect before the gateway sends a retry.
+TEST(Gateway, SendsNoRetryIfTheClientsFinIsUnread) {
+  int disconnects_before_retry = 0;
   for (int iterations = 0; iterations < 8; ++iterations) {
     GatewayHarness harness(2);
     std::vector<std::string> sent;  // IDs of the requests that hosts received, in order
@@ -353,17 +359,18 @@
         sent.emplace_back(request.http["Req-Id"]);
       };
     }
-    std::vector<std::unique_ptr<Client>> warm;  // concurrent, so that their requests reach both hosts
+    // These clients send their requests concurrently, so that the gateway opens connections to both hosts.
+    std::vector<std::unique_ptr<Client>> warm_up_clients;
     for (int i = 0; i < 4; ++i) {
-      warm.push_back(harness.Connect());
-      warm.back()->Send(ApiCall("warm" + std::to_string(i)));
+      warm_up_clients.push_back(harness.Connect());
+      warm_up_clients.back()->Send(ApiCall("warm" + std::to_string(i)));
     }
     ASSERT_TRUE(harness.Until([&] { return sent.size() == 4; }));
     for (const auto& host : harness.hosts) {
       ASSERT_FALSE(host->requests.empty());
       for (const auto& request : host->requests) request.Respond(200, "");
     }
-    for (const auto& warm_client : warm) warm_client->Await();
+    for (const auto& warm_up_client : warm_up_clients) warm_up_client->Await();
     sent.clear();
     const auto client = harness.Connect();
     client->Send(ApiCall("r1"));
@@ -373,24 +380,24 @@
     for (int i = 0; i < iterations; ++i) harness.io.run_one_for(std::chrono::milliseconds(5));
     client->Disconnect();
     error_code ec;
-    bool retry_sent = sent.size() > 1;  // before the client disconnected
+    bool retry_sent = sent.size() > 1;  // a retry was sent before the client disconnected
     for (const auto& connection : harness.host(1 - first_host).connections) {
       retry_sent |= connection->socket.available(ec) > 0;
     }
     if (retry_sent) continue;
-    ++closes_before_retry;
+    ++disconnects_before_retry;
     ASSERT_TRUE(harness.Until(
         [&] { return harness.Call("metrics\n").find("clients_left_total 1") != std::string::npos; }));
-    const auto next = harness.Connect();  // a retry would be sent before its request
+    const auto next = harness.Connect();  // a retry would reach a host before this client's request
     next->Send(ApiCall("r2"));
     ASSERT_TRUE(harness.Until([&] { return !sent.empty() && sent.back() == "r2"; }));
     EXPECT_EQ(sent, (std::vector<std::string>{"r1", "r2"})) << iterations;
   }
-  EXPECT_GT(closes_before_retry, 0);
+  EXPECT_GT(disconnects_before_retry, 0);
 }
 
-// If the client disconnects while the connection to the host is being established, nothing may be sent on it,
-// whether the setting `cancelling` (cancellation of attempts) is on or off.
+// If the client disconnects while the gateway connects to the host, the gateway must send nothing on the new
+// connection. This holds whether or not the setting `cancelling` enables the cancellation of attempts.
 TEST(Gateway, SendsNothingIfTheClientDisconnectsDuringTheConnect) {
   for (const bool cancelling : {true, false}) {
     asio::io_context listener_io;
@@ -426,8 +433,8 @@
   }
 }
 
-// Pipelined requests arrive before the first response is written. None may be lost, and the responses must be
-// in the order of the requests.
+// A client may send further requests before it receives the first response (pipelining). The gateway must
+// respond to each request, in the order in which the requests arrived.
 TEST(Gateway, RespondsToPipelinedRequestsInOrder) {
   GatewayHarness harness;
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) {
@@ -465,8 +472,8 @@
   EXPECT_EQ(harness.host(0).requests.size(), requests_before);
 }
 
-// If a host begins to drain while a connection to it is being established, nothing may be sent on the
-// connection. A full accept queue delays the connect, which succeeds once the queue has room.
+// If a host begins to drain while the pool connects to the host, the pool must send nothing on the new
+// connection. A full accept queue delays the connect: it succeeds once the test has accepted a connection.
 TEST(UpstreamPool, SendsNothingIfTheHostDrainsDuringTheConnect) {
   asio::io_context io;
   tcp::acceptor listener(io, tcp::v4());
@@ -501,10 +508,10 @@
   }
 }
 
-// The pool calls `may_send` when the connection is established. If the callback returns false, with or
-// without cancelling the attempt itself, the attempt must end exactly once. The callback must not be
-// destroyed while it runs.
-TEST(UpstreamPool, EndsAnAttemptIfMaySendReturnsFalse) {
+// The pool calls `may_send` when the connection is established. The callback may cancel the attempt. If the
+// callback returns false, the attempt must end exactly once, whether or not the callback has cancelled it.
+// The callback must not be destroyed while it runs.
+TEST(UpstreamPool, EndsAnAttemptOnceIfMaySendReturnsFalse) {
   asio::io_context io;
   FakeServer host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
@@ -531,9 +538,9 @@
   EXPECT_TRUE(host.requests.empty());
 }
 
-// The pool has a limit of 2 connections. At the limit an attempt must end with kNotSent if no connection is
-// idle. If one is idle, the pool must close it and open another.
-TEST(UpstreamPool, EnforcesItsConnectionLimit) {
+// The pool has a limit of 2 connections. At the limit, an attempt must end with kNotSent if no connection is
+// idle. If a connection is idle, the pool must close it and open a new one for the attempt.
+TEST(UpstreamPool, SendsNoAttemptAtTheConnectionLimitUnlessItCanEvictAnIdleConnection) {
   asio::io_context io;
   FakeServer first_host(io), second_host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
@@ -561,9 +568,9 @@
   EXPECT_EQ(pool.connections(), 1u);
 }
 
-// An attempt may be cancelled before the event loop has delivered the completion of its write. The buffers of
-// the write must stay valid until the completion is delivered.
-TEST(UpstreamPool, CancelsAnAttemptDuringItsWrite) {
+// An attempt may be cancelled while the write of its request is pending. The buffers of the write must stay
+// valid until the event loop has delivered the completion of the write.
+TEST(UpstreamPool, KeepsWriteBuffersValidIfAnAttemptIsCancelledDuringItsWrite) {
   asio::io_context io;
   FakeServer host(io);
   host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
@@ -588,9 +595,9 @@
   EXPECT_EQ(results.back(), policy::AttemptResult::kServed);
 }
 
-// The watch starts at the revision of the configured list and continues from the revision of each valid
-// response. After any kind of failed call the next call must continue from the last valid revision. Otherwise
-// the gateway would miss changes.
+// The gateway starts the watch at the revision of the configured list, and continues it from the revision of
+// each valid response. After a failed call of any kind, the next call must continue from the last valid
+// revision. Otherwise the gateway would miss changes.
 TEST(Gateway, ResumesTheWatchAtTheLastValidRevisionAfterFailures) {
   GatewayHarness harness;
   FakeServer& discovery = harness.discovery;
@@ -621,7 +628,7 @@
 
 // HTTP does not limit the length of a chunk extension. A request with an endless chunk extension must not
 // exhaust the gateway's memory.
-TEST(Gateway, RejectsARequestWithAnEndlessChunkHeader) {
+TEST(Gateway, RejectsARequestWithAnEndlessChunkExtension) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
@@ -630,9 +637,10 @@
   EXPECT_TRUE(client->AwaitClose());
 }
 
-// A response with an endless chunk extension must not exhaust the gateway's memory either. The attempt fails,
-// and the client receives 502, because its request may have run.
-TEST(Gateway, FailsAResponseWithAnEndlessChunkHeader) {
+// HTTP does not limit the length of a chunk extension. A response with an endless chunk extension must not
+// exhaust the gateway's memory. The attempt must fail, and the client must receive 502, because the host may
+// have executed the request.
+TEST(Gateway, FailsARequestIfTheResponseHasAnEndlessChunkExtension) {
   GatewayHarness harness;
   const auto client = harness.Connect();
   client->Send(ApiCall("r1", "pay"));
@@ -642,8 +650,8 @@
   EXPECT_EQ(client->Await().result(), http::status::bad_gateway);
 }
 
-// A host may send any number of interim (1xx) responses. The gateway must not take them for the final
-// response.
+// A host may send any number of interim (1xx) responses. The gateway must not mistake an interim response for
+// the final response.
 TEST(Gateway, WaitsForTheFinalResponseAfterInterimResponses) {
   GatewayHarness harness;
   const auto client = harness.Connect();
@@ -656,12 +664,12 @@
     EXPECT_EQ(client->Await(i + 1).result(), http::status::ok);
     EXPECT_EQ(client->Await(i + 1).body(), "done");
   }
-  EXPECT_EQ(harness.host().connections.size(), 1u);  // still usable after interim responses
+  EXPECT_EQ(harness.host().connections.size(), 1u);  // the connection was reused after interim responses
 }
 
-// A response whose Content-Length exceeds the body limit must fail as soon as its head has arrived, before
-// the gateway spends memory on the body.
-TEST(Gateway, FailsAResponseWithAnExcessiveContentLength) {
+// If the Content-Length of a response exceeds the limit on bodies, the attempt must fail as soon as the head
+// has arrived, before the gateway spends memory on the body.
+TEST(Gateway, FailsARequestIfTheResponseHasAnExcessiveContentLength) {
   for (const std::string length : {"33554433", "3000000000"}) {
     GatewayHarness harness;
     const auto client = harness.Connect();
@@ -675,8 +683,8 @@
 }
 
 // Clients that send nothing, or only a part of their first request, could occupy all connections. The gateway
-// must close their connections sooner than connections that are idle between two requests.
-TEST(Gateway, ClosesConnectionsWithoutACompleteFirstRequest) {
+// must close such connections earlier than connections that are idle between two requests.
+TEST(Gateway, ClosesConnectionsWithoutACompleteFirstRequestEarly) {
   GatewayHarness harness;
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   const auto kept = harness.Connect(), silent = harness.Connect(), partial = harness.Connect();
@@ -728,12 +736,12 @@
     EXPECT_EQ(client->Await().result(), http::status::ok);
     const auto timed_out =
         std::count_if(flood.begin(), flood.end(), [](const auto& c) { return !c->responses().empty(); });
-    EXPECT_LT(timed_out, 100);  // without eviction, all of the connections would time out first
+    EXPECT_LT(timed_out, 100);  // without eviction, all flood connections would time out first
   }
 }
 
-// While all connections are busy, further clients wait in the accept queue. They must receive a response when
-// the requests on the busy connections have ended.
+// While all connections are busy, further clients wait in the accept queue. Each of them must receive a
+// response once a request on a busy connection has ended.
 TEST(Gateway, RespondsToQueuedClientsWhenBusyConnectionsBecomeFree) {
   GatewayHarness harness(1, TestSettings(), 10);  // a limit of 10 sockets leaves 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
@@ -744,7 +752,7 @@
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// A planned stop must not lose requests. During the stop the gateway fails its readiness check but still
+// A planned stop must not lose requests. During the stop, the gateway fails its readiness check but still
 // accepts clients. It responds to all requests with Connection: close, and closes idle connections.
 TEST(Gateway, CompletesAllRequestsBeforeItStops) {
   GatewayHarness harness;
@@ -776,7 +784,7 @@
 }
 
 // If a host never responds, the gateway must respond to the remaining requests with 504 before the platform
-// would kill the process.
+// kills the process.
 TEST(Gateway, FailsRemainingRequestsWhenTheStopTimesOut) {
   GatewayHarness harness;
   const auto client = harness.Connect();
--- a/tests/proxy/peers.hpp
+++ b/tests/proxy/peers.hpp
@@ -1,5 +1,5 @@
-// Fake servers and clients on loopback, for tests of the gateway. They share the gateway's event loop, and
-// tests wait for conditions instead of sleeping.
+// Fake servers and clients on loopback for tests of the gateway. They run on the gateway's event loop. Tests
+// run the event loop until a condition holds instead of sleeping.
 #ifndef GATEWAY_TESTS_PROXY_PEERS_HPP_
 #define GATEWAY_TESTS_PROXY_PEERS_HPP_
 
@@ -45,8 +45,8 @@
   return true;
 }
 
-// An HTTP server that records each request. The test responds to the recorded requests, or sets `serve` to
-// respond to each request when it arrives.
+// An HTTP server that records each request. A test responds to the recorded requests, or sets `serve` to
+// handle each request when it arrives.
 class FakeServer {
  public:
   struct Connection : std::enable_shared_from_this<Connection> {
@@ -86,7 +86,7 @@
     boost::beast::flat_buffer buffer;
     std::optional<http::request_parser<http::string_body>> parser;
     bool closed_by_gateway = false;
-    int completed_writes = 0;  // calls to WriteRaw whose text was written completely
+    int completed_writes = 0;  // number of texts that WriteRaw has written completely
   };
 
   struct ReceivedRequest {
@@ -116,8 +116,8 @@
 
   std::vector<ReceivedRequest> requests;
   std::vector<std::shared_ptr<Connection>> connections;
-  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request
-  bool never_reads = false;                           // accepts connections but reads nothing from them
+  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request when it arrives
+  bool never_reads = false;  // the server accepts connections but reads nothing from them
 
  private:
   void Accept() {
@@ -133,7 +133,7 @@
   tcp::acceptor acceptor_;
 };
 
-// An HTTP client with one connection, which collects the responses.
+// An HTTP client with one connection. It records all responses.
 class Client {
  public:
   Client(asio::io_context& io, const tcp::endpoint& address) : io_(io), state_(std::make_shared<State>(io)) {
@@ -144,13 +144,16 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
+  // Writes `text`, and runs the event loop while the socket accepts no more bytes. Stops if the connection is
+  // closed; see write_failed().
   void Send(const std::string& text) {
     state_->socket.non_blocking(true);
     for (std::size_t sent = 0; sent < text.size();) {
       error_code ec;
       sent += state_->socket.write_some(asio::buffer(text.data() + sent, text.size() - sent), ec);
       if (ec == asio::error::would_block) {
-        io_.run_one_for(std::chrono::milliseconds(10));  // the gateway shares the event loop; lets it read
+        // The gateway runs on the same event loop. It reads from the connection while the loop runs.
+        io_.run_one_for(std::chrono::milliseconds(10));
       } else if (ec) {
         state_->write_failed = true;
         return;  // the gateway may close the connection before it has read all of the text
@@ -166,10 +169,10 @@
   const HttpResponse& Await(std::size_t n = 1) {
     static const HttpResponse kNone(http::status::unknown, 11);
     if (RunUntil(io_, [&] { return responses().size() >= n; })) return responses()[n - 1];
-    ADD_FAILURE() << "response " << n << " has not arrived";
+    ADD_FAILURE() << "timed out waiting for response " << n << "; received " << responses().size();
     return kNone;
   }
-  // Waits until the gateway has closed the connection. Returns false if RunUntil times out.
+  // Runs the event loop until the gateway has closed the connection. Returns false if RunUntil times out.
   bool AwaitClose() {
     return RunUntil(io_, [&] { return closed_by_gateway(); });
   }
@@ -218,7 +221,7 @@
   return text + "\r\n" + body;
 }
 
-// Returns an entry of discovery's list.
+// Returns one entry of the list service's endpoint list.
 inline nlohmann::json Member(const std::string& id, const tcp::endpoint& address,
                              const std::string& phase = "up") {
   return {{"id", id},        {"host_port", ToText(address)},
@@ -227,13 +230,14 @@
           {"size", 1.0},     {"up_since_ms", 0}};
 }
 
-// Returns a response body of discovery: a snapshot if `complete` is true, otherwise a delta.
+// Returns the body of a list service's response: a complete list (snapshot) if `complete` is true, otherwise
+// the changes since the previous revision (delta).
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
   return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
 }
 
-// Returns the settings of the configuration: one traffic class for each kind of idempotency, with latency
-// objectives that even a busy machine meets.
+// Returns the `settings` object of a configuration. It has one traffic class for each kind of idempotency.
+// The latency objectives are so long that requests meet them even on a busy machine.
 inline nlohmann::json TestSettings() {
   const auto traffic_class = [](const char* name, const char* idempotency) {
     return nlohmann::json{{"name", name},      {"sloMs", 20000.0},           {"deadlineMs", 20000.0},
@@ -252,7 +256,7 @@
         {"maxRetryAfterMs", 2000.0}}},
       {"report", {{"fields", {"inflight", "util"}}, {"source", "answers"}}},
       {"zone", "a"},
-      {"somethingNew", {{"never", "heard of"}}}};
+      {"unknownSetting", {{"unknownKey", "value"}}}};  // the gateway must ignore it
 }
 
 }  // namespace gateway::proxy::testing
--- a/tests/proxy/process.hpp
+++ b/tests/proxy/process.hpp
@@ -16,16 +16,18 @@
 
 namespace gateway::proxy::testing {
 
-// Returns a loopback address with a port that is free at the time of the call.
+// Returns a loopback address with a free port. Another process may occupy the port after this returns.
 inline tcp::endpoint FreeAddress(asio::io_context& io) {
-  tcp::acceptor probe(io, Loopback());
-  return probe.local_endpoint();
+  tcp::acceptor acceptor(io, Loopback());
+  return acceptor.local_endpoint();
 }
 
+// A child process that runs the gateway program. The destructor kills it.
 class Process {
  public:
-  // Starts the program with the environment `variables`. A `descriptor_limit` other than 0 limits its file
-  // descriptors. Standard error is redirected to a file.
+  // Starts the program with the environment `variables` in addition to those of the test. `descriptor_limit`
+  // limits the number of its file descriptors; 0 means no additional limit. Its standard error goes to a
+  // file.
   explicit Process(const std::vector<std::pair<std::string, std::string>>& variables,
                    rlim_t descriptor_limit = 0)
       : stderr_path_(::testing::TempDir() + "gateway-err-" + std::to_string(getpid()) + "-" +
@@ -34,7 +36,7 @@
     if (pid_ != 0) return;
     for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
     if (descriptor_limit > 0) {
-      for (int fd = 3; fd < 1024; ++fd) close(fd);  // descriptors inherited from the test process
+      for (int fd = 3; fd < 1024; ++fd) close(fd);  // closes descriptors inherited from the test process
       const rlimit limit{descriptor_limit, descriptor_limit};
       setrlimit(RLIMIT_NOFILE, &limit);
     }
@@ -56,7 +58,7 @@
     if (!exited_) exited_ = waitpid(pid_, &status_, WNOHANG) == pid_;
     return exited_;
   }
-  // Waits for the process to exit. Returns its exit code, or -1 if a signal has killed it.
+  // Waits for the process to exit. Returns the exit code, or -1 if a signal has killed the process.
   int Wait() {
     if (!exited_) exited_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
@@ -76,7 +78,7 @@
   bool exited_ = false;
 };
 
-// A configuration file that the destructor removes.
+// Writes a configuration file. The destructor removes the file.
 struct ConfigFile {
   explicit ConfigFile(const std::string& text)
       : path(::testing::TempDir() + "gateway-process-" + std::to_string(getpid()) + ".json") {
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -43,7 +43,7 @@
   return StatusOf(MakeValidator().Validate(head, ignored));
 }
 
-TEST(RequestValidation, ReadsTheAttributes) {
+TEST(RequestValidation, ReadsTheAttributesOfAValidRequest) {
   HttpRequest head = MakeHead(http::verb::get, "view");
   head.set("Req-Owner", "acme");
   head.set("Req-Key", "k");
@@ -56,7 +56,7 @@
   EXPECT_EQ(attributes.time_allowed, 480);
 }
 
-TEST(RequestValidation, ReportsTheFirstViolatedRule) {
+TEST(RequestValidation, ReportsTheFirstViolatedRuleOfAnInvalidRequest) {
   HttpRequest head = MakeHead(http::verb::get, "pay");
   EXPECT_EQ(Validate(head), http::status::method_not_allowed);
   head.method(http::verb::post);
@@ -69,7 +69,7 @@
   EXPECT_EQ(Validate(head), http::status::not_found);
 }
 
-TEST(RequestValidation, RejectsContradictoryFraming) {
+TEST(RequestValidation, RejectsContradictoryOrUnsupportedFraming) {
   HttpRequest head = MakeHead(http::verb::post, "pay");
   EXPECT_EQ(StatusOf(ValidateFraming(head, {.content_length = kMaxBodyBytes})), http::status::ok);
   EXPECT_EQ(StatusOf(ValidateFraming(head, {.content_length = kMaxBodyBytes + 1})),
@@ -83,7 +83,7 @@
   EXPECT_EQ(StatusOf(ValidateFraming(head, {.chunked = true})), http::status::not_implemented);
 }
 
-TEST(RequestValidation, ParsesDeadlines) {
+TEST(RequestValidation, ParsesValidDeadlinesAndRejectsMalformedOnes) {
   EXPECT_EQ(ParseDeadline("480m"), 480);
   EXPECT_EQ(ParseDeadline("480000u"), 480);
   EXPECT_EQ(ParseDeadline("99999999m"), 600000);
--- a/tests/proxy/response_classification_test.cpp
+++ b/tests/proxy/response_classification_test.cpp
@@ -17,9 +17,10 @@
   return ClassifyResponse(response);
 }
 
-// Only a response 503 or 504 with Srv-Declined: 1 proves that the endpoint did not execute the request. The
-// gateway may retry a non-idempotent request after such a response, but after no other response.
-TEST(ResponseClassification, TreatsOnlyMarkedResponsesAsRejections) {
+// Only a response with status 503 or 504 and Srv-Declined: 1 proves that the endpoint did not execute the
+// request. The gateway may retry a non-idempotent request after such a response, but not after any other
+// response.
+TEST(ResponseClassification, Only503And504WithSrvDeclinedAreRejections) {
   EXPECT_EQ(Classify(http::status::ok, nullptr), AttemptResult::kServed);
   EXPECT_EQ(Classify(http::status::ok, "1"), AttemptResult::kServed);
   EXPECT_EQ(Classify(http::status::service_unavailable, "1"), AttemptResult::kRejected);
--- a/tests/proxy/world.hpp
+++ b/tests/proxy/world.hpp
@@ -1,4 +1,4 @@
-// A gateway on loopback, with fake servers for discovery and for the hosts.
+// A gateway on loopback with a fake list service and fake hosts, for tests.
 #ifndef GATEWAY_TESTS_PROXY_WORLD_HPP_
 #define GATEWAY_TESTS_PROXY_WORLD_HPP_
 
@@ -16,10 +16,11 @@
 
 namespace gateway::proxy::testing {
 
-// Runs one gateway in the process of the test, with a fake discovery and fake hosts.
+// Runs one gateway in the test process, with a fake list service and fake hosts.
 struct GatewayHarness {
-  // Starts the gateway with the hosts h0, h1 ... in its configuration. Adds the fields of `extra_config` to
-  // the configuration file; they replace fields of the same name.
+  // Starts the gateway with the hosts h0, h1 ... in its configuration. `socket_limit` is the limit on the
+  // gateway's file descriptors. The fields of `extra_config` are added to the configuration file, and replace
+  // fields of the same name.
   explicit GatewayHarness(std::size_t host_count = 1, nlohmann::json settings = TestSettings(),
                           std::size_t socket_limit = 300,
                           const nlohmann::json& extra_config = nlohmann::json::object()) {
@@ -48,31 +49,32 @@
     Restart();
   }
 
-  // Replaces the gateway by a new one with the same configuration, like a restart of the process. If
-  // `load_state` is false, the new gateway ignores the saved state.
+  // Simulates a restart of the process: replaces the gateway with a new gateway that has the same
+  // configuration. If `load_state` is false, the new gateway ignores the saved state.
   void Restart(bool load_state = true) {
     config_.load_state = load_state;
     gateway.reset();
     gateway.emplace(io, config_);
   }
-  // Restarts the gateway with the guard against mass removal. A configuration turns the guard on by naming
-  // list services in `discovery_endpoints`.
+  // Restarts the gateway with the guard against mass removal. In production, the guard is on if the
+  // configuration names list services in `discovery_endpoints`.
   void EnableMassRemovalGuard() {
     config_.guard_mass_removal = true;
     Restart();
   }
-  // The owner that is named in the gateway's saved state.
+  // The owner name that the gateway writes to its saved state.
   const std::string& owner() const { return config_.state_owner; }
 
   // Runs the event loop until `condition` returns true. Returns a failure if RunUntil times out.
   template <typename Condition>
   ::testing::AssertionResult Until(Condition condition) {
     if (RunUntil(io, condition)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "condition not met in time";
+    return ::testing::AssertionFailure() << "the condition was not met before the timeout";
   }
 
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(io, gateway->address()); }
-  // Sends a management command. Returns all that the gateway sends until it closes the connection.
+  // Sends a management command. Returns the complete response, which the gateway ends by closing the
+  // connection.
   std::string Call(const std::string& line) {
     tcp::socket socket(io);
     socket.connect(*gateway->management());
@@ -80,7 +82,7 @@
     std::string response;
     bool closed = false;
     asio::async_read(socket, asio::dynamic_buffer(response), [&](error_code, std::size_t) { closed = true; });
-    EXPECT_TRUE(Until([&] { return closed; })) << line;
+    EXPECT_TRUE(Until([&] { return closed; })) << "no response to the management command: " << line;
     return response;
   }
   // Returns the parsed response to the management command `vars`.
