--- a/src/proxy/client/accept_queue.cpp
+++ b/src/proxy/client/accept_queue.cpp
@@ -13,7 +13,7 @@
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
-  // A connection always has a retransmission timeout: without one the structure was not filled in.
+  // A TCP connection always has a retransmission timeout. If it is 0, the kernel has not filled in `info`.
   if (info.tcpi_rto == 0) return std::nullopt;
   return info.tcpi_last_data_recv;
 }
--- a/src/proxy/client/body_progress.hpp
+++ b/src/proxy/client/body_progress.hpp
@@ -1,4 +1,4 @@
-// The deadline for request bodies of slow clients.
+// The timeout for request bodies that clients send too slowly.
 #ifndef GATEWAY_PROXY_CLIENT_BODY_PROGRESS_HPP_
 #define GATEWAY_PROXY_CLIENT_BODY_PROGRESS_HPP_
 
@@ -14,14 +14,14 @@
 constexpr Millis kHeadTimeoutMs = 2700;
 // The longest pause within a body.
 constexpr Millis kBodyPauseTimeoutMs = 2000;
-// The time that a body may take in addition to its duration at the minimum rate.
+// The time that a body may take in addition to its transfer time at the minimum rate.
 constexpr Millis kBodyGraceMs = 700;
 // The minimum rate of a body: half the rate at which slow clients send.
 constexpr double kMinBodyBytesPerMs = 32;
 
-// Tracks how fast a client sends the body of one request. Only the time in which the gateway waits for the
-// client counts, not the time in which it does not read. A state machine without I/O; times are those of
-// Now().
+// Tracks how fast a client sends the body of one request. Counts only the time during which the gateway waits
+// for data from the client; time during which the gateway does not read is not counted. A state machine
+// without I/O; times are those of Now().
 class BodyProgress {
  public:
   // Starts to track a body at `now`. The grace period is kBodyGraceMs, or the unused part of the head timeout
@@ -47,13 +47,14 @@
   // The start of the current wait, or of the last wait if none is in progress.
   Millis wait_started_at() const { return wait_started_at_; }
 
-  // Returns whether the client is too slow: it has paused for too long, or the gateway has waited in total
-  // for longer than the received bytes take at the minimum rate plus the grace period.
+  // Returns whether the client is too slow. This is the case if the current wait exceeds kBodyPauseTimeoutMs.
+  // It is also the case if the total of all waits exceeds the transfer time of the received bytes at the
+  // minimum rate by more than the grace period.
   bool TimedOut(Millis now) const {
     if (!waiting_) return false;
     const Millis pause_ms = now - wait_started_at_;
-    const Millis min_rate_ms = static_cast<double>(received_bytes_) / kMinBodyBytesPerMs;
-    return pause_ms > kBodyPauseTimeoutMs || waited_ms_ + pause_ms > grace_ms_ + min_rate_ms;
+    const Millis transfer_time_ms = static_cast<double>(received_bytes_) / kMinBodyBytesPerMs;
+    return pause_ms > kBodyPauseTimeoutMs || waited_ms_ + pause_ms > grace_ms_ + transfer_time_ms;
   }
 
  private:
--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -70,9 +70,10 @@
   if (previous == Phase::kClosed) return;
   reader_.Stop();
   linger_.Stop();
-  const bool interrupted = previous == Phase::kWriting && request_open_;
+  const bool response_interrupted = previous == Phase::kWriting && request_open_;
   EndRequest();
-  if (interrupted) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/false);
+  if (response_interrupted)
+    context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/false);
   error_code ignored;
   socket_.close(ignored);
   context_.owner.OnConnectionClosed(shared_from_this());
@@ -117,8 +118,8 @@
 
 // --- Reading a request
 
-// Begins to read the next request. Reads at once if a part of that request was read together with the
-// previous request, otherwise when the socket is readable.
+// Begins to read the next request. If a part of this request was read together with the previous request,
+// reads at once. Otherwise waits until the socket is readable.
 void ClientConnection::AwaitRequest() {
   reading_request_ = reader_.has_unparsed_bytes();
   if (reading_request_) return reader_.ReadHead();
@@ -140,7 +141,7 @@
   is_readiness_check_ = IsReadinessCheck(head);
   if (!is_readiness_check_) {
     if (const auto error = context_.validator.Validate(head, attributes_)) {
-      // If the invalid request has a body, the start of the next request is unknown.
+      // If the invalid request has a body, the connection does not know where the next request starts.
       if (!reader_.done()) return RejectAndClose(*error);
       EnterPhase(Phase::kServing);
       return RespondWithError(*error);
@@ -187,16 +188,16 @@
   context_.callbacks.on_request_complete(request_id_, Now());
 }
 
-// Called once the request is complete.
+// Called when the dispatched request is complete, including its body.
 void ClientConnection::BeginServing() {
   ++context_.active_requests;
   counted_active_ = true;
   WatchForDisconnect();
 }
 
-// Returns the time since the last bytes of the request arrived at this machine. Where the system does not
-// report it, returns the bound on the time in the accept queue for the first request of the connection, and 0
-// for a later one.
+// Returns the time since the last bytes of the request arrived at this machine. If the system does not report
+// this time, returns the bound on the time in the accept queue for the first request of the connection, and 0
+// for a later request.
 Millis ClientConnection::TimeInKernelQueues() {
   if (const auto since_received = TimeSinceLastReceived(socket_.native_handle())) return *since_received;
   return request_number_ == 0 ? accept_wait_ms_ : 0;
@@ -204,7 +205,8 @@
 
 // --- Disconnects while a request is being served
 
-// If the read-ahead buffer is full, CheckTimeouts checks for a disconnect instead.
+// Waits until the socket is readable, and then checks whether the client has disconnected. If the read-ahead
+// buffer is full, CheckTimeouts performs this check instead.
 void ClientConnection::WatchForDisconnect() {
   watches_for_disconnect_ = reader_.CanReadAhead();
   if (!watches_for_disconnect_) return;
@@ -220,7 +222,7 @@
   return reader_.DetectDisconnect();
 }
 
-// The client has disconnected, possibly before its request was complete.
+// Called when the client has disconnected. Its request may be incomplete.
 void ClientConnection::OnDisconnect() {
   const bool was_serving = phase_ == Phase::kServing;
   Close();
@@ -283,7 +285,7 @@
   RejectAndClose({http::status::request_timeout, "the request is not whole"});
 }
 
-// Ends a request that was dispatched before its body was complete.
+// If the request was dispatched before its body was complete, ends it as if the client had disconnected.
 void ClientConnection::AbandonRequest() {
   if (phase_ != Phase::kServing) return;
   EnterPhase(Phase::kWriting);
@@ -319,8 +321,9 @@
   writer_.Write(std::move(response), std::move(remaining_body), http_version_, KeepsAliveAfterResponse());
 }
 
-// During a drain, and at the connection limit, the response closes the connection unless a part of the next
-// request has arrived. After a request whose body was not read completely the connection is always closed.
+// Returns whether the connection stays open after the response. During a drain, and at the connection limit,
+// it stays open only if a part of the next request has arrived. If keep_alive_ is false, or the body of
+// the request was not read completely, it never stays open.
 bool ClientConnection::KeepsAliveAfterResponse() {
   if (!keep_alive_ || reader_.in_body()) return false;
   error_code ignored;
@@ -329,9 +332,9 @@
 }
 
 void ClientConnection::OnResponseWritten(error_code error) {
-  const bool was_open = request_open_;
+  const bool had_request = request_open_;
   EndRequest();
-  if (was_open) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/!error);
+  if (had_request) context_.callbacks.on_response_end(class_name_, writer_.status(), /*complete=*/!error);
   writer_.Reset();
   reader_.Reset();
   if (error) return Close();
@@ -343,11 +346,11 @@
   reading_request_ = reader_.has_unparsed_bytes();
   if (!reading_request_) reader_.ShrinkBuffer();
   if (context_.transfer && Transfer()) return;
-  // If the listener is closed, CheckTimeouts closes the connection when the response has had time to arrive.
+  // During a stop, CheckTimeouts closes the connection later, when the response has had time to arrive.
   AwaitRequest();
 }
 
-// Ends the dispatched request, if there is one, with or without a response.
+// Ends the dispatched request, if there is one. The request may or may not have a response.
 void ClientConnection::EndRequest() {
   request_open_ = false;
   if (std::exchange(counted_active_, false)) --context_.active_requests;
--- a/src/proxy/client/client_listener.cpp
+++ b/src/proxy/client/client_listener.cpp
@@ -11,9 +11,9 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The retry interval while there is no room for another connection.
+// The delay before a retry if there is no room for another connection.
 constexpr Millis kNoRoomRetryMs = 20;
-// The delay after a failed accept. A retry without a delay would fail for the same reason.
+// The delay before a retry after a failed accept. An immediate retry would fail for the same reason.
 constexpr Millis kAcceptErrorRetryMs = 50;
 constexpr char kAddressSetting[] = "NODE_LISTEN";
 
@@ -34,7 +34,7 @@
 void ClientListener::Resume() {
   if (accepting_ || !acceptor_.is_open()) return;
   const bool may_accept = delegate_.MayAccept();
-  if (accepting_) return;  // MayAccept has closed a connection, and the close has called Resume
+  if (accepting_) return;  // MayAccept has closed a connection, which has called Resume already
   if (!may_accept) {
     queue_delay_.Observe(Now(), /*pending=*/true);
     return ResumeAfter(kNoRoomRetryMs);
--- a/src/proxy/client/client_request.hpp
+++ b/src/proxy/client/client_request.hpp
@@ -1,4 +1,4 @@
-// A client's request as the ClientServer reports it to the gateway, and the handle for its response.
+// A client's request as the ClientServer passes it to the gateway, and the object that sends the response.
 #ifndef GATEWAY_PROXY_CLIENT_CLIENT_REQUEST_HPP_
 #define GATEWAY_PROXY_CLIENT_CLIENT_REQUEST_HPP_
 
@@ -16,8 +16,8 @@
 
 class ClientConnection;
 
-// Sends the response to one request, and reports whether its client has disconnected. Does not keep the
-// connection alive; all calls remain valid after the connection has ended.
+// Sends the response to one request, and detects whether the client has disconnected. Does not keep the
+// connection alive. All functions may be called after the connection has ended.
 class ClientResponder {
  public:
   ClientResponder() = default;
@@ -25,12 +25,14 @@
   ClientResponder(std::weak_ptr<ClientConnection> connection, std::uint64_t request_number)
       : connection_(std::move(connection)), request_number_(request_number) {}
 
-  // Sends the response. `remaining_body` is the part of its body that is not in `response` yet, or null.
-  // Cancels `remaining_body` at once if the request already has a response or its client has disconnected.
+  // Sends the response. `remaining_body` is the part of the body that follows the part in `response`, or
+  // null. If the request already has a response, or the client has disconnected, cancels `remaining_body` at
+  // once.
   void Respond(HttpResponse response, std::shared_ptr<BodySource> remaining_body) const;
 
-  // Asks the socket whether the client has disconnected. If it has, and ClientCallbacks::on_disconnect was
-  // not called yet, on_disconnect is called after this function has returned.
+  // Checks the socket, and returns whether the client has disconnected. If so, and if
+  // ClientCallbacks::on_disconnect was not called yet, on_disconnect is called after this function has
+  // returned.
   bool ClientDisconnected() const;
 
  private:
@@ -38,29 +40,31 @@
   std::uint64_t request_number_ = 0;
 };
 
-// A valid request. Its body is complete unless there is a `remaining_body`.
+// A valid request. If `remaining_body` is null, the body in `http` is complete.
 struct ClientRequest : RequestAttributes {
   HttpRequest http;
-  // The time at which the last byte of `http` arrived at this machine; it may have been read later.
+  // The time at which the last byte of `http` arrived at this machine. The gateway may have read it later.
   Millis received_at = 0;
   std::shared_ptr<BodySource> remaining_body;
   ClientResponder responder;
 };
 
-// The callbacks by which a ClientServer reports to the gateway. All of them are required, are called on the
-// event loop's thread, and may call back into the ClientServer and the ClientResponder.
+// The callbacks through which a ClientServer reports events to the gateway. All callbacks are required. They
+// run on the event loop's thread, and may call functions of the ClientServer and the ClientResponder.
 struct ClientCallbacks {
-  // Returns whether the response to GET /up is 200; otherwise it is 503.
+  // Returns whether the gateway is ready. The status of the response to GET /up is 200 if so, otherwise 503.
   std::function<bool()> is_ready;
-  // A valid request has arrived. The gateway must respond exactly once, unless on_disconnect follows.
+  // Called when a valid request has arrived. The gateway must respond to the request exactly once, unless
+  // on_disconnect is called first.
   std::function<void(ClientRequest request)> on_request;
-  // The last byte of a request with a remaining body was read at `received_at`. Called before the body's
-  // source delivers the last piece.
+  // Called when the last byte of a request with a remaining body was read, at `received_at`. Called before
+  // the body's source delivers the last piece.
   std::function<void(const std::string& request_id, Millis received_at)> on_request_complete;
-  // The client of a request has disconnected, or was too slow with its body, before a response was sent. A
-  // later response is discarded.
+  // Called when the client has disconnected, or has sent the body too slowly, before a response was sent. The
+  // ClientServer discards a later response.
   std::function<void(const std::string& request_id)> on_disconnect;
-  // The response to a request has ended. `complete` is false if the response was not written completely.
+  // Called when the write of a response has ended. `complete` is false if the response was not written
+  // completely.
   std::function<void(const std::string& class_name, unsigned status, bool complete)> on_response_end;
 };
 
--- a/src/proxy/client/client_server.cpp
+++ b/src/proxy/client/client_server.cpp
@@ -17,7 +17,7 @@
 
 // The interval at which the timeouts of all connections are checked.
 constexpr Millis kTimeoutCheckIntervalMs = 500;
-// The Retry-After of connections that are shed, unless the settings' maximum is lower.
+// The Retry-After in responses to shed connections, unless the maximum in the settings is lower.
 constexpr Millis kShedRetryAfterMs = 500;
 
 Millis ShedRetryAfterMs(const policy::Settings& settings) {
@@ -47,8 +47,8 @@
   return table_.MakeRoom() || (table_.ShedsNewClients() && table_.HasRoomToShed());
 }
 
-// Checks again whether there is room for a connection, because the accept may have been pending for a long
-// time.
+// Checks again whether there is room for a connection. The last check was made when the accept began, which
+// may be a long time ago.
 void ClientServer::OnAccepted(tcp::socket socket) {
   if (!table_.MakeRoom() && table_.ShedsNewClients()) {
     AddConnection(std::move(socket), /*transferred=*/false)->Shed();
@@ -110,7 +110,8 @@
 void ClientServer::StopListening(std::function<void()> done) {
   SetDraining(true);
   on_stopped_ = std::move(done);
-  // Clients in the accept queue are connected, and may have sent requests that a close would lose.
+  // Clients in the accept queue are connected and may have sent requests. Closing the listener would lose
+  // these requests.
   while (!table_.AtLimit()) {
     auto socket = listener_.AcceptPending();
     if (!socket) break;
@@ -118,7 +119,7 @@
   }
   listener_.Close();
   for (const auto& connection : table_.Snapshot()) {
-    if (connection->IsSettled(Now())) connection->Close();  // CheckTimeouts closes the others
+    if (connection->IsSettled(Now())) connection->Close();  // CheckTimeouts closes the remaining ones later
   }
   ReportStopIfEmpty();
 }
--- a/src/proxy/client/client_server.hpp
+++ b/src/proxy/client/client_server.hpp
@@ -1,4 +1,4 @@
-// The client side of the proxy: accepts connections, reads requests, and writes one response to each.
+// The client side of the proxy: accepts connections, reads requests, and writes one response to each request.
 #ifndef GATEWAY_PROXY_CLIENT_CLIENT_SERVER_HPP_
 #define GATEWAY_PROXY_CLIENT_CLIENT_SERVER_HPP_
 
@@ -20,19 +20,20 @@
 
 struct ClientServerOptions {
   boost::asio::ip::tcp::endpoint address;
-  bool shared = false;               // other processes may listen at the address too
+  bool shared = false;               // other processes may listen at the same address
   std::size_t connection_limit = 1;  // see ClientServer::SetConnectionLimit
-  // Bytes of request bodies that are buffered on all connections together. Above this number bodies are
-  // streamed sooner.
+  // Limit on the buffered bytes of request bodies, for all connections together. While it is exceeded, only a
+  // smaller part of each body is buffered before the body is streamed.
   std::size_t body_budget_bytes = 0;
 };
 
-// Accepts clients' connections and reports valid requests to the gateway. Responds by itself to invalid
-// requests and to GET /up. Runs on the event loop's thread. Must outlive its pending operations on `io`.
+// Accepts connections from clients and passes valid requests to the gateway. Responds to invalid requests and
+// to GET /up without the gateway. Runs on the event loop's thread. Must outlive its pending operations on
+// `io`.
 class ClientServer final : private ClientConnectionOwner, private ClientListener::Delegate {
  public:
-  // Starts to accept connections: on `inherited_listener` if it is open, else at the options' address. Throws
-  // ConfigError if the address is not available. Callbacks are called from the event loop only.
+  // Starts to accept connections: on `inherited_listener` if it is open, otherwise at the options' address.
+  // Throws ConfigError if the address is not available. Calls the callbacks only from the event loop.
   ClientServer(boost::asio::io_context& io, const ClientServerOptions& options,
                base::FileDescriptor inherited_listener, const policy::Settings& settings,
                ClientCallbacks callbacks);
@@ -42,22 +43,24 @@
   // The number of complete requests whose response is not written yet.
   std::size_t active_requests() const { return context_.active_requests; }
 
-  // Begins or ends a drain. During a drain each response closes its connection. Idle connections are closed
-  // after a delay in which the load balancer stops sending new requests.
+  // Begins or ends a drain. During a drain, each response closes its connection. Idle connections are closed
+  // after a delay, which gives the load balancer time to stop sending new requests.
   void SetDraining(bool draining);
-  // Changes the limit on connections. When it is reached, idle connections are evicted for new clients.
+  // Changes the limit on connections. At the limit, an idle or stalled connection is evicted for each new
+  // client.
   void SetConnectionLimit(std::size_t limit);
 
-  // The listening socket, for the transfer to another process. Still owned by this object; -1 if it is
-  // closed.
+  // The descriptor of the listening socket, for the transfer to another process. This object continues to own
+  // it. -1 if the listener is closed.
   int listener() { return listener_.native_handle(); }
   // Takes over a client's connection from another process. The connection must be between two requests.
   void AcceptTransferredConnection(base::FileDescriptor client);
-  // Stops accepting, because another process accepts from the same queue. Transfers each connection as soon
-  // as the connection is between two requests. Calls `done` when no connection is left.
+  // Stops accepting connections, because another process accepts from the same queue. Transfers each
+  // connection as soon as the connection is between two requests. Calls `done` when no connection remains
+  // open.
   void TransferConnections(ConnectionTransfer transfer, std::function<void()> done);
   // Begins a drain, accepts the pending connections, then closes the listener and the idle connections. Calls
-  // `done` when no connection is left.
+  // `done` when no connection remains open.
   void StopListening(std::function<void()> done);
 
  private:
@@ -77,7 +80,7 @@
   ClientConnectionContext context_;
   ConnectionTable table_;
   boost::asio::steady_timer timeout_timer_;
-  std::function<void()> on_stopped_;  // called when no connection is left; empty before a stop
+  std::function<void()> on_stopped_;  // called when no connection remains open; empty before a stop
   ClientListener listener_;
 };
 
--- a/src/proxy/client/connection_table.cpp
+++ b/src/proxy/client/connection_table.cpp
@@ -5,13 +5,13 @@
 namespace gateway::proxy {
 namespace {
 
-// The idle time after which a connection may be evicted. The client has this time to send a request.
+// The idle time after which a connection may be evicted. A client has at least this time to send a request.
 constexpr Millis kMinIdleTimeMs = 50;
 // The time without progress after which a connection with an incomplete request may be evicted.
 constexpr Millis kMinStallTimeMs = 1000;
-// The time without a reclaimable connection after which new clients are shed.
+// New clients are shed after no connection has been reclaimable for this time.
 constexpr Millis kShedDelayMs = 300;
-// The number of connections that may be open beyond the limit. They are accepted only to be rejected.
+// The number of connections that may be open in excess of the limit. They only receive the response 503.
 constexpr std::size_t kMaxShedConnections = 8;
 
 }  // namespace
@@ -47,9 +47,9 @@
       stalled_since = connection->last_progress_at();
     }
   }
-  const auto victim = longest_idle ? longest_idle : longest_stalled;
-  if (victim) victim->Close();
-  return victim != nullptr;
+  const auto evicted = longest_idle ? longest_idle : longest_stalled;
+  if (evicted) evicted->Close();
+  return evicted != nullptr;
 }
 
 bool ConnectionTable::ShedsNewClients() const { return Now() - last_reclaimable_at_ >= kShedDelayMs; }
--- a/src/proxy/client/drain_state.hpp
+++ b/src/proxy/client/drain_state.hpp
@@ -8,17 +8,17 @@
 
 namespace gateway::proxy {
 
-// The time after the start of a drain at which idle connections are closed. The load balancer has stopped
-// sending new requests by then.
+// The time after the start of a drain at which idle connections are closed. By then, the load balancer has
+// stopped sending new requests.
 constexpr Millis kDrainIdleCloseDelayMs = 500;
 // The time after the start of a drain from which incomplete requests are rejected.
 constexpr Millis kDrainRequestTimeoutMs = 1700;
 
-// Records whether, and since when, the gateway drains. Every response closes its connection during a drain;
-// idle connections are closed after a delay. A state machine without I/O; times are those of Now().
+// Records whether the gateway drains, and since when. During a drain, every response closes its connection,
+// and idle connections are closed after a delay. A state machine without I/O; times are those of Now().
 class DrainState {
  public:
-  // Begins a drain, unless one is active.
+  // Begins a drain. Has no effect if a drain is active.
   void Begin(Millis now) {
     if (!started_at_) started_at_ = now;
   }
--- a/src/proxy/client/lingering_close.cpp
+++ b/src/proxy/client/lingering_close.cpp
@@ -11,9 +11,9 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// The time within which a client that sends nothing more must close its side.
+// A client that sends nothing must close its side within this time.
 constexpr Millis kQuietTimeoutMs = 1000;
-// The time within which a client that continues to send must close its side.
+// A client that continues to send data must close its side within this time.
 constexpr Millis kTotalTimeoutMs = 6000;
 constexpr std::size_t kDiscardBufferBytes = 4096;
 
--- a/src/proxy/client/lingering_close.hpp
+++ b/src/proxy/client/lingering_close.hpp
@@ -1,4 +1,4 @@
-// The end of a client's connection after its last response.
+// The orderly close of a client's connection after the last response.
 #ifndef GATEWAY_PROXY_CLIENT_LINGERING_CLOSE_HPP_
 #define GATEWAY_PROXY_CLIENT_LINGERING_CLOSE_HPP_
 
@@ -10,14 +10,14 @@
 
 namespace gateway::proxy {
 
-// Closes the sending side of a connection and discards what the client still sends. Closing a socket with
-// unread bytes would reset the connection, and the client could lose the last response.
+// Closes the sending side of a connection, and discards the data that the client still sends. Closing a
+// socket with unread data would reset the connection, and the client could lose the last response.
 class LingeringClose {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // The client has closed its side, the connection has failed, or the client has sent too much. The
-    // delegate closes the socket. May be called from within Start.
+    // Called when the client has closed its side, the connection has failed, or the client has sent more than
+    // kMaxBodyBytes. The delegate must close the socket. May be called before Start returns.
     virtual void OnLingerFinished() = 0;
 
    protected:
@@ -29,9 +29,9 @@
       : socket_(socket), delegate_(delegate) {}
 
   void Start();
-  // Stops the notifications of the delegate.
+  // Stops the calls to the delegate.
   void Stop() { active_ = false; }
-  // Returns whether the client has had enough time to close.
+  // Returns whether the client has not closed its side within the time limit.
   bool TimedOut(Millis now) const;
 
  private:
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -18,15 +18,15 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// The largest number of unparsed bytes: a message head, or the header of a chunk.
+// The largest number of unparsed bytes in the buffer, for example of a message head or of a chunk header.
 constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
-// The size of one read ahead of the request that is being served.
+// The largest number of bytes that one call reads past the request that is being served.
 constexpr std::size_t kReadAheadBytes = 4096;
-// The size of reads while a body is buffered, and the limit on the buffered part while the budget is
-// exceeded.
+// The size of reads while a body is buffered. Also the limit on the buffered part of a body while the buffer
+// budget is exceeded.
 constexpr std::size_t kSmallPieceBytes = kBodyPieceBytes / 4;
 
-// Returns whether the result of a receive call means that the connection is open, with or without data.
+// Returns whether `received`, the result of a recv call, means that the connection is open.
 bool IsOpen(ssize_t received) {
   return received > 0 || (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR));
 }
@@ -76,7 +76,7 @@
   awaits_continue ? SendContinue() : ReadPiece();
 }
 
-// Sends the interim response 100. The client waits for it before it sends the body.
+// Sends the interim response 100 (Continue). The client waits for this response before it sends the body.
 void RequestReader::SendContinue() {
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
   asio::async_write(socket_, asio::buffer(kContinue),
@@ -100,12 +100,12 @@
   });
 }
 
-// Continues to read the body.
+// Reads the next piece of the body.
 void RequestReader::ReadPiece() {
   const bool streaming = piece_handler_ != nullptr;
   if (done()) {
     if (!streaming) return OnPiece({}, 0);
-    // A piece handler is never called from within ReadNextPiece.
+    // Posts the call, because a piece handler must not be called before ReadNextPiece returns.
     return asio::post(io_, [this, connection = delegate_.KeepAlive()] { OnPiece({}, 0); });
   }
   progress_.BeginWait(Now());
@@ -150,7 +150,7 @@
 
 bool RequestReader::DetectDisconnect() {
   const int socket = socket_.native_handle();
-  if (in_body_) {  // the bytes of the body are left for ReadNextPiece
+  if (in_body_) {  // leaves the bytes of the body in the socket for ReadNextPiece
     char byte = 0;
     return !IsOpen(::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT));
   }
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -30,14 +30,15 @@
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // The head is complete: request() returns it. The delegate calls ReadBody, or writes a response.
+    // Called when the head is complete. request() returns the head. The delegate then calls ReadBody or
+    // writes a response.
     virtual void OnRequestHead() = 0;
-    // The body is complete or, if in_body() is true, the limit for buffering the body is reached. The
-    // delegate takes the request with ReleaseRequest.
+    // Called when the body is complete, or when the limit for buffering the body is reached. In the second
+    // case in_body() is true. The delegate takes the request with ReleaseRequest.
     virtual void OnRequestBuffered() = 0;
-    // The last byte of a streamed body was read. The last piece is delivered afterwards.
+    // Called when the last byte of a streamed body was read. The last piece is delivered afterwards.
     virtual void OnStreamedBodyComplete() = 0;
-    // The request is malformed, or the connection has ended before it was complete.
+    // Called when the request is malformed, or the connection has ended before the request was complete.
     virtual void OnReadError(boost::system::error_code error) = 0;
 
    protected:
@@ -50,15 +51,15 @@
 
   // Begins to read the next request.
   void ReadHead();
-  // Reads the body of the request whose head is complete. `request_started_at` is at or before the arrival of
-  // the request's first byte.
+  // Reads the body of the request after OnRequestHead. `request_started_at` is the time at which the first
+  // byte of the request arrived, or an earlier time.
   void ReadBody(Millis request_started_at);
-  // Streams the body, see BodySource::ReadNext. May be called only while the request is incomplete.
+  // Reads the next piece of a streamed body, see BodySource::ReadNext. May be called only while the request
+  // is incomplete.
   void ReadNextPiece(BodySource::PieceHandler handler);
-  // Stops the notifications of the delegate until the next call to ReadHead. A pending piece handler stays
-  // pending.
+  // Stops the calls to the delegate until the next call to ReadHead. A pending piece handler stays pending.
   void Stop() { stopped_ = true; }
-  // Calls a pending piece handler with an error, after this returns.
+  // If a piece handler is pending, calls it with an error after this function has returned.
   void FailPendingPiece();
 
   // The head, and the buffered part of the body.
@@ -67,29 +68,29 @@
   RequestFraming framing() const;
   // Whether the client wants the connection to stay open after this request.
   bool keep_alive() const { return parser_->keep_alive(); }
-  // Whether all of the request has been parsed.
+  // Whether the complete request has been parsed.
   bool done() const { return parser_->is_done(); }
   // Whether the head has been read and the body is incomplete.
   bool in_body() const { return in_body_; }
   // Whether ReadNextPiece was called for the current body.
   bool streaming_started() const { return streaming_started_; }
-  // Whether bytes that follow the current request, and so belong to the next one, have been read.
+  // Whether bytes that follow the current request have been read. They belong to the next request.
   bool has_unparsed_bytes() const { return buffer_.size() > 0; }
 
-  // Returns whether more may be read ahead of the current request.
+  // Returns whether the buffer has room to read further past the current request.
   bool CanReadAhead() const;
-  // Asks the socket whether the client has closed its side or the connection has failed. Reads ahead if the
-  // body of the current request is complete.
+  // Checks the socket, and returns whether the client has closed its side or the connection has failed. Reads
+  // past the current request if the body of the request is complete.
   bool DetectDisconnect();
 
   // Returns whether the client sends the body too slowly.
   bool BodyTimedOut(Millis now) const { return progress_.TimedOut(now); }
   // Records whether more of a head has arrived since the last call. Called at regular intervals.
   void ObserveHeadProgress(Millis now);
-  // The last time at which the client was observed to make progress with the current request.
+  // The last time at which progress of the current request was observed.
   Millis last_progress_at() const { return in_body_ ? progress_.wait_started_at() : head_progress_at_; }
 
-  // Discards the request and releases its share of the buffer budget.
+  // Discards the request, and releases its charge to the buffer budget.
   void Reset();
   // Frees the memory of an empty buffer, for a connection that becomes idle.
   void ShrinkBuffer() { buffer_.shrink_to_fit(); }
@@ -104,7 +105,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::socket& socket_;
-  BufferCharge charge_;  // for the buffered part of the body
+  BufferCharge charge_;  // the buffer budget that the buffered part of the body uses
   Delegate& delegate_;
   boost::beast::flat_buffer buffer_;  // bytes that are not parsed yet
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
@@ -119,7 +120,8 @@
   Millis head_progress_at_ = 0;
 };
 
-// Returns whether a read error means that a message violates HTTP, as opposed to a connection that has ended.
+// Returns whether a read error means that a message violates HTTP. Any other read error means that the
+// connection has ended.
 bool IsProtocolViolation(boost::system::error_code error);
 
 }  // namespace gateway::proxy
--- a/src/proxy/client/request_validation.cpp
+++ b/src/proxy/client/request_validation.cpp
@@ -32,13 +32,13 @@
   return path == "/api" || path.starts_with("/api/");
 }
 
-// Returns the method that a class's requests must use. Class and method must agree on whether a request may
-// be repeated.
+// Returns the HTTP method that the requests of a traffic class must use. The class and the method must agree
+// on whether a request may be repeated.
 http::verb MethodOf(policy::Idempotency idempotency) {
   return idempotency == policy::Idempotency::kIdempotent ? http::verb::get : http::verb::post;
 }
 
-// Returns the factor from the unit to milliseconds; 0 if the unit is unknown.
+// Returns the number of milliseconds in one unit; 0 if the unit is unknown.
 double MillisPerUnit(char unit) {
   if (unit == 'm') return 1;
   return unit == 'u' ? kMillisPerMicrosecond : 0;
--- a/src/proxy/client/request_validation.hpp
+++ b/src/proxy/client/request_validation.hpp
@@ -1,4 +1,5 @@
-// Validates a client's request head against HTTP's framing rules, the platform's protocol and the settings.
+// Validates the head of a client's request against HTTP's framing rules, the platform's protocol and the
+// settings.
 #ifndef GATEWAY_PROXY_CLIENT_REQUEST_VALIDATION_HPP_
 #define GATEWAY_PROXY_CLIENT_REQUEST_VALIDATION_HPP_
 
@@ -15,32 +16,32 @@
 
 namespace gateway::proxy {
 
-// The status and the text of the response that rejects a request.
+// The status and the body text of the response that rejects a request.
 struct RequestError {
   boost::beast::http::status status;
   std::string text;
 };
 
-// The values of a request's platform header fields.
+// The values of the header fields that the platform defines for requests.
 struct RequestAttributes {
   std::string id;
   std::string class_name;    // name of the traffic class
   std::string tenant;        // empty if there is none
   std::string affinity_key;  // empty if there is none
-  Millis time_allowed = 0;   // how long the client waits, from when it sent the request
+  Millis time_allowed = 0;   // how long the client waits for the response after sending the request
 };
 
-// The framing of a request's body as the parser understood it.
+// The framing of a request's body as the HTTP parser reports it.
 struct RequestFraming {
   bool chunked = false;
-  std::uint64_t content_length = 0;  // bytes; 0 if there is none
+  std::uint64_t content_length = 0;  // bytes; 0 if the field is missing
 };
 
-// Returns whether the request asks if this process accepts clients (GET /up).
+// Returns whether the request is a readiness check (GET /up).
 bool IsReadinessCheck(const HttpRequest& head);
 
-// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, at
-// most ten minutes; nothing if the text is malformed or negative.
+// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, limited
+// to ten minutes. Returns nothing if the text is malformed or the value is negative.
 std::optional<Millis> ParseDeadline(std::string_view text);
 
 // Returns an error for a request that two recipients could frame differently (request smuggling), or that
@@ -53,7 +54,7 @@
   explicit RequestValidator(const policy::Settings& settings);
 
   // Reads the platform's header fields into `attributes`. Returns an error if the path, the method or one of
-  // the fields is invalid; `attributes` is then filled in as far as the fields were valid.
+  // the fields is invalid. After an error, `attributes` may be incomplete.
   std::optional<RequestError> Validate(const HttpRequest& head, RequestAttributes& attributes) const;
 
  private:
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -14,7 +14,7 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// The time within which the client must read enough for a write to complete.
+// The time within which a write must complete. It completes when the client has read enough data.
 constexpr Millis kWriteTimeoutMs = 10000;
 
 }  // namespace
@@ -93,8 +93,8 @@
   delegate_.OnResponseWritten(error);
 }
 
-// Called when the source of the body has failed. If only the end of the connection delimits the body, resets
-// the connection: an orderly close would make the response look complete.
+// Called when the source of the body has failed. If only the end of the connection delimits the body, makes
+// the close reset the connection: an orderly close would make the response look complete.
 void ResponseWriter::Abort() {
   error_code ignored;
   if (ends_by_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -1,4 +1,4 @@
-// Writes responses on a client's connection.
+// Writes responses to a client's connection.
 #ifndef GATEWAY_PROXY_CLIENT_RESPONSE_WRITER_HPP_
 #define GATEWAY_PROXY_CLIENT_RESPONSE_WRITER_HPP_
 
@@ -15,16 +15,16 @@
 
 namespace gateway::proxy {
 
-// Writes one response at a time. A complete body is written at once, a streamed body piece by piece as its
-// source delivers the pieces.
+// Writes one response at a time. Writes a complete body at once, and a streamed body piece by piece as the
+// body's source delivers the pieces.
 class ResponseWriter {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // The last byte was handed to the kernel, or the write has failed.
+    // Called when the last byte was handed to the kernel, or when the write of a buffered response has failed.
     virtual void OnResponseWritten(boost::system::error_code error) = 0;
-    // A piece of a streamed response could not be written, or its source has failed. When the delegate closes
-    // the socket, the client recognizes that the response is incomplete.
+    // Called when the write of a streamed response has failed, or when the body's source has failed. The
+    // delegate must close the socket, which shows the client that the response is incomplete.
     virtual void OnResponseAborted() = 0;
 
    protected:
@@ -35,21 +35,21 @@
   ResponseWriter(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
       : socket_(socket), delegate_(delegate) {}
 
-  // Starts to write a response with the HTTP version of its request (10 or 11). `remaining_body` is the part
-  // of the body that follows the part in `response`, or null. `keep_alive` is whether the connection may stay
-  // open afterwards. Unless Stop is called, exactly one method of the delegate is called once, after this
-  // function has returned.
+  // Starts to write a response. `version` is the HTTP version of the request (10 or 11). `remaining_body` is
+  // the part of the body that follows the part in `response`, or null. `keep_alive` is true if the connection
+  // may stay open afterwards. Unless Stop is called, the writer calls either OnResponseWritten or
+  // OnResponseAborted exactly once, after this function has returned.
   void Write(HttpResponse response, std::shared_ptr<BodySource> remaining_body, unsigned version,
              bool keep_alive);
-  // Stops the notifications of the delegate, and cancels the remaining body if there is one.
+  // Stops the calls to the delegate, and cancels the remaining body if there is one.
   void Stop();
 
-  // Returns whether the connection may stay open after the current response. False if the body is delimited
-  // by the end of the connection.
+  // Returns whether the connection may stay open after the current response. False if the end of the
+  // connection delimits the body.
   bool keep_alive() const { return keep_alive_; }
   // The status of the current response.
   unsigned status() const { return response_.result_int(); }
-  // Returns whether the client has not read for longer than the write timeout.
+  // Returns whether the pending write has exceeded the write timeout, because the client does not read.
   bool TimedOut(Millis now) const;
   // Frees the memory of the response that was written.
   void Reset() { response_ = {}; }
@@ -67,10 +67,10 @@
   Delegate& delegate_;
   HttpResponse response_;
   std::shared_ptr<BodySource> remaining_body_;
-  std::string frame_;            // what is written before the current piece
+  std::string frame_;            // bytes to write before the current piece
   bool active_ = false;          // a response is being written
   bool write_pending_ = false;   // the kernel has not accepted all of the last write yet
-  Millis write_started_at_ = 0;  // of the last write
+  Millis write_started_at_ = 0;  // start of the last write
   bool keep_alive_ = true;       // the connection may stay open after the response
   bool chunked_ = false;         // the body has chunked transfer coding
   bool ends_by_close_ = false;   // neither Content-Length nor chunked coding delimits the body
