--- a/src/proxy/client/client_connection.cpp
+++ b/src/proxy/client/client_connection.cpp
@@ -152,7 +152,7 @@
 
 void ClientConnection::OnReadError(error_code error) {
   if (!IsProtocolViolation(error)) return OnDisconnect();
-  AbandonRequest();
+  CancelIncompleteRequest();
   RejectAndClose({StatusOfReadError(error), error.message()});
 }
 
@@ -178,18 +178,18 @@
   if (reader_.in_body()) {
     request.remaining_body = shared_from_this();
   } else {
-    BeginServing();
+    OnRequestComplete();
   }
   context_.callbacks.on_request(std::move(request));
 }
 
 void ClientConnection::OnStreamedBodyComplete() {
-  BeginServing();
+  OnRequestComplete();
   context_.callbacks.on_request_complete(request_id_, Now());
 }
 
 // Called when the dispatched request is complete, including its body.
-void ClientConnection::BeginServing() {
+void ClientConnection::OnRequestComplete() {
   ++context_.active_requests;
   counted_active_ = true;
   WatchForDisconnect();
@@ -281,12 +281,12 @@
 }
 
 void ClientConnection::RejectSlowRequest() {
-  AbandonRequest();
+  CancelIncompleteRequest();
   RejectAndClose({http::status::request_timeout, "the request is not whole"});
 }
 
 // If the request was dispatched before its body was complete, ends it as if the client had disconnected.
-void ClientConnection::AbandonRequest() {
+void ClientConnection::CancelIncompleteRequest() {
   if (phase_ != Phase::kServing) return;
   EnterPhase(Phase::kWriting);
   reader_.Stop();
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -139,7 +139,7 @@
 
   void AwaitRequest();
   void DispatchRequest();
-  void BeginServing();
+  void OnRequestComplete();
   Millis TimeInKernelQueues();
 
   void WatchForDisconnect();
@@ -149,7 +149,7 @@
   void CheckReadingTimeouts(Millis now);
   void CheckServingTimeouts(Millis now);
   void RejectSlowRequest();
-  void AbandonRequest();
+  void CancelIncompleteRequest();
 
   void RejectAndClose(const RequestError& error, Millis retry_after_ms = 0);
   void RespondWithError(const RequestError& error, Millis retry_after_ms = 0);
