--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -48,7 +48,7 @@
   const ClientCallbacks callbacks;
   const RequestValidator validator;
   const Millis shed_retry_after_ms;  // Retry-After in responses to shed connections; 0: none
-  BufferBudget body_budget;          // bounds the buffered parts of all request bodies
+  BufferBudget body_budget;          // accounts for the buffered parts of all request bodies
   DrainState drain = {};
   std::size_t active_requests = 0;   // complete requests whose response is not written yet
   ConnectionTransfer transfer = {};  // empty until the transfer of idle connections begins
@@ -167,15 +167,16 @@
   Millis phase_entered_at_ = Now();
   Millis request_started_at_ = phase_entered_at_;  // not later than the first byte of the request
   bool reading_request_ = false;                   // in kReading: a part of a request has arrived
-  std::uint64_t wait_number_ =
-      0;  // number of the latest wait for readability; results of earlier waits are ignored
+  // Number of the latest wait for readability. The results of earlier waits are ignored.
+  std::uint64_t wait_number_ = 0;
   bool watches_for_disconnect_ = false;  // in kServing: a wait for readability is pending
 
   bool keep_alive_ = true;  // the connection may stay open after the current response
   bool shed_ = false;
   unsigned http_version_ = 11;
-  std::uint64_t request_number_ = 0;  // number of the last dispatched request; 0: none on this connection
-  Millis accept_wait_ms_ = 0;         // upper bound on the time in the accept queue
+  // Number of the last dispatched request; 0 if there was none. Starts at 1 on a transferred connection.
+  std::uint64_t request_number_ = 0;
+  Millis accept_wait_ms_ = 0;  // upper bound on the time in the accept queue
 
   bool is_readiness_check_ = false;
   RequestAttributes attributes_;  // attributes of the request that is being read
--- a/src/proxy/client/request_reader.hpp
+++ b/src/proxy/client/request_reader.hpp
@@ -105,7 +105,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::socket& socket_;
-  BufferCharge charge_;  // the buffer budget that the buffered part of the body uses
+  BufferCharge charge_;  // the share of the buffer budget that the buffered body uses
   Delegate& delegate_;
   boost::beast::flat_buffer buffer_;  // bytes that are not parsed yet
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
--- a/src/proxy/client/response_writer.hpp
+++ b/src/proxy/client/response_writer.hpp
@@ -21,7 +21,8 @@
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // Called when the last byte was handed to the kernel, or when the write of a buffered response has failed.
+    // Called when the last byte was handed to the kernel, or when the write of a buffered response has
+    // failed.
     virtual void OnResponseWritten(boost::system::error_code error) = 0;
     // Called when the write of a streamed response has failed, or when the body's source has failed. The
     // delegate must close the socket, which shows the client that the response is incomplete.
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -13,12 +13,12 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned kHttpVersion = 11;  // HTTP/1.1
-// The time before the client's timeout by which the policy must respond: responses take time to arrive, and
+// The policy must respond this long before the client's timeout, because responses take time to arrive and
 // timers may fire late.
 constexpr Millis kResponseMarginMs = 10;
-// The time before the client's timeout at which the forwarder times out a request without a response.
+// The forwarder times out a request without a response this long before the client's timeout.
 constexpr Millis kTimeoutMarginMs = 4;
-constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at the minimum rate
+constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at kMinBodyBytesPerMs
 const char* const kLoadReportField = "Srv-Load";
 
 void StripUpstreamFields(HttpResponse& response) {
@@ -33,7 +33,8 @@
     : io_(io), settings_(settings), driver_(driver), upstream_(upstream), metrics_(metrics) {}
 
 void RequestForwarder::OnRequest(ClientRequest request) {
-  if (requests_.contains(request.id)) {  // the outcomes of two requests with one ID can't be distinguished
+  // The outcomes of two requests with the same ID cannot be distinguished.
+  if (requests_.contains(request.id)) {
     HttpResponse response(http::status::conflict, kHttpVersion);
     response.body() = "Req-Id is in use\n";
     return request.responder.Respond(std::move(response), nullptr);
@@ -67,8 +68,8 @@
   });
 }
 
-// The deadline of the request and the timeouts of its attempts count from now, since an endpoint cannot
-// execute an incomplete request.
+// The deadline of the request and the timeouts of its attempts count from `completed_at`, because an endpoint
+// cannot execute an incomplete request.
 void RequestForwarder::OnRequestComplete(const std::string& id, Millis completed_at) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || std::exchange(active->complete, true)) return;
@@ -142,8 +143,8 @@
   return false;
 }
 
-// The timers of the policy normally produce a response before this timeout, which covers timers that fire
-// late.
+// Responds with 504. Normally the policy responds before this timeout. The timeout applies if the policy's
+// timers fire late.
 void RequestForwarder::TimeOut(const std::string& id) {
   ActiveRequest* const active = Find(id);
   if (active == nullptr || active->responded) return;
@@ -169,13 +170,13 @@
   if (index == 0) RecordFirstDecision(*active, now, true);
   const Millis timeout = send.timeout > 0 ? send.timeout : kMaxUploadMs;
   active->attempts.push_back({send.endpoint, now, timeout});
-  const AttemptId number =
+  const AttemptId attempt_id =
       upstream_.Start(send.endpoint, MakeUpstreamRequest(send, *active, index, now, timeout));
-  active->attempts[index].id = number;
+  active->attempts[index].id = attempt_id;
 }
 
-// Reports that the attempt was not sent: the request has ended since the policy's decision, or must not be
-// sent again.
+// Reports to the policy that the attempt was not sent, because the request has ended since the policy's
+// decision or must not be sent again.
 void RequestForwarder::ReportNotSent(const policy::Send& send, ActiveRequest* active) {
   policy::AttemptOutcome outcome;
   outcome.request = send.request;
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -1,7 +1,7 @@
-// Forwards clients' requests to endpoints as the policy decides, and responds to each exactly once.
+// Forwards clients' requests to endpoints as the policy decides, and responds to each request exactly once.
 //
-// Reports the events of requests and attempts to the policy, and executes its actions on them. Runs on the
-// event loop's thread only.
+// Reports the events of requests and attempts to the policy, and executes the policy's actions for them. Runs
+// on the event loop's thread only.
 #ifndef GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
 #define GATEWAY_PROXY_REQUEST_FORWARDER_HPP_
 
@@ -28,22 +28,22 @@
 
 class RequestForwarder final : public RequestActions {
  public:
-  // Keeps references to all arguments, which must outlive it.
+  // Keeps references to all arguments, which must outlive the forwarder.
   RequestForwarder(boost::asio::io_context& io, const policy::Settings& settings, PolicyDriver& driver,
                    UpstreamPool& upstream, Metrics& metrics);
 
-  // Begins to handle a request. Rejects it if another request with the same ID is active.
+  // Begins to handle a request. If an active request has the same ID, responds with 409.
   void OnRequest(ClientRequest request);
-  // Records that the last byte of a request was read at `completed_at`. Called only for a request that was
-  // passed to OnRequest before its body was complete.
+  // Handles the end of a request body whose last byte was read at `completed_at`. Called only for a request
+  // that was passed to OnRequest before the body was complete.
   void OnRequestComplete(const std::string& id, Millis completed_at);
-  // Records that the client of the request has disconnected.
+  // Handles the disconnect of the client of a request.
   void OnClientDisconnected(const std::string& id);
 
   // Responds with 504 to all requests that have no response yet.
   void TimeOutAll();
 
-  // The number of clients that disconnected before their response, since the start.
+  // The number of requests whose client disconnected before the response, since the start of the process.
   std::uint64_t disconnected() const { return disconnected_; }
 
   void Execute(const policy::Send& send) override;
@@ -56,12 +56,12 @@
  private:
   struct Attempt {
     std::string endpoint;
-    Millis sent_at = 0;  // time of sending or of the request's completion, whichever is later
+    Millis sent_at = 0;  // time of sending, or the later time at which the request was complete
     Millis timeout = 0;  // counted from sent_at
-    AttemptId id = 0;    // in the upstream pool
+    AttemptId id = 0;    // ID of the attempt in the upstream pool
     bool in_flight = true;
   };
-  // A request, kept until it has a response and all of its attempts have ended.
+  // A request. It is kept until it has a response and all of its attempts have ended.
   struct ActiveRequest {
     explicit ActiveRequest(boost::asio::io_context& io) : timeout_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
@@ -69,10 +69,10 @@
     bool complete = true;
     std::string class_name;
     Millis received_at = 0;
-    Millis time_allowed = 0;         // how long the client waits, from received_at
-    bool handled_on_arrival = true;  // the policy sent, rejected or failed it while its arrival was reported
+    Millis time_allowed = 0;         // how long the client waits, counted from when the request was complete
+    bool handled_on_arrival = true;  // false once the policy has handled the arrival event
     ClientResponder responder;
-    Millis respond_by = 0;  // deadline for the policy
+    Millis respond_by = 0;  // time by which the policy must respond
     bool responded = false;
     std::vector<Attempt> attempts;
     boost::asio::steady_timer timeout_timer;
@@ -82,8 +82,8 @@
   ActiveRequest& Add(ClientRequest& request);
   void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_timeout_at);
   void TimeOut(const std::string& id);
-  // Returns whether the client still waits for the response. Asks the socket, and so detects a disconnect
-  // that was not reported yet.
+  // Returns whether the client still waits for the response. Checks the client's socket, and handles a
+  // disconnect that was not reported yet.
   bool IsAwaited(const std::string& id);
   void ReportNotSent(const policy::Send& send, ActiveRequest* active);
   UpstreamRequest MakeUpstreamRequest(const policy::Send& send, const ActiveRequest& active,
@@ -94,7 +94,8 @@
                          std::shared_ptr<BodySource> remaining_body);
   void Respond(ActiveRequest& active, HttpResponse response,
                std::shared_ptr<BodySource> remaining_body = nullptr);
-  // Records how long the request waited for the policy's first decision.
+  // Records the time from the arrival of the request to the policy's first decision. `sent` is true if the
+  // policy decided to send the request.
   void RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent);
   void EraseIfEnded(const std::string& id);
 
--- a/src/proxy/upstream/request_writer.cpp
+++ b/src/proxy/upstream/request_writer.cpp
@@ -17,7 +17,7 @@
 
 constexpr unsigned kHttp11 = 11;
 
-// Returns the Req-Deadline value of a request whose response is due at `deadline`: at least 1 ms.
+// Returns the value of Req-Deadline: the remaining time until `deadline`, but at least 1 ms.
 std::string RemainingTime(Millis deadline) {
   const auto remaining_ms = static_cast<std::int64_t>(deadline - Now());
   return std::to_string(std::max<std::int64_t>(1, remaining_ms)) + "m";
--- a/src/proxy/upstream/request_writer.hpp
+++ b/src/proxy/upstream/request_writer.hpp
@@ -1,4 +1,4 @@
-// Writes requests on a connection to an endpoint.
+// Writes requests to a connection to an endpoint.
 #ifndef GATEWAY_PROXY_UPSTREAM_REQUEST_WRITER_HPP_
 #define GATEWAY_PROXY_UPSTREAM_REQUEST_WRITER_HPP_
 
@@ -16,22 +16,24 @@
 
 namespace gateway::proxy {
 
-// Writes one request at a time. A complete body is written at once, a streamed body piece by piece as its
-// source delivers the pieces.
+// Writes one request at a time. Writes a complete body at once, and a streamed body piece by piece as the
+// body's source delivers the pieces.
 class RequestWriter {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // The write of a part of a streamed request has begun. It completes when the endpoint reads the part.
+    // Called when the write of a part of a streamed request begins. The writer then waits for the endpoint to
+    // read the part.
     virtual void OnWaitForEndpoint() = 0;
-    // The next piece of a streamed request was requested from its source. The client has to send the piece.
+    // Called when the writer requests the next piece of a streamed request. The writer then waits for the
+    // client to send the piece.
     virtual void OnWaitForBody() = 0;
-    // The head and the buffered part of a streamed request were written. May stop the writer.
+    // Called when the head and the buffered part of a streamed request were written. May stop the writer.
     virtual void OnBufferedPartSent() = 0;
-    // The last byte was handed to the kernel or, with an `error`, a write has failed. After a failed write
-    // the endpoint cannot have received the last byte.
+    // Called when the last byte was handed to the kernel, or with an `error` when a write has failed. After a
+    // failed write, the endpoint cannot have received the last byte.
     virtual void OnRequestSent(boost::system::error_code error) = 0;
-    // The body's source has failed: the request will never be complete.
+    // Called when the body's source has failed, so that the request will never be complete.
     virtual void OnBodyFailed() = 0;
 
    protected:
@@ -42,21 +44,21 @@
   RequestWriter(boost::asio::ip::tcp::socket& socket, Delegate& delegate)
       : socket_(socket), delegate_(delegate) {}
 
-  // Writes a complete request, and states the remaining time until `deadline` in it.
+  // Writes a complete request. Sets the value of Req-Deadline to the remaining time until `deadline`.
   void Write(const HttpRequest& request, Millis deadline);
-  // Writes a request whose body continues with `remaining_body`. Keeps the client's Req-Deadline, because a
-  // deadline counts from the last byte of the request.
+  // Writes a request with a streamed body: the part in `request`, followed by `remaining_body`. Keeps the
+  // client's Req-Deadline, because a deadline counts from the last byte of the request.
   void WriteStreamed(std::shared_ptr<const HttpRequest> request, std::shared_ptr<BodySource> remaining_body);
-  // Stops the notifications of the delegate. The buffers of a pending write stay valid until it has
-  // completed.
+  // Stops the calls to the delegate. The buffers of a pending write stay valid until the write has completed.
   void Stop();
   // Frees the memory of a request that was written completely.
   void Reset() { head_and_body_ = {}; }
 
   // Whether the write of the last part of the request has begun.
   bool last_part_started() const { return last_part_started_; }
-  // The traffic class and the body size of the current request. The size is 0 for a streamed request.
+  // The traffic class of the current request.
   std::string_view class_name() const;
+  // The body size of the current request; 0 for a streamed request.
   std::size_t body_bytes() const { return head_and_body_.body().size(); }
 
  private:
@@ -67,9 +69,9 @@
 
   boost::asio::ip::tcp::socket& socket_;
   Delegate& delegate_;
-  HttpRequest head_and_body_;  // the request as sent; without the body of a streamed request
+  HttpRequest head_and_body_;  // the request as sent; a streamed request has no body here
   std::shared_ptr<BodySource> remaining_body_;
-  std::string frame_;               // what is written before the current piece
+  std::string frame_;               // bytes to write before the current piece
   bool active_ = false;             // a request is being written
   bool last_part_started_ = false;  // see last_part_started()
 };
--- a/src/proxy/upstream/response_classification.hpp
+++ b/src/proxy/upstream/response_classification.hpp
@@ -7,8 +7,8 @@
 
 namespace gateway::proxy {
 
-// Returns kServed for status 200, kRejected for a response that proves that the endpoint did not execute the
-// request (503 or 504 with Srv-Declined: 1), and kError for any other.
+// Returns kServed for status 200. Returns kRejected for status 503 or 504 with Srv-Declined: 1, which proves
+// that the endpoint did not execute the request. Returns kError for any other response.
 policy::AttemptResult ClassifyResponse(const HttpResponse::header_type& head);
 
 }  // namespace gateway::proxy
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -14,12 +14,12 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// The largest number of unparsed bytes: a message head, or the header of a chunk.
+// The largest number of unparsed bytes in the buffer, for example of a message head or of a chunk header.
 constexpr std::size_t kMaxUnparsedBytes = 2 * kMaxHeaderBytes;
 // The read size while a body is buffered. Beast's default is 512 bytes.
 constexpr std::size_t kBufferedReadBytes = kBodyPieceBytes / 4;
-// The time for which a body of unknown length is buffered. Such a body may take long to arrive, and the
-// client may be waiting for its first bytes.
+// The longest time for which a body of unknown length is buffered. Such a body may take long to arrive, and
+// the client may be waiting for the first bytes.
 constexpr Millis kMaxUnsizedBufferTimeMs = 50;
 
 }  // namespace
@@ -119,7 +119,7 @@
   return !parser_->content_length() && Now() - head_arrived_at_ > kMaxUnsizedBufferTimeMs;
 }
 
-// Pieces are posted, because a piece handler is never called from within ReadNextPiece.
+// Posts the calls of the piece handler, because it must not be called before ReadNextPiece returns.
 void ResponseReader::StreamPiece(std::size_t received_bytes, bool last) {
   if (received_bytes == 0 && !last) return ReadPiece();
   auto handler = std::exchange(piece_handler_, nullptr);
@@ -130,7 +130,8 @@
           handler({}, {piece_.data(), received_bytes}, false);
         });
   }
-  // The last piece owns its memory: the connection may serve another request before the handler is called.
+  // The posted call owns the memory of the last piece, because the connection may serve another request
+  // before the handler is called.
   asio::post(io_, [piece = std::make_shared<std::vector<char>>(std::exchange(piece_, {})),
                    handler = std::move(handler), received_bytes] {
     handler({}, {piece->data(), received_bytes}, true);
--- a/src/proxy/upstream/response_reader.hpp
+++ b/src/proxy/upstream/response_reader.hpp
@@ -22,23 +22,24 @@
 namespace gateway::proxy {
 
 // Reads one response at a time: first the head, then the body. A small body is buffered if the budget allows
-// it. For any other body the delegate decides whether the rest is streamed.
+// it. For any other body, the delegate decides whether the rest of the body is streamed.
 class ResponseReader {
  public:
   class Delegate : public ConnectionPartOwner {
    public:
-    // A head has arrived, or the read has failed. Also called if the endpoint closes an idle connection or
-    // sends data on it. The delegate calls ReadBody, or ReadHead if the head is that of an interim response.
+    // Called when a head has arrived or the read has failed. Also called if the endpoint closes an idle
+    // connection or sends data on it. After the head of an interim response the delegate calls ReadHead,
+    // after any other head ReadBody.
     virtual void OnResponseHead(boost::system::error_code error) = 0;
-    // All of the response has arrived and is buffered.
+    // Called when the complete response is buffered.
     virtual void OnResponseBuffered() = 0;
-    // The limit for buffering the body is reached. The delegate calls StartStreaming, or Stop.
+    // Called when the limit for buffering the body is reached. The delegate calls StartStreaming or Stop.
     virtual void OnBufferLimitReached() = 0;
-    // A piece of a streamed body, other than the last one, is about to be delivered.
+    // Called before a piece of a streamed body is delivered, except for the last piece.
     virtual void OnPieceStreamed() = 0;
-    // The last piece of a streamed body is about to be delivered.
+    // Called before the last piece of a streamed body is delivered.
     virtual void OnResponseStreamed() = 0;
-    // Reading the body has failed, or the body violates HTTP.
+    // Called when reading the body has failed, or the body violates HTTP.
     virtual void OnResponseBroken(boost::system::error_code error) = 0;
 
    protected:
@@ -49,26 +50,29 @@
   ResponseReader(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, BufferBudget& budget,
                  Delegate& delegate);
 
-  // Begins to read a head. One such read is pending on an idle connection.
+  // Begins to read a head. Such a read is also pending while the connection is idle.
   void ReadHead();
   // Reads the body of the response whose head has arrived.
   void ReadBody();
-  // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the part that is buffered already.
+  // Begins to stream the body; see ReadNextPiece. ReleaseResponse returns the head and the part of the body
+  // that is buffered already.
   void StartStreaming();
-  // Streams the body, see BodySource::ReadNext. May be called only between StartStreaming and the last piece.
+  // Reads the next piece of a streamed body, see BodySource::ReadNext. May be called only between
+  // StartStreaming and the last piece.
   void ReadNextPiece(BodySource::PieceHandler handler);
-  // Stops the notifications about the body, and releases its share of the buffer budget. A pending piece
-  // handler stays pending.
+  // Stops the calls to the delegate about the body, and releases the charge to the buffer budget. A pending
+  // piece handler stays pending.
   void Stop();
-  // Calls a pending piece handler with an error, after this returns.
+  // If a piece handler is pending, calls it with an error after this function has returned.
   void FailPendingPiece();
-  // Calls `handler`, which was passed after the end of the attempt, with an error after this returns.
+  // Calls `handler` with an error after this function has returned. Used for a handler that is passed after
+  // the attempt has ended.
   void Fail(BodySource::PieceHandler handler);
 
-  // The head of the current response, before ReadBody.
+  // The head of the current response. After ReadBody, use response().
   const HttpResponse::header_type& head() const { return parser_->get().base(); }
-  // Whether the head belongs to an interim response such as 100 Continue, after which the final response
-  // follows. 101 Switching Protocols does not count as interim, because the gateway never requests a switch.
+  // Whether the head belongs to an interim response such as 100 Continue, which precedes the final response.
+  // 101 Switching Protocols does not count as interim, because the gateway never requests a switch.
   bool is_interim() const;
   // Whether the Content-Length exceeds the limit on bodies.
   bool exceeds_body_limit() const;
@@ -78,7 +82,7 @@
   bool streaming() const { return streaming_; }
   // Whether the endpoint keeps the connection open, and has sent nothing after the response.
   bool AllowsReuse() const { return parser_->keep_alive() && buffer_.size() == 0; }
-  // Frees the memory for bodies, for a connection that becomes idle.
+  // Frees the memory of the body and of the read buffer, for a connection that becomes idle.
   void ReleaseMemory();
 
  private:
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -19,11 +19,11 @@
 using policy::AttemptResult;
 using tcp = asio::ip::tcp;
 
-// The longest time for which a streamed response waits for its endpoint, or for its client to read.
+// The longest time for which a streamed response waits for the endpoint to send, or for the client to read.
 constexpr Millis kStreamTimeoutMs = 30000;
 // The time within which an endpoint must read a part of a streamed request.
 constexpr Millis kEndpointReadTimeoutMs = 5000;
-// A timer that fires earlier than this before the due time belongs to a wait that was replaced.
+// If the timer fires earlier than this time before it is due, the event belongs to a wait that was replaced.
 constexpr Millis kTimerToleranceMs = 1;
 
 }  // namespace
@@ -59,12 +59,13 @@
   });
 }
 
-// While the connection was being established, the endpoint may have begun to drain, its address may have
-// changed, or the client may have disconnected.
+// Sends the request if it may still be sent. While the connection was being established, the endpoint may
+// have begun to drain, its address may have changed, or the client may have disconnected.
 void UpstreamConnection::OnConnected(error_code error) {
   connecting_ = false;
   if (error) return EndAttempt(AttemptResult::kConnectFailed);
-  const auto may_send = std::move(attempt_->request.may_send);  // the callback may end the attempt
+  // The callback is moved out of the attempt, because it may end the attempt.
+  const auto may_send = std::move(attempt_->request.may_send);
   if (!context_.owner.MayUse(endpoint_, address_) || (may_send && !may_send())) {
     return EndAttempt(AttemptResult::kNotSent);
   }
@@ -86,7 +87,8 @@
   Close();
 }
 
-// A read is pending, but its completion may not have been delivered yet.
+// The pending read may have detected a close, but the event loop may not have delivered its completion yet.
+// For this reason, this function peeks at the socket.
 bool UpstreamConnection::IsUsable() {
   if (!open_) return false;
   char byte = 0;
@@ -160,7 +162,7 @@
   SetTimer(std::min(attempt_->request.deadline, Now() + kEndpointReadTimeoutMs));
 }
 
-// ClientConnection enforces the timeouts for the client's body, so only the deadline applies here.
+// Only the deadline applies, because ClientConnection enforces the timeouts for the client's body.
 void UpstreamConnection::OnWaitForBody() { SetTimer(attempt_->request.deadline); }
 
 void UpstreamConnection::OnBufferedPartSent() {
@@ -191,9 +193,9 @@
   reader_.ReadBody();
 }
 
-// The endpoint responded, or closed the connection, before it received the complete request. If the last part
-// of the request is already being sent, the result of that write shows whether the endpoint may have executed
-// the request.
+// Called if the endpoint responds, or closes the connection, before the complete request was sent. If the
+// last part of the request is being sent, the result of this write shows whether the endpoint may have
+// executed the request.
 void UpstreamConnection::OnEarlyResponse(error_code error) {
   if (writer_.last_part_started()) {
     broken_before_sent_ = true;
@@ -201,20 +203,22 @@
   }
   if (error) return EndAttempt(AttemptResult::kConnectFailed);
   const AttemptResult result = ClassifyResponse(reader_.head());
-  // The request was incomplete, so a success cannot be valid.
+  // The endpoint did not receive the complete request, so status 200 cannot be valid.
   EndAttempt(result == AttemptResult::kServed ? AttemptResult::kError : result);
 }
 
 void UpstreamConnection::OnResponseBuffered() {
   HttpResponse response = reader_.ReleaseResponse();
-  // The connection must be available before the result is reported, which may start another attempt.
+  // Makes the connection available before the result is reported, because the report may start another
+  // attempt.
   ReuseOrClose();
   const AttemptResult result = ClassifyResponse(response);
   if (result == AttemptResult::kError) context_.error_log.LogErrorResponse(endpoint_, response.result_int());
   FinishAttempt(result, std::move(response));
 }
 
-// Streams the response of a successful attempt. For a failed attempt the head of the response is sufficient.
+// Streams the response if the attempt was successful. For a failed attempt, the head of the response is
+// enough.
 void UpstreamConnection::OnBufferLimitReached() {
   const AttemptResult result = ClassifyResponse(reader_.response());
   result == AttemptResult::kServed ? StartStreaming() : EndAttempt(result);
@@ -224,7 +228,7 @@
   reader_.StartStreaming();
   SetTimer(Now() + kStreamTimeoutMs);
   const auto on_response_streaming = std::move(attempt_->request.on_response_streaming);
-  // The callback may end the attempt.
+  // The callback is moved out of the attempt, because it may end the attempt.
   on_response_streaming(reader_.ReleaseResponse(), shared_from_this());
 }
 
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to an endpoint.
+// A connection to an endpoint.
 #ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_CONNECTION_HPP_
 #define GATEWAY_PROXY_UPSTREAM_UPSTREAM_CONNECTION_HPP_
 
@@ -32,24 +32,25 @@
   virtual ~UpstreamConnectionOwner() = default;
   // Returns whether requests may be sent to this endpoint at this address.
   virtual bool MayUse(const std::string& endpoint, const boost::asio::ip::tcp::endpoint& address) const = 0;
-  // OnAttemptStarted: the connection has begun to serve the attempt. OnAttemptEnded: it no longer serves the
-  // attempt.
+  // Called when the connection begins to serve the attempt.
   virtual void OnAttemptStarted(AttemptId attempt, const std::shared_ptr<UpstreamConnection>& connection) = 0;
+  // Called when a connection no longer serves the attempt.
   virtual void OnAttemptEnded(AttemptId attempt) = 0;
-  // The connection can serve another attempt. Called only while MayUse returns true.
+  // Called when the connection has become idle and can serve another attempt. Called only if MayUse returns
+  // true for its endpoint.
   virtual void OnIdle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-  // An idle connection is about to close.
+  // Called before an idle connection closes.
   virtual void OnIdleClosed(const UpstreamConnection& connection) = 0;
 };
 
 // Counters since the start of the process.
 struct UpstreamCounts {
-  std::uint64_t connects = 0;       // connections that were started
+  std::uint64_t connects = 0;       // connections that the pool began to establish
   std::uint64_t reuses = 0;         // attempts that were sent on an idle connection
-  std::uint64_t stale = 0;          // idle connections that were found closed on reuse
-  std::uint64_t resets_new = 0;     // connections that broke after sending their first request
-  std::uint64_t resets_reused = 0;  // connections that broke after sending a later request
-  std::uint64_t not_started = 0;    // attempts for which there was no endpoint or no connection
+  std::uint64_t stale = 0;          // idle connections that were found unusable when they were to be reused
+  std::uint64_t resets_new = 0;     // connections that broke after their first request was sent
+  std::uint64_t resets_reused = 0;  // connections that broke after a later request was sent
+  std::uint64_t not_started = 0;    // attempts that had no usable endpoint, no time left, or no connection
 };
 
 // State that all connections of a pool share. Must outlive the last event of each connection.
@@ -58,18 +59,18 @@
   UpstreamConnectionOwner& owner;
   const Millis connect_timeout_ms;
   const Millis idle_timeout_ms;  // idle time after which a connection is closed
-  BufferBudget response_budget;  // for the buffered parts of response bodies
+  BufferBudget response_budget;  // accounts for the buffered parts of all response bodies
   std::size_t open_connections = 0;
   UpstreamCounts counts = {};
   UpstreamErrorLog error_log = {};
 };
 
-// Serves the attempts for one endpoint, one after the other. A read is always pending, so that a close by the
-// endpoint is detected while the connection is idle. The connection is the body source of a streamed
-// response.
+// Serves attempts to one endpoint, one after the other. A read is pending while the connection is idle, which
+// detects a close by the endpoint. If the body of a response is streamed, the connection is the BodySource of
+// that body.
 //
-// The owner holds a shared pointer while the connection serves an attempt or is idle; pending operations and
-// streamed bodies hold others. Runs on the event loop's thread.
+// The owner holds a shared pointer to the connection while it serves an attempt or is idle. Pending
+// operations and streamed bodies also hold shared pointers. Runs on the event loop's thread.
 class UpstreamConnection final : public BodySource,
                                  public std::enable_shared_from_this<UpstreamConnection>,
                                  private RequestWriter::Delegate,
@@ -80,8 +81,8 @@
 
   const std::string& endpoint() const { return endpoint_; }
 
-  // Creates the socket. Returns false if no descriptor is available. If it succeeds, the caller must call
-  // Connect.
+  // Creates the socket. Returns false if no file descriptor is available. After Open has returned true, the
+  // caller must call Connect.
   bool Open();
   // Connects to the endpoint, and then sends the request.
   void Connect(AttemptId id, UpstreamRequest request);
@@ -89,12 +90,13 @@
   void Send(AttemptId id, UpstreamRequest request);
   // Changes the deadline of the current attempt.
   void SetDeadline(Millis deadline);
-  // Ends the current attempt, if there is one, with this result, and closes the connection.
+  // Closes the connection. If there is a current attempt, ends it with `result`.
   void EndAttempt(policy::AttemptResult result);
-  // Closes the connection, which must not serve an attempt. No effect if it is closed.
+  // Closes the connection. Must not be called while the connection serves an attempt. Has no effect on a
+  // closed connection.
   void Close();
 
-  // Asks the socket whether an idle connection is still open and has received nothing.
+  // Checks the socket of an idle connection. Returns whether the connection is open and has no unread data.
   bool IsUsable();
   bool connecting() const { return connecting_; }
 
@@ -149,7 +151,7 @@
   bool connecting_ = false;
   bool request_sent_ = false;        // the last byte of the request was sent
   bool broken_before_sent_ = false;  // the endpoint responded or closed while the last part was being sent
-  int attempt_count_ = 0;            // attempts on this connection, including the current one
+  int attempt_count_ = 0;            // number of attempts on this connection, including the current one
   Millis attempt_started_at_ = 0;
   Millis idle_since_ = 0;  // start of the last idle period
 };
--- a/src/proxy/upstream/upstream_error_log.hpp
+++ b/src/proxy/upstream/upstream_error_log.hpp
@@ -1,4 +1,4 @@
-// The log of failures on connections to endpoints.
+// Logs failures of connections to endpoints.
 #ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_ERROR_LOG_HPP_
 #define GATEWAY_PROXY_UPSTREAM_UPSTREAM_ERROR_LOG_HPP_
 
@@ -11,27 +11,27 @@
 
 namespace gateway::proxy {
 
-// A connection that broke after its request was sent and before the response was complete.
+// Describes a connection that broke after the request was sent and before the response was complete.
 struct ConnectionReset {
   const std::string& endpoint;
   boost::system::error_code error;
   std::string_view class_name;  // name of the request's traffic class
   std::size_t request_body_bytes;
-  int request_number;  // number of the request on the connection, from 1
+  int request_number;  // number of the request on the connection, counted from 1
   Millis idle_ms;      // idle time of the connection before the request; 0 if it was new
   Millis attempt_ms;   // time since the request was assigned to the connection
 };
 
-// Logs error responses and connection resets: together at most one per interval, because an outage breaks
-// many connections at once.
+// Logs error responses and connection resets. Writes at most one line per interval for both together, because
+// an outage breaks many connections at once.
 class UpstreamErrorLog {
  public:
   void LogReset(const ConnectionReset& reset);
-  // Logs a response whose status means that the attempt has failed.
+  // Logs a response with a status that makes the attempt fail.
   void LogErrorResponse(const std::string& endpoint, unsigned status);
 
  private:
-  // Returns whether a line may be written now, and starts the next interval if so.
+  // Returns whether a line may be written now. If so, starts the next interval.
   bool BeginLine();
 
   Millis suppressed_until_ = 0;
--- a/src/proxy/upstream/upstream_pool.cpp
+++ b/src/proxy/upstream/upstream_pool.cpp
@@ -11,8 +11,8 @@
 using policy::AttemptResult;
 using tcp = asio::ip::tcp;
 
-// The pool closes an idle connection after this fraction of the endpoints' idle timeout, so that a request
-// rarely coincides with a close by the endpoint.
+// The pool closes an idle connection after this fraction of the endpoints' idle timeout. A request is
+// therefore rarely sent while the endpoint closes the connection.
 constexpr double kIdleTimeoutFraction = 1.0 / 3;
 
 void CloseAll(std::vector<std::shared_ptr<UpstreamConnection>> connections) {
@@ -79,7 +79,8 @@
   return attempt;
 }
 
-// Returns the most recently used idle connection that is still open; null if there is none.
+// Removes and returns the most recently used idle connection that is still open. Returns null if there is
+// none. Closes the unusable connections that it finds.
 std::shared_ptr<UpstreamConnection> UpstreamPool::TakeIdle(PooledEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     auto connection = std::move(endpoint.idle.back());
@@ -91,7 +92,8 @@
   return nullptr;
 }
 
-// Returns null if the connection limit is reached and nothing is idle, or if no descriptor is available.
+// Opens the socket of a new connection. Returns null if the connection limit is reached and no connection is
+// idle, or if no file descriptor is available.
 std::shared_ptr<UpstreamConnection> UpstreamPool::OpenConnection(const std::string& id,
                                                                  const PooledEndpoint& endpoint) {
   if (context_.open_connections >= connection_limit_ && !EvictIdle()) return nullptr;
@@ -134,7 +136,8 @@
   std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == &connection; });
 }
 
-// Closes the least recently used connection of the first endpoint that has an idle one.
+// Closes the least recently used idle connection of the first endpoint that has idle connections. Returns
+// false if no connection is idle.
 bool UpstreamPool::EvictIdle() {
   for (auto& [id, endpoint] : endpoints_) {
     if (endpoint.idle.empty()) continue;
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// A pool of connections to endpoints. Each serves one request at a time, and the most recently used one is
-// reused first.
+// A pool of connections to endpoints. Each connection serves one request at a time. Of the idle connections
+// to an endpoint, the most recently used one is reused first.
 #ifndef GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
 #define GATEWAY_PROXY_UPSTREAM_UPSTREAM_POOL_HPP_
 
@@ -21,39 +21,40 @@
 
 struct UpstreamPoolOptions {
   Millis connect_timeout_ms = 250;
-  // How long endpoints leave an idle connection open. The pool closes it sooner.
+  // The time after which endpoints close an idle connection. The pool closes idle connections earlier.
   Millis endpoint_idle_timeout_ms = 15000;
   // The limit on connections to all endpoints together, see SetConnectionLimit.
   std::size_t connection_limit = 256;
-  // Bytes of response bodies that are buffered on all connections together. Above this number bodies are
-  // streamed sooner.
+  // Limit on the buffered bytes of response bodies, for all connections together. While it is exceeded,
+  // bodies are streamed that would otherwise be buffered.
   std::size_t response_budget_bytes = 16 * 1024 * 1024;
 };
 
-// Sends attempts to endpoints, on an idle connection if there is one, otherwise on a new connection. Runs on
-// the event loop's thread. Must outlive its pending operations on `io`.
+// Sends attempts to endpoints. Uses an idle connection if there is one, otherwise opens a new connection.
+// Runs on the event loop's thread. Must outlive its pending operations on `io`.
 class UpstreamPool final : private UpstreamConnectionOwner {
  public:
   UpstreamPool(boost::asio::io_context& io, const UpstreamPoolOptions& options);
 
-  // Applies a complete list of endpoints, or a change of the list. Takes effect at once: nothing more is sent
-  // to an endpoint that drains or is no longer listed, not even on a connection that is being established.
-  // The cost of a change does not depend on the length of the list.
+  // Applies a complete list of endpoints, or a change of the list. Takes effect at once: the pool sends no
+  // further request to an endpoint that drains or is no longer listed. This includes requests that wait for a
+  // connection to be established. The cost of a change does not depend on the length of the list.
   void ApplyEndpointList(const EndpointList& list);
 
-  // Sends the request. If the endpoint must not be used, the deadline has passed, or no connection is
-  // available, the attempt ends with kNotSent before this returns.
+  // Starts an attempt that sends the request. If the endpoint must not be used, the deadline has passed, or
+  // no connection is available, the attempt ends with kNotSent before this function returns.
   AttemptId Start(const std::string& endpoint, UpstreamRequest request);
   // Changes the deadline of an attempt. Has no effect if the attempt has ended.
   void SetDeadline(AttemptId attempt, Millis deadline);
-  // Ends an attempt whose connection is still being established with kNotSent. Has no effect on any other.
+  // If the attempt's connection is still being established, ends the attempt with kNotSent. Otherwise has no
+  // effect.
   void CancelUnsent(AttemptId attempt);
   // Ends an attempt with kCancelled, and closes its connection. Has no effect if the attempt has ended.
   void Cancel(AttemptId attempt);
 
   // The number of connections that are idle, connecting, or serving an attempt.
   std::size_t connections() const { return context_.open_connections; }
-  // Changes the limit on connections. Closes idle connections in excess of it.
+  // Changes the limit on connections. Closes idle connections in excess of the limit.
   void SetConnectionLimit(std::size_t limit);
 
   const UpstreamCounts& counts() const { return context_.counts; }
@@ -63,7 +64,7 @@
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
     bool up = false;
-    IdleConnections idle;  // the most recently used one last
+    IdleConnections idle;  // ordered by last use, most recent last
   };
 
   // UpstreamConnectionOwner
@@ -81,7 +82,7 @@
 
   UpstreamConnectionContext context_;
   std::size_t connection_limit_;
-  std::map<std::string, PooledEndpoint> endpoints_;  // those that may be used, by ID
+  std::map<std::string, PooledEndpoint> endpoints_;  // the endpoints that may be used, by ID
   std::unordered_map<AttemptId, std::shared_ptr<UpstreamConnection>> connection_by_attempt_;
   AttemptId next_attempt_ = 1;
 };
--- a/src/proxy/upstream/upstream_request.hpp
+++ b/src/proxy/upstream/upstream_request.hpp
@@ -16,30 +16,31 @@
 // Identifies an attempt within its pool. Never reused.
 using AttemptId = std::uint64_t;
 
-// The request to send, and the callbacks that report the attempt's progress. Callbacks are called on the
-// event loop's thread and may call back into the pool. `on_end` is required. `on_response_streaming` is
+// The request to send, and the callbacks that report the progress of the attempt. The callbacks run on the
+// event loop's thread and may call functions of the pool. `on_end` is required. `on_response_streaming` is
 // required unless all responses are short enough to be buffered. The other callbacks may be empty.
 struct UpstreamRequest {
   // The head, and the buffered part of the body. Shared among the attempts of one request.
   std::shared_ptr<const HttpRequest> request;
-  // The part of the body that follows the buffered one; null if the body is complete.
+  // The part of the body that follows the buffered part; null if the buffered body is complete.
   std::shared_ptr<BodySource> remaining_body;
-  // If the response has not arrived by this time, the attempt ends with kTimedOut; see Now().
+  // If the response has not arrived by this time, the attempt ends with kTimedOut. A time of Now().
   Millis deadline = 0;
-  // Called when a new connection is established. Returns whether the request should still be sent; if not,
-  // the attempt ends with kNotSent. May cancel the attempt, and must then return false.
+  // Called when a new connection was established. Returns whether the request should still be sent. If not,
+  // the attempt ends with kNotSent. The callback may cancel the attempt, and must then return false.
   std::function<bool()> may_send;
-  // Everything that is buffered has been sent, and `remaining_body` follows. The pool keeps no pointer to
-  // `request` from here on.
+  // Called when the buffered part of the request has been sent, before `remaining_body` is sent. The pool has
+  // released its pointer to `request`.
   std::function<void()> on_buffered_part_sent;
-  // The last byte of the request was handed to the kernel.
+  // Called when the last byte of the request was handed to the kernel.
   std::function<void()> on_request_sent;
-  // A response with status 200 has begun whose body is streamed instead of buffered. `response` holds the
-  // head and the part of the body that has arrived; `remaining_body` delivers the rest. `on_end` follows.
+  // Called when a response with status 200 has begun and its body is streamed instead of buffered. `response`
+  // holds the head and the part of the body that has arrived; `remaining_body` delivers the rest. `on_end` is
+  // called later.
   std::function<void(HttpResponse response, std::shared_ptr<BodySource> remaining_body)>
       on_response_streaming;
-  // The attempt has ended. Called exactly once, possibly before UpstreamPool::Start returns. `response` is
-  // the endpoint's response if it was buffered completely, otherwise empty.
+  // Called exactly once when the attempt has ended, possibly before UpstreamPool::Start returns. `response`
+  // is the endpoint's response if the response was buffered completely, otherwise empty.
   std::function<void(policy::AttemptResult result, HttpResponse response)> on_end;
 };
 
