--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -39,13 +39,13 @@
     response.body() = "Req-Id is in use\n";
     return request.responder.Respond(std::move(response), nullptr);
   }
-  const ActiveRequest& active = Add(request);
+  const ActiveRequest& active = AddRequest(request);
   driver_.Report(policy::Request{request.id, request.class_name, request.tenant, request.affinity_key,
                                  active.respond_by - Now()});
-  if (ActiveRequest* const waiting = Find(request.id)) waiting->handled_on_arrival = false;
+  if (ActiveRequest* const remaining = FindRequest(request.id)) remaining->handling_arrival = false;
 }
 
-RequestForwarder::ActiveRequest& RequestForwarder::Add(ClientRequest& request) {
+RequestForwarder::ActiveRequest& RequestForwarder::AddRequest(ClientRequest& request) {
   ActiveRequest& active = requests_.try_emplace(request.id, io_).first->second;
   active.http = std::make_shared<const HttpRequest>(std::move(request.http));
   active.responder = request.responder;
@@ -71,7 +71,7 @@
 // The deadline of the request and the timeouts of its attempts count from `completed_at`, because an endpoint
 // cannot execute an incomplete request.
 void RequestForwarder::OnRequestComplete(const std::string& id, Millis completed_at) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || std::exchange(active->complete, true)) return;
   SetDeadline(id, *active, completed_at + active->time_allowed);
   for (Attempt& attempt : active->attempts) {
@@ -84,7 +84,7 @@
 
 void RequestForwarder::OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
                                       HttpResponse response) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr) return;
   Attempt& attempt = active->attempts[index];
   attempt.in_flight = false;
@@ -109,7 +109,7 @@
 
 void RequestForwarder::OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
                                          std::shared_ptr<BodySource> remaining_body) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) {
     asio::post(io_, [remaining_body] { remaining_body->Cancel(); });
     return;
@@ -120,13 +120,13 @@
 }
 
 void RequestForwarder::OnClientDisconnected(const std::string& id) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return;
   ++disconnected_;
   active->responded = true;
   active->timeout_timer.cancel();
   driver_.Report(policy::ClientDisconnected{id});
-  const ActiveRequest* const remaining = Find(id);
+  const ActiveRequest* const remaining = FindRequest(id);
   if (remaining == nullptr) return;
   std::vector<AttemptId> in_flight;  // CancelUnsent may erase the request
   for (const Attempt& attempt : remaining->attempts) {
@@ -136,7 +136,7 @@
 }
 
 bool RequestForwarder::IsAwaited(const std::string& id) {
-  const ActiveRequest* const active = Find(id);
+  const ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return false;
   if (!active->responder.ClientDisconnected()) return true;
   OnClientDisconnected(id);
@@ -146,7 +146,7 @@
 // Responds with 504. Normally the policy responds before this timeout. The timeout applies if the policy's
 // timers fire late.
 void RequestForwarder::TimeOut(const std::string& id) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return;
   Respond(*active, HttpResponse(http::status::gateway_timeout, kHttpVersion));
   driver_.Report(policy::ClientDisconnected{id});
@@ -160,7 +160,7 @@
 
 void RequestForwarder::Execute(const policy::Send& send) {
   const bool awaited = IsAwaited(send.request);
-  ActiveRequest* const active = Find(send.request);
+  ActiveRequest* const active = FindRequest(send.request);
   if (!awaited) return ReportNotSent(send, active);
   const bool attempts_left = static_cast<int>(active->attempts.size()) < settings_.max_attempts;
   const bool buffered = !active->remaining_body || !active->remaining_body->started();
@@ -206,14 +206,14 @@
     OnResponseStarted(id, index, std::move(response), std::move(remaining_body));
   };
   request.on_buffered_part_sent = [this, id = send.request] {
-    if (ActiveRequest* const streaming = Find(id)) streaming->http.reset();
+    if (ActiveRequest* const streaming = FindRequest(id)) streaming->http.reset();
   };
   request.on_request_sent = [this] { metrics_.RecordAttempt(); };
   return request;
 }
 
 void RequestForwarder::Execute(const policy::Reject& reject) {
-  ActiveRequest* const active = Find(reject.request);
+  ActiveRequest* const active = FindRequest(reject.request);
   if (active == nullptr) return;
   if (active->attempts.empty()) RecordFirstDecision(*active, Now(), false);
   HttpResponse response(http::status::service_unavailable, kHttpVersion);
@@ -223,14 +223,14 @@
 }
 
 void RequestForwarder::Execute(const policy::Fail& fail) {
-  ActiveRequest* const active = Find(fail.request);
+  ActiveRequest* const active = FindRequest(fail.request);
   if (active == nullptr) return;
   Respond(*active, HttpResponse(http::status::bad_gateway, kHttpVersion));
   EraseIfEnded(fail.request);
 }
 
 void RequestForwarder::Execute(const policy::Cancel& cancel) {
-  ActiveRequest* const active = Find(cancel.request);
+  ActiveRequest* const active = FindRequest(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
   if (active == nullptr || attempt >= active->attempts.size()) return;
   upstream_.Cancel(active->attempts[attempt].id);
@@ -243,7 +243,7 @@
 
 void RequestForwarder::OnEventHandled(const std::string& request) { EraseIfEnded(request); }
 
-RequestForwarder::ActiveRequest* RequestForwarder::Find(const std::string& id) {
+RequestForwarder::ActiveRequest* RequestForwarder::FindRequest(const std::string& id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : &found->second;
 }
@@ -259,7 +259,7 @@
 void RequestForwarder::RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent) {
   const Millis waited = now - active.received_at;
   if (sent) metrics_.RecordDuration(active.class_name, Metrics::Interval::kFirstAttempt, waited);
-  if (!active.handled_on_arrival)
+  if (!active.handling_arrival)
     metrics_.RecordDuration(active.class_name, Metrics::Interval::kQueued, waited);
 }
 
--- a/src/proxy/request_forwarder.hpp
+++ b/src/proxy/request_forwarder.hpp
@@ -69,8 +69,8 @@
     bool complete = true;
     std::string class_name;
     Millis received_at = 0;
-    Millis time_allowed = 0;         // how long the client waits, counted from when the request was complete
-    bool handled_on_arrival = true;  // false once the policy has handled the arrival event
+    Millis time_allowed = 0;       // how long the client waits, counted from when the request was complete
+    bool handling_arrival = true;  // the policy has not handled the arrival event yet
     ClientResponder responder;
     Millis respond_by = 0;  // time by which the policy must respond
     bool responded = false;
@@ -78,8 +78,8 @@
     boost::asio::steady_timer timeout_timer;
   };
 
-  ActiveRequest* Find(const std::string& id);
-  ActiveRequest& Add(ClientRequest& request);
+  ActiveRequest* FindRequest(const std::string& id);
+  ActiveRequest& AddRequest(ClientRequest& request);
   void SetDeadline(const std::string& id, ActiveRequest& active, Millis client_timeout_at);
   void TimeOut(const std::string& id);
   // Returns whether the client still waits for the response. Checks the client's socket, and handles a
--- a/src/proxy/upstream/response_reader.cpp
+++ b/src/proxy/upstream/response_reader.cpp
@@ -77,10 +77,10 @@
 }
 
 void ResponseReader::FailPendingPiece() {
-  if (piece_handler_) Fail(std::exchange(piece_handler_, nullptr));
+  if (piece_handler_) FailPiece(std::exchange(piece_handler_, nullptr));
 }
 
-void ResponseReader::Fail(BodySource::PieceHandler handler) {
+void ResponseReader::FailPiece(BodySource::PieceHandler handler) {
   asio::post(io_, [connection = delegate_.KeepAlive(), handler = std::move(handler)] {
     handler(asio::error::connection_reset, {}, false);
   });
--- a/src/proxy/upstream/response_reader.hpp
+++ b/src/proxy/upstream/response_reader.hpp
@@ -67,7 +67,7 @@
   void FailPendingPiece();
   // Calls `handler` with an error after this function has returned. Used for a handler that is passed after
   // the attempt has ended.
-  void Fail(BodySource::PieceHandler handler);
+  void FailPiece(BodySource::PieceHandler handler);
 
   // The head of the current response. After ReadBody, use response().
   const HttpResponse::header_type& head() const { return parser_->get().base(); }
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -107,7 +107,7 @@
   context_.owner.OnAttemptStarted(id, shared_from_this());
 }
 
-void UpstreamConnection::FinishAttempt(AttemptResult result, HttpResponse response) {
+void UpstreamConnection::ReportAttemptEnd(AttemptResult result, HttpResponse response) {
   if (!attempt_) return;
   const Attempt attempt = *std::exchange(attempt_, std::nullopt);
   context_.owner.OnAttemptEnded(attempt.id);
@@ -119,7 +119,7 @@
 
 void UpstreamConnection::EndAttempt(AttemptResult result) {
   Close();
-  FinishAttempt(result, {});
+  ReportAttemptEnd(result, {});
 }
 
 void UpstreamConnection::SetDeadline(Millis deadline) {
@@ -214,7 +214,7 @@
   ReuseOrClose();
   const AttemptResult result = ClassifyResponse(response);
   if (result == AttemptResult::kError) context_.error_log.LogErrorResponse(endpoint_, response.result_int());
-  FinishAttempt(result, std::move(response));
+  ReportAttemptEnd(result, std::move(response));
 }
 
 // Streams the response if the attempt was successful. For a failed attempt, the head of the response is
@@ -233,7 +233,7 @@
 }
 
 void UpstreamConnection::ReadNext(PieceHandler handler) {
-  if (!attempt_ || !reader_.streaming()) return reader_.Fail(std::move(handler));
+  if (!attempt_ || !reader_.streaming()) return reader_.FailPiece(std::move(handler));
   SetTimer(Now() + kStreamTimeoutMs);
   reader_.ReadNextPiece(std::move(handler));
 }
@@ -246,7 +246,7 @@
 
 void UpstreamConnection::OnResponseStreamed() {
   ReuseOrClose();
-  FinishAttempt(AttemptResult::kServed, {});
+  ReportAttemptEnd(AttemptResult::kServed, {});
 }
 
 void UpstreamConnection::OnResponseBroken(error_code error) {
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -126,7 +126,7 @@
   void OnResponseBroken(boost::system::error_code error) override;
 
   void StartAttempt(AttemptId id, UpstreamRequest request);
-  void FinishAttempt(policy::AttemptResult result, HttpResponse response);
+  void ReportAttemptEnd(policy::AttemptResult result, HttpResponse response);
   void OnConnected(boost::system::error_code error);
   void SendRequest();
   void OnEarlyResponse(boost::system::error_code error);
