--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -30,7 +30,8 @@
         const std::string target(request.http.target());
         const bool is_long_poll = target.find("wait_ms=0") == std::string::npos;
         service->watches += is_long_poll;
-        nlohmann::json list = List(service->revision, true, {Member("h0", Loopback(80))});
+        nlohmann::json list =
+            MakeEndpointList(service->revision, true, {MakeEndpointEntry("h0", Loopback(80))});
         list["epoch"] = service->epoch;
         const auto after = target.find("after=" + std::to_string(service->revision) + "&");
         const bool is_current = after != std::string::npos;
@@ -188,9 +189,9 @@
     std::vector<nlohmann::json> members;
     for (std::size_t i = 0; i < hosts; ++i) {
       members.push_back(
-          Member("h" + std::to_string(i), harness.host(i).address(), i == 0 ? "draining" : "up"));
+          MakeEndpointEntry("h" + std::to_string(i), harness.host(i).address(), i == 0 ? "draining" : "up"));
     }
-    nlohmann::json list = List(revision, true, members);
+    nlohmann::json list = MakeEndpointList(revision, true, members);
     list["confirmed"] = confirmed;
     return list.dump();
   };
@@ -217,8 +218,9 @@
     ASSERT_TRUE(harness.Until([&] { return !harness.discovery.requests.empty(); }));
     const auto respond = [&](std::size_t call, const std::string& phase) {
       harness.discovery.requests[call].Respond(
-          200, List(42 + static_cast<int>(call), true,
-                    {Member("h0", harness.host(0).address(), phase), Member("h1", harness.host(1).address())})
+          200, MakeEndpointList(42 + static_cast<int>(call), true,
+                                {MakeEndpointEntry("h0", harness.host(0).address(), phase),
+                                 MakeEndpointEntry("h1", harness.host(1).address())})
                    .dump());
     };
     if (silent == 1) {
@@ -277,7 +279,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   nlohmann::json MakeDrain(int revision) {
-    return List(revision, false, {Member("h0", host(0).address(), "draining")});
+    return MakeEndpointList(revision, false, {MakeEndpointEntry("h0", host(0).address(), "draining")});
   }
 
   FakeServer new_discovery{io};
@@ -334,12 +336,12 @@
   harness.ChangeAddress();
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 1; }));
   EXPECT_FALSE(harness.discovery.connections[0]->closed_by_gateway);
-  harness.new_discovery.requests[0].Respond(200,
-                                            List(7, true, {Member("h1", harness.host(1).address())}).dump());
+  harness.new_discovery.requests[0].Respond(
+      200, MakeEndpointList(7, true, {MakeEndpointEntry("h1", harness.host(1).address())}).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.new_discovery.requests.size() == 2; }));
   EXPECT_NE(std::string(harness.new_discovery.requests[1].http.target()).find("after=7&"), std::string::npos);
   harness.WriteAtFormerAddress(
-      harness.MakeResponse(List(50, true, {Member("h0", harness.host(0).address())})));
+      harness.MakeResponse(MakeEndpointList(50, true, {MakeEndpointEntry("h0", harness.host(0).address())})));
   harness.RunEventLoop();
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->closed_by_gateway; }));
@@ -359,7 +361,7 @@
   AddressChangeHarness harness;
   harness.EnableMassRemovalGuard();
   ASSERT_TRUE(harness.FirstCallArrived());
-  harness.WriteAtFormerAddress(harness.MakeResponse(List(42, true, nlohmann::json::array())));
+  harness.WriteAtFormerAddress(harness.MakeResponse(MakeEndpointList(42, true, nlohmann::json::array())));
   harness.ChangeAddress();
   harness.RunEventLoop();
   EXPECT_EQ(harness.Vars()["pool_size"], 2);
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -409,8 +409,9 @@
     queue_filler.connect(listener.local_endpoint());  // occupies the only slot of the accept queue
     nlohmann::json settings = TestSettings();
     settings["limits"]["cancelling"] = cancelling;
-    GatewayHarness harness(0, settings, 300,
-                           {{"known", List(41, true, {Member("h0", listener.local_endpoint())})}});
+    GatewayHarness harness(
+        0, settings, 300,
+        {{"known", MakeEndpointList(41, true, {MakeEndpointEntry("h0", listener.local_endpoint())})}});
     const auto client = harness.Connect();
     client->Send(ApiCall("r1"));
     const auto has_metric = [&](const std::string& line) {
@@ -462,7 +463,8 @@
   ASSERT_FALSE(harness.host(0).requests.empty());
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
   harness.discovery.requests[0].Respond(
-      200, List(42, false, {Member("h0", harness.host(0).address(), "draining")}).dump());
+      200,
+      MakeEndpointList(42, false, {MakeEndpointEntry("h0", harness.host(0).address(), "draining")}).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.host(0).connections[0]->closed_by_gateway; }));
   const std::size_t requests_before = harness.host(0).requests.size();
   for (int i = 0; i < 20; ++i) {
@@ -607,21 +609,24 @@
                                          : std::string(discovery.requests[n - 1].http.target());
   };
   EXPECT_EQ(target_of_call(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
-  discovery.requests[0].Respond(200, List(42, false, {}).dump());
+  discovery.requests[0].Respond(200, MakeEndpointList(42, false, {}).dump());
   EXPECT_NE(target_of_call(2).find("after=42&"), std::string::npos);
   EXPECT_EQ(discovery.connections.size(), 1u);
   discovery.requests[1].Respond(200, "{\"revision\":43,");
   EXPECT_NE(target_of_call(3).find("after=42&"), std::string::npos);
-  nlohmann::json invalid = List(43, true, {Member("h9", harness.host().address(), "dancing")});
+  nlohmann::json invalid =
+      MakeEndpointList(43, true, {MakeEndpointEntry("h9", harness.host().address(), "dancing")});
   discovery.requests[2].Respond(200, invalid.dump());
   EXPECT_NE(target_of_call(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Respond(503, "");
   EXPECT_NE(target_of_call(5).find("after=42&"), std::string::npos);
   discovery.requests[4].connection->Reset();
   EXPECT_NE(target_of_call(6).find("after=42&"), std::string::npos);
-  discovery.requests[5].Respond(200, List(44, true, {Member("h0", harness.host().address())}).dump());
+  discovery.requests[5].Respond(
+      200, MakeEndpointList(44, true, {MakeEndpointEntry("h0", harness.host().address())}).dump());
   EXPECT_NE(target_of_call(7).find("after=44&"), std::string::npos);
-  discovery.requests[6].Respond(200, List(43, true, {}).dump());  // an older revision, which is ignored
+  // Revision 43 is older than revision 44, so the gateway must ignore this response.
+  discovery.requests[6].Respond(200, MakeEndpointList(43, true, {}).dump());
   EXPECT_NE(target_of_call(8).find("after=44&"), std::string::npos);
   EXPECT_EQ(harness.Vars().at("pool_size"), 1);
 }
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -74,8 +74,9 @@
       // Several endpoints at the address of the one host: during an overlap each process sends at most one
       // concurrent request to a new endpoint, and the request "held" occupies one endpoint.
       {"known",
-       List(1, true,
-            {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
+       MakeEndpointList(1, true,
+                        {MakeEndpointEntry("h0", host.address()), MakeEndpointEntry("h1", host.address()),
+                         MakeEndpointEntry("h2", host.address())})},
       {"settings",
        TestSettings()}}.dump()};
 };
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -33,7 +33,8 @@
   EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE"));
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
   FakeServer host(harness.io);
-  harness.discovery.requests[0].Respond(200, List(42, true, {Member("h0", host.address())}).dump());
+  harness.discovery.requests[0].Respond(
+      200, MakeEndpointList(42, true, {MakeEndpointEntry("h0", host.address())}).dump());
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
 }
@@ -182,7 +183,8 @@
     GatewayHarness harness(2, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
     harness.discovery.requests[0].Respond(
-        200, List(42, false, {Member("h1", harness.host(1).address(), "removed")}).dump());
+        200,
+        MakeEndpointList(42, false, {MakeEndpointEntry("h1", harness.host(1).address(), "removed")}).dump());
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
     EXPECT_TRUE(harness.Call("drain-on\n").starts_with("SUCCESS"));
     ASSERT_TRUE(harness.Until([&] {
@@ -209,7 +211,9 @@
     ASSERT_TRUE(harness.Until(
         [&] { return harness.discovery.requests.size() > earlier_calls || earlier_calls >= 3; }));
     harness.discovery.requests.back().Respond(
-        200, List(7, true, {Member("h0", harness.host(0).address()), Member("h1", harness.host(1).address())})
+        200, MakeEndpointList(7, true,
+                              {MakeEndpointEntry("h0", harness.host(0).address()),
+                               MakeEndpointEntry("h1", harness.host(1).address())})
                  .dump());
     ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 2; }));
     EXPECT_EQ(harness.Vars()["list_from"], "discovery");
@@ -224,8 +228,8 @@
     std::filesystem::remove_all(folder.path);
     GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-    harness.discovery.requests[0].Respond(200,
-                                          List(42, true, {Member("h0", harness.host().address())}).dump());
+    harness.discovery.requests[0].Respond(
+        200, MakeEndpointList(42, true, {MakeEndpointEntry("h0", harness.host().address())}).dump());
     ASSERT_TRUE(
         harness.Until([&] { return proxy::LoadSavedState(folder.path, harness.owner()).has_value(); }));
     harness.gateway.reset();
@@ -371,10 +375,11 @@
   }
   EXPECT_EQ(harness.Vars()["pool_ejected"], 2);
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
-  harness.discovery.requests[0].Respond(200, List(42, false,
-                                                  {Member("h0", harness.host(0).address(), "draining"),
-                                                   Member("h1", harness.host(1).address(), "removed")})
-                                                 .dump());
+  harness.discovery.requests[0].Respond(
+      200, MakeEndpointList(42, false,
+                            {MakeEndpointEntry("h0", harness.host(0).address(), "draining"),
+                             MakeEndpointEntry("h1", harness.host(1).address(), "removed")})
+               .dump());
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
   EXPECT_EQ(harness.Vars()["pool_size"], 1);
   EXPECT_EQ(harness.Vars()["pool_ejected"], 0);
--- a/tests/proxy/peers.hpp
+++ b/tests/proxy/peers.hpp
@@ -221,19 +221,19 @@
   return text + "\r\n" + body;
 }
 
-// Returns one entry of the list service's endpoint list.
-inline nlohmann::json Member(const std::string& id, const tcp::endpoint& address,
-                             const std::string& phase = "up") {
+// Returns one entry of an endpoint list.
+inline nlohmann::json MakeEndpointEntry(const std::string& id, const tcp::endpoint& address,
+                                        const std::string& phase = "up") {
   return {{"id", id},        {"host_port", ToText(address)},
           {"locality", "a"}, {"flavor", "m"},
           {"cell", 0},       {"phase", phase},
           {"size", 1.0},     {"up_since_ms", 0}};
 }
 
-// Returns the body of a list service's response: a complete list (snapshot) if `complete` is true, otherwise
-// the changes since the previous revision (delta).
-inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
-  return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
+// Returns an endpoint list in the format of the list service: a complete list (snapshot) if `complete` is
+// true, otherwise the changes since an earlier revision (delta).
+inline nlohmann::json MakeEndpointList(int revision, bool complete, std::vector<nlohmann::json> entries) {
+  return {{"revision", revision}, {"complete", complete}, {"members", std::move(entries)}};
 }
 
 // Returns the `settings` object of a configuration. It has one traffic class for each kind of idempotency.
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -50,7 +50,9 @@
   FakeServer host(io), discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   const nlohmann::json config = {
-      {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
+      {"seed", "1f"},
+      {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())})},
+      {"settings", TestSettings()}};
   const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
@@ -84,7 +86,7 @@
   FakeServer first(io), second(io), discovery(io), new_discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
   nlohmann::json config = {{"seed", "1f"},
-                           {"known", List(1, true, {Member("h0", first.address())})},
+                           {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", first.address())})},
                            {"settings", TestSettings()}};
   const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
@@ -103,7 +105,8 @@
   process.Reload();
   ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 1; }));
   EXPECT_NE(std::string(new_discovery.requests[0].http.target()).find("after=1&"), std::string::npos);
-  new_discovery.requests[0].Respond(200, List(2, true, {Member("h1", second.address())}).dump());
+  new_discovery.requests[0].Respond(
+      200, MakeEndpointList(2, true, {MakeEndpointEntry("h1", second.address())}).dump());
   ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 2; }));  // the list was accepted
   Client client(io, listen);
   client.Send(ApiCall("r1"));
@@ -147,10 +150,11 @@
   const tcp::endpoint listen = FreeAddress(io), management = FreeAddress(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // refuses connections because it does not listen
-  const nlohmann::json config = {{"seed", "1f"},
-                                 {"limits", {{"sockets", kSockets}}},
-                                 {"known", List(1, true, {Member("h0", host.address())})},
-                                 {"settings", TestSettings()}};
+  const nlohmann::json config = {
+      {"seed", "1f"},
+      {"limits", {{"sockets", kSockets}}},
+      {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())})},
+      {"settings", TestSettings()}};
   const ConfigFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
@@ -267,7 +271,9 @@
   const tcp::endpoint listen = FreeAddress(io);
   const tcp::endpoint discovery_address = failure.listens ? discovery.address() : FreeAddress(io);
   const nlohmann::json config = {
-      {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
+      {"seed", "1f"},
+      {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())})},
+      {"settings", TestSettings()}};
   const ConfigFile file(config.dump());
   const std::vector<std::pair<std::string, std::string>> variables = {
       {"NODE_CONFIG", file.path},
@@ -313,7 +319,7 @@
     if (!ec) discovery_connection.emplace(std::move(socket));
   });
   ASSERT_TRUE(RunUntil(io, [&] { return discovery_connection.has_value(); }));
-  const std::string body = List(1, true, {Member("h0", host.address())}).dump();
+  const std::string body = MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())}).dump();
   asio::write(
       *discovery_connection,
       asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body));
--- a/tests/proxy/world.hpp
+++ b/tests/proxy/world.hpp
@@ -24,14 +24,14 @@
   explicit GatewayHarness(std::size_t host_count = 1, nlohmann::json settings = TestSettings(),
                           std::size_t socket_limit = 300,
                           const nlohmann::json& extra_config = nlohmann::json::object()) {
-    std::vector<nlohmann::json> members;
+    std::vector<nlohmann::json> entries;
     for (std::size_t i = 0; i < host_count; ++i) {
       hosts.push_back(std::make_unique<FakeServer>(io));
-      members.push_back(Member("h" + std::to_string(i), hosts.back()->address()));
+      entries.push_back(MakeEndpointEntry("h" + std::to_string(i), hosts.back()->address()));
     }
     nlohmann::json file = {{"seed", "5"},
                            {"limits", {{"sockets", socket_limit}}},
-                           {"known", List(41, true, members)},
+                           {"known", MakeEndpointList(41, true, entries)},
                            {"mgmt", "127.0.0.1:0"},
                            {"settings", std::move(settings)}};
     file.update(extra_config);
