--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -165,8 +165,9 @@
 
   Phase phase_ = Phase::kReading;
   Millis phase_entered_at_ = Now();
-  Millis request_started_at_ = phase_entered_at_;  // not later than the first byte of the request
-  bool reading_request_ = false;                   // in kReading: a part of a request has arrived
+  Millis request_started_at_ =
+      phase_entered_at_;          // at or before the arrival of the first byte of the request
+  bool reading_request_ = false;  // in kReading: a part of a request has arrived
   // Number of the latest wait for readability. The results of earlier waits are ignored.
   std::uint64_t wait_number_ = 0;
   bool watches_for_disconnect_ = false;  // in kServing: a wait for readability is pending
--- a/src/proxy/client/response_writer.cpp
+++ b/src/proxy/client/response_writer.cpp
@@ -93,8 +93,9 @@
   delegate_.OnResponseWritten(error);
 }
 
-// Called when the source of the body has failed. If only the end of the connection delimits the body, makes
-// the close reset the connection: an orderly close would make the response look complete.
+// Called when the source of the body has failed. If only the end of the connection delimits the body,
+// configures the socket so that its close resets the connection: an orderly close would make the response
+// look complete.
 void ResponseWriter::Abort() {
   error_code ignored;
   if (ends_by_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/proxy/upstream/upstream_connection.hpp
+++ b/src/proxy/upstream/upstream_connection.hpp
@@ -69,8 +69,8 @@
 // detects a close by the endpoint. If the body of a response is streamed, the connection is the BodySource of
 // that body.
 //
-// The owner holds a shared pointer to the connection while it serves an attempt or is idle. Pending
-// operations and streamed bodies also hold shared pointers. Runs on the event loop's thread.
+// The owner holds a shared pointer to the connection while the connection serves an attempt or is idle.
+// Pending operations and streamed bodies also hold shared pointers. Runs on the event loop's thread.
 class UpstreamConnection final : public BodySource,
                                  public std::enable_shared_from_this<UpstreamConnection>,
                                  private RequestWriter::Delegate,
--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -121,8 +121,8 @@
   EXPECT_EQ(client->Await(2).body(), "second");
   const Millis elapsed_ms = Now() - sent_at;
   ASSERT_EQ(hosts.received_deadlines().size(), 1u);
-  EXPECT_GE(hosts.received_deadlines().front(),
-            kDeadlineMs - elapsed_ms - 50);  // 50 ms for the gateway's margin and the kernel's clock tick
+  constexpr Millis kToleranceMs = 50;  // for the gateway's margin and the kernel's clock tick
+  EXPECT_GE(hosts.received_deadlines().front(), kDeadlineMs - elapsed_ms - kToleranceMs);
 }
 
 // The system reports the time of the last received data only for a TCP connection. The function must return
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -331,11 +331,11 @@
   ASSERT_TRUE(harness.Until([&] { return connection_count() == 1; }));
   const auto& connection =
       (harness.host(0).connections.empty() ? harness.host(1) : harness.host(0)).connections[0];
-  ASSERT_TRUE(harness.Until(
-      [&] {  // the host has received more than 80,000 bytes, which exceeds the buffer limit of 64 KiB
-        return connection->parser->is_header_done() &&
-               connection->parser->content_length_remaining().value_or(300000) < 220000;
-      }));
+  // The host has received more than 80,000 bytes, which exceeds the buffer limit of 64 KiB.
+  ASSERT_TRUE(harness.Until([&] {
+    return connection->parser->is_header_done() &&
+           connection->parser->content_length_remaining().value_or(300000) < 220000;
+  }));
   for (auto& host : harness.hosts) {
     for (auto& host_connection : host->connections) host_connection->Reset();
   }
--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -11,8 +11,8 @@
 TEST(BodyProgress, TimeoutCountsOnlyTheTimeSpentWaitingForTheClient) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
-  EXPECT_FALSE(
-      progress.TimedOut(100000));  // BeginWait was not called: the gateway does not wait for the client
+  // Before BeginWait is called, the gateway does not wait for the client.
+  EXPECT_FALSE(progress.TimedOut(100000));
   progress.BeginWait(100000);
   EXPECT_FALSE(progress.TimedOut(100700));
   EXPECT_TRUE(progress.TimedOut(100701));
--- a/tests/proxy/client_server_test.cpp
+++ b/tests/proxy/client_server_test.cpp
@@ -360,8 +360,8 @@
   asio::io_context io;
   TestServer server(io);
   server.client_server.SetDraining(true);
-  DeferredReadClient client(
-      io, server.client_server.address());  // not accepted yet, because the event loop has not run
+  // The client is connected but not accepted, because the event loop has not run.
+  DeferredReadClient client(io, server.client_server.address());
   bool done = false;
   server.client_server.StopListening([&] { done = true; });
   client.Write(ApiCall("racing"));
