--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -8,6 +8,7 @@
 namespace gateway::proxy::testing {
 namespace {
 
+// The head has used its timeout completely, so the grace period is kBodyGraceMs (700 ms).
 TEST(BodyProgress, TimeoutCountsOnlyTheTimeSpentWaitingForTheClient) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
@@ -22,6 +23,7 @@
   EXPECT_TRUE(progress.TimedOut(200201));
 }
 
+// The head has used 1,000 ms of its timeout of 2,700 ms, so the grace period is 1,700 ms.
 TEST(BodyProgress, GracePeriodIsAtLeastTheUnusedPartOfTheHeadTimeout) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/1000);
@@ -30,6 +32,8 @@
   EXPECT_TRUE(progress.TimedOut(2701));
 }
 
+// The limit on one pause (kBodyPauseTimeoutMs, 2,000 ms) holds even if the client has sent data much faster
+// than the minimum rate.
 TEST(BodyProgress, TimesOutAfterALongPauseOfAFastClient) {
   BodyProgress progress;
   progress.Start(0, 0);
@@ -40,7 +44,9 @@
   EXPECT_TRUE(progress.TimedOut(2002));
 }
 
-TEST(DrainState, ClosesIdleConnectionsBeforeItRejectsRequests) {
+// Idle connections are closed 500 ms after the start of the drain. Incomplete requests are rejected 1,700 ms
+// after the start.
+TEST(DrainState, ClosesIdleConnectionsBeforeItRejectsIncompleteRequests) {
   DrainState drain;
   EXPECT_FALSE(drain.ClosesIdleConnections(10000));
   drain.Begin(1000);
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -11,19 +11,19 @@
 
 proxy::UpstreamRequest MakeUpstreamRequest(std::shared_ptr<const HttpRequest> request, Millis deadline,
                                            std::function<void(policy::AttemptResult)> on_end) {
-  proxy::UpstreamRequest attempt;
-  attempt.request = std::move(request);
-  attempt.deadline = deadline;
-  attempt.on_end = [on_end = std::move(on_end)](policy::AttemptResult result, HttpResponse) {
+  proxy::UpstreamRequest upstream_request;
+  upstream_request.request = std::move(request);
+  upstream_request.deadline = deadline;
+  upstream_request.on_end = [on_end = std::move(on_end)](policy::AttemptResult result, HttpResponse) {
     on_end(result);
   };
-  return attempt;
+  return upstream_request;
 }
 
-policy::EndpointInfo MakeHost(const std::string& id) {
-  policy::EndpointInfo host;
-  host.id = id;
-  return host;
+policy::EndpointInfo MakeEndpointInfo(const std::string& id) {
+  policy::EndpointInfo info;
+  info.id = id;
+  return info;
 }
 
 // If the gateway lost or changed a header field or a body, it would break hosts and clients. It changes only
@@ -487,7 +487,7 @@
   queue_filler.connect(address);  // occupies the only slot of the accept queue
   proxy::UpstreamPool pool(io, {20000, 60000, 10});
   proxy::EndpointList list;
-  list.endpoints.push_back({MakeHost("h0"), address});
+  list.endpoints.push_back({MakeEndpointInfo("h0"), address});
   pool.ApplyEndpointList(list);
   std::optional<policy::AttemptResult> result;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
@@ -518,7 +518,7 @@
   FakeServer host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
-  list.endpoints = {{MakeHost("h1"), host.address()}};
+  list.endpoints = {{MakeEndpointInfo("h1"), host.address()}};
   pool.ApplyEndpointList(list);
   for (const bool cancelled : {true, false}) {
     std::vector<policy::AttemptResult> results;
@@ -547,7 +547,8 @@
   FakeServer first_host(io), second_host(io);
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
-  list.endpoints = {{MakeHost("h1"), first_host.address()}, {MakeHost("h2"), second_host.address()}};
+  list.endpoints = {{MakeEndpointInfo("h1"), first_host.address()},
+                    {MakeEndpointInfo("h2"), second_host.address()}};
   pool.ApplyEndpointList(list);
   std::vector<policy::AttemptResult> results;
   const auto request = std::make_shared<const HttpRequest>(http::verb::get, "/api", 11);
@@ -578,7 +579,7 @@
   host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   proxy::UpstreamPool pool(io, {5000, 60000, 2});
   proxy::EndpointList list;
-  list.endpoints = {{MakeHost("h1"), host.address()}};
+  list.endpoints = {{MakeEndpointInfo("h1"), host.address()}};
   pool.ApplyEndpointList(list);
   std::vector<policy::AttemptResult> results;
   HttpRequest get(http::verb::get, "/api", 11);
--- a/tests/proxy/process.hpp
+++ b/tests/proxy/process.hpp
@@ -40,9 +40,9 @@
       const rlimit limit{descriptor_limit, descriptor_limit};
       setrlimit(RLIMIT_NOFILE, &limit);
     }
-    if (std::freopen(stderr_path_.c_str(), "w", stderr) == nullptr) _exit(99);
+    if (std::freopen(stderr_path_.c_str(), "w", stderr) == nullptr) _exit(kRedirectFailedExitCode);
     execl(GATEWAY_PROGRAM, GATEWAY_PROGRAM, nullptr);
-    _exit(98);
+    _exit(kExecFailedExitCode);
   }
   ~Process() {
     if (!exited_) kill(pid_, SIGKILL);
@@ -71,6 +71,10 @@
   }
 
  private:
+  // Exit codes of the child process if it cannot start the program. The program itself does not use them.
+  static constexpr int kRedirectFailedExitCode = 99;
+  static constexpr int kExecFailedExitCode = 98;
+
   inline static int started_processes_ = 0;
   const std::string stderr_path_;
   const pid_t pid_;
