--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -13,12 +13,12 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned kHttpVersion = 11;  // HTTP/1.1
-// The time before the client's timeout by which the policy must respond: responses take time to arrive, and
+// The policy must respond this long before the client's timeout, because responses take time to arrive and
 // timers may fire late.
 constexpr Millis kResponseMarginMs = 10;
-// The time before the client's timeout at which the forwarder times out a request without a response.
+// The forwarder times out a request without a response this long before the client's timeout.
 constexpr Millis kTimeoutMarginMs = 4;
-constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at the minimum rate
+constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at kMinBodyBytesPerMs
 const char* const kLoadReportField = "Srv-Load";
 
 void StripUpstreamFields(HttpResponse& response) {
@@ -33,18 +33,19 @@
     : io_(io), settings_(settings), driver_(driver), upstream_(upstream), metrics_(metrics) {}
 
 void RequestForwarder::OnRequest(ClientRequest request) {
-  if (requests_.contains(request.id)) {  // the outcomes of two requests with one ID can't be distinguished
+  // The outcomes of two requests with the same ID cannot be distinguished.
+  if (requests_.contains(request.id)) {
     HttpResponse response(http::status::conflict, kHttpVersion);
     response.body() = "Req-Id is in use\n";
     return request.responder.Respond(std::move(response), nullptr);
   }
-  const ActiveRequest& active = Add(request);
+  const ActiveRequest& active = AddRequest(request);
   driver_.Report(policy::Request{request.id, request.class_name, request.tenant, request.affinity_key,
                                  active.respond_by - Now()});
-  if (ActiveRequest* const waiting = Find(request.id)) waiting->handled_on_arrival = false;
+  if (ActiveRequest* const remaining = FindRequest(request.id)) remaining->handling_arrival = false;
 }
 
-RequestForwarder::ActiveRequest& RequestForwarder::Add(ClientRequest& request) {
+RequestForwarder::ActiveRequest& RequestForwarder::AddRequest(ClientRequest& request) {
   ActiveRequest& active = requests_.try_emplace(request.id, io_).first->second;
   active.http = std::make_shared<const HttpRequest>(std::move(request.http));
   active.responder = request.responder;
@@ -67,10 +68,10 @@
   });
 }
 
-// The deadline of the request and the timeouts of its attempts count from now, since an endpoint cannot
-// execute an incomplete request.
+// The deadline of the request and the timeouts of its attempts count from `completed_at`, because an endpoint
+// cannot execute an incomplete request.
 void RequestForwarder::OnRequestComplete(const std::string& id, Millis completed_at) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || std::exchange(active->complete, true)) return;
   SetDeadline(id, *active, completed_at + active->time_allowed);
   for (Attempt& attempt : active->attempts) {
@@ -83,7 +84,7 @@
 
 void RequestForwarder::OnAttemptEnded(const std::string& id, std::size_t index, policy::AttemptResult result,
                                       HttpResponse response) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr) return;
   Attempt& attempt = active->attempts[index];
   attempt.in_flight = false;
@@ -108,7 +109,7 @@
 
 void RequestForwarder::OnResponseStarted(const std::string& id, std::size_t attempt, HttpResponse response,
                                          std::shared_ptr<BodySource> remaining_body) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) {
     asio::post(io_, [remaining_body] { remaining_body->Cancel(); });
     return;
@@ -119,13 +120,13 @@
 }
 
 void RequestForwarder::OnClientDisconnected(const std::string& id) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return;
   ++disconnected_;
   active->responded = true;
   active->timeout_timer.cancel();
   driver_.Report(policy::ClientDisconnected{id});
-  const ActiveRequest* const remaining = Find(id);
+  const ActiveRequest* const remaining = FindRequest(id);
   if (remaining == nullptr) return;
   std::vector<AttemptId> in_flight;  // CancelUnsent may erase the request
   for (const Attempt& attempt : remaining->attempts) {
@@ -135,17 +136,17 @@
 }
 
 bool RequestForwarder::IsAwaited(const std::string& id) {
-  const ActiveRequest* const active = Find(id);
+  const ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return false;
   if (!active->responder.ClientDisconnected()) return true;
   OnClientDisconnected(id);
   return false;
 }
 
-// The timers of the policy normally produce a response before this timeout, which covers timers that fire
-// late.
+// Responds with 504. Normally the policy responds before this timeout. The timeout applies if the policy's
+// timers fire late.
 void RequestForwarder::TimeOut(const std::string& id) {
-  ActiveRequest* const active = Find(id);
+  ActiveRequest* const active = FindRequest(id);
   if (active == nullptr || active->responded) return;
   Respond(*active, HttpResponse(http::status::gateway_timeout, kHttpVersion));
   driver_.Report(policy::ClientDisconnected{id});
@@ -159,7 +160,7 @@
 
 void RequestForwarder::Execute(const policy::Send& send) {
   const bool awaited = IsAwaited(send.request);
-  ActiveRequest* const active = Find(send.request);
+  ActiveRequest* const active = FindRequest(send.request);
   if (!awaited) return ReportNotSent(send, active);
   const bool attempts_left = static_cast<int>(active->attempts.size()) < settings_.max_attempts;
   const bool buffered = !active->remaining_body || !active->remaining_body->started();
@@ -169,13 +170,13 @@
   if (index == 0) RecordFirstDecision(*active, now, true);
   const Millis timeout = send.timeout > 0 ? send.timeout : kMaxUploadMs;
   active->attempts.push_back({send.endpoint, now, timeout});
-  const AttemptId number =
+  const AttemptId attempt_id =
       upstream_.Start(send.endpoint, MakeUpstreamRequest(send, *active, index, now, timeout));
-  active->attempts[index].id = number;
+  active->attempts[index].id = attempt_id;
 }
 
-// Reports that the attempt was not sent: the request has ended since the policy's decision, or must not be
-// sent again.
+// Reports to the policy that the attempt was not sent, because the request has ended since the policy's
+// decision or must not be sent again.
 void RequestForwarder::ReportNotSent(const policy::Send& send, ActiveRequest* active) {
   policy::AttemptOutcome outcome;
   outcome.request = send.request;
@@ -205,14 +206,14 @@
     OnResponseStarted(id, index, std::move(response), std::move(remaining_body));
   };
   request.on_buffered_part_sent = [this, id = send.request] {
-    if (ActiveRequest* const streaming = Find(id)) streaming->http.reset();
+    if (ActiveRequest* const streaming = FindRequest(id)) streaming->http.reset();
   };
   request.on_request_sent = [this] { metrics_.RecordAttempt(); };
   return request;
 }
 
 void RequestForwarder::Execute(const policy::Reject& reject) {
-  ActiveRequest* const active = Find(reject.request);
+  ActiveRequest* const active = FindRequest(reject.request);
   if (active == nullptr) return;
   if (active->attempts.empty()) RecordFirstDecision(*active, Now(), false);
   HttpResponse response(http::status::service_unavailable, kHttpVersion);
@@ -222,14 +223,14 @@
 }
 
 void RequestForwarder::Execute(const policy::Fail& fail) {
-  ActiveRequest* const active = Find(fail.request);
+  ActiveRequest* const active = FindRequest(fail.request);
   if (active == nullptr) return;
   Respond(*active, HttpResponse(http::status::bad_gateway, kHttpVersion));
   EraseIfEnded(fail.request);
 }
 
 void RequestForwarder::Execute(const policy::Cancel& cancel) {
-  ActiveRequest* const active = Find(cancel.request);
+  ActiveRequest* const active = FindRequest(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
   if (active == nullptr || attempt >= active->attempts.size()) return;
   upstream_.Cancel(active->attempts[attempt].id);
@@ -242,7 +243,7 @@
 
 void RequestForwarder::OnEventHandled(const std::string& request) { EraseIfEnded(request); }
 
-RequestForwarder::ActiveRequest* RequestForwarder::Find(const std::string& id) {
+RequestForwarder::ActiveRequest* RequestForwarder::FindRequest(const std::string& id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : &found->second;
 }
@@ -258,7 +259,7 @@
 void RequestForwarder::RecordFirstDecision(const ActiveRequest& active, Millis now, bool sent) {
   const Millis waited = now - active.received_at;
   if (sent) metrics_.RecordDuration(active.class_name, Metrics::Interval::kFirstAttempt, waited);
-  if (!active.handled_on_arrival)
+  if (!active.handling_arrival)
     metrics_.RecordDuration(active.class_name, Metrics::Interval::kQueued, waited);
 }
 
--- a/tests/proxy/body_progress_test.cpp
+++ b/tests/proxy/body_progress_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the timeouts of request bodies and of the rules of a drain, in simulated time (ms).
+// Tests of BodyProgress and DrainState in simulated time. All times are in milliseconds.
 #include "proxy/client/body_progress.hpp"
 
 #include <gtest/gtest.h>
@@ -8,10 +8,12 @@
 namespace gateway::proxy::testing {
 namespace {
 
-TEST(BodyProgress, CountsOnlyTheTimeSpentWaitingForTheClient) {
+// The head has used its timeout completely, so the grace period is kBodyGraceMs (700 ms).
+TEST(BodyProgress, TimeoutCountsOnlyTheTimeSpentWaitingForTheClient) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/2700);
-  EXPECT_FALSE(progress.TimedOut(100000));  // no BeginWait yet: the gateway does not wait for the client
+  // Before BeginWait is called, the gateway does not wait for the client.
+  EXPECT_FALSE(progress.TimedOut(100000));
   progress.BeginWait(100000);
   EXPECT_FALSE(progress.TimedOut(100700));
   EXPECT_TRUE(progress.TimedOut(100701));
@@ -21,7 +23,8 @@
   EXPECT_TRUE(progress.TimedOut(200201));
 }
 
-TEST(BodyProgress, GrantsAtLeastTheUnusedHeadTimeAsGrace) {
+// The head has used 1,000 ms of its timeout of 2,700 ms, so the grace period is 1,700 ms.
+TEST(BodyProgress, GracePeriodIsAtLeastTheUnusedPartOfTheHeadTimeout) {
   BodyProgress progress;
   progress.Start(/*request_started_at=*/0, /*now=*/1000);
   progress.BeginWait(1000);
@@ -29,7 +32,9 @@
   EXPECT_TRUE(progress.TimedOut(2701));
 }
 
-TEST(BodyProgress, LimitsEachPause) {
+// The limit on one pause (kBodyPauseTimeoutMs, 2,000 ms) holds even if the client has sent data much faster
+// than the minimum rate.
+TEST(BodyProgress, TimesOutAfterALongPauseOfAFastClient) {
   BodyProgress progress;
   progress.Start(0, 0);
   progress.BeginWait(0);
@@ -39,7 +44,9 @@
   EXPECT_TRUE(progress.TimedOut(2002));
 }
 
-TEST(DrainState, ClosesIdleConnectionsBeforeItRejectsRequests) {
+// Idle connections are closed 500 ms after the start of the drain. Incomplete requests are rejected 1,700 ms
+// after the start.
+TEST(DrainState, ClosesIdleConnectionsBeforeItRejectsIncompleteRequests) {
   DrainState drain;
   EXPECT_FALSE(drain.ClosesIdleConnections(10000));
   drain.Begin(1000);
