--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the watch of the endpoint list: failover between several services, the guard against mass removal,
-// and a change of the service's address.
+// Tests of the client that watches the endpoint list: failover between list services, the guard against mass
+// removal, and a change of the service address.
 #include <gtest/gtest.h>
 
 #include "base/clock.hpp"
@@ -14,27 +14,27 @@
 using proxy::DiscoveryClient;
 using proxy::EndpointList;
 
-// Runs a client that watches two services. The test configures the responses of the services.
-struct TwoServices : DiscoveryClient::Observer {
+// A client that watches two list services. The test configures the responses of the services.
+struct TwoServicesFixture : DiscoveryClient::Observer {
   struct Service {
     explicit Service(asio::io_context& io) : server(io) {}
     FakeServer server;
     std::int64_t revision = 50;
     std::string epoch = "e1";
     int status = 200;
-    std::size_t watches = 0;  // long-poll calls
+    std::size_t long_polls = 0;  // number of long-poll calls received
   };
-  TwoServices() {
+  TwoServicesFixture() {
     for (Service* service : {&first, &second}) {
       service->server.serve = [service](const FakeServer::ReceivedRequest& request) {
         const std::string target(request.http.target());
         const bool is_long_poll = target.find("wait_ms=0") == std::string::npos;
-        service->watches += is_long_poll;
+        service->long_polls += is_long_poll;
         nlohmann::json list = List(service->revision, true, {Member("h0", Loopback(80))});
         list["epoch"] = service->epoch;
         const auto after = target.find("after=" + std::to_string(service->revision) + "&");
         const bool is_current = after != std::string::npos;
-        if (is_long_poll && is_current && service->status == 200) return;  // waits for a change
+        if (is_long_poll && is_current && service->status == 200) return;  // no response without a change
         request.Respond(service->status, list.dump());
       };
     }
@@ -51,26 +51,26 @@
   std::string RejectionReason(const EndpointList&) override { return rejection_reason; }
   ::testing::AssertionResult Until(const std::function<bool()>& condition) {
     if (RunUntil(io, condition)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "condition not met in time";
+    return ::testing::AssertionFailure() << "the condition did not hold before the timeout of RunUntil";
   }
 
   asio::io_context io;
   Service first{io}, second{io};
-  std::vector<std::int64_t> revisions;  // of the accepted lists
-  int failures = 0;                     // of the watch
+  std::vector<std::int64_t> revisions;  // revisions of the accepted lists
+  int failures = 0;                     // number of failed watches
   std::string rejection_reason;
   std::optional<DiscoveryClient> client;
 };
 
-TEST(DiscoveryClient, FailsOverToAnotherServiceAndReturns) {
-  TwoServices fixture;
+TEST(DiscoveryClient, FailsOverToAnotherServiceAndReturnsAfterRecovery) {
+  TwoServicesFixture fixture;
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions == std::vector<std::int64_t>{50}; }));
   EXPECT_EQ(fixture.client->service_index(), 0u);
   fixture.first.status = 503;
   for (const auto& connection : fixture.first.server.connections) connection->Reset();
   ASSERT_TRUE(
-      fixture.Until([&] { return fixture.client->service_index() == 1 && fixture.second.watches > 0; }));
-  EXPECT_EQ(fixture.failures, 0);  // the client tried the other service first
+      fixture.Until([&] { return fixture.client->service_index() == 1 && fixture.second.long_polls > 0; }));
+  EXPECT_EQ(fixture.failures, 0);  // the watch fails only if the second service fails too
   fixture.second.revision = 51;
   fixture.first.status = 200;
   fixture.first.revision = 51;
@@ -78,15 +78,15 @@
       fixture.Until([&] { return fixture.client->service_index() == 0 && fixture.revisions.back() == 51; }));
 }
 
-TEST(DiscoveryClient, CallsEachServiceOnceBeforeTheWatchFails) {
-  TwoServices fixture;
+TEST(DiscoveryClient, CallsEachServiceOnceBeforeItReportsAFailedWatch) {
+  TwoServicesFixture fixture;
   fixture.first.status = fixture.second.status = 503;
   ASSERT_TRUE(fixture.Until([&] { return fixture.failures == 1; }));
-  EXPECT_EQ(fixture.first.watches + fixture.second.watches, 2u);
+  EXPECT_EQ(fixture.first.long_polls + fixture.second.long_polls, 2u);
 }
 
-TEST(DiscoveryClient, SwitchesAwayFromAServiceThatLagsBehind) {
-  TwoServices fixture;
+TEST(DiscoveryClient, SwitchesToAServiceWithANewerRevision) {
+  TwoServicesFixture fixture;
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.size() == 1; }));
   fixture.second.revision = 52;  // the first service stays at 50
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.back() == 52; }));
@@ -98,15 +98,15 @@
   EXPECT_EQ(fixture.revisions.back(), 52);
 }
 
-TEST(DiscoveryClient, AcceptsAnOlderRevisionOnlyFromAnotherEpoch) {
-  TwoServices fixture;
+TEST(DiscoveryClient, AcceptsALowerRevisionOnlyFromAnotherEpoch) {
+  TwoServicesFixture fixture;
   ASSERT_TRUE(fixture.Until([&] { return fixture.revisions.size() == 1; }));
   fixture.second.revision = 40;
   for (const auto& connection : fixture.first.server.connections) connection->Reset();
   fixture.first.status = 503;
   ASSERT_TRUE(fixture.Until([&] { return fixture.failures > 0; }));
   EXPECT_EQ(fixture.revisions, std::vector<std::int64_t>{50});
-  fixture.second.epoch = "e2";  // a new epoch: the service has lost its disk
+  fixture.second.epoch = "e2";  // a service that has lost its data on disk starts a new epoch
   fixture.client->Watch();
   ASSERT_TRUE(fixture.Until([&] {
     if (fixture.failures > 1) {
@@ -117,16 +117,16 @@
   }));
 }
 
-TEST(DiscoveryClient, IgnoresARejectedList) {
-  TwoServices fixture;
+TEST(DiscoveryClient, IgnoresARejectedListAndReportsAFailedWatch) {
+  TwoServicesFixture fixture;
   fixture.rejection_reason = "too many endpoints are missing";
   ASSERT_TRUE(fixture.Until([&] { return fixture.failures == 1; }));
   EXPECT_TRUE(fixture.revisions.empty());
   EXPECT_EQ(fixture.client->last_list_at(), 0);
 }
 
-// The ServiceFailover tests call the state machine directly. They pass simulated times in ms.
-TEST(ServiceFailover, ReportsFailureOnlyAfterEveryServiceFailed) {
+// The ServiceFailover tests call the state machine directly and pass simulated times in ms.
+TEST(ServiceFailover, ReportsAFailureOnlyAfterEveryServiceHasFailed) {
   proxy::ServiceFailover failover(3, 30000);
   EXPECT_FALSE(failover.RecordFailure(1));
   EXPECT_FALSE(failover.RecordFailure(2));
@@ -138,7 +138,7 @@
   EXPECT_EQ(failover.current(), 2u);
 }
 
-TEST(ServiceFailover, DoublesTheReturnDelayAfterAFailedReturn) {
+TEST(ServiceFailover, DoublesTheReturnDelayIfTheFirstServiceFailsAgain) {
   proxy::ServiceFailover failover(2, 100);
   const EndpointList current{7, true, {}, "e1", 0};
   const proxy::WatchPosition position{7, "e1"};
@@ -159,8 +159,8 @@
   EXPECT_EQ(failover.EvaluateProbe(1, {8, true, {}, "e2", 0}, position, 0), proxy::ProbeDecision::kStay);
 }
 
-// A delta removes the endpoints that it lists as removed. A snapshot removes the known endpoints that it does
-// not list. The removal of a single endpoint is never a mass removal.
+// A delta removes the endpoints whose listed state is "removed". A snapshot removes the known endpoints that
+// are missing from it. The removal of a single endpoint is never a mass removal.
 TEST(MassRemovalGuard, CountsRemovalsInSnapshotsAndDeltas) {
   proxy::EndpointsById known;
   for (const char* id : {"h0", "h1", "h2"}) known[id].info.id = id;
@@ -179,8 +179,8 @@
   EXPECT_FALSE(proxy::FindUnconfirmedMassRemoval(removal, known, 7, 0.5));
 }
 
-// A list service that has lost its data must not remove most endpoints. The gateway must reject such a list
-// until an operator confirms the removal, but it must apply the drains in the list.
+// A list service that has lost its data may send a list without most of the endpoints. The gateway must not
+// remove these endpoints until an operator confirms the removal. It must still apply the drains in the list.
 TEST(MassRemovalGuard, KeepsEndpointsUntilAMassRemovalIsConfirmed) {
   GatewayHarness harness(6);
   harness.EnableMassRemovalGuard();
@@ -204,15 +204,15 @@
   EXPECT_EQ(harness.Vars()["pool_size"], 6);
   respond(list_of(44, 3, 0));  // removing 3 of 6 endpoints is not a mass removal
   ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 3; }));
-  respond(list_of(46, 1, 45));  // confirmed
+  respond(list_of(46, 1, 45));  // the removal is confirmed
   ASSERT_TRUE(harness.Until([&] { return harness.Vars()["pool_size"] == 1; }));
 }
 
-// Discovery treats a change as received 6 s after publishing it, whether or not the gateway has received it.
-// If the first or a later call of the watch receives no response, the client must make the next call within
-// 5 s, which leaves 1 s for the response.
+// Discovery assumes that every gateway has received a change 6 s after its publication. If a call of the
+// watch receives no response, the client must make the next call within 5 s, which leaves 1 s for the
+// response. This holds for the first call and for later calls.
 TEST(DiscoveryClient, ReopensTheWatchWithin5SecondsIfACallReceivesNoResponse) {
-  for (const std::size_t silent : {0u, 1u}) {  // index of the call without a response
+  for (const std::size_t unanswered : {0u, 1u}) {  // index of the call that receives no response
     GatewayHarness harness(2);
     ASSERT_TRUE(harness.Until([&] { return !harness.discovery.requests.empty(); }));
     const auto respond = [&](std::size_t call, const std::string& phase) {
@@ -221,17 +221,17 @@
                     {Member("h0", harness.host(0).address(), phase), Member("h1", harness.host(1).address())})
                    .dump());
     };
-    if (silent == 1) {
+    if (unanswered == 1) {
       respond(0, "up");
       ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 2; }));
     }
     const Millis started_at = base::MonotonicNow();
-    ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == silent + 2; }));
-    EXPECT_LT(base::MonotonicNow() - started_at, 5000) << "call " << silent;
-    EXPECT_NE(harness.discovery.requests[silent].connection,
-              harness.discovery.requests[silent + 1].connection);
-    respond(silent + 1, "draining");
-    const std::string metric = "list_revision " + std::to_string(43 + silent) + "\n";
+    ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == unanswered + 2; }));
+    EXPECT_LT(base::MonotonicNow() - started_at, 5000) << "call " << unanswered;
+    EXPECT_NE(harness.discovery.requests[unanswered].connection,
+              harness.discovery.requests[unanswered + 1].connection);
+    respond(unanswered + 1, "draining");
+    const std::string metric = "list_revision " + std::to_string(43 + unanswered) + "\n";
     ASSERT_TRUE(harness.Until([&] { return harness.Call("metrics\n").find(metric) != std::string::npos; }));
     const auto client = harness.Connect();
     client->Send(ApiCall("a"));
@@ -240,8 +240,8 @@
   }
 }
 
-// A gateway whose discovery address changes while a call to the former address is in progress. The test sends
-// the responses at the former and at the new address.
+// A gateway whose discovery address changes while a call to the former address is in progress. The test
+// writes the responses of the services at the former address and at the new address.
 struct AddressChangeHarness : GatewayHarness {
   AddressChangeHarness() : GatewayHarness(2) {
     for (const auto& host : hosts) {
@@ -251,18 +251,19 @@
   bool FirstCallArrived() {
     return Until([&] { return discovery.requests.size() == 1; });
   }
-  // Writes bytes to the gateway's connection at the former address. The gateway reads them when the event
-  // loop runs. Ignores errors: if the gateway has closed the connection, the checks of the test detect it.
+  // Writes the text to the gateway's connection at the former address. The gateway reads the text when the
+  // event loop runs. Ignores errors: if the gateway has closed the connection, a later check fails.
   void WriteAtFormerAddress(const std::string& text) {
     error_code ignored;
     asio::write(discovery.requests[0].connection->socket, asio::buffer(text), ignored);
   }
   void ChangeAddress() { gateway->ChangeDiscoveryAddress(new_discovery.address()); }
-  // Makes a few management calls. When they return, the gateway has read all bytes that were in its sockets.
+  // Makes a few management calls. When they return, the gateway has read all bytes that its sockets had
+  // received before.
   void RunEventLoop() {
     for (int i = 0; i < 5; ++i) Call("check\n");
   }
-  // Sends 20 consecutive requests and returns how many of them reach the host.
+  // Sends 20 requests one after another and returns how many of them reach the host.
   std::size_t CountRequestsTo(std::size_t host_index) {
     const std::size_t before = host(host_index).requests.size();
     const auto client = Connect();
@@ -276,6 +277,7 @@
     const std::string body = list.dump();
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
+  // Returns a delta that drains host 0.
   nlohmann::json MakeDrain(int revision) {
     return List(revision, false, {Member("h0", host(0).address(), "draining")});
   }
@@ -284,8 +286,8 @@
   int sent_requests = 0;
 };
 
-// When the address of discovery changes, discovery may already have written a drain that the gateway has not
-// read yet. The drain must take effect at once, even if the new address has not responded.
+// When the address of discovery changes, the socket of the former address may hold a drain that the gateway
+// has not read yet. The drain must take effect at once, even if the new address has not responded.
 TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressWrittenBeforeTheChange) {
   AddressChangeHarness harness;
   ASSERT_TRUE(harness.FirstCallArrived());
@@ -306,9 +308,8 @@
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
 }
 
-// A drain must also take effect if discovery had written only a part of the response at the change, and
-// writes the rest after the first call to the new address. The test repeats this with parts of several
-// lengths.
+// A drain must also take effect if discovery writes a part of the response before the address changes, and
+// the rest after the first call to the new address. The test repeats this with parts of several lengths.
 TEST(DiscoveryClient, AcceptsAResponseOfTheFormerAddressCompletedAfterTheChange) {
   for (const std::size_t part : {0u, 1u, 20u, 60u, 150u}) {  // bytes written before the change
     SCOPED_TRACE(part);
@@ -325,10 +326,10 @@
   }
 }
 
-// Once the new address has responded, a list from the former address may belong to another epoch. The gateway
-// must ignore it. If the new address does not respond, the gateway must close the connection to the former
-// address after 1.5 s, the time for which discovery keeps that connection.
-TEST(DiscoveryClient, IgnoresTheFormerAddressAfterAResponseOfTheNewOne) {
+// Once the new address has responded, the gateway must ignore a list from the former address, because that
+// list may belong to another epoch. If the new address does not respond, the gateway must close the
+// connection to the former address after 1.5 s, the time for which discovery keeps that connection.
+TEST(DiscoveryClient, IgnoresTheFormerAddressAfterAResponseOfTheNewAddress) {
   AddressChangeHarness harness;
   ASSERT_TRUE(harness.FirstCallArrived());
   harness.ChangeAddress();
@@ -344,17 +345,17 @@
   EXPECT_EQ(harness.CountRequestsTo(0), 0u);
   ASSERT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->closed_by_gateway; }));
 
-  AddressChangeHarness silent;
-  ASSERT_TRUE(silent.FirstCallArrived());
-  silent.ChangeAddress();
+  AddressChangeHarness unanswered;
+  ASSERT_TRUE(unanswered.FirstCallArrived());
+  unanswered.ChangeAddress();
   const Millis changed_at = base::MonotonicNow();
-  ASSERT_TRUE(silent.Until([&] { return silent.discovery.connections[0]->closed_by_gateway; }));
+  ASSERT_TRUE(unanswered.Until([&] { return unanswered.discovery.connections[0]->closed_by_gateway; }));
   EXPECT_GE(base::MonotonicNow() - changed_at, 1400);
   // The next call to the new address is due within 4.5 s, although the first call received no response.
-  ASSERT_TRUE(silent.Until([&] { return silent.new_discovery.requests.size() == 2; }));
+  ASSERT_TRUE(unanswered.Until([&] { return unanswered.new_discovery.requests.size() == 2; }));
 }
 
-// The guard against mass removal must also check a list from the former address.
+// The mass removal guard must also reject a list from the former address.
 TEST(DiscoveryClient, RejectsAMassRemovalByTheFormerAddress) {
   AddressChangeHarness harness;
   harness.EnableMassRemovalGuard();
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Tests of hot restart: a new process replaces the running one, and the two processes exchange messages.
+// Tests of hot restart: a new process replaces the running process, and the two processes exchange messages.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -15,18 +15,19 @@
 
 // The environment of the old and the new process: discovery, one host, the client address, the configuration
 // file and the folder of the Unix socket.
-struct Platform {
-  Platform() {
+struct HotRestartFixture {
+  HotRestartFixture() {
     folder = std::filesystem::path(::testing::TempDir()) / ("gateway-tmp-" + std::to_string(getpid()));
     std::filesystem::remove_all(folder);
     std::filesystem::create_directory(folder);
     host.serve = [this](const FakeServer::ReceivedRequest& request) {
-      if (request.http["Req-Id"] != "held") return request.Respond(200, std::string(request.http["Req-Id"]));
-      held.push_back(request);
+      if (request.http["Req-Id"] != "pending")
+        return request.Respond(200, std::string(request.http["Req-Id"]));
+      pending.push_back(request);
     };
     discovery.serve = [](const FakeServer::ReceivedRequest&) {};
   }
-  ~Platform() { std::filesystem::remove_all(folder); }
+  ~HotRestartFixture() { std::filesystem::remove_all(folder); }
 
   struct Instance {
     tcp::endpoint management;
@@ -42,7 +43,8 @@
                                                          {"TMPDIR", folder.string()}});
     return instance;
   }
-  // Returns the first word of the response to a management command; empty if no process listens.
+  // Returns the first word of the response to a management command, or an empty string if the instance does
+  // not listen.
   std::string Call(const Instance& instance, const std::string& command) {
     tcp::socket socket(io);
     error_code ec;
@@ -58,7 +60,8 @@
   bool BecomesReady(const Instance& instance) {
     return RunUntil(io, [&] { return Call(instance, "check\n") == "SUCCESS"; });
   }
-  // Sends a request and returns the body of the client's response number `response_number`.
+  // Sends a request and returns the body of its response. `response_number` is the number of the response on
+  // the client's connection, from 1.
   std::string Request(Client& client, const std::string& id, std::size_t response_number = 1) {
     client.Send(ApiCall(id));
     return client.Await(response_number).body();
@@ -66,13 +69,15 @@
 
   asio::io_context io;
   FakeServer host{io}, discovery{io};
-  std::vector<FakeServer::ReceivedRequest> held;  // requests with the ID "held"; the test responds to them
+  // Requests with the ID "pending". The test responds to them.
+  std::vector<FakeServer::ReceivedRequest> pending;
   const tcp::endpoint listen = FreeAddress(io);
   std::filesystem::path folder;
   const ConfigFile file{nlohmann::json{
       {"seed", "1f"},
-      // Several endpoints at the address of the one host: during an overlap each process sends at most one
-      // concurrent request to a new endpoint, and the request "held" occupies one endpoint.
+      // All endpoints have the address of the same host. While both processes run, each process sends at most
+      // one concurrent request to a new endpoint. The request "pending" occupies one endpoint, so the other
+      // requests need more endpoints.
       {"known",
        List(1, true,
             {Member("h0", host.address()), Member("h1", host.address()), Member("h2", host.address())})},
@@ -80,8 +85,8 @@
        TestSettings()}}.dump()};
 };
 
-// The two processes may run different versions of the program, so the encoding of the messages must not
-// change.
+// The two processes may run different versions of the program, so no version may change the encoding of the
+// messages.
 TEST(HotRestartMessage, HasAStableEncoding) {
   EXPECT_EQ(proxy::EncodeMessage(proxy::Hello{}).text, "forkwick 1");
   EXPECT_EQ(proxy::EncodeMessage(proxy::ListenerTransfer{}).text, "listener");
@@ -96,8 +101,8 @@
 }
 
 // Decoding must return UnknownMessage for a malformed message, for a message of another protocol version, and
-// for a message that lacks the file descriptor it must carry.
-TEST(HotRestartMessage, IsUnknownIfIncompleteOrOfAnotherVersion) {
+// for a message without its required file descriptor.
+TEST(HotRestartMessage, IsUnknownIfMalformedOrOfAnotherVersionOrWithoutItsDescriptor) {
   for (const char* text : {"forkwick 2", "listener", "client", "{}", ""}) {
     const proxy::HotRestartMessage message = proxy::DecodeMessage({text, {}});
     EXPECT_TRUE(std::holds_alternative<proxy::UnknownMessage>(message)) << text;
@@ -108,78 +113,78 @@
   EXPECT_TRUE(std::holds_alternative<proxy::ClientTransfer>(message));
 }
 
-// During a hot restart a client could lose its connection or its request. The test has an idle connection and
-// a connection with a request in flight. When the old process exits, both connections must stay open and the
-// request must complete. No client may be rejected.
+// During a hot restart a client could lose its connection or its request. The test opens an idle connection
+// and a connection with a request in flight. When the old process exits, both connections must stay open and
+// the request must complete. Neither process may reject a client.
 TEST(HotRestart, TakesOverWithoutRejectingClients) {
-  Platform platform;
-  auto old = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(old));
-  Client idle(platform.io, platform.listen), busy(platform.io, platform.listen);
-  EXPECT_EQ(platform.Request(idle, "one"), "one");
-  busy.Send(ApiCall("held", "pay"));
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return platform.held.size() == 1; }));
-  auto next = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(next));
-  EXPECT_EQ(platform.Call(old, "check\n"), "SUCCESS");  // the old process serves until SIGTERM
+  HotRestartFixture fixture;
+  auto old = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(old));
+  Client idle(fixture.io, fixture.listen), busy(fixture.io, fixture.listen);
+  EXPECT_EQ(fixture.Request(idle, "one"), "one");
+  busy.Send(ApiCall("pending", "pay"));
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.pending.size() == 1; }));
+  auto next = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(next));
+  EXPECT_EQ(fixture.Call(old, "check\n"), "SUCCESS");  // the old process serves clients until SIGTERM
   old.process->Terminate();
   for (int i = 0; i < 50; ++i) {
-    Client another(platform.io, platform.listen);
-    EXPECT_EQ(platform.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i))
+    Client another(fixture.io, fixture.listen);
+    EXPECT_EQ(fixture.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i))
         << another.Await() << old.process->StandardError() << next.process->StandardError();
   }
-  platform.held[0].Respond(200, "held");
-  EXPECT_EQ(busy.Await().body(), "held");
+  fixture.pending[0].Respond(200, "pending");
+  EXPECT_EQ(busy.Await().body(), "pending");
   EXPECT_TRUE(busy.Await().keep_alive());
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return old.process->HasExited(); }));
   EXPECT_EQ(old.process->Wait(), 0);
-  EXPECT_EQ(platform.Request(idle, "two", 2), "two");
-  EXPECT_EQ(platform.Request(busy, "three", 2), "three");
+  EXPECT_EQ(fixture.Request(idle, "two", 2), "two");
+  EXPECT_EQ(fixture.Request(busy, "three", 2), "three");
   EXPECT_FALSE(idle.closed_by_gateway());
   EXPECT_FALSE(busy.closed_by_gateway());
-  auto last = platform.Start();  // a second replacement
-  ASSERT_TRUE(platform.BecomesReady(last));
+  auto last = fixture.Start();  // a second replacement
+  ASSERT_TRUE(fixture.BecomesReady(last));
   next.process->Terminate();
-  ASSERT_TRUE(RunUntil(platform.io, [&] { return next.process->HasExited(); }));
-  EXPECT_EQ(platform.Request(idle, "four", 3), "four");
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return next.process->HasExited(); }));
+  EXPECT_EQ(fixture.Request(idle, "four", 3), "four");
 }
 
-// If an operator drains the old process during the overlap, the old process must fail its health check,
-// although its successor is ready.
-TEST(HotRestart, PredecessorFailsItsHealthCheckWhileDraining) {
-  Platform platform;
-  auto old = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(old));
-  Client client(platform.io, platform.listen);
-  EXPECT_EQ(platform.Request(client, "one"), "one");  // the connection is accepted by the old process
-  auto next = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(next));
-  EXPECT_EQ(platform.Call(old, "drain-on\n"), "SUCCESS");
+// If an operator drains the old process while both processes run, the old process must fail its health check,
+// although the new process is ready.
+TEST(HotRestart, OldProcessFailsItsHealthCheckWhileDraining) {
+  HotRestartFixture fixture;
+  auto old = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(old));
+  Client client(fixture.io, fixture.listen);
+  EXPECT_EQ(fixture.Request(client, "one"), "one");  // the old process accepts the connection
+  auto next = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(next));
+  EXPECT_EQ(fixture.Call(old, "drain-on\n"), "SUCCESS");
   client.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(client.Await(2).result_int(), 503u);
-  EXPECT_EQ(platform.Call(next, "check\n"), "SUCCESS");
+  EXPECT_EQ(fixture.Call(next, "check\n"), "SUCCESS");
 }
 
-// If either process is killed by SIGKILL during the overlap, the other one must continue to serve.
-TEST(HotRestart, ContinuesToServeAfterEitherProcessIsKilled) {
-  Platform platform;
-  auto old = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(old));
+// If SIGKILL ends one of the two processes while both run, the other process must continue to serve clients.
+TEST(HotRestart, ServesClientsAfterEitherProcessIsKilled) {
+  HotRestartFixture fixture;
+  auto old = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(old));
   {
-    auto dies = platform.Start();
-    ASSERT_TRUE(platform.BecomesReady(dies));
-    dies.process->Kill();
-    dies.process->Wait();
+    auto killed = fixture.Start();
+    ASSERT_TRUE(fixture.BecomesReady(killed));
+    killed.process->Kill();
+    killed.process->Wait();
   }
-  Client client(platform.io, platform.listen);
-  EXPECT_EQ(platform.Request(client, "one"), "one");
-  auto next = platform.Start();
-  ASSERT_TRUE(platform.BecomesReady(next));
+  Client client(fixture.io, fixture.listen);
+  EXPECT_EQ(fixture.Request(client, "one"), "one");
+  auto next = fixture.Start();
+  ASSERT_TRUE(fixture.BecomesReady(next));
   old.process->Kill();
   old.process->Wait();
   for (int i = 0; i < 10; ++i) {
-    Client another(platform.io, platform.listen);
-    EXPECT_EQ(platform.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i));
+    Client another(fixture.io, fixture.listen);
+    EXPECT_EQ(fixture.Request(another, "n" + std::to_string(i)), "n" + std::to_string(i));
   }
 }
 
@@ -188,10 +193,10 @@
 TEST(HotRestart, StartsEvenIfNoTransferIsPossible) {
   for (const std::string obstacle : {"file", "folder", "stale socket", "hung process"}) {
     SCOPED_TRACE(obstacle);
-    Platform platform;
+    HotRestartFixture fixture;
     const std::string path =
-        (platform.folder / ("forkwick-" + std::to_string(platform.listen.port()) + ".sock")).string();
-    if (obstacle == "file") std::ofstream(path) << "not ours";
+        (fixture.folder / ("forkwick-" + std::to_string(fixture.listen.port()) + ".sock")).string();
+    if (obstacle == "file") std::ofstream(path) << "not a socket";
     if (obstacle == "folder") std::filesystem::create_directory(path);
     if (obstacle == "stale socket") {
       const int socket = ::socket(AF_UNIX, SOCK_SEQPACKET, 0);
@@ -201,19 +206,19 @@
       ASSERT_EQ(::bind(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
       ::close(socket);
     }
-    auto old = platform.Start();
-    ASSERT_TRUE(platform.BecomesReady(old));
+    auto old = fixture.Start();
+    ASSERT_TRUE(fixture.BecomesReady(old));
     if (obstacle == "hung process") old.process->Suspend();
-    auto next = platform.Start();
-    EXPECT_TRUE(platform.BecomesReady(next));
+    auto next = fixture.Start();
+    EXPECT_TRUE(fixture.BecomesReady(next));
     if (obstacle == "hung process") {
       old.process->Kill();
     } else {
       old.process->Terminate();
     }
-    ASSERT_TRUE(RunUntil(platform.io, [&] { return old.process->HasExited(); }));
-    Client client(platform.io, platform.listen);
-    EXPECT_EQ(platform.Request(client, "one"), "one");
+    ASSERT_TRUE(RunUntil(fixture.io, [&] { return old.process->HasExited(); }));
+    Client client(fixture.io, fixture.listen);
+    EXPECT_EQ(fixture.Request(client, "one"), "one");
   }
 }
 
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what operators use: the management port, metrics, saved state, the log and drains.
+// Tests of the interfaces for operators: management commands, metrics, saved state, log records and drains.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,12 +13,12 @@
 namespace gateway::proxy::testing {
 namespace {
 
-// Operators' scripts rely on the first word of a response, SUCCESS or FAILURE. It must be correct for valid
-// and for invalid commands.
-TEST(Management, RespondsToValidAndInvalidCommands) {
+// Operators' scripts rely on the first word of a response. The first word must be SUCCESS for a valid command
+// and FAILURE for an invalid command.
+TEST(Management, RespondsWithSuccessToValidAndFailureToInvalidCommands) {
   GatewayHarness harness;
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
-  EXPECT_TRUE(harness.Call("check\r\nvars\n").starts_with("SUCCESS"));  // bytes after the line are ignored
+  EXPECT_TRUE(harness.Call("check\r\nvars\n").starts_with("SUCCESS"));  // the second line is ignored
   for (const std::string& command :
        {std::string("\n"), std::string("Check\n"), std::string("check \n"), std::string("drain\n"),
         std::string("\0\xff\x16\n", 4), std::string(100000, 'x'), std::string(255, 'x') + "\n"}) {
@@ -38,18 +38,19 @@
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
 }
 
-// Clients with incomplete commands could use up all management connections. Other clients must still be
-// served. A client that closes its side of the connection before the line end must receive FAILURE.
+// Clients that send incomplete commands could use up all management connections. The server must still
+// respond to a client that sends a complete command. A client that shuts down its sending side before the end
+// of the line must receive FAILURE.
 TEST(Management, ServesACommandDespiteManyIncompleteCommands) {
   GatewayHarness harness;
-  std::vector<tcp::socket> slow;
+  std::vector<tcp::socket> incomplete;
   for (int i = 0; i < 100; ++i) {  // far more connections than the server allows
-    slow.emplace_back(harness.io).connect(*harness.gateway->management());
-    asio::write(slow.back(), asio::buffer("chec", i % 5));
+    incomplete.emplace_back(harness.io).connect(*harness.gateway->management());
+    asio::write(incomplete.back(), asio::buffer("chec", i % 5));
   }
   const auto started_at = std::chrono::steady_clock::now();
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
-  // The incomplete commands time out after 10 s. The server must not wait for that.
+  // The incomplete commands time out after 10 s. The server must respond before these timeouts.
   EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(9));
   tcp::socket half_closed(harness.io);
   half_closed.connect(*harness.gateway->management());
@@ -65,19 +66,21 @@
 
 // Each counter must change by exactly the number of requests or attempts that it counts. The counters of
 // every traffic class must exist from the start.
-TEST(Metrics, CountResponsesAndAttemptsByClass) {
+TEST(Metrics, CountAttemptsAndTheResponsesOfEachClass) {
   GatewayHarness harness(2);
-  const nlohmann::json none = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
-  EXPECT_EQ(harness.Vars(), nlohmann::json({{"responses", {{"view", none}, {"key", none}, {"pay", none}}},
-                                            {"tries", 0},
-                                            {"active", 0},
-                                            {"pool_size", 2},
-                                            {"pool_ejected", 0}}));
+  const nlohmann::json no_responses = {{"ok", 0}, {"shed", 0}, {"errors", 0}};
+  EXPECT_EQ(
+      harness.Vars(),
+      nlohmann::json({{"responses", {{"view", no_responses}, {"key", no_responses}, {"pay", no_responses}}},
+                      {"tries", 0},
+                      {"active", 0},
+                      {"pool_size", 2},
+                      {"pool_ejected", 0}}));
   int resets = 0;
   for (auto& host : harness.hosts) {
     host->serve = [&](const FakeServer::ReceivedRequest& request) {
       const std::string id(request.http["Req-Id"]);
-      if (id == "again" && resets++ == 0) return request.connection->Reset();  // causes a second attempt
+      if (id == "again" && resets++ == 0) return request.connection->Reset();  // the gateway retries
       if (id == "fails") return request.Respond(500, "");
       if (id != "waits" && id != "leaves") request.Respond(200, "");
     };
@@ -104,13 +107,14 @@
   const nlohmann::json vars = harness.Vars();
   EXPECT_EQ(vars["responses"]["view"], nlohmann::json({{"ok", 2}, {"shed", 0}, {"errors", 0}}));
   EXPECT_EQ(vars["responses"]["pay"], nlohmann::json({{"ok", 0}, {"shed", 1}, {"errors", 1}}));
-  EXPECT_EQ(vars["responses"]["key"], none);
+  EXPECT_EQ(vars["responses"]["key"], no_responses);
   EXPECT_EQ(vars["tries"], 6);
 }
 
-// Prometheus can't scrape a malformed exposition. Each sample must occur once, each type must be declared
-// once, and the cumulative buckets of a histogram must not decrease. The counts must match the requests sent.
-TEST(Metrics, HaveAValidPrometheusFormat) {
+// Prometheus can't scrape malformed metrics. Each sample must occur once, each metric type must be declared
+// once, and the cumulative bucket counts of a histogram must not decrease. The counts must match the requests
+// that the test sends.
+TEST(Metrics, AreInValidPrometheusTextFormat) {
   GatewayHarness harness(2);
   for (auto& host : harness.hosts) {
     host->serve = [](const FakeServer::ReceivedRequest& request) {
@@ -160,26 +164,26 @@
   EXPECT_EQ(samples["elderhead_at_host_seconds_count{class=\"pay\"}"], 0);
 }
 
-// A state folder for one test.
+// The path of the state folder of a test. Any folder at that path is removed before and after the test.
 struct StateFolder {
   StateFolder() { std::filesystem::remove_all(path); }
   ~StateFolder() { std::filesystem::remove_all(path); }
   const std::string path = ::testing::TempDir() + "gateway-state-" + std::to_string(getpid());
 };
 
-// Returns the configuration of a gateway that saves its state. Its listeners use free ports, so the owner of
-// the state is identified by the name alone.
-nlohmann::json WithState(const StateFolder& folder, const std::string& name = "n1") {
+// Returns the configuration of a gateway that saves its state. The gateway listens on free ports, so its name
+// alone identifies the owner of the state.
+nlohmann::json MakeStateConfiguration(const StateFolder& folder, const std::string& name = "n1") {
   return {{"state_dir", folder.path}, {"name", name}};
 }
 
-// After a restart the gateway must use the newest saved list and the saved drain. Until discovery responds,
-// it must report that the list was loaded from disk. It must then accept a list with a lower revision,
-// because the service may have restarted its revision count.
-TEST(SavedState, IsRestoredByTheNextProcess) {
+// After a restart the gateway must use the list and the drain that it saved last. Until discovery responds,
+// the gateway must report that it loaded the list from disk. It must then accept a list from discovery with a
+// lower revision, because the service may have restarted its revision count.
+TEST(SavedState, IsRestoredAfterARestart) {
   const StateFolder folder;
   {
-    GatewayHarness harness(2, TestSettings(), 300, WithState(folder));
+    GatewayHarness harness(2, TestSettings(), 300, MakeStateConfiguration(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
     harness.discovery.requests[0].Respond(
         200, List(42, false, {Member("h1", harness.host(1).address(), "removed")}).dump());
@@ -220,9 +224,11 @@
 // state folder is a file.
 TEST(SavedState, IsIgnoredIfUnreadable) {
   const StateFolder folder;
-  for (const int damage : {0, 1, 2}) {
+  enum class Damage { kOverwrittenFiles, kTruncatedFiles, kFileInPlaceOfFolder };
+  for (const Damage damage :
+       {Damage::kOverwrittenFiles, Damage::kTruncatedFiles, Damage::kFileInPlaceOfFolder}) {
     std::filesystem::remove_all(folder.path);
-    GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
+    GatewayHarness harness(1, TestSettings(), 300, MakeStateConfiguration(folder));
     ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
     harness.discovery.requests[0].Respond(200,
                                           List(42, true, {Member("h0", harness.host().address())}).dump());
@@ -230,13 +236,13 @@
         harness.Until([&] { return proxy::LoadSavedState(folder.path, harness.owner()).has_value(); }));
     harness.gateway.reset();
     for (const auto& entry : std::filesystem::directory_iterator(folder.path)) {
-      if (damage == 0) std::ofstream(entry.path()) << "not what was written";
-      if (damage == 1)
+      if (damage == Damage::kOverwrittenFiles) std::ofstream(entry.path()) << "overwritten content";
+      if (damage == Damage::kTruncatedFiles)
         std::filesystem::resize_file(entry.path(), std::filesystem::file_size(entry.path()) / 2);
     }
-    if (damage == 2) {
+    if (damage == Damage::kFileInPlaceOfFolder) {
       std::filesystem::remove_all(folder.path);
-      std::ofstream(folder.path) << "a file stands where the folder was";
+      std::ofstream(folder.path) << "a file in place of the state folder";
     }
     EXPECT_FALSE(proxy::LoadSavedState(folder.path, harness.owner()));
     harness.Restart();
@@ -248,8 +254,9 @@
   }
 }
 
-// After an upgrade the gateway must read the state that program 0.1.0 saved, which contains no learned state.
-TEST(SavedState, IsReadFromAnOlderProgram) {
+// After an upgrade the gateway must read the state that version 0.1.0 of the program saved. That state
+// contains no learned state.
+TEST(SavedState, IsReadIfSavedByAnOlderVersion) {
   const StateFolder folder;
   std::filesystem::copy(FIXTURES "/state-0.1.0", folder.path);
   const auto saved = proxy::LoadSavedState(folder.path, "n1 at 127.0.0.1:18080");
@@ -259,11 +266,12 @@
   EXPECT_FALSE(saved->learned);
 }
 
-// After a downgrade the gateway must neither read nor overwrite the state that a newer program saved.
-TEST(SavedState, IsUnchangedIfSavedByANewerProgram) {
+// After a downgrade the gateway must neither read nor overwrite the state that a newer version of the program
+// saved.
+TEST(SavedState, IsUnchangedIfSavedByANewerVersion) {
   const StateFolder folder;
-  const std::string newer = R"({"draining":"maybe"})";
-  GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
+  const std::string newer_payload = R"({"draining":"maybe"})";
+  GatewayHarness harness(1, TestSettings(), 300, MakeStateConfiguration(folder));
   EXPECT_TRUE(harness.Call("drain-on\n").starts_with("SUCCESS"));
   ASSERT_TRUE(harness.Until([&] { return proxy::LoadSavedState(folder.path, harness.owner()).has_value(); }));
   harness.gateway.reset();
@@ -272,7 +280,7 @@
   {
     std::unique_ptr<storage::Store> store;
     ASSERT_TRUE(storage::Store::Open(*files, folder.path, {harness.owner(), "9"}, store, found).ok());
-    ASSERT_TRUE(store->TakeSnapshot(7, newer).ok());
+    ASSERT_TRUE(store->TakeSnapshot(7, newer_payload).ok());
   }
   harness.Restart();
   EXPECT_TRUE(harness.Call("check\n").starts_with("SUCCESS"));
@@ -282,14 +290,14 @@
   harness.gateway.reset();
   ASSERT_TRUE(storage::Examine(*files, folder.path, harness.owner(), found).ok());
   ASSERT_TRUE(found.snapshot);
-  EXPECT_EQ(found.snapshot->payload, newer);
+  EXPECT_EQ(found.snapshot->payload, newer_payload);
 }
 
 // The gateway must save the learned state while it serves requests, and a restarted gateway must load that
 // state.
 TEST(SavedState, IncludesLearnedState) {
   const StateFolder folder;
-  GatewayHarness harness(1, TestSettings(), 300, WithState(folder));
+  GatewayHarness harness(1, TestSettings(), 300, MakeStateConfiguration(folder));
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
   const auto client = harness.Connect();
   for (std::size_t i = 1; i <= 5; ++i) {
@@ -314,24 +322,24 @@
   EXPECT_EQ(samples(), 5);
 }
 
-// If the list, the drain or the time in a saved state is malformed or missing, no part of the state may be
-// used.
+// If the list, the drain or the save time of a saved state is malformed or missing, the gateway must use no
+// part of the state.
 TEST(SavedState, IsRejectedIfAnyPartIsMalformed) {
-  const std::string good = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
-  ASSERT_TRUE(proxy::ParseSavedState(good));
-  EXPECT_TRUE(proxy::ParseSavedState(good)->draining);
-  for (const char* bad :
+  const std::string valid = proxy::SerializeSavedState(proxy::SavedState{{42, true, {}, {}, 0}, true, 5, {}});
+  ASSERT_TRUE(proxy::ParseSavedState(valid));
+  EXPECT_TRUE(proxy::ParseSavedState(valid)->draining);
+  for (const char* invalid :
        {"", "[]", "{}", R"({"list":{"revision":1,"complete":true,"members":[]}})",
         R"({"list":{"revision":1,"complete":false,"members":[]},"draining":false,"kept_at_ms":1})",
         R"({"list":{"revision":1,"complete":true,"members":[{}]},"draining":false,"kept_at_ms":1})",
         R"({"list":7,"draining":false,"kept_at_ms":1})",
         R"({"list":{"revision":1,"complete":true,"members":[]},"draining":"no","kept_at_ms":1})"}) {
-    EXPECT_FALSE(proxy::ParseSavedState(bad)) << bad;
+    EXPECT_FALSE(proxy::ParseSavedState(invalid)) << invalid;
   }
 }
 
-// Log parsers rely on the text and the JSON format. In each format a record must be one line that contains
-// the unchanged text. In JSON, the numbers in the text of a "counts" record must also be fields.
+// Log parsers rely on the text format and the JSON format. In each format a record must be one line that
+// contains the unchanged text. In JSON, each number in the text of a "counts" record must also be a field.
 TEST(Log, FormatsARecordAsTextOrJson) {
   const std::string text = "sockets: hosts 7 clients 3 left 0 | dialled 4 reused 9 | reset new 1 reused 2";
   EXPECT_EQ(base::FormatRecord(base::LogFormat::kText, 1780000000123.0, base::Level::kInfo, "sockets",
@@ -358,8 +366,8 @@
 }
 
 // The count of listed hosts must include draining hosts. The count of ejected hosts must include neither
-// draining nor removed hosts.
-TEST(Metrics, CountListedAndEjectedHosts) {
+// draining hosts nor removed hosts.
+TEST(Metrics, CountDrainingHostsAsListedButNotAsEjected) {
   GatewayHarness harness(2);
   for (auto& host : harness.hosts)
     host->serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(500, ""); };
@@ -380,10 +388,10 @@
   EXPECT_EQ(harness.Vars()["pool_ejected"], 0);
 }
 
-// During a drain the health check must fail at once, requests in flight must complete, and their connections
-// and idle connections must be closed. An operator must be able to end the drain without a restart. Repeating
-// a drain command must have no further effect.
-TEST(Drain, ClosesConnectionsAndCanBeReverted) {
+// During a drain the gateway must fail health checks at once, complete the requests in flight, and then close
+// their connections. It must also close idle connections. An operator must be able to end the drain without a
+// restart. A repeated drain command must have no further effect.
+TEST(Drain, ClosesConnectionsUntilTheDrainEnds) {
   GatewayHarness harness;
   const auto health_status = [&] {
     const auto client = harness.Connect();
@@ -412,14 +420,14 @@
   EXPECT_TRUE(partial->AwaitClose());  // rejected or closed, but not kept open
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(harness.Call("drain-off\n").starts_with("SUCCESS"));
   EXPECT_EQ(health_status(), 200u);
-  const auto kept = harness.Connect();
-  kept->Send(ApiCall("r3"));
+  const auto client = harness.Connect();
+  client->Send(ApiCall("r3"));
   ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 3; }));
   harness.host().requests[2].Respond(200, "");
-  EXPECT_TRUE(kept->Await().keep_alive());
+  EXPECT_TRUE(client->Await().keep_alive());
 }
 
-// A drain must not prevent a stop, and no management command may prevent or revert a stop.
+// A drain must not prevent the gateway from stopping. No management command may cancel a stop.
 TEST(Drain, DoesNotPreventAStop) {
   GatewayHarness harness;
   harness.Call("drain-on\n");
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the gateway program as a process: its start, its error messages and its exit.
+// Tests that run the gateway program as a process: its start, its error messages and its exit.
 #include "process.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 // With an invalid configuration the program must exit with code 1 and write one error line that names the
 // invalid setting.
-TEST(Program, ReportsAnInvalidConfiguration) {
+TEST(Program, ExitsWithAnErrorThatNamesTheInvalidSetting) {
   const auto config = [](const std::function<void(nlohmann::json&)>& modify) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
     modify(file);
@@ -20,14 +20,15 @@
       {"{\"settings\":", "127.0.0.1:0", "NODE_CONFIG"},
       {config([](auto&) {}), "127.0.0.1", "NODE_LISTEN"},
       {config([](auto&) {}), "127.0.0.1:99999", "NODE_LISTEN"},
-      {config([](auto& f) { f["seed"] = "xyz"; }), "127.0.0.1:0", "seed"},
-      {config([](auto& f) { f.erase("settings"); }), "127.0.0.1:0", "settings"},
-      {config([](auto& f) { f["settings"]["categories"] = nlohmann::json::array(); }), "127.0.0.1:0",
+      {config([](auto& file) { file["seed"] = "xyz"; }), "127.0.0.1:0", "seed"},
+      {config([](auto& file) { file.erase("settings"); }), "127.0.0.1:0", "settings"},
+      {config([](auto& file) { file["settings"]["categories"] = nlohmann::json::array(); }), "127.0.0.1:0",
        "classes"},
-      {config([](auto& f) { f["settings"]["categories"][1]["sloMs"] = "fast"; }), "127.0.0.1:0", "sloMs"},
-      {config([](auto& f) { f["settings"]["limits"]["dialTimeoutMs"] = -1; }), "127.0.0.1:0",
+      {config([](auto& file) { file["settings"]["categories"][1]["sloMs"] = "fast"; }), "127.0.0.1:0",
+       "sloMs"},
+      {config([](auto& file) { file["settings"]["limits"]["dialTimeoutMs"] = -1; }), "127.0.0.1:0",
        "dialTimeoutMs"},
-      {config([](auto& f) { f["known"] = "nobody"; }), "127.0.0.1:0", "known"},
+      {config([](auto& file) { file["known"] = "nobody"; }), "127.0.0.1:0", "known"},
   };
   for (const auto& [text, listen, expected_name] : cases) {
     SCOPED_TRACE(expected_name + ": " + text);
@@ -45,7 +46,7 @@
 
 // In a planned restart the platform sends SIGTERM while requests are in flight. The program must respond to
 // these requests and then exit with code 0.
-TEST(Program, CompletesRequestsOnSigtermAndExitsCleanly) {
+TEST(Program, CompletesRequestsInFlightOnSigtermAndExitsWithCode0) {
   asio::io_context io;
   FakeServer host(io), discovery(io);
   const tcp::endpoint listen = FreeAddress(io);
@@ -77,8 +78,8 @@
 }
 
 // To change the address of discovery, the platform replaces the configuration file and sends SIGHUP. The
-// program must then use the address in the file and ignore NODE_DISCOVERY. An invalid file must change
-// nothing.
+// program must then use the address in the file instead of NODE_DISCOVERY. If the file is invalid, the
+// program must keep its configuration.
 TEST(Program, WatchesTheDiscoveryAddressOfTheReloadedFile) {
   asio::io_context io;
   FakeServer first(io), second(io), discovery(io), new_discovery(io);
@@ -108,37 +109,40 @@
   Client client(io, listen);
   client.Send(ApiCall("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return second.requests.size() == 1; }));
-  second.requests[0].Respond(200, "from there");
-  EXPECT_EQ(client.Await().body(), "from there");
+  second.requests[0].Respond(200, "from h1");
+  EXPECT_EQ(client.Await().body(), "from h1");
   EXPECT_FALSE(process.HasExited());
 }
 
 // If another process listens on the client address or the management address, the program must exit and write
 // one error line that names the address.
-TEST(Program, ReportsAnAddressInUse) {
+TEST(Program, ExitsWithAnErrorThatNamesAnAddressInUse) {
   asio::io_context io;
   tcp::acceptor occupied(io, Loopback());
   const nlohmann::json config = {{"seed", "1f"}, {"settings", TestSettings()}};
   const ConfigFile file(config.dump());
   for (const bool management : {true, false}) {
-    const std::string busy = ToText(occupied.local_endpoint()), free = "127.0.0.1:0";
-    std::vector<std::pair<std::string, std::string>> variables = {{"NODE_CONFIG", file.path},
-                                                                  {"NODE_LISTEN", management ? free : busy},
-                                                                  {"NODE_DISCOVERY", "127.0.0.1:1"}};
-    if (management) variables.push_back({"NODE_MGMT", busy});
+    const std::string occupied_address = ToText(occupied.local_endpoint());
+    const std::string any_free_address = "127.0.0.1:0";
+    std::vector<std::pair<std::string, std::string>> variables = {
+        {"NODE_CONFIG", file.path},
+        {"NODE_LISTEN", management ? any_free_address : occupied_address},
+        {"NODE_DISCOVERY", "127.0.0.1:1"}};
+    if (management) variables.push_back({"NODE_MGMT", occupied_address});
     Process process(variables);
     EXPECT_EQ(process.Wait(), 1);
     const std::string errors = process.StandardError();
-    EXPECT_NE(errors.find(management ? "NODE_MGMT: " + busy : "NODE_LISTEN: " + busy), std::string::npos)
+    EXPECT_NE(errors.find(management ? "NODE_MGMT: " + occupied_address : "NODE_LISTEN: " + occupied_address),
+              std::string::npos)
         << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
 }
 
-// While discovery is down, idle clients and requests in flight could use up all file descriptors. Descriptors
-// must stay available for the management port, hosts and discovery, and further clients must be rejected at
-// once. The process runs with a descriptor limit equal to its configured limit, so that the test fails if it
-// needs more.
+// While discovery is down, idle clients and requests in flight could use up all file descriptors. The gateway
+// must reserve descriptors for the management port, for hosts and for discovery, and must reject further
+// clients at once. The limit of the process is equal to the configured limit, so the test fails if the
+// gateway needs more descriptors than that.
 TEST(Program, ReservesDescriptorsForDiscoveryHostsAndOperators) {
   constexpr int kSockets = 128;
   constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
@@ -179,13 +183,14 @@
     busy[i]->Send(ApiCall("busy" + std::to_string(i), "view", "20000m"));
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 2; }));  // the others are queued
   EXPECT_TRUE(check().starts_with("SUCCESS"));
-  // All connections are in use: another client is rejected before any request in flight completes.
+  // All client connections are in use: the gateway rejects another client before a request in flight
+  // completes.
   const auto sent_at = std::chrono::steady_clock::now();
   Client late(io, listen);
   late.Send(ApiCall("late"));
   EXPECT_EQ(late.Await().result(), http::status::service_unavailable);
   EXPECT_FALSE(late.Await()[http::field::retry_after].empty());
-  // A queued request would wait for 5 s.
+  // If the gateway queued the request instead, the response would arrive only after 5 s.
   EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(3));
   EXPECT_TRUE(check().starts_with("SUCCESS"));
   // Discovery recovers: the gateway connects to it while all client connections are still in use.
@@ -212,8 +217,8 @@
 
 constexpr std::chrono::seconds kReadyTimeout{10};
 
-// Returns whether GET /up responds with 200 within kReadyTimeout, the time in which a restarted process must
-// become ready. Retries while connections are refused, because the process may not listen yet.
+// Returns whether GET /up responds with 200 within kReadyTimeout. A restarted process must become ready
+// within this time. Retries refused connections, because the process may not listen yet.
 bool BecomesReadyInTime(asio::io_context& io, const tcp::endpoint& listen) {
   const auto deadline = std::chrono::steady_clock::now() + kReadyTimeout;
   while (std::chrono::steady_clock::now() < deadline) {
@@ -231,21 +236,21 @@
   return false;
 }
 
-// A way in which discovery fails while a gateway is restarted.
+// A failure of discovery while a gateway is restarted.
 struct DiscoveryFailure {
   std::string name;
-  bool listens;                                                     // if false, connections are refused
+  bool listens;                                                     // if false, it refuses connections
   std::function<void(const FakeServer::ReceivedRequest&)> respond;  // if empty, it never responds
 };
 
-std::vector<DiscoveryFailure> DiscoveryFailures() {
+std::vector<DiscoveryFailure> AllDiscoveryFailures() {
   return {{"IsDown", false, nullptr},
           {"NeverResponds", true, nullptr},
           {"RespondsWithError", true,
            [](const FakeServer::ReceivedRequest& request) { request.Respond(503, ""); }},
           {"ResetsConnections", true,
            [](const FakeServer::ReceivedRequest& request) { request.connection->Reset(); }},
-          {"StopsWithinAResponse", true,
+          {"SendsAnIncompleteResponse", true,
            [](const FakeServer::ReceivedRequest& request) {
              request.connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"revision\":");
            }},
@@ -255,9 +260,10 @@
 
 class Restart : public ::testing::TestWithParam<DiscoveryFailure> {};
 
-// Discovery may fail while a gateway is restarted. The new process must be ready within 10 s and serve
-// requests by the list in its configuration, whether the previous process was killed or terminated.
-TEST_P(Restart, IsReadyWithTheKnownListDespiteFailuresOfDiscovery) {
+// Discovery may fail while a gateway is restarted. The new process must be ready within 10 s and forward
+// requests to the hosts in its configuration. The test kills the previous process by SIGKILL, or terminates
+// it by SIGTERM.
+TEST_P(Restart, BecomesReadyWithTheConfiguredListDespiteFailuresOfDiscovery) {
   const DiscoveryFailure& failure = GetParam();
   asio::io_context io;
   FakeServer host(io), discovery(io);
@@ -288,10 +294,10 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Discovery, Restart, ::testing::ValuesIn(DiscoveryFailures()),
+INSTANTIATE_TEST_SUITE_P(Discovery, Restart, ::testing::ValuesIn(AllDiscoveryFailures()),
                          [](const auto& param) { return param.param.name; });
 
-// A process without a list can't serve clients. It must not be ready while discovery is down, and must become
+// A process without a list can't serve clients. It must not be ready while discovery is down. It must become
 // ready within 10 s after discovery recovers.
 TEST(Restart, IsNotReadyWithoutAListUntilDiscoveryRecovers) {
   asio::io_context io;
--- a/tests/proxy/saved_state_compatibility_test.cpp
+++ b/tests/proxy/saved_state_compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Compatibility with the state folder that program 0.1.0 wrote (fixtures/gateway-state-0.1.0). This program
-// must read every value in the folder exactly, and must write the same bytes.
+// Compatibility with the state folder that version 0.1.0 of the program wrote (fixtures/gateway-state-0.1.0).
+// The current version must read each value in that folder exactly, and must serialize the state to the same
+// bytes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,13 +13,13 @@
 namespace gateway::proxy::testing {
 namespace {
 
-constexpr const char* kFixture = FIXTURES "/gateway-state-0.1.0";
+constexpr const char* kStateFolder = FIXTURES "/gateway-state-0.1.0";
 constexpr const char* kOwner = "n1 at 127.0.0.1:18081";
 
 class SavedStateCompatibility : public ::testing::Test {
  protected:
   void SetUp() override {
-    auto loaded = LoadSavedState(kFixture, kOwner);
+    auto loaded = LoadSavedState(kStateFolder, kOwner);
     ASSERT_TRUE(loaded);
     state = std::move(*loaded);
   }
@@ -55,7 +56,7 @@
   ExpectEndpoint(state.list.endpoints[4], {"h4", "a", "m4", "3", policy::EndpointState::kUp, 1, 0}, 18094);
 }
 
-TEST_F(SavedStateCompatibility, ReadsTheLearnedTotals) {
+TEST_F(SavedStateCompatibility, ReadsTheLearnedStateOfAllTraffic) {
   ASSERT_TRUE(state.learned);
   const policy::LearnedState& learned = *state.learned;
   EXPECT_EQ(learned.exported_at, 1796285282945.4043);
@@ -135,11 +136,11 @@
   }
 }
 
-// Serializing the loaded state must produce the bytes that program 0.1.0 wrote.
-TEST_F(SavedStateCompatibility, WritesTheSameBytes) {
+// Serializing the loaded state must produce the bytes that version 0.1.0 wrote.
+TEST_F(SavedStateCompatibility, SerializesTheLoadedStateToTheSameBytes) {
   const auto files = storage::MakePosixFileSystem();
   storage::Examination found;
-  ASSERT_TRUE(storage::Examine(*files, kFixture, kOwner, found).ok());
+  ASSERT_TRUE(storage::Examine(*files, kStateFolder, kOwner, found).ok());
   EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
   ASSERT_TRUE(found.manifest);
   EXPECT_EQ(found.manifest->owner, kOwner);
