--- a/src/proxy/discovery/call_log.hpp
+++ b/src/proxy/discovery/call_log.hpp
@@ -1,4 +1,4 @@
-// Rate-limited log lines about calls to list services.
+// Writes rate-limited log lines about calls to list services.
 #ifndef GATEWAY_PROXY_DISCOVERY_CALL_LOG_HPP_
 #define GATEWAY_PROXY_DISCOVERY_CALL_LOG_HPP_
 
@@ -11,13 +11,13 @@
 
 namespace gateway::proxy {
 
-// Writes at most two lines per second, for lists and failures together, and drops further lines. Not
-// thread-safe.
+// Writes at most two lines per second and drops further lines. Accepted lists and failed calls share this
+// limit. Not thread-safe.
 class CallLog {
  public:
-  // Logs a list that was accepted from a call of `duration`.
+  // Logs that a call of `duration` returned `list` and that the list was accepted.
   void LogList(const EndpointList& list, Millis duration);
-  // Logs a call that failed after `duration`.
+  // Logs that a call failed after `duration`.
   void LogFailure(const ListError& error, Millis duration);
 
  private:
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -13,29 +13,30 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Discovery treats a change as received 6 s after publishing it. A call that receives no response in time is
-// the only sign of a broken watch. So a call times out after 3.5 s, and the policy begins the next call
-// within 4.5 s, counted from the start of the failed call.
+// Discovery assumes that every gateway has received a change 6 s after its publication. The gateway detects a
+// broken watch only by a call that times out. So a call times out after 3.5 s, and the policy begins the next
+// call within 4.5 s after the start of the failed call.
 constexpr Millis kResponseTimeoutMs = 3500;
 constexpr Millis kConnectTimeoutMs = 1000;
-// The maximum wait of a long poll on an open connection.
+// How long the service may delay its response to a long poll on an open connection.
 constexpr Millis kMaxWaitMs = 2500;
-// The maximum wait of the first long poll on a new connection. It is shorter because the connection must be
-// opened.
+// How long the service may delay its response to the first long poll on a new connection. This time is
+// shorter because opening the connection also takes time.
 constexpr Millis kMaxFirstWaitMs = 1000;
-// The share by which a wait is shortened at random, so that gateways whose watches failed at the same time do
-// not retry at the same time.
+// The maximum share by which a wait is shortened at random. If the watches of many gateways fail at the same
+// time, the random wait spreads their later calls over time.
 constexpr double kWaitJitterShare = 0.2;
 // The minimum time between the starts of two calls. It prevents a tight loop if a service responds at once,
-// as an agent with pushed lists does. It must be shorter than 200 ms: a watch ends after 200 ms without a
+// as an agent with pushed lists does. It must be below 200 ms, because a watch ends after 200 ms without a
 // call.
 constexpr Millis kMinCallIntervalMs = 100;
 constexpr Millis kMaxFailoverDelayMs = 200;
-// The timeout, after a change of address, of the call at the former address. Discovery has closed its
-// connections there by then.
+// The timeout of the call at the former address, from the change of the address. Discovery closes its
+// connections at the former address within this time.
 constexpr Millis kFormerCallTimeoutMs = 1500;
 constexpr Millis kProbeTimeoutMs = 1000;
-constexpr double kProbeJitterShare = 0.25;  // of the probe interval, in either direction
+// The share of the probe interval by which a random jitter lengthens or shortens it at most.
+constexpr double kProbeJitterShare = 0.25;
 
 }  // namespace
 
@@ -116,8 +117,9 @@
   StartCallAfter(kMinCallIntervalMs - (Now() - call->started_at()));
 }
 
-// Tries each service once. A short random delay keeps the gateways of a fleet from switching all at once.
-// After all services have failed the observer decides when to watch again.
+// Calls the next service, unless every service has failed in turn. A short random delay prevents that all
+// gateways of a fleet switch to the next service at the same time. After every service has failed, the
+// observer decides when to begin a new watch.
 void DiscoveryClient::WatchCallFailed(const ListError& error) {
   const Millis started_at = call_->started_at();
   log_.LogFailure(error, Now() - started_at);
@@ -151,8 +153,8 @@
   connection_.reset();
 }
 
-// Keeps the call at the former address open. Discovery treats a list that it has written as received, even if
-// the gateway had not read the list when the address changed.
+// Keeps the call at the former address open. Discovery assumes that the gateway receives each list that
+// discovery has written, even if the gateway had not read the list before the address changed.
 void DiscoveryClient::KeepFormerCall() {
   DropFormerCall();
   if (!call_ || !call_->connected()) return DropCall();  // no request was sent, so no list can arrive
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -1,8 +1,9 @@
-// The client of the list services: keeps a watch of the endpoint list open on one of them.
+// The client of the list services: watches the endpoint list at one of the services.
 //
 // A watch is a sequence of long-poll calls (ListCall). Each call requests the changes after the last accepted
-// list (WatchPosition). If several services publish the same list, ServiceFailover selects the one to watch.
-// Probes, which are calls without a long poll, find out whether another service is ahead or responds again.
+// list (WatchPosition). If several services publish the same list, ServiceFailover selects the service to
+// watch. Probes are calls without a long poll. A probe detects that another service has a newer list, or that
+// the first service responds again.
 #ifndef GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
 #define GATEWAY_PROXY_DISCOVERY_DISCOVERY_CLIENT_HPP_
 
@@ -29,54 +30,56 @@
 // To be used in the event loop's thread only.
 class DiscoveryClient final : private ListCall::Observer {
  public:
-  // All methods are called from the event loop. Each may call Watch() and the accessors.
+  // The client calls all methods from the event loop. Each method may call Watch() and the accessors.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // A list from a service was accepted. The position of the watch is already the position after `list`.
+    // Called after the client has accepted a list from a service. The watch already continues from `list`.
     virtual void OnEndpointList(EndpointList list) = 0;
-    // The watch has ended because every service failed in turn. `call_duration` is the time since the last
-    // call began. A new watch begins with Watch(), which this method may call, with ChangeAddress(), or when
-    // a probe finds another service that is ahead or responds again.
+    // Called when the watch has ended because every service failed in turn. `call_duration` is the time since
+    // the start of the last call. Watch(), which this method may call, and ChangeAddress() begin a new watch.
+    // A probe also begins one if it detects that another service has a newer list, or that the first service
+    // responds again.
     virtual void OnWatchFailed(Millis call_duration) = 0;
-    // Returns the reason for rejecting `list`, as a text for the log; empty if the list is acceptable. The
-    // call that returned a rejected list counts as failed. May apply the drains of a rejected list.
+    // Returns the reason for rejecting `list` as a text for the log, or an empty string to accept the list.
+    // The client treats the call that returned a rejected list as failed. This method may apply the drains of
+    // a rejected list.
     virtual std::string RejectionReason(const EndpointList& list) = 0;
   };
 
   struct Options {
-    // Services of the same list, in the order in which they are tried; at least one.
+    // The services that publish the list, in the order in which the client tries them; at least one.
     std::vector<boost::asio::ip::tcp::endpoint> services;
     WatchPosition position;  // the position from which the first call continues
-    // Whether the position is known to come from these services. If it is not, as after a start from disk,
-    // the services may have restarted their revision count, so the first list is accepted whatever its
-    // revision is.
+    // Whether `position` is known to come from these services. A position that was loaded from disk is not:
+    // the services may have restarted their revision count since then. In that case the client accepts a
+    // first list of any revision.
     bool position_is_current = true;
     std::uint64_t seed = 0;  // seed of the jitter
     // The following options apply only if there are several services.
-    Millis probe_interval = 5000;   // mean time from one probe to the next
-    Millis catch_up_within = 2000;  // time in which a watched service that lags behind must catch up
-    Millis return_after = 30000;    // time until a return to the first service, see ServiceFailover
+    Millis probe_interval = 5000;   // mean time between two probes
+    Millis catch_up_within = 2000;  // how long the client waits for the watched service to catch up
+    Millis return_after = 30000;    // delay of a return to the first service, see ServiceFailover
   };
 
-  // `observer` must outlive the client and is not called before Watch(). Probes begin at once.
+  // `observer` must outlive the client, which does not call it before Watch(). Probes begin at once.
   DiscoveryClient(boost::asio::io_context& io, Options options, Observer& observer);
   // Abandons all calls.
   ~DiscoveryClient() override;
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Begins a watch from the current position; does nothing while one is open.
+  // Begins a watch from the current position. Does nothing while a watch is in progress.
   void Watch();
 
   // Changes the address of the first service and at once begins a watch there from the current position. A
-  // call in progress at the former address continues: a list in its response is accepted if it arrives within
-  // 1.5 s and before the first list from the new address.
+  // call in progress at the former address continues. Its list is accepted if it arrives within 1.5 s and
+  // before the first list from the new address.
   void ChangeAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // Time at which a list from a service was last accepted; 0: never.
+  // Time at which the client last accepted a list; 0 if it has not accepted any.
   Millis last_list_at() const { return last_list_at_; }
-  // Index of the service that is watched, from 0.
+  // Index of the watched service, from 0.
   std::size_t service_index() const { return failover_.current(); }
 
  private:
@@ -84,7 +87,7 @@
 
   std::shared_ptr<ListCall> MakeCall(const ListCall::Options& options, ListCall::Connection connection);
 
-  // Watch.
+  // Calls of the watch.
   void StartCall();
   void StartCallAfter(Millis delay);
   void WatchCallEnded(ListCall::Result result);
@@ -93,7 +96,7 @@
   void AcceptList(const ListCall& call, EndpointList list);
   void DropCall();
 
-  // The call at the address before a change.
+  // The call that was in progress at the former address when the address changed.
   void KeepFormerCall();
   void FormerCallEnded(ListCall::Result result);
   void DropFormerCall();
@@ -119,11 +122,11 @@
 
   bool watching_ = false;
   std::shared_ptr<ListCall> call_;   // null between two calls
-  ListCall::Connection connection_;  // kept between two calls, for reuse by the next call
+  ListCall::Connection connection_;  // the connection that the next call reuses; null if there is none
   boost::asio::steady_timer next_call_;
 
   std::shared_ptr<ListCall> former_call_;
-  bool former_position_is_current_ = false;  // position_is_current_ at the former address
+  bool former_position_is_current_ = false;  // position_is_current_ for the service at the former address
 
   std::shared_ptr<ListCall> probe_;
   std::size_t probed_service_ = 0;
--- a/src/proxy/discovery/endpoint_list.cpp
+++ b/src/proxy/discovery/endpoint_list.cpp
@@ -19,7 +19,7 @@
   if (phase == "up") return policy::EndpointState::kUp;
   if (phase == "draining") return policy::EndpointState::kDraining;
   if (phase == "removed") return policy::EndpointState::kRemoved;
-  throw std::invalid_argument("phase");
+  throw std::invalid_argument("phase: must be up, draining or removed, not " + phase);
 }
 
 const char* FormatPhase(policy::EndpointState state) {
@@ -35,7 +35,7 @@
   ListedEndpoint endpoint;
   policy::EndpointInfo& info = endpoint.info;
   info.id = member.at("id").get<std::string>();
-  if (info.id.empty()) throw std::invalid_argument("id");
+  if (info.id.empty()) throw std::invalid_argument("id: must not be empty");
   info.state = ParsePhase(member.at("phase").get<std::string>());
   info.zone = member.value("locality", "");
   info.machine_type = member.value("flavor", "");
@@ -43,7 +43,8 @@
   info.weight = member.value("size", 1.0);
   info.started_at = member.value("up_since_ms", 0.0);
   const auto address = base::ParseSocketAddress(member.value("host_port", ""));
-  if (!address && info.state != policy::EndpointState::kRemoved) throw std::invalid_argument("host_port");
+  if (!address && info.state != policy::EndpointState::kRemoved)
+    throw std::invalid_argument("host_port: must be an address and port");
   if (address) endpoint.address = *address;
   return endpoint;
 }
@@ -62,7 +63,7 @@
   return member;
 }
 
-// The epoch becomes part of a request target, so it must not need escaping.
+// The epoch becomes part of a request target, so it must consist of characters that need no escaping.
 bool IsValidEpoch(const std::string& epoch) {
   return epoch.size() <= kMaxEpochBytes &&
          std::ranges::all_of(epoch, [](unsigned char c) { return std::isalnum(c); });
@@ -75,7 +76,7 @@
   list.complete = form.at("complete").get<bool>();
   for (const json& member : form.at("members")) list.endpoints.push_back(ParseMember(member));
   list.epoch = form.value("epoch", "");
-  if (!IsValidEpoch(list.epoch)) throw std::invalid_argument("epoch");
+  if (!IsValidEpoch(list.epoch)) throw std::invalid_argument("epoch: must be at most 64 letters and digits");
   list.confirmed_revision = form.value("confirmed", std::int64_t{0});
   return list;
 }
--- a/src/proxy/discovery/endpoint_list_watcher.cpp
+++ b/src/proxy/discovery/endpoint_list_watcher.cpp
@@ -53,7 +53,7 @@
 
 void EndpointListWatcher::OnWatchFailed(Millis call_duration) { callbacks_.watch_failed(call_duration); }
 
-// Applies the drains of a rejected list: a drain is safe even if the service has lost its data.
+// Applies the drains of a rejected list, because a drain is safe even if the service has lost its data.
 std::string EndpointListWatcher::RejectionReason(const EndpointList& list) {
   if (!guard_mass_removal_) return "";
   const std::optional<MassRemoval> removal =
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -1,6 +1,6 @@
-// The endpoint list in force: applies the lists that the discovery client accepts, and rejects unconfirmed
-// mass removals. Independent of requests and of connections to endpoints, so that a gateway that only watches
-// the list and forwards no requests can use it unchanged.
+// Maintains the current endpoint list: applies the lists that the discovery client accepts, and rejects mass
+// removals that no operator has confirmed. Independent of requests and of connections to endpoints, so a
+// gateway that watches the list without forwarding requests can also use it.
 #ifndef GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 #define GATEWAY_PROXY_DISCOVERY_ENDPOINT_LIST_WATCHER_HPP_
 
@@ -25,11 +25,11 @@
  public:
   struct Options {
     boost::asio::ip::tcp::endpoint service;
-    std::vector<boost::asio::ip::tcp::endpoint>
-        other_services;      // of the same list, in the order in which they are tried
-    std::uint64_t seed = 0;  // of the jitter of calls
-    // The position of the first call, and whether it is known to come from these services; see
-    // DiscoveryClient::Options.
+    // Further services that publish the list, in the order in which the client tries them.
+    std::vector<boost::asio::ip::tcp::endpoint> other_services;
+    std::uint64_t seed = 0;  // seed of the jitter of calls
+    // The position from which the first call continues, and whether this position is known to come from these
+    // services; see DiscoveryClient::Options.
     std::int64_t revision = 0;
     std::string epoch;
     bool position_is_current = true;
@@ -38,22 +38,22 @@
     double max_removed_share = 0.5;
   };
 
-  // Called from the event loop; list_changed is also called from within Apply(). Each may call Watch() and
-  // the accessors.
+  // The watcher calls them from the event loop, and list_changed also from within Apply(). Each callback may
+  // call Watch() and the accessors.
   struct Callbacks {
-    // A list from a service was accepted; list_changed follows at once.
+    // Called after a list from a service was accepted. The call of list_changed follows at once.
     std::function<void()> list_received;
-    // `list`, a snapshot or a delta, was applied to the list in force.
+    // Called after `list`, a snapshot or a delta, was applied to the current list.
     std::function<void(const EndpointList& list)> list_changed;
-    // The watch has ended. `call_duration` is the time since its last call began. A new watch begins with
-    // Watch(), with ChangeAddress(), or when a probe finds another service that is ahead or responds again.
+    // Called when the watch has ended, see DiscoveryClient::Observer::OnWatchFailed. `call_duration` is the
+    // time since the start of the last call.
     std::function<void(Millis call_duration)> watch_failed;
   };
 
-  // All callbacks must be set, and remain valid for the watcher's lifetime.
+  // All callbacks must be set and must remain valid for the watcher's lifetime.
   EndpointListWatcher(boost::asio::io_context& io, Options options, Callbacks callbacks);
 
-  // Applies a list that was not received by a call of this process, without the check for mass removal.
+  // Applies a list from another source than a call of this process, without the check for mass removal.
   void Apply(const EndpointList& list);
 
   // See DiscoveryClient.
@@ -62,10 +62,10 @@
   Millis last_list_at() const { return client_.last_list_at(); }
   std::size_t service_index() const { return client_.service_index(); }
 
-  // The list in force: endpoints that are up or draining.
+  // The endpoints of the current list, which are up or draining.
   const EndpointsById& endpoints() const { return endpoints_; }
   std::int64_t revision() const { return revision_; }
-  // The list in force as a snapshot.
+  // Returns the current list as a snapshot.
   EndpointList Snapshot() const;
 
  private:
@@ -78,11 +78,11 @@
   const double max_removed_share_;
   EndpointsById endpoints_;
   std::int64_t revision_ = 0;
-  std::string epoch_;  // epoch of the revision; empty if the service sends none
+  std::string epoch_;  // epoch of `revision_`; empty if the service sends no epoch
   DiscoveryClient client_;
 };
 
-// Returns the policy event for a list that was applied.
+// Returns the event that reports an applied list to the policy.
 policy::EndpointListEvent ToListEvent(const EndpointList& list);
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/list_call.cpp
+++ b/src/proxy/discovery/list_call.cpp
@@ -57,14 +57,17 @@
   });
 }
 
-// Reads the header separately because Boost 1.74 does not check Content-Length against the body limit.
+// Reads the header before the body to check Content-Length: Boost 1.74 does not compare Content-Length with
+// the body limit.
 void ListCall::ReadHeader() {
   http::async_read_header(
       *connection_, buffer_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
         if (!self->observer_) return;
         if (ec) return self->End(self->TransportError(ec));
         if (self->parser_.content_length().value_or(0) > kMaxListBytes) {
-          return self->End(ListError{ListError::Kind::kTooLong, "the list exceeds the size limit"});
+          return self->End(
+              ListError{ListError::Kind::kTooLong,
+                        "the list exceeds the size limit of " + std::to_string(kMaxListBytes) + " bytes"});
         }
         self->ReadBody();
       });
--- a/src/proxy/discovery/list_call.hpp
+++ b/src/proxy/discovery/list_call.hpp
@@ -21,9 +21,9 @@
 
 namespace gateway::proxy {
 
-// A GET request to a list service for the endpoint list. Ends exactly once: with the list, with an error or
-// by Abandon(). Its asynchronous operations share ownership with the caller, so it must be owned by a
-// std::shared_ptr. To be used in the event loop's thread only.
+// A GET request to a list service for the endpoint list. A call ends exactly once: with the list, with an
+// error or by Abandon(). A std::shared_ptr must own the call, because its asynchronous operations share the
+// ownership. To be used in the event loop's thread only.
 class ListCall : public std::enable_shared_from_this<ListCall> {
  public:
   using Connection = std::unique_ptr<boost::asio::ip::tcp::socket>;
@@ -32,7 +32,7 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    // Called once, when the call has ended, from the event loop and never from within Start(). May release
+    // Called from the event loop when the call has ended: once, and never from within Start(). May release
     // `call`, take its connection and start other calls.
     virtual void OnListCallEnded(ListCall& call, Result result) = 0;
   };
@@ -41,16 +41,16 @@
     boost::asio::ip::tcp::endpoint service;
     std::string target;           // path and query
     bool keep_alive = true;       // whether a later call may reuse the connection
-    Millis connect_timeout = 0;   // from Start(), while a connection is opened
+    Millis connect_timeout = 0;   // from Start() until the connection is open
     Millis response_timeout = 0;  // from Start() to the last byte of the response
   };
 
-  // `connection`: an open connection to the service from an earlier call; if null, Start() opens one.
+  // `connection` is an open connection to the service from an earlier call. If it is null, Start() opens one.
   // `observer` must outlive the call, unless Abandon() is called.
   ListCall(boost::asio::io_context& io, const Options& options, Connection connection, Observer& observer);
 
   void Start();
-  // Ends the call with kResponseTimeout when `timeout` has passed from now. Replaces the timeouts of the
+  // Ends the call with kResponseTimeout after `timeout`, counted from now. Replaces the timeouts of the
   // options.
   void SetTimeout(Millis timeout);
   // Ends the call without notifying the observer, and closes the connection. Does nothing if the call has
@@ -58,9 +58,9 @@
   void Abandon();
 
   Millis started_at() const { return started_at_; }
-  // Whether the connection is open, so that the request has been or is being sent.
+  // Whether the connection was opened. If so, the call has sent its request or is sending it.
   bool connected() const { return connected_; }
-  // Returns the connection for a later call; null if it can't be reused. To be called after the call has
+  // Returns the connection for a later call, or null if it can't be reused. To be called after the call has
   // ended with a list.
   Connection TakeConnection();
 
--- a/src/proxy/discovery/list_error.hpp
+++ b/src/proxy/discovery/list_error.hpp
@@ -1,4 +1,4 @@
-// The reason why a call to a list service did not deliver an acceptable list.
+// The reason why a call to a list service failed, or why the gateway rejected the list that it returned.
 #ifndef GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 #define GATEWAY_PROXY_DISCOVERY_LIST_ERROR_HPP_
 
@@ -12,14 +12,14 @@
     kResponseTimeout,
     kTransport,      // the connection could not be opened, or failed
     kTooLong,        // Content-Length exceeds the limit
-    kHttpStatus,     // any status but 200
+    kHttpStatus,     // the status is not 200
     kMalformed,      // the body is not a valid endpoint list
-    kOlderRevision,  // from a replica that lags behind
-    kOtherEpoch,     // a delta to a list of another epoch, which this gateway does not have
-    kRejected,       // by DiscoveryClient::Observer::RejectionReason
+    kOlderRevision,  // the list comes from a replica that has not received the newer revisions yet
+    kOtherEpoch,     // the list is a delta to a list of another epoch, which the gateway does not have
+    kRejected,       // DiscoveryClient::Observer::RejectionReason has rejected the list
   };
   Kind kind = Kind::kTransport;
-  std::string message;  // for the log
+  std::string message;  // the text for the log
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/mass_removal_guard.cpp
+++ b/src/proxy/discovery/mass_removal_guard.cpp
@@ -3,8 +3,8 @@
 namespace gateway::proxy {
 namespace {
 
-// Counts the known endpoints that the list removes. A delta removes the endpoints that it lists as removed. A
-// snapshot removes the endpoints that it does not list, or lists as removed.
+// Counts the known endpoints that the list removes. A delta removes the endpoints whose listed state is
+// "removed". A snapshot also removes the endpoints that are missing from it.
 std::size_t CountRemoved(const EndpointList& list, const EndpointsById& known) {
   std::size_t present = 0;
   std::size_t named_removed = 0;
--- a/src/proxy/discovery/mass_removal_guard.hpp
+++ b/src/proxy/discovery/mass_removal_guard.hpp
@@ -1,4 +1,5 @@
-// Detects mass removals, so that a list service that has lost its data can't empty the gateway's list.
+// Detects lists that remove many endpoints at once. It prevents that a list service that has lost its data
+// empties the gateway's list.
 #ifndef GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 #define GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 
@@ -14,20 +15,20 @@
 
 using EndpointsById = std::map<std::string, ListedEndpoint>;
 
-// The number of known endpoints that a list removes.
+// A list that removes `removed` of the `known` endpoints.
 struct MassRemoval {
   std::size_t removed = 0;
   std::size_t known = 0;
 };
 
-// Returns a MassRemoval if `list` removes more than one endpoint and more than `max_removed_share` (0 to 1)
-// of the endpoints `known` at `revision`, and no operator has confirmed a removal after that revision.
-// Otherwise returns std::nullopt.
+// `known` are the endpoints at `revision`. Returns a MassRemoval if `list` removes more than one of them and
+// also more than `max_removed_share` (0 to 1) of them, unless an operator has confirmed a removal after
+// `revision`. Otherwise returns std::nullopt.
 std::optional<MassRemoval> FindUnconfirmedMassRemoval(const EndpointList& list, const EndpointsById& known,
                                                       std::int64_t revision, double max_removed_share);
 
-// Returns the part of a rejected list that is applied nevertheless: a delta at `revision` with the `known`
-// endpoints that the list drains, at their known addresses. May be empty.
+// Returns the part of a rejected list that the gateway still applies: a delta at `revision` with those
+// `known` endpoints that the list drains, with their known addresses. The delta may be empty.
 EndpointList ExtractDrains(const EndpointList& list, const EndpointsById& known, std::int64_t revision);
 
 }  // namespace gateway::proxy
