--- a/src/proxy/discovery/call_log.cpp
+++ b/src/proxy/discovery/call_log.cpp
@@ -22,8 +22,8 @@
 
 void CallLog::Write(base::Level level, const char* event, const std::string& text, Millis duration) {
   const Millis now = Now();
-  if (now < silent_until_) return;
-  silent_until_ = now + kMinLineIntervalMs;
+  if (now < next_line_allowed_at_) return;
+  next_line_allowed_at_ = now + kMinLineIntervalMs;
   const Millis rounded = std::round(duration);
   base::Log(level, "discovery", event,
             "discovery: " + text + ", after " + std::to_string(static_cast<int>(rounded)) + " ms",
--- a/src/proxy/discovery/call_log.hpp
+++ b/src/proxy/discovery/call_log.hpp
@@ -23,7 +23,7 @@
  private:
   void Write(base::Level level, const char* event, const std::string& text, Millis duration);
 
-  Millis silent_until_ = 0;
+  Millis next_line_allowed_at_ = 0;
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -46,7 +46,7 @@
       observer_(observer),
       position_(options_.position),
       position_is_current_(options_.position_is_current),
-      failover_(options_.services.size(), options_.return_after),
+      failover_(options_.services.size(), options_.return_delay),
       random_(static_cast<std::minstd_rand::result_type>(options_.seed)),
       next_call_(io),
       next_probe_(io),
@@ -55,8 +55,8 @@
 }
 
 DiscoveryClient::~DiscoveryClient() {
-  DropCall();
-  DropFormerCall();
+  AbandonCall();
+  AbandonFormerCall();
   if (probe_) probe_->Abandon();
 }
 
@@ -66,10 +66,10 @@
 }
 
 void DiscoveryClient::ChangeAddress(const tcp::endpoint& address) {
-  KeepFormerCall();
+  KeepCallAsFormerCall();
   next_call_.cancel();
   options_.services.front() = address;
-  failover_.StartOver();
+  failover_.ResetToFirst();
   position_is_current_ = false;
   watching_ = true;
   StartCall();
@@ -108,7 +108,7 @@
 void DiscoveryClient::WatchCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), position_is_current_);
   if (const auto* const error = std::get_if<ListError>(&result)) return WatchCallFailed(*error);
-  DropFormerCall();  // a list from the new address supersedes a list from the former address
+  AbandonFormerCall();  // a list from the new address supersedes a list from the former address
   position_is_current_ = true;
   failover_.RecordSuccess();
   const std::shared_ptr<ListCall> call = std::exchange(call_, nullptr);
@@ -123,7 +123,7 @@
 void DiscoveryClient::WatchCallFailed(const ListError& error) {
   const Millis started_at = call_->started_at();
   log_.LogFailure(error, Now() - started_at);
-  DropCall();
+  AbandonCall();
   if (!failover_.RecordFailure(Now())) return StartCallAfter(RandomBetween(0, kMaxFailoverDelayMs));
   watching_ = false;
   observer_.OnWatchFailed(Now() - started_at);
@@ -132,7 +132,7 @@
 ListCall::Result DiscoveryClient::Validate(ListCall::Result result, bool same_service) {
   const auto* const list = std::get_if<EndpointList>(&result);
   if (list == nullptr) return result;
-  if (std::optional<ListError> error = CheckSuccession(*list, position_, same_service)) {
+  if (std::optional<ListError> error = CheckListFollows(*list, position_, same_service)) {
     return *std::move(error);
   }
   std::string reason = observer_.RejectionReason(*list);
@@ -147,7 +147,7 @@
   observer_.OnEndpointList(std::move(list));
 }
 
-void DiscoveryClient::DropCall() {
+void DiscoveryClient::AbandonCall() {
   if (call_) call_->Abandon();
   call_.reset();
   connection_.reset();
@@ -155,9 +155,9 @@
 
 // Keeps the call at the former address open. Discovery assumes that the gateway receives each list that
 // discovery has written, even if the gateway had not read the list before the address changed.
-void DiscoveryClient::KeepFormerCall() {
-  DropFormerCall();
-  if (!call_ || !call_->connected()) return DropCall();  // no request was sent, so no list can arrive
+void DiscoveryClient::KeepCallAsFormerCall() {
+  AbandonFormerCall();
+  if (!call_ || !call_->connected()) return AbandonCall();  // no request was sent, so no list can arrive
   former_call_ = std::exchange(call_, nullptr);
   former_position_is_current_ = position_is_current_;
   former_call_->SetTimeout(kFormerCallTimeoutMs);
@@ -166,12 +166,12 @@
 void DiscoveryClient::FormerCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), former_position_is_current_);
   const std::shared_ptr<ListCall> call = former_call_;
-  DropFormerCall();
+  AbandonFormerCall();
   auto* const list = std::get_if<EndpointList>(&result);
   if (list != nullptr) AcceptList(*call, std::move(*list));
 }
 
-void DiscoveryClient::DropFormerCall() {
+void DiscoveryClient::AbandonFormerCall() {
   if (former_call_) former_call_->Abandon();
   former_call_.reset();
 }
@@ -211,7 +211,7 @@
 
 void DiscoveryClient::ScheduleSwitch(std::size_t service, std::int64_t revision) {
   if (std::exchange(switch_scheduled_, true)) return;
-  switch_timer_.expires_after(TimerDuration(options_.catch_up_within));
+  switch_timer_.expires_after(TimerDuration(options_.catch_up_timeout));
   switch_timer_.async_wait([this, service, revision](error_code ec) {
     if (ec) return;
     switch_scheduled_ = false;
@@ -226,7 +226,7 @@
             "discovery: switched to service " + std::to_string(service) + " of " +
                 std::to_string(options_.services.size()) + ": " + reason);
   failover_.SwitchTo(service, Now());
-  DropCall();
+  AbandonCall();
   next_call_.cancel();
   watching_ = true;
   StartCall();
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -57,9 +57,9 @@
     bool position_is_current = true;
     std::uint64_t seed = 0;  // seed of the jitter
     // The following options apply only if there are several services.
-    Millis probe_interval = 5000;   // mean time between two probes
-    Millis catch_up_within = 2000;  // how long the client waits for the watched service to catch up
-    Millis return_after = 30000;    // delay of a return to the first service, see ServiceFailover
+    Millis probe_interval = 5000;    // mean time between two probes
+    Millis catch_up_timeout = 2000;  // how long the client waits for the watched service to catch up
+    Millis return_delay = 30000;     // delay of a return to the first service, see ServiceFailover
   };
 
   // `observer` must outlive the client, which does not call it before Watch(). Probes begin at once.
@@ -94,12 +94,12 @@
   void WatchCallFailed(const ListError& error);
   ListCall::Result Validate(ListCall::Result result, bool same_service);
   void AcceptList(const ListCall& call, EndpointList list);
-  void DropCall();
+  void AbandonCall();
 
   // The call that was in progress at the former address when the address changed.
-  void KeepFormerCall();
+  void KeepCallAsFormerCall();
   void FormerCallEnded(ListCall::Result result);
-  void DropFormerCall();
+  void AbandonFormerCall();
 
   // Probes and failover.
   void ScheduleProbe();
--- a/src/proxy/discovery/endpoint_list.cpp
+++ b/src/proxy/discovery/endpoint_list.cpp
@@ -70,14 +70,14 @@
 }
 
 // Throws json::exception or std::invalid_argument.
-EndpointList ParseForm(const json& form) {
+EndpointList ParseList(const json& list_json) {
   EndpointList list;
-  list.revision = form.at("revision").get<std::int64_t>();
-  list.complete = form.at("complete").get<bool>();
-  for (const json& member : form.at("members")) list.endpoints.push_back(ParseMember(member));
-  list.epoch = form.value("epoch", "");
+  list.revision = list_json.at("revision").get<std::int64_t>();
+  list.complete = list_json.at("complete").get<bool>();
+  for (const json& member : list_json.at("members")) list.endpoints.push_back(ParseMember(member));
+  list.epoch = list_json.value("epoch", "");
   if (!IsValidEpoch(list.epoch)) throw std::invalid_argument("epoch: must be at most 64 letters and digits");
-  list.confirmed_revision = form.value("confirmed", std::int64_t{0});
+  list.confirmed_revision = list_json.value("confirmed", std::int64_t{0});
   return list;
 }
 
@@ -85,7 +85,7 @@
 
 std::optional<EndpointList> ParseEndpointList(std::string_view text) {
   try {
-    return ParseForm(json::parse(text));
+    return ParseList(json::parse(text));
   } catch (const json::exception&) {
     return std::nullopt;
   } catch (const std::invalid_argument&) {
@@ -96,9 +96,10 @@
 std::string SerializeEndpointList(const EndpointList& list) {
   json members = json::array();
   for (const ListedEndpoint& endpoint : list.endpoints) members.push_back(FormatMember(endpoint));
-  json form = {{"revision", list.revision}, {"complete", list.complete}, {"members", std::move(members)}};
-  if (!list.epoch.empty()) form["epoch"] = list.epoch;
-  return form.dump();
+  json list_json = {
+      {"revision", list.revision}, {"complete", list.complete}, {"members", std::move(members)}};
+  if (!list.epoch.empty()) list_json["epoch"] = list.epoch;
+  return list_json.dump();
 }
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/mass_removal_guard.cpp
+++ b/src/proxy/discovery/mass_removal_guard.cpp
@@ -7,13 +7,13 @@
 // "removed". A snapshot also removes the endpoints that are missing from it.
 std::size_t CountRemoved(const EndpointList& list, const EndpointsById& known) {
   std::size_t present = 0;
-  std::size_t named_removed = 0;
+  std::size_t listed_as_removed = 0;
   for (const ListedEndpoint& endpoint : list.endpoints) {
     if (!known.contains(endpoint.info.id)) continue;
     const bool removed = endpoint.info.state == policy::EndpointState::kRemoved;
-    ++(removed ? named_removed : present);
+    ++(removed ? listed_as_removed : present);
   }
-  return list.complete ? known.size() - present : named_removed;
+  return list.complete ? known.size() - present : listed_as_removed;
 }
 
 }  // namespace
--- a/src/proxy/discovery/service_failover.cpp
+++ b/src/proxy/discovery/service_failover.cpp
@@ -9,14 +9,15 @@
 
 }  // namespace
 
-ServiceFailover::ServiceFailover(std::size_t service_count, Millis return_after)
-    : service_count_(service_count), return_after_(return_after) {}
+ServiceFailover::ServiceFailover(std::size_t service_count, Millis return_delay)
+    : service_count_(service_count), return_delay_(return_delay) {}
 
 bool ServiceFailover::RecordFailure(Millis now) {
   if (current_ == 0) {
-    left_first_at_ = now;
-    const bool failed_soon_after_return = returned_at_ > 0 && now - returned_at_ < return_after_;
-    if (failed_soon_after_return) return_after_ = std::min(2 * return_after_, kMaxReturnAfterMs);
+    switched_from_first_at_ = now;
+    const bool failed_soon_after_return =
+        returned_to_first_at_ > 0 && now - returned_to_first_at_ < return_delay_;
+    if (failed_soon_after_return) return_delay_ = std::min(2 * return_delay_, kMaxReturnAfterMs);
   }
   current_ = (current_ + 1) % service_count_;
   ++consecutive_failures_;
@@ -24,8 +25,8 @@
 }
 
 void ServiceFailover::SwitchTo(std::size_t service, Millis now) {
-  if (current_ == 0) left_first_at_ = now;
-  if (service == 0) returned_at_ = now;
+  if (current_ == 0) switched_from_first_at_ = now;
+  if (service == 0) returned_to_first_at_ = now;
   current_ = service;
 }
 
--- a/src/proxy/discovery/service_failover.hpp
+++ b/src/proxy/discovery/service_failover.hpp
@@ -23,10 +23,10 @@
 
 class ServiceFailover {
  public:
-  // `service_count` must be at least 1. `return_after` is the delay from a failure of the first service until
+  // `service_count` must be at least 1. `return_delay` is the delay from a failure of the first service until
   // the watch may return to it. If the first service fails within this delay after a return, the delay
   // doubles, up to ten minutes.
-  ServiceFailover(std::size_t service_count, Millis return_after);
+  ServiceFailover(std::size_t service_count, Millis return_delay);
 
   // Index of the service to watch, from 0. The first service is preferred.
   std::size_t current() const { return current_; }
@@ -40,7 +40,7 @@
   // Makes `service` the current service.
   void SwitchTo(std::size_t service, Millis now);
   // Makes the first service the current service. To be called when its address has changed.
-  void StartOver() { current_ = 0; }
+  void ResetToFirst() { current_ = 0; }
 
   // Returns the service to probe next: the first service if a return to it is due, otherwise each service
   // that is not watched in turn. Requires at least two services.
@@ -52,15 +52,17 @@
                               Millis now) const;
 
  private:
-  bool ReturnIsDue(Millis now) const { return current_ != 0 && now - left_first_at_ >= return_after_; }
+  bool ReturnIsDue(Millis now) const {
+    return current_ != 0 && now - switched_from_first_at_ >= return_delay_;
+  }
 
   const std::size_t service_count_;
-  Millis return_after_;
+  Millis return_delay_;
   std::size_t current_ = 0;
   std::size_t consecutive_failures_ = 0;
   std::size_t last_probe_ = 0;
-  Millis left_first_at_ = 0;  // time of the last switch from the first service to another service
-  Millis returned_at_ = 0;    // time of the last return to the first service; 0: never
+  Millis switched_from_first_at_ = 0;  // time of the last switch from the first service to another service
+  Millis returned_to_first_at_ = 0;    // time of the last return to the first service; 0: never
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/discovery/watch_position.cpp
+++ b/src/proxy/discovery/watch_position.cpp
@@ -9,8 +9,8 @@
   return target;
 }
 
-std::optional<ListError> CheckSuccession(const EndpointList& list, const WatchPosition& position,
-                                         bool same_service) {
+std::optional<ListError> CheckListFollows(const EndpointList& list, const WatchPosition& position,
+                                          bool same_service) {
   const bool same_epoch = list.epoch == position.epoch;
   if (same_service && same_epoch && list.revision < position.revision) {
     return ListError{ListError::Kind::kOlderRevision, "revision " + std::to_string(list.revision) +
--- a/src/proxy/discovery/watch_position.hpp
+++ b/src/proxy/discovery/watch_position.hpp
@@ -29,8 +29,8 @@
 // newer revisions yet. Such a list could restore removed endpoints. This check applies only if `same_service`
 // is true, that is, if `position` is known to come from the service that sent `list`. A delta of another
 // epoch can't be applied to the list at `position`.
-std::optional<ListError> CheckSuccession(const EndpointList& list, const WatchPosition& position,
-                                         bool same_service);
+std::optional<ListError> CheckListFollows(const EndpointList& list, const WatchPosition& position,
+                                          bool same_service);
 
 }  // namespace gateway::proxy
 
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -41,8 +41,8 @@
     DiscoveryClient::Options options;
     options.services = {first.server.address(), second.server.address()};
     options.probe_interval = 40;
-    options.catch_up_within = 60;
-    options.return_after = 150;
+    options.catch_up_timeout = 60;
+    options.return_delay = 150;
     client.emplace(io, options, *this);
     client->Watch();
   }
