--- a/src/proxy/admin/gateway_status.hpp
+++ b/src/proxy/admin/gateway_status.hpp
@@ -1,4 +1,4 @@
-// A snapshot of the gateway's state, for operators and for the log.
+// The status of a gateway at one point in time, for management commands and log records.
 #ifndef GATEWAY_PROXY_ADMIN_GATEWAY_STATUS_HPP_
 #define GATEWAY_PROXY_ADMIN_GATEWAY_STATUS_HPP_
 
@@ -11,28 +11,28 @@
 namespace gateway::proxy {
 
 struct GatewayStatus {
-  bool ready = false;     // accepts clients
-  bool stopping = false;  // has received SIGTERM
-  bool draining = false;  // an operator has requested a drain
+  bool ready = false;     // whether the gateway accepts clients
+  bool stopping = false;  // whether the gateway has received SIGTERM
+  bool draining = false;  // whether an operator has requested a drain
 
   std::size_t active_requests = 0;
   std::size_t client_connections = 0;
-  std::uint64_t disconnected_clients = 0;  // clients that disconnected before their response, since the start
+  std::uint64_t disconnected_clients = 0;  // since the start: clients that disconnected before their response
 
   std::size_t upstream_connections = 0;
   UpstreamCounts upstream_counts;  // counted since the start
 
-  std::size_t endpoints = 0;          // endpoints in the list, including draining ones
+  std::size_t endpoints = 0;          // endpoints in the list, including draining endpoints
   std::size_t ejected_endpoints = 0;  // endpoints ejected by outlier detection
   std::int64_t list_revision = 0;
   std::size_t list_service = 0;  // index of the watched list service, from 0
   Millis list_age = 0;           // time since the list was last known to be current
-  bool list_stale = false;       // no list was accepted for `list_stale_after`
-  bool list_from_state = false;  // the list in force was loaded from disk
+  bool list_stale = false;       // whether no list was accepted for Config::list_stale_after
+  bool list_from_state = false;  // whether the current list was loaded from disk
 
   bool saves_state = false;        // whether a state folder is configured
   bool state_ok = true;            // false after the first failed write
-  std::uint64_t state_writes = 0;  // states written since the start
+  std::uint64_t state_writes = 0;  // number of states written since the start
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -18,10 +18,15 @@
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kMaxLineBytes = 256;
-constexpr Millis kCommandTimeoutMs = 10000;  // until the command line is complete: an operator may type it
-constexpr Millis kResponseTimeoutMs = 2000;  // for the client to read the response and close
-constexpr Millis kMinLifetimeMs = 50;        // until a connection may be closed to make room for another
-// The delay after a failed accept, and while every connection is younger than kMinLifetimeMs.
+// The time in which the client must send the command line. It is long because an operator may type the
+// command.
+constexpr Millis kCommandTimeoutMs = 10000;
+// The time in which the client must read the response and close the connection.
+constexpr Millis kResponseTimeoutMs = 2000;
+// The time for which a connection stays open even if the server is at its limit of connections.
+constexpr Millis kMinLifetimeMs = 50;
+// The delay of the next accept after a failed accept, or at the limit of connections while no connection has
+// been open for kMinLifetimeMs.
 constexpr Millis kAcceptRetryDelayMs = 20;
 
 }  // namespace
@@ -31,7 +36,8 @@
   Connection(ManagementServer& server, tcp::socket socket)
       : server_(server), socket_(std::move(socket)), timer_(server.io_) {}
 
-  // Handles a command that has already arrived before the server accepts another connection.
+  // If the command has already arrived, handles it before this method returns, that is, before the server
+  // accepts another connection.
   void Start() {
     error_code ec;
     socket_.non_blocking(true, ec);
@@ -95,8 +101,8 @@
                       });
   }
 
-  // Reads until the client closes. Closing a socket with unread bytes would reset the connection, and the
-  // client could lose the response.
+  // Reads and discards bytes until the client closes the connection. Closing a socket with unread bytes would
+  // reset the connection, and the client could lose the response.
   void DiscardInput() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
       if (!self->open_) return;
@@ -109,7 +115,8 @@
   ManagementServer& server_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  std::array<char, kMaxLineBytes> buffer_;  // the command, then what DiscardInput() reads
+  std::array<char, kMaxLineBytes>
+      buffer_;  // the command; after the response, the bytes that DiscardInput() reads
   std::size_t received_bytes_ = 0;
   std::string response_;
   const Millis accepted_at_ = Now();
@@ -149,9 +156,9 @@
   });
 }
 
-// Closes the oldest connection whose command is incomplete. If there is none, closes the oldest connection to
-// which a response was sent. Never closes a connection that is younger than kMinLifetimeMs. Returns whether
-// it closed one.
+// Closes the oldest connection on which the command is incomplete. If there is no such connection, closes the
+// oldest connection that has a response. Never closes a connection that was accepted less than kMinLifetimeMs
+// ago. Returns whether it closed a connection.
 bool ManagementServer::CloseOldestConnection() {
   const Millis now = Now();
   for (const bool has_response : {false, true}) {
--- a/src/proxy/admin/management.hpp
+++ b/src/proxy/admin/management.hpp
@@ -1,4 +1,4 @@
-// The management port for operators: each connection carries one command line and one response.
+// The server of the management port for operators. Each connection carries one command line and one response.
 #ifndef GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
 #define GATEWAY_PROXY_ADMIN_MANAGEMENT_HPP_
 
@@ -13,14 +13,14 @@
 
 namespace gateway::proxy {
 
-// A slow client never blocks the others: at the limit of connections the server closes the oldest one whose
-// command is still incomplete.
+// Slow clients can't block other clients: at the limit of connections the server closes the oldest connection
+// on which the command is incomplete.
 class ManagementServer {
  public:
   // Returns the complete response to a command, including line ends.
   using CommandHandler = std::function<std::string(const std::string& command)>;
 
-  // Starts to listen. Throws ConfigError if that fails.
+  // Listens at `address`. Throws ConfigError if the address is not available.
   ManagementServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                    std::size_t max_connections, CommandHandler handle_command);
   ~ManagementServer();
@@ -38,7 +38,7 @@
   boost::asio::steady_timer accept_retry_timer_;
   const std::size_t max_connections_;
   const CommandHandler handle_command_;
-  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // the oldest connection first
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/admin/management_commands.cpp
+++ b/src/proxy/admin/management_commands.cpp
@@ -19,7 +19,7 @@
       {"host_connections", "gauge", "Connections to hosts", CountValue(status.upstream_connections)},
       {"dials_total", "counter", "Connections opened to hosts", CountValue(counts.connects)},
       {"reuses_total", "counter", "Attempts sent on an idle connection", CountValue(counts.reuses)},
-      {"stale_total", "counter", "Idle connections that turned out to be closed when reused",
+      {"stale_total", "counter", "Idle connections that were found closed when an attempt reused them",
        CountValue(counts.stale)},
       {"resets_total", "counter", "Connections that failed during an attempt",
        CountValue(counts.resets_new + counts.resets_reused)},
@@ -32,32 +32,31 @@
   return {
       {"list_age_seconds", "gauge", "Time since the host list was last known to be current",
        status.list_age / 1000},
-      {"list_old", "gauge", "1 if no list service has responded within the time limit",
+      {"list_old", "gauge", "1 if no host list was received within the configured time, otherwise 0",
        FlagValue(status.list_stale)},
-      {"list_service", "gauge", "Index of the list service that is watched, from 0",
-       CountValue(status.list_service)},
-      {"list_from_state", "gauge", "1 if the host list in force was loaded from disk",
+      {"list_service", "gauge", "Index of the watched list service, from 0", CountValue(status.list_service)},
+      {"list_from_state", "gauge", "1 if the current host list was loaded from disk, otherwise 0",
        FlagValue(status.list_from_state)},
   };
 }
 
-// Returns the samples in the order in which the metrics are documented.
+// The order of the samples is the order in which the metrics are documented.
 std::vector<Metrics::Sample> Samples(const GatewayStatus& status) {
   std::vector<Metrics::Sample> samples = {
       {"active_requests", "gauge", "Requests in progress", CountValue(status.active_requests)},
-      {"hosts_listed", "gauge", "Hosts in the list, including draining ones", CountValue(status.endpoints)},
+      {"hosts_listed", "gauge", "Hosts in the list, including draining hosts", CountValue(status.endpoints)},
       {"hosts_avoided", "gauge", "Listed hosts that are ejected and receive only trial requests",
        CountValue(status.ejected_endpoints)},
-      {"list_revision", "gauge", "Revision of the host list in force",
+      {"list_revision", "gauge", "Revision of the current host list",
        static_cast<double>(status.list_revision)},
-      {"ready", "gauge", "1 if this process accepts clients", FlagValue(status.ready)},
+      {"ready", "gauge", "1 if this process accepts clients, otherwise 0", FlagValue(status.ready)},
   };
   for (const Metrics::Sample& sample : ConnectionSamples(status)) samples.push_back(sample);
   for (const Metrics::Sample& sample : ListSamples(status)) samples.push_back(sample);
   samples.push_back(
-      {"state_ok", "gauge", "0 after saving the state has failed, otherwise 1", FlagValue(status.state_ok)});
-  samples.push_back(
-      {"state_writes_total", "counter", "States written to disk", CountValue(status.state_writes)});
+      {"state_ok", "gauge", "0 if saving the state has failed, otherwise 1", FlagValue(status.state_ok)});
+  samples.push_back({"state_writes_total", "counter", "Number of times the state was written to disk",
+                     CountValue(status.state_writes)});
   return samples;
 }
 
--- a/src/proxy/admin/management_commands.hpp
+++ b/src/proxy/admin/management_commands.hpp
@@ -9,7 +9,7 @@
 
 namespace gateway::proxy {
 
-// The gateway that the commands inspect and control.
+// The part of the gateway that the commands use.
 class ManagedGateway {
  public:
   virtual ~ManagedGateway() = default;
@@ -24,7 +24,7 @@
   ManagementCommands(ManagedGateway& gateway, const Metrics& metrics)
       : gateway_(gateway), metrics_(metrics) {}
 
-  // Executes a command and returns the complete response, including line ends.
+  // Executes a command. Returns the complete response, including line ends.
   std::string Run(const std::string& command);
 
  private:
--- a/src/proxy/admin/metrics.cpp
+++ b/src/proxy/admin/metrics.cpp
@@ -19,7 +19,7 @@
   const char* name;
   const char* help;
 };
-// In the order of Metrics::Interval.
+// The index of an element is its Metrics::Interval.
 constexpr IntervalDescription kIntervalDescriptions[] = {
     {"first_attempt", "Time from the last byte of a request to its first attempt"},
     {"queued", "Time from the last byte of a queued request to its first attempt or its rejection"},
@@ -32,7 +32,7 @@
   return text;
 }
 
-// Quotes and escapes the value of a label.
+// Returns the label value, quoted and escaped for the Prometheus text format.
 std::string QuoteLabelValue(std::string_view value) {
   std::string text = "\"";
   for (const char c : value) {
@@ -90,7 +90,7 @@
 std::string Metrics::ToPrometheus(const std::vector<Sample>& samples) const {
   std::string text;
   const std::string responses = "elderhead_responses_total";
-  AppendMetricHeader(text, responses, "counter", "Responses written, by class and result");
+  AppendMetricHeader(text, responses, "counter", "Responses written to clients, by class and result");
   for (const auto& [name, metrics] : classes_) {
     for (const auto& [result, count] :
          {std::pair{"served", metrics.ok}, {"refused", metrics.shed}, {"failed", metrics.errors}}) {
--- a/src/proxy/admin/status_log.hpp
+++ b/src/proxy/admin/status_log.hpp
@@ -14,7 +14,7 @@
 
 class StatusLog {
  public:
-  // `list_stale_after`: the time without an accepted list after which GatewayStatus::list_stale is set.
+  // `list_stale_after` is the time without an accepted list after which GatewayStatus::list_stale is true.
   StatusLog(boost::asio::io_context& io, Millis list_stale_after, std::function<GatewayStatus()> status);
 
   void Start();
@@ -27,7 +27,7 @@
   boost::asio::steady_timer timer_;
   const Millis list_stale_after_;
   const std::function<GatewayStatus()> status_;
-  // The values that were logged last.
+  // The values in the last log lines.
   bool list_stale_ = false;
   UpstreamCounts counts_;
   std::uint64_t disconnected_clients_ = 0;
--- a/src/proxy/discovery/service_failover.cpp
+++ b/src/proxy/discovery/service_failover.cpp
@@ -5,7 +5,7 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kMaxReturnAfterMs = 600000;
+constexpr Millis kMaxReturnDelayMs = 600000;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     switched_from_first_at_ = now;
     const bool failed_soon_after_return =
         returned_to_first_at_ > 0 && now - returned_to_first_at_ < return_delay_;
-    if (failed_soon_after_return) return_delay_ = std::min(2 * return_delay_, kMaxReturnAfterMs);
+    if (failed_soon_after_return) return_delay_ = std::min(2 * return_delay_, kMaxReturnDelayMs);
   }
   current_ = (current_ + 1) % service_count_;
   ++consecutive_failures_;
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -12,8 +12,9 @@
 
 using boost::system::error_code;
 
-constexpr Millis kUnresponsiveOverlapMs = 11000;  // assumed overlap with an unresponsive predecessor
-constexpr Millis kTransferPollIntervalMs = 10;    // interval of the checks whether all transfers were sent
+constexpr Millis kUnresponsiveOverlapMs =
+    11000;  // assumed length of the overlap with an unresponsive predecessor
+constexpr Millis kTransferPollIntervalMs = 10;  // time between two checks whether all transfers were sent
 
 }  // namespace
 
@@ -98,7 +99,8 @@
   EndOverlap();
 }
 
-// Refuses a transfer while there is a successor, because there may be only one, and while this process stops.
+// Returns -1, which refuses a transfer, while a successor is connected, because a process can have only one
+// successor. Also returns -1 while this process stops.
 int HotRestart::ListenerForSuccessor() {
   if (successor_ || callbacks_.is_stopping()) return -1;
   return callbacks_.listener();
@@ -135,9 +137,9 @@
   callbacks_.limit_connections(/*half=*/true);
 }
 
-// Restores the full rate, because the other process has stopped accepting clients or has exited. Restores the
-// full connection limit only if the other process has disconnected, because it keeps its connections until
-// then.
+// Restores the full rate, because the other process of the overlap has stopped accepting clients or has
+// exited. Restores the full connection limit only if the other process has disconnected, because it uses its
+// connections until then.
 void HotRestart::EndOverlap() {
   if (std::exchange(rate_is_halved_, false)) callbacks_.scale_rate(2);
   if (!predecessor_ && !successor_) callbacks_.limit_connections(/*half=*/false);
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -1,6 +1,6 @@
-// Hot restart: a new process of a gateway replaces the running one without interrupting clients. The two
-// processes overlap for a time and then act as one gateway: each sends at half of the rate and uses at most
-// half of the connections.
+// Hot restart: a new process of a gateway (the successor) replaces the running process (the predecessor)
+// without interrupting clients. During the overlap both processes run and act as one gateway: each process
+// sends requests at half of the rate and uses at most half of the connections.
 //
 //   step  successor                                   predecessor
 //   1     connects, sends Hello                       transfers its listener and its state
@@ -10,10 +10,10 @@
 //                                                     transfers clients that are between two requests, exits
 //   5     returns to all connections
 //
-// If the predecessor exits early the successor continues with step 5; if the successor exits the predecessor
-// returns to the full rate and all connections. If no process responds to Hello but another process listens
-// on the client address, both share that address (SO_REUSEPORT) and the successor assumes an overlap of fixed
-// length.
+// If the predecessor exits early, the successor returns to the full rate and all connections. If the
+// successor exits, the predecessor does so. If no process responds to Hello but another process listens on
+// the client address, both processes share that address (SO_REUSEPORT) and the successor assumes an overlap
+// of fixed length.
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 
@@ -32,17 +32,17 @@
 
 namespace gateway::proxy {
 
-// Implements the roles of successor and predecessor: a process may replace another process and later be
-// replaced itself. To be used in the event loop's thread only.
+// Implements both roles, because a process that has replaced its predecessor may later be replaced by a
+// successor. To be used in the event loop's thread only.
 class HotRestart final : private HotRestartChannel::Observer, private SuccessorAcceptor::Delegate {
  public:
-  // What the gateway provides. All callbacks must be set and remain valid for this object's lifetime. They
-  // are called from the event loop, or from within Start() and NotifyReadiness(), and must not call this
-  // object.
+  // The functions that the gateway provides. All callbacks must be set and must remain valid for the lifetime
+  // of the HotRestart object. It calls them from the event loop, or from within Start() and
+  // NotifyReadiness(). They must not call the HotRestart object.
   struct Callbacks {
-    std::function<bool()> is_ready;     // whether the gateway passes its readiness check
-    std::function<bool()> is_stopping;  // whether the gateway has received SIGTERM
-    // The listening socket for clients, which the gateway still owns; -1: it is closed.
+    std::function<bool()> is_ready;     // returns whether the gateway passes its readiness check
+    std::function<bool()> is_stopping;  // returns whether the gateway has received SIGTERM
+    // Returns the listening socket for clients, or -1 if it is closed. The gateway keeps the ownership.
     std::function<int()> listener;
     std::function<TransferredState()> export_state;
     // Multiplies the request rate by `factor`: 0.5 when an overlap begins, 2 when it ends.
@@ -50,48 +50,49 @@
     // Limits the connections to clients and endpoints to half of the budget, or to the full budget if `half`
     // is false.
     std::function<void(bool half)> limit_connections;
-    // Takes over from the predecessor a client connection that is between two requests.
+    // Serves a client connection that the predecessor has transferred. The connection is between two
+    // requests.
     std::function<void(base::FileDescriptor connection)> adopt_client;
   };
 
-  // `path`: path of the Unix socket on which successors connect; empty: this process can't be replaced.
-  // `predecessor`: the connection to the process that this one replaces; empty: there is no such process.
-  // `address_in_use`: whether another process listened on the client address at the start but transferred
-  // nothing.
+  // `path` is the path of the Unix socket to which successors connect. If it is empty, no successor can
+  // connect. `predecessor` is the connection to the predecessor; empty if there is none. `address_in_use` is
+  // whether another process listened on the client address at the start but transferred nothing.
   HotRestart(boost::asio::io_context& io, const std::string& path, base::FileDescriptor predecessor,
              bool address_in_use, Callbacks callbacks);
 
-  // Begins the overlap with a predecessor, and listens for successors. To be called once, when the callbacks
-  // may be called.
+  // Begins the overlap with the predecessor, if there is one, and listens for successors. To be called once,
+  // when the callbacks may be called.
   void Start();
-  // Notifies the predecessor if is_ready(). To be called whenever is_ready() may have become true; may be
-  // called before Start().
+  // Notifies the predecessor, if there is one, that this process accepts clients, provided that is_ready()
+  // returns true. To be called whenever is_ready() may have become true, also before Start().
   void NotifyReadiness();
 
   // Whether a successor is connected and accepts clients.
   bool HasReadySuccessor() const;
 
-  // The following methods require HasReadySuccessor().
+  // The following methods require that HasReadySuccessor() has returned true.
+
   // Notifies the successor that this process stops accepting clients and will exit.
   void AnnounceLeaving();
   // Transfers a client connection that is between two requests to the successor. If the successor is no
   // longer connected, closes the connection and returns false.
   bool TransferClient(base::FileDescriptor connection);
-  // Calls `done` when all transfers have been sent, possibly from within this call.
+  // Calls `done` when all transfers have been sent, possibly before this method returns.
   void WhenTransfersSent(const std::function<void()>& done);
 
  private:
   enum class PredecessorState {
-    kNone,          // there is no predecessor, or it has ended
-    kUnresponsive,  // listens on the client address but does not respond; the overlap has a fixed length
-    kServing,       // connected
-    kNotified,      // connected, and was notified that this process accepts clients
-    kLeaving,       // connected; no longer accepts clients, and completes its requests
+    kNone,          // there is no predecessor, or it has exited
+    kUnresponsive,  // it listens on the client address but does not respond; the overlap has a fixed length
+    kServing,       // it is connected and accepts clients
+    kNotified,      // as kServing, and it was notified that this process accepts clients
+    kLeaving,       // it is connected, no longer accepts clients and completes its requests
   };
   enum class SuccessorState {
-    kNone,      // no successor has connected, or it has ended
-    kStarting,  // connected
-    kReady,     // connected, and accepts clients
+    kNone,      // no successor has connected, or it has disconnected
+    kStarting,  // it is connected and does not accept clients yet
+    kReady,     // it is connected and accepts clients
   };
 
   void OnMessage(HotRestartChannel& channel, HotRestartMessage message) override;
--- a/src/proxy/restart/hot_restart_channel.hpp
+++ b/src/proxy/restart/hot_restart_channel.hpp
@@ -1,4 +1,4 @@
-// The connection between a running process and its replacement, for the event loop of either process.
+// The connection between a running process and its successor, as used by the event loop of either process.
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_CHANNEL_HPP_
 
@@ -17,13 +17,13 @@
 // Sends and receives messages without blocking. To be used in the event loop's thread only.
 class HotRestartChannel {
  public:
-  // Both methods are called from the event loop, and may destroy the channel.
+  // The channel calls both methods from the event loop. They may destroy the channel.
   class Observer {
    public:
     virtual ~Observer() = default;
     virtual void OnMessage(HotRestartChannel& channel, HotRestartMessage message) = 0;
-    // The other process has exited or the connection failed; no method is called afterwards. Never called
-    // from within Send().
+    // Called last, when the other process has exited or the connection has failed. Never called from within
+    // Send().
     virtual void OnClosed(HotRestartChannel& channel) = 0;
   };
 
@@ -33,8 +33,8 @@
   HotRestartChannel(const HotRestartChannel&) = delete;
   HotRestartChannel& operator=(const HotRestartChannel&) = delete;
 
-  // Begins to receive. A later call replaces the observer. An observer must outlive the channel unless it is
-  // replaced.
+  // The first call begins to receive messages. A later call replaces the observer. An observer must outlive
+  // the channel unless it is replaced.
   void SetObserver(Observer& observer);
 
   // Sends the message, or queues it while the socket's buffer is full. Drops a message that is too long for
--- a/src/proxy/restart/hot_restart_message.hpp
+++ b/src/proxy/restart/hot_restart_message.hpp
@@ -1,5 +1,5 @@
-// The messages between a running process and its replacement, and the encoding of the messages on the socket.
-// Only this module knows the encoding.
+// The messages between a running process (the predecessor) and the process that replaces it (the successor),
+// and their encoding on the socket. Only this module depends on the encoding.
 //
 //   message             from         text on the socket   descriptor
 //   Hello               successor    "forkwick 1"         -
@@ -19,11 +19,11 @@
 
 namespace gateway::proxy {
 
-// Begins the protocol. Its text contains the protocol version, so a program of another version does not
-// recognize it.
+// The first message. Its text contains the protocol version, so a process with another protocol version
+// decodes it as UnknownMessage.
 struct Hello {};
 
-// The response to Hello; StateTransfer follows it.
+// The response to Hello. A StateTransfer message follows.
 struct ListenerTransfer {
   base::FileDescriptor listener;
 };
@@ -35,15 +35,15 @@
 // Notifies the predecessor that the successor accepts clients.
 struct SuccessorReady {};
 
-// Notifies the successor that the predecessor has stopped accepting clients. ClientTransfer messages follow
-// for the clients that are between two requests.
+// Notifies the successor that the predecessor has stopped accepting clients. A ClientTransfer message follows
+// for each client connection that is between two requests.
 struct PredecessorLeaving {};
 
 struct ClientTransfer {
   base::FileDescriptor connection;
 };
 
-// A received message that is malformed or of another protocol version; never sent.
+// The result of decoding a message that is malformed or of another protocol version. Never sent.
 struct UnknownMessage {};
 
 using HotRestartMessage = std::variant<UnknownMessage, Hello, ListenerTransfer, StateTransfer, SuccessorReady,
--- a/src/proxy/restart/inherited_state.cpp
+++ b/src/proxy/restart/inherited_state.cpp
@@ -16,9 +16,10 @@
 
 using boost::asio::ip::tcp;
 
-constexpr Millis kTransferTimeoutMs = 500;  // limit for the complete exchange: the predecessor may hang
+constexpr Millis kTransferTimeoutMs = 500;  // for all messages together; the predecessor may hang
 
-// Returns an empty descriptor if no process of the same user listens at `path`.
+// Connects to the Unix socket at `path`. Returns an empty descriptor if no process of the same user listens
+// there.
 base::FileDescriptor Connect(const std::string& path) {
   const std::optional<sockaddr_un> address = ToUnixAddress(path);
   base::FileDescriptor socket = OpenPacketSocket();
--- a/src/proxy/restart/inherited_state.hpp
+++ b/src/proxy/restart/inherited_state.hpp
@@ -1,4 +1,5 @@
-// The state that a new process inherits, at its start, from the running process that it replaces.
+// The state that a new process receives at its start from its predecessor, the running process that it
+// replaces.
 #ifndef GATEWAY_PROXY_RESTART_INHERITED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_INHERITED_STATE_HPP_
 
@@ -11,15 +12,16 @@
 
 namespace gateway::proxy {
 
-// All members are empty if there is no running process or it transferred nothing.
+// All members are empty if there is no predecessor or it transferred nothing.
 struct InheritedState {
   base::FileDescriptor listener;  // the listening socket for clients, shared with the predecessor
-  std::optional<TransferredState> transferred;  // also empty if malformed or too late
+  std::optional<TransferredState> transferred;  // also empty if it is malformed or arrives too late
   base::FileDescriptor predecessor;             // the connection to the predecessor, for a HotRestartChannel
 };
 
-// Requests the state of the process that listens on the Unix socket at `path`. Accepts only a listener that
-// listens on `address`, and only from a process of the same user. Blocks for at most half a second.
+// Requests the state of the process that listens on the Unix socket at `path`. Accepts the state only from a
+// process of the same user, and only if the transferred socket listens on `address`. Blocks for at most 0.5
+// s.
 InheritedState InheritFromPredecessor(const std::string& path, const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/learned_state_json.cpp
+++ b/src/proxy/restart/learned_state_json.cpp
@@ -18,12 +18,12 @@
 // The index of last_outcome_at in an element of "servers".
 constexpr std::size_t kLastOutcomeIndex = 10;
 
-// Checks the range of the number. The checksums of a file detect damage, but not numbers that no policy could
-// have written.
+// Throws if the number is out of range. The checksums of a file detect a damaged file, but not a number that
+// no policy can have.
 double ParseNumber(const json& value) {
   const double number = value.get<double>();
   if (!std::isfinite(number) || number < 0 || number > kMaxNumber) {
-    throw std::out_of_range("a number is out of range");
+    throw std::out_of_range("number " + value.dump() + " is not between 0 and 1e12");
   }
   return number;
 }
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -1,5 +1,5 @@
-// The JSON form of a policy's learned state, as part of the transferred state and of the saved state. Its
-// keys stand for these fields of policy::LearnedState:
+// Converts a policy's learned state to and from JSON. The transferred state and the saved state contain this
+// JSON. Its keys correspond to these fields of policy::LearnedState:
 //
 //   key           field            key        field
 //   rate          rate             at         exported_at, Unix time in ms
@@ -20,10 +20,10 @@
 
 nlohmann::json LearnedStateToJson(const policy::LearnedState& learned);
 
-// Parses the JSON form. The values at, gateways, kinds and last_outcome_at may be absent, because earlier
-// versions did not write them; the fields then keep their defaults. Throws std::exception if any other value
-// is missing, if a value has the wrong type, or if a number is negative, infinite or implausibly large. Does
-// not check points in time.
+// The values "at", "gateways", "kinds" and last_outcome_at may be absent, because earlier versions did not
+// write them; the fields then keep their defaults. Throws std::exception if any other value is missing, if a
+// value has the wrong type, or if a number is negative, infinite or above 1e12. Does not check points in
+// time.
 policy::LearnedState LearnedStateFromJson(const nlohmann::json& form);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/saved_state.cpp
+++ b/src/proxy/restart/saved_state.cpp
@@ -63,7 +63,11 @@
   if (!found.snapshot) return std::nullopt;
   std::optional<SavedState> state;
   if (found.snapshot->version <= kSavedStateVersion) state = ParseSavedState(found.snapshot->payload);
-  if (!state) LogNotRead(folder + ": this program can't read the snapshot");
+  if (!state) {
+    LogNotRead(folder + ": this program can't read the snapshot: expected valid content of version " +
+               std::to_string(kSavedStateVersion) + " or lower, got version " +
+               std::to_string(found.snapshot->version));
+  }
   return state;
 }
 
--- a/src/proxy/restart/state_save_schedule.cpp
+++ b/src/proxy/restart/state_save_schedule.cpp
@@ -6,9 +6,10 @@
 namespace gateway::proxy {
 namespace {
 
-constexpr Millis kSaveIntervalMs = 2000;  // the learned state changes continuously
+// The state is saved at a fixed interval because the learned state changes continuously.
+constexpr Millis kSaveIntervalMs = 2000;
 constexpr Millis kMaxListChangeDelayMs = 1000;
-constexpr int kListChangeSteps = 16;  // number of different delays among the gateways
+constexpr int kListChangeSteps = 16;  // number of different delays in a fleet
 
 }  // namespace
 
--- a/src/proxy/restart/state_save_schedule.hpp
+++ b/src/proxy/restart/state_save_schedule.hpp
@@ -1,4 +1,4 @@
-// Schedules the saves of the gateway's state: soon after a change, and then at a fixed interval.
+// Saves the gateway's state soon after a change, and after that at a fixed interval.
 #ifndef GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 #define GATEWAY_PROXY_RESTART_STATE_SAVE_SCHEDULE_HPP_
 
@@ -14,14 +14,14 @@
 
 class StateSaveSchedule {
  public:
-  // `get_state` returns the state to be saved.
+  // `get_state` is called for each save and returns the state to save.
   StateSaveSchedule(boost::asio::io_context& io, StateSaver& saver, std::function<SavedState()> get_state);
 
-  // Saves the state after `delay`, unless a save is already due by then.
+  // Schedules a save after `delay`, unless an earlier save is already scheduled.
   void SaveWithin(Millis delay);
 
-  // Returns the delay of a save after a change of the endpoint list. It depends on the gateway, so that the
-  // gateways of a fleet do not all save at the same time.
+  // Returns the delay from a change of the endpoint list to the save. The delay depends on the index of the
+  // gateway, so that the gateways of a fleet do not all save at the same time.
   static Millis DelayAfterListChange(int gateway_index);
 
  private:
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto kOpenPollInterval = std::chrono::milliseconds(50);
-constexpr int kPollsPerOpenAttempt = 20;  // the saver tries to open a busy folder once per second
+constexpr int kPollsPerOpenAttempt = 20;  // so the saver tries to open a busy folder once per second
 constexpr auto kMaxLastWriteTime = std::chrono::milliseconds(200);
 constexpr auto kLastWritePollInterval = std::chrono::milliseconds(1);
 
@@ -21,7 +21,7 @@
   base::Log(level, "state", event, "saved state: " + text);
 }
 
-// Delays each sync of `files`.
+// Returns a file system that delays each sync and otherwise passes all calls to `files`.
 storage::FaultyFileSystem DelaySyncs(storage::FileSystem& files, Millis delay) {
   using Faulty = storage::FaultyFileSystem;
   return Faulty(files, [delay](Faulty::Call call, const std::string&) {
@@ -36,7 +36,7 @@
   ~Shared() { delete newest.load(); }
 
   std::atomic<std::string*> newest{nullptr};  // owned by the thread that exchanges it for null
-  std::atomic<std::uint32_t> wakes{0};  // incremented for each new state and at the stop, to wake the thread
+  std::atomic<std::uint32_t> wakes{0};  // incremented by each Save() and at the stop, to wake the thread
   std::atomic<bool> stopping{false};
   std::atomic<bool> done{false};  // the thread has finished
   std::atomic<bool> ok{true};
@@ -44,12 +44,12 @@
   std::atomic<std::uint64_t> bytes{0};
 };
 
-// Opens the folder and writes the states. Runs in the saver's thread.
+// Opens the folder and writes the states, in the saver's thread.
 class StateSaver::Writer {
  public:
   Writer(std::string folder, const std::string& owner, Millis sync_delay, std::shared_ptr<Shared> shared);
 
-  // Returns when the saver stops or can no longer write.
+  // Writes states until the saver stops or can no longer write.
   void Run();
 
  private:
@@ -69,7 +69,7 @@
   storage::StoreOptions options_;
   std::unique_ptr<storage::Store> store_;  // null until the folder has been opened
   int open_polls_ = 0;
-  std::string last_open_error_;  // an error is logged again only if it changes
+  std::string last_open_error_;  // used to log an error again only if it changes
   std::uint32_t seen_wakes_ = 0;
 };
 
@@ -82,7 +82,7 @@
       files_(sync_delay > 0 ? static_cast<storage::FileSystem&>(slow_disk_) : *disk_) {
   options_.owner = owner;
   options_.program = GATEWAY_VERSION;
-  options_.open_corrupt = true;  // the next save replaces the state; the damaged files are set aside
+  options_.open_corrupt = true;  // renames damaged files; the next save writes a new state
 }
 
 void StateSaver::Writer::Run() {
@@ -92,7 +92,7 @@
   }
 }
 
-// Returns null if the saver stops.
+// Waits for the next state to write. Returns null if the saver stops.
 std::unique_ptr<std::string> StateSaver::Writer::WaitForState() {
   for (;;) {
     std::unique_ptr<std::string> state(shared_->newest.exchange(nullptr));
@@ -119,7 +119,8 @@
   const storage::Status status = storage::Store::Open(files_, folder_, options_, store_, found);
   if (found.is_foreign()) return ReportUnusable(status.Text() + "; the folder is left unchanged");
   if (status.ok() && found.snapshot && found.snapshot->version > kSavedStateVersion) {
-    return ReportUnusable(folder_ + ": saved by a newer program; the folder is left unchanged");
+    return ReportUnusable(folder_ +
+                          ": saved by a newer version of the program; the folder is left unchanged");
   }
   if (status.ok()) return OpenResult::kOpened;
   if (std::exchange(last_open_error_, status.Text()) != status.Text()) {
--- a/src/proxy/restart/state_saver.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -11,22 +11,22 @@
 
 namespace gateway::proxy {
 
-// Writes the newest state passed to Save() and drops older ones that were not written yet. While another
-// process has the folder open, as in a hot restart, it retries to open it. After a failed write or sync, or
-// if the folder belongs to another owner or a newer program, it logs an error, ok() returns false, and it
-// writes nothing until the process ends.
+// Writes the newest state passed to Save() and drops older states that were not written yet. While another
+// process has the folder open, as in a hot restart, the saver retries to open the folder. After a failed
+// write or sync, or if the folder belongs to another owner or to a newer version of the program, the saver
+// logs an error and writes nothing until the process ends, and ok() returns false.
 class StateSaver {
  public:
-  // `sync_delay`: delay added to each sync, to test with a slow disk; 0 in production.
+  // `sync_delay` is added to each sync, to test with a slow disk. It is 0 in production.
   StateSaver(std::string folder, std::string owner, Millis sync_delay = 0);
-  // Waits up to 200 ms for the thread to write the newest state. If the disk hangs, leaves the detached
-  // thread running.
+  // Waits up to 200 ms for the thread to write the newest state. After that the detached thread continues to
+  // run, because the disk may hang.
   ~StateSaver();
   StateSaver(const StateSaver&) = delete;
   StateSaver& operator=(const StateSaver&) = delete;
 
-  // Serializes the state and passes it to the thread. Takes no lock, and its only system call wakes the
-  // thread.
+  // Serializes the state and passes it to the thread. Takes no lock. The only system call is the one that
+  // wakes the thread.
   void Save(const SavedState& state);
 
   // The following methods may be called from any thread.
@@ -38,7 +38,7 @@
   struct Shared;
   class Writer;
 
-  const std::shared_ptr<Shared> shared_;  // shared with the thread, which may outlive this
+  const std::shared_ptr<Shared> shared_;  // shared with the thread, which may outlive the saver
 };
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/successor_acceptor.cpp
+++ b/src/proxy/restart/successor_acceptor.cpp
@@ -24,13 +24,14 @@
 
 constexpr int kBacklog = 4;
 
-// Removes the socket file of the predecessor, which has exited or whose channel is already open.
+// Removes the socket file of the predecessor. The file is no longer needed: the predecessor has exited, or
+// this process is already connected to it.
 void RemoveSocket(const std::string& path) {
   struct stat status {};
   if (::lstat(path.c_str(), &status) == 0 && S_ISSOCK(status.st_mode)) ::unlink(path.c_str());
 }
 
-// On failure returns an empty descriptor and sets errno.
+// Returns a listening socket. On failure returns an empty descriptor and sets errno.
 base::FileDescriptor ListenAt(const std::string& path) {
   base::FileDescriptor socket = OpenPacketSocket();
   if (!socket) return {};
@@ -93,7 +94,8 @@
   return true;
 }
 
-// Posts the release, because a method of the channel, which calls this function, is still running.
+// Posts the release to the event loop, because a method of the channel, which has called this function, still
+// runs.
 void SuccessorAcceptor::ReleaseCandidate(bool is_successor) {
   asio::post(io_, [this, alive = alive_, is_successor, released = candidate_.get()] {
     if (!*alive || candidate_.get() != released) return;
--- a/src/proxy/restart/transferred_state.hpp
+++ b/src/proxy/restart/transferred_state.hpp
@@ -1,5 +1,4 @@
-// The state that a running process transfers to its replacement, and the JSON form of that state on the
-// socket between them.
+// The state that a running process transfers to its successor, and its conversion to and from JSON.
 #ifndef GATEWAY_PROXY_RESTART_TRANSFERRED_STATE_HPP_
 #define GATEWAY_PROXY_RESTART_TRANSFERRED_STATE_HPP_
 
@@ -18,8 +17,8 @@
 
 std::string SerializeTransferredState(const TransferredState& state);
 
-// Returns std::nullopt if any part of `text` is malformed. Sets all times of the learned state to now: the
-// sender has been running until this moment, so the state has not aged.
+// Returns std::nullopt if any part of `text` is malformed. Sets exported_at and each last_outcome_at of the
+// learned state to the current time, because the predecessor still runs and so the state has not aged.
 std::optional<TransferredState> ParseTransferredState(const std::string& text);
 
 }  // namespace gateway::proxy
