--- a/src/proxy/body_framing.cpp
+++ b/src/proxy/body_framing.cpp
@@ -12,8 +12,8 @@
   text += header;
 }
 
-// Returns the bytes that follow a piece in chunked coding: the end of the piece's chunk and, after the last
-// piece, the empty chunk that ends the body.
+// Returns the bytes that follow a piece in chunked coding: the line end of the piece's chunk, and after the
+// last piece also the empty chunk that ends the body. An empty piece has no chunk.
 std::string_view ChunkTrailer(bool empty, bool last) {
   if (empty) return last ? "0\r\n\r\n" : "";
   return last ? "\r\n0\r\n\r\n" : "\r\n";
--- a/src/proxy/buffer_budget.hpp
+++ b/src/proxy/buffer_budget.hpp
@@ -1,4 +1,4 @@
-// Accounting of the memory for incomplete bodies on all connections to clients, or on all connections to
+// Accounts for the memory of incomplete bodies on all connections to clients, or on all connections to
 // endpoints.
 #ifndef GATEWAY_PROXY_BUFFER_BUDGET_HPP_
 #define GATEWAY_PROXY_BUFFER_BUDGET_HPP_
@@ -8,8 +8,8 @@
 
 namespace gateway::proxy {
 
-// The sum of all charges and its limit. The sum may exceed the limit. While it does, bodies are streamed that
-// would otherwise be buffered.
+// The sum of all charges, and its limit. The sum may exceed the limit. While it does, the gateway streams
+// bodies that it would otherwise buffer.
 class BufferBudget {
  public:
   explicit BufferBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
@@ -21,13 +21,13 @@
   std::size_t used_bytes_ = 0;
 };
 
-// The bytes that one connection contributes to a budget. The owner must set the charge to 0 before it
-// discards the buffer: the destructor does not, because a connection object may outlive the budget.
+// The bytes that one connection uses of a budget. The owner must set the charge to 0 before it discards the
+// buffer. The destructor does not do so, because a connection object may outlive the budget.
 class BufferCharge {
  public:
   explicit BufferCharge(BufferBudget& budget) : budget_(budget) {}
   const BufferBudget& budget() const { return budget_; }
-  // Replaces the charge.
+  // Replaces the charge by `bytes`.
   void Set(std::size_t bytes) {
     const std::size_t previous_bytes = std::exchange(bytes_, bytes);
     budget_.used_bytes_ = budget_.used_bytes_ - previous_bytes + bytes;
--- a/src/proxy/clock.hpp
+++ b/src/proxy/clock.hpp
@@ -1,4 +1,4 @@
-// The clock of the gateway process: shorter names for functions of base/clock.hpp.
+// The clock of the gateway process: short names for parts of base/clock.hpp.
 #ifndef GATEWAY_PROXY_CLOCK_HPP_
 #define GATEWAY_PROXY_CLOCK_HPP_
 
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-// Returns a string without quotes, any other value as JSON.
+// Returns the text of a string without quotes, and the JSON of any other value.
 std::string ScalarToText(const json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Flattens the settings of the configuration file to path=value pairs, the form of the simulator's first
-// message. One parser thus reads the settings from either source, and a setting has the same name and unit in
+// Flattens the settings of the configuration file to path=value pairs, the format of the simulator's first
+// message. So one parser reads the settings from both sources, and a setting has the same name and unit in
 // both.
 void Flatten(const json& node, const std::string& path, std::vector<std::string>& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
@@ -51,24 +51,24 @@
   }
 }
 
-// Reads the number at the JSON pointer `path`, which must be above 0. Returns `default_value` if it is
-// absent.
+// Reads the number at the JSON pointer `path`. Returns `default_value` if the number is absent. Throws
+// ConfigError if it is not above 0.
 double ReadPositiveNumber(const json& file, const std::string& path, double default_value) {
   const json::json_pointer pointer(path);
   if (!file.contains(pointer) || file[pointer].is_null()) return default_value;
   if (!file[pointer].is_number() || !(file[pointer].get<double>() > 0)) {
-    throw ConfigError(path.substr(1) + ": must be a number above 0");
+    throw ConfigError(path.substr(1) + ": must be a number above 0, not " + file[pointer].dump());
   }
   return file[pointer].get<double>();
 }
 
-// Reads an address from `variable` if it is not null, otherwise from `field` of the file. Error messages
-// refer to the address by `name`.
-boost::asio::ip::tcp::endpoint ReadAddress(const char* variable, const std::string& name, const json& file,
+// Reads an address from `value`, the value of an environment variable, if it is not null. Otherwise reads the
+// address from `field` of the file. Error messages refer to the address by `name`.
+boost::asio::ip::tcp::endpoint ReadAddress(const char* value, const std::string& name, const json& file,
                                            const std::string& field) {
   std::string text;
-  if (variable != nullptr) {
-    text = variable;
+  if (value != nullptr) {
+    text = value;
   } else if (file.contains(field) && file[field].is_string()) {
     text = file[field].get<std::string>();
   } else {
@@ -97,7 +97,7 @@
   if (HasValue(file, "discovery_endpoints")) {
     const json& services = file["discovery_endpoints"];
     if (!services.is_array() || services.empty())
-      throw ConfigError("discovery_endpoints: must be a list of addresses");
+      throw ConfigError("discovery_endpoints: must be a non-empty list of addresses");
     for (const json& service : services) {
       const auto address = base::ParseSocketAddress(service.is_string() ? service.get<std::string>() : "");
       if (!address)
@@ -113,7 +113,8 @@
       1000 * ReadPositiveNumber(file, "/list/old_after_s", config.list_stale_after / 1000);
 }
 
-// Hot restart requires the management port, which shows operators when the new process is ready.
+// Reads the management address and enables hot restart. Hot restart requires the management port, because
+// operators check there whether the new process is ready.
 void ReadManagement(const json& file, const Variables& variable, Config& config) {
   const char* const management = variable("NODE_MGMT");
   if (management == nullptr && !HasValue(file, "mgmt")) return;
@@ -162,7 +163,8 @@
   const json::json_pointer pointer("/log/form");
   if (!file.contains(pointer)) return;
   const json& form = file[pointer];
-  if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
+  if (form != "text" && form != "json")
+    throw ConfigError("log/form: must be \"text\" or \"json\", not " + form.dump());
   if (form == "json") config.log = base::LogFormat::kJson;
 }
 
@@ -191,7 +193,8 @@
 }
 
 boost::asio::ip::tcp::endpoint LoadDiscoveryAddress(const std::function<const char*(const char*)>& variable) {
-  // Ignores NODE_DISCOVERY, which holds the address at the start of the process and may be out of date.
+  // Ignores NODE_DISCOVERY, because it contains the address at the start of the process, which may be out of
+  // date.
   return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");
 }
 
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -1,4 +1,5 @@
-// The configuration of a gateway: the NODE_* environment variables and the JSON file that they name.
+// The configuration of a gateway: the NODE_* environment variables and the JSON file at the path in
+// NODE_CONFIG.
 #ifndef GATEWAY_PROXY_CONFIG_HPP_
 #define GATEWAY_PROXY_CONFIG_HPP_
 
@@ -24,22 +25,23 @@
 // The values of the NODE_* variables and of the configuration file.
 struct Config {
   boost::asio::ip::tcp::endpoint listen;                            // address on which clients connect
-  boost::asio::ip::tcp::endpoint discovery;                         // address of the list service
-  std::vector<boost::asio::ip::tcp::endpoint> other_list_services;  // more services of the same list
+  boost::asio::ip::tcp::endpoint discovery;                         // address of the first list service
+  std::vector<boost::asio::ip::tcp::endpoint> other_list_services;  // further services that publish the list
   bool guard_mass_removal = false;                                  // see EndpointListWatcher::Options
   double max_removed_share = 0.5;
-  Millis list_stale_after = 30000;  // time without a new list after which the list is stale
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // management address; empty: no management port
+  Millis list_stale_after = 30000;  // time without an accepted list after which the list is stale
+  std::optional<boost::asio::ip::tcp::endpoint>
+      management;                 // address of the management port; empty: there is none
   std::string hot_restart_path;   // path of the Unix socket for hot restarts; empty: disabled
-  std::uint64_t seed = 0;         // for the random choices of the policy and for jitter
-  std::size_t sockets = 1024;     // file descriptors that the process may hold
+  std::uint64_t seed = 0;         // seed of the policy's random choices and of jitter
+  std::size_t sockets = 1024;     // number of file descriptors that the process may open
   std::size_t memory = 64 << 20;  // memory that the process may use, in bytes
   policy::Settings settings;
   Millis connect_timeout = 250;
   Millis idle_timeout = 15000;  // time after which an endpoint closes an idle connection
-  EndpointList known;           // the initial list; may be out of date
+  EndpointList known;           // the endpoint list at the start; may be out of date
   std::string state_folder;     // folder for the saved state; empty: no state is saved
-  bool load_state = true;       // false: this start ignores the saved state and overwrites it
+  bool load_state = true;       // false: the gateway ignores and overwrites the saved state
   Millis state_sync_delay = 0;  // delay added to each sync of the state, for tests of a slow disk
   std::string state_owner;      // name and client address of the gateway that owns the state
   base::LogFormat log = base::LogFormat::kText;
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -7,7 +7,7 @@
 namespace gateway::proxy {
 namespace {
 
-// Descriptors for listeners, the management port, discovery and the event loop, with a margin.
+// Descriptors for listeners, the management port, discovery and the event loop, including a margin.
 constexpr std::size_t kReservedDescriptors = 40;
 
 // Returns the lower of `configured` and the descriptor limit of the process.
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -1,4 +1,4 @@
-// The budget of file descriptors for connections to clients and to endpoints.
+// Divides the file descriptors of the process between connections to clients and connections to endpoints.
 #ifndef GATEWAY_PROXY_DESCRIPTOR_BUDGET_HPP_
 #define GATEWAY_PROXY_DESCRIPTOR_BUDGET_HPP_
 
@@ -6,16 +6,17 @@
 
 namespace gateway::proxy {
 
+// The maximum numbers of connections.
 struct DescriptorBudget {
   std::size_t client_connections = 1;
   std::size_t upstream_connections = 1;
 
-  // Returns half of the budget, for the time in which another process runs as the same gateway.
+  // Returns half of the budget. It applies during a hot restart, while two processes run as one gateway.
   DescriptorBudget Half() const;
 };
 
-// Divides descriptors between clients and endpoints: `configured` descriptors, or as many as the process's
-// limit allows if that is fewer. Reserves some of them for listeners, discovery and the management port.
+// Divides `configured` descriptors, or the descriptor limit of the process if that is lower. Reserves some
+// descriptors for listeners, discovery, the management port and the event loop.
 DescriptorBudget MakeDescriptorBudget(std::size_t configured);
 
 }  // namespace gateway::proxy
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -16,11 +16,14 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// The load balancer sends new connections for up to 400 ms after SIGTERM.
+// How long the gateway accepts connections after SIGTERM. The load balancer opens new connections for up to
+// 400 ms after SIGTERM.
 constexpr Millis kAcceptAfterStopMs = 500;
-constexpr Millis kRespondWithinMs = 3300;  // after SIGTERM; SIGKILL follows 3,700 ms after SIGTERM or later
-constexpr Millis kFlushTimeMs = 200;       // time in which the last responses are sent
-// The buffered request bodies and the buffered response bodies may each use 1/4 of the memory.
+// The time after SIGTERM in which requests may complete. SIGKILL follows at the earliest 3700 ms after
+// SIGTERM.
+constexpr Millis kRespondWithinMs = 3300;
+constexpr Millis kFlushTimeMs = 200;  // time to send the last responses
+// The buffered request bodies may use 1/4 of the memory, and the buffered response bodies also 1/4.
 constexpr std::size_t kBodyBudgetDivisor = 4;
 constexpr std::size_t kMinManagementConnections = 2;
 constexpr std::size_t kMaxManagementConnections = 16;
@@ -36,9 +39,10 @@
   return LoadSavedState(config.state_folder, config.state_owner);
 }
 
-// The watch continues from the list of the predecessor process if there is one, and otherwise from the newer
-// of the configured and the saved revision. If the saved revision is newer, the first list from the service
-// is accepted whatever its revision is, because the service may have restarted its revision count since then.
+// If there is a predecessor process, the watch continues from the list that it transferred. Otherwise the
+// watch continues from the configured or the saved revision, whichever is higher. If the saved revision is
+// higher, the first list from the service is accepted with any revision, because the service may have
+// restarted its revision count since the save.
 EndpointListWatcher::Options WatcherOptions(const Config& config, const InheritedState& inherited,
                                             const std::optional<SavedState>& saved) {
   EndpointListWatcher::Options options;
@@ -78,7 +82,7 @@
   return options;
 }
 
-// Whether another process listens on the client address but transferred nothing.
+// Returns whether another process listens on the client address but transferred no listener.
 bool IsListenAddressShared(const Config& config, const InheritedState& inherited) {
   return !config.hot_restart_path.empty() && !inherited.listener && IsAddressInUse(config.listen);
 }
@@ -166,8 +170,9 @@
                       [this](const std::string& command) { return commands_.Run(command); });
 }
 
-// Applies the list of a predecessor if there is one, otherwise the newer of the saved and the configured
-// list. A drain by an operator is restored from the saved state only: a successor starts without a drain.
+// Applies the list that a predecessor transferred. Without a transferred list, applies the saved or the
+// configured list, whichever has the higher revision. Restores an operator's drain from the saved state,
+// unless there is a transferred list: a successor starts without a drain.
 void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
   list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
@@ -188,7 +193,7 @@
   LogRestoredLearnedState(learned.endpoints.size(), Now() - learned.exported_at);
 }
 
-// To be called after RestoreList, so that a list from the configuration does not overwrite a newer one on
+// To be called after RestoreList. Otherwise the list from the configuration could overwrite a newer list on
 // disk before discovery has responded.
 void Gateway::StartSaving(const Config& config) {
   if (config.state_folder.empty()) return;
@@ -199,7 +204,8 @@
 }
 
 void Gateway::ApplyList(const EndpointList& list) {
-  // Applied before the policy receives the list, so that the policy's actions can't use removed endpoints.
+  // The upstream pool applies the list before the policy does, so that the policy's actions can't use removed
+  // endpoints.
   upstream_.ApplyEndpointList(list);
   has_listed_endpoints_ = has_listed_endpoints_ || !list.endpoints.empty();
   driver_.Report(ToListEvent(list));
@@ -228,8 +234,8 @@
   return management_->address();
 }
 
-// A stopping process that has a ready successor passes the check, because the successor shares its listener
-// and accepts clients.
+// A stopping process with a ready successor also passes the check, because the successor accepts clients on
+// the same listener.
 bool Gateway::PassesReadinessCheck() const {
   return IsReady() || (stopping_ && !draining_ && hot_restart_.HasReadySuccessor());
 }
@@ -282,8 +288,8 @@
   });
 }
 
-// The successor accepts connections from the same listener, and this process transfers the connections that
-// are between two requests to it. This process completes its active requests.
+// Transfers the connections that are between two requests to the successor, which accepts clients on the same
+// listener. This process completes its active requests.
 void Gateway::StopForSuccessor(const std::function<void()>& done) {
   hot_restart_.AnnounceLeaving();
   clients_.TransferConnections(
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -1,7 +1,7 @@
-// One gateway: composes the client side, the upstream side, discovery, the policy and hot restart.
+// The gateway: connects the client side, the upstream side, discovery, the policy and hot restart.
 //
-// Owns the lifecycle (start, drain, stop, replacement by another process) and the endpoint list in force. The
-// policy decides how requests are handled. To be used in the event loop's thread only.
+// Implements the lifecycle (start, drain, stop, replacement by another process) and owns the current endpoint
+// list. The policy decides how to handle requests. To be used in the event loop's thread only.
 #ifndef GATEWAY_PROXY_GATEWAY_HPP_
 #define GATEWAY_PROXY_GATEWAY_HPP_
 
@@ -33,21 +33,22 @@
 
 class Gateway final : private ManagedGateway {
  public:
-  // Begins to listen and to watch the endpoint list. If another process of the same gateway is running, takes
-  // over its state; otherwise loads the state from the state folder. Throws std::exception if the settings
-  // are invalid or an address can't be used.
+  // Begins to listen and to watch the endpoint list. If another process of the same gateway is running, uses
+  // the state that this process transfers; otherwise loads the state from the state folder. Throws
+  // std::exception if the settings are invalid or an address can't be used.
   Gateway(boost::asio::io_context& io, const Config& config);
 
   // The address on which clients connect.
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
-  // The address of the management port, if one is configured.
+  // The address of the management port, if it is configured.
   std::optional<boost::asio::ip::tcp::endpoint> management() const;
 
-  // Watches the endpoint list at `address` from now on.
+  // Changes the address of the first list service and at once begins a watch of the endpoint list there.
   void ChangeDiscoveryAddress(const boost::asio::ip::tcp::endpoint& address);
 
   // Stops gracefully: accepts connections for a short time, responds to all requests, then calls `done`. If a
-  // successor process is ready, stops accepting at once and transfers the idle connections to the successor.
+  // successor process is ready, stops accepting connections at once and transfers the idle connections to the
+  // successor.
   void Stop(std::function<void()> done);
 
  private:
@@ -83,7 +84,8 @@
 
   boost::asio::io_context& io_;
   const policy::Settings settings_;
-  const DescriptorBudget budget_;  // applies while no other process runs as the same gateway
+  const DescriptorBudget
+      budget_;  // the full budget; half of it applies while two processes run as this gateway
   PolicyDriver driver_;
   UpstreamPool upstream_;
   EndpointListWatcher list_;
@@ -95,10 +97,10 @@
   const Millis list_stale_after_;
   const Millis started_at_;
   Millis list_confirmed_at_ = 0;       // time at which the list was last known to be current
-  bool list_from_state_ = false;       // discovery has not responded since the list was loaded from disk
-  bool has_listed_endpoints_ = false;  // a list with an endpoint has been applied
+  bool list_from_state_ = false;       // whether the current list was loaded from disk
+  bool has_listed_endpoints_ = false;  // whether a list with an endpoint was applied
   bool stopping_ = false;
-  bool draining_ = false;  // an operator has requested a drain
+  bool draining_ = false;  // whether an operator has requested a drain
   boost::asio::steady_timer stop_timer_;
   ClientServer clients_;
   ManagementCommands commands_;
--- a/src/proxy/http_types.hpp
+++ b/src/proxy/http_types.hpp
@@ -15,15 +15,15 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// A message with a longer body is rejected.
+// The maximum size of a body. The gateway rejects a message with a longer body.
 constexpr std::uint64_t kMaxBodyBytes = 32 * 1024 * 1024;
-// A body of up to this size is buffered until it is complete; a longer one is streamed.
+// The gateway buffers a body of up to this size until the body is complete, and streams a longer body.
 constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;
-// A message with a longer head is rejected.
+// The maximum size of the start line and the header fields. The gateway rejects a message that exceeds it.
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
-// Removes the hop-by-hop header fields (RFC 9110, section 7.6.1). The framing fields
-// are set again when the message is written.
+// Removes the hop-by-hop header fields (RFC 9110, section 7.6.1). The framing fields are set again when the
+// message is written.
 template <typename Message>
 void StripHopByHop(Message& message) {
   using boost::beast::http::field;
@@ -33,7 +33,7 @@
   }
 }
 
-// Returns a message's start line and header fields with the empty line that ends them.
+// Returns the start line and the header fields of a message, and the empty line that ends them.
 template <typename Message>
 std::string SerializeHead(const Message& message) {
   std::ostringstream text;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -24,8 +24,8 @@
   return error == boost::asio::error::address_in_use;
 }
 
-// Opens a non-blocking listener on `acceptor`. With `shared`, other processes may listen at the same address
-// as well. Throws ConfigError with the setting's name and the address if the address is not available.
+// Makes `acceptor` listen at `address` without blocking. If `shared` is true, other processes may listen at
+// the same address. If the address is not available, throws ConfigError with `setting_name` and the address.
 inline void OpenListener(boost::asio::ip::tcp::acceptor& acceptor,
                          const boost::asio::ip::tcp::endpoint& address, const std::string& setting_name,
                          bool shared = false) {
@@ -35,8 +35,7 @@
     acceptor.open(address.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     if (shared) {
-      // If setting this option fails, other processes can't share the address. The gateway works without
-      // that.
+      // If setting this option fails, other processes can't listen at the same address, but this process can.
       boost::system::error_code ignored;
       acceptor.set_option(ReusePort(true), ignored);
     }
--- a/src/proxy/load_report.hpp
+++ b/src/proxy/load_report.hpp
@@ -1,4 +1,4 @@
-// The load report that endpoints add to their responses.
+// Parses the load report that an endpoint adds to a response.
 #ifndef GATEWAY_PROXY_LOAD_REPORT_HPP_
 #define GATEWAY_PROXY_LOAD_REPORT_HPP_
 
@@ -8,9 +8,9 @@
 
 namespace gateway::proxy {
 
-// Parses a report such as "inflight=7,util=0.61" into values in the order of `fields`. The value of a missing
-// or malformed field is NaN. Other fields of the report are ignored. Returns an empty vector for an empty
-// text.
+// Parses a report such as "inflight=7,util=0.61". Returns the values of `fields` in the order of `fields`;
+// the value of a missing or malformed field is NaN. Ignores all other fields of the report. Returns an empty
+// vector if `text` is empty.
 std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace gateway::proxy
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -18,7 +18,7 @@
   try {
     const auto variable = [](const char* name) -> const char* { return std::getenv(name); };
     const proxy::Config config = proxy::LoadConfig(variable);
-    std::signal(SIGXFSZ, SIG_IGN);  // reaching the file size limit must fail the write, not end the process
+    std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit must not end the process
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed log pipe must not end the process
     base::SetLogFormat(config.log);
     boost::asio::io_context io(1);
@@ -27,8 +27,7 @@
     signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (!ec) gateway.Stop([&] { io.stop(); });
     });
-    // The address of discovery may change: the platform then replaces the configuration file and sends
-    // SIGHUP.
+    // If the address of discovery changes, the platform replaces the configuration file and sends SIGHUP.
     boost::asio::signal_set reloads(io, SIGHUP);
     const std::function<void(const boost::system::error_code&, int)> reload =
         [&](const boost::system::error_code& ec, int) {
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -1,4 +1,4 @@
-// Runs the policy: passes events to it one at a time and executes the actions that it returns.
+// Runs the policy: passes events to the policy one at a time and executes the actions that it returns.
 //
 // To be used in the event loop's thread only.
 #ifndef GATEWAY_PROXY_POLICY_DRIVER_HPP_
@@ -25,24 +25,25 @@
   virtual void Execute(const policy::Fail& fail) = 0;
   virtual void Execute(const policy::Cancel& cancel) = 0;
 
-  // Returns whether the request needs no response any more: it has a response already, or is no longer
-  // active.
+  // Returns whether the request needs no response, because it already has one or is no longer active.
   virtual bool IsFinished(const std::string& request) const = 0;
 
-  // Called after the actions of each event. `request` is the request that has arrived, whose attempt has
-  // ended, or whose client has disconnected; empty for any other event.
+  // Called after the actions of each event have been executed. `request` is the ID of the request if the
+  // event reports its arrival, the end of its attempt or the disconnect of its client. For any other event it
+  // is empty.
   virtual void OnEventHandled(const std::string& request) = 0;
 };
 
 class PolicyDriver {
  public:
-  // `requests` and `io` must outlive the driver's use. `watch_list` is called to begin a watch of the
+  // `requests` and `io` must outlive the driver. The driver calls `watch_list` to begin a watch of the
   // endpoint list.
   PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
                RequestActions& requests, std::function<void()> watch_list);
 
-  // Passes the event to the policy and executes the resulting actions. An event that is reported while an
-  // action executes is handled after the remaining actions, before the outermost call returns.
+  // Passes the event to the policy and executes the resulting actions. If an action reports another event,
+  // that event is handled after the remaining actions of the current event and before the outermost call of
+  // Report() returns.
   void Report(policy::Event event);
 
   policy::Policy& policy() { return policy_; }
