--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -39,8 +39,8 @@
   const proxy::Config config = LoadGatewayConfig(path);
   fmt::print("{}: gateway {} of {} in zone '{}': {} classes, {} tenants, {} hosts known, {} descriptors\n",
              path, config.settings.gateway_index, config.settings.gateway_count, config.settings.zone,
-             config.settings.classes.size(), config.settings.tenants.size(), config.known.endpoints.size(),
-             config.sockets);
+             config.settings.classes.size(), config.settings.tenants.size(),
+             config.initial_list.endpoints.size(), config.max_descriptors);
   return kSuccess;
 }
 
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -21,7 +21,7 @@
   options.service = config.discovery;
   options.other_services = config.other_list_services;
   options.seed = config.seed;
-  options.revision = config.known.revision;
+  options.revision = config.initial_list.revision;
   options.guard_mass_removal = config.guard_mass_removal;
   options.max_removed_share = config.max_removed_share;
   return options;
@@ -46,7 +46,7 @@
                            gateway::policy::EndpointListEvent::Kind::kFailure, {}, duration});
                        ScheduleCheck(kPolicyCheckPeriodMs);
                      }}) {
-  list_watcher_.Apply(config.known);
+  list_watcher_.Apply(config.initial_list);
   if (!polls_) list_watcher_.Watch();
 }
 
--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -142,17 +142,17 @@
 void ManagementServer::Accept() {
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
-    if (ec) return AcceptLater();
+    if (ec) return ScheduleAccept();
     const auto connection = connections_.emplace_back(std::make_shared<Connection>(*this, std::move(socket)));
     connection->Start();
-    connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : AcceptLater();
+    connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : ScheduleAccept();
   });
 }
 
-void ManagementServer::AcceptLater() {
+void ManagementServer::ScheduleAccept() {
   accept_retry_timer_.expires_after(TimerDuration(kAcceptRetryDelayMs));
   accept_retry_timer_.async_wait([this](error_code ec) {
-    if (!ec) connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : AcceptLater();
+    if (!ec) connections_.size() < max_connections_ || CloseOldestConnection() ? Accept() : ScheduleAccept();
   });
 }
 
--- a/src/proxy/admin/management.hpp
+++ b/src/proxy/admin/management.hpp
@@ -30,7 +30,7 @@
  private:
   class Connection;
   void Accept();
-  void AcceptLater();
+  void ScheduleAccept();
   bool CloseOldestConnection();
 
   boost::asio::io_context& io_;
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -89,7 +89,7 @@
   return file;
 }
 
-using Variables = std::function<const char*(const char*)>;
+using VariableLookup = std::function<const char*(const char*)>;
 
 bool HasValue(const json& file, const char* key) { return file.contains(key) && !file[key].is_null(); }
 
@@ -115,7 +115,7 @@
 
 // Reads the management address and enables hot restart. Hot restart requires the management port, because
 // operators check there whether the new process is ready.
-void ReadManagement(const json& file, const Variables& variable, Config& config) {
+void ReadManagement(const json& file, const VariableLookup& variable, Config& config) {
   const char* const management = variable("NODE_MGMT");
   if (management == nullptr && !HasValue(file, "mgmt")) return;
   config.management = ReadAddress(management, "NODE_MGMT", file, "mgmt");
@@ -135,14 +135,15 @@
 }
 
 void ReadLimits(const json& file, Config& config) {
-  config.sockets = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/sockets", 1024));
-  config.memory = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/memory_mb", 64) * (1 << 20));
+  config.max_descriptors = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/sockets", 1024));
+  config.memory_limit_bytes =
+      static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/memory_mb", 64) * (1 << 20));
   config.settings = ReadSettings(file);
   config.connect_timeout = ReadPositiveNumber(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
   config.idle_timeout = ReadPositiveNumber(file, "/settings/limits/connIdleMs", config.idle_timeout);
 }
 
-void ReadStateFolder(const json& file, const Variables& variable, Config& config) {
+void ReadStateFolder(const json& file, const VariableLookup& variable, Config& config) {
   constexpr double kMaxSyncDelayMs = 60000;
   if (!HasValue(file, "state_dir")) return;
   const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
@@ -159,20 +160,20 @@
   if (config.state_owner.find('\n') != std::string::npos) throw ConfigError("NODE_NAME: must be one line");
 }
 
-void ReadLogForm(const json& file, Config& config) {
+void ReadLogFormat(const json& file, Config& config) {
   const json::json_pointer pointer("/log/form");
   if (!file.contains(pointer)) return;
-  const json& form = file[pointer];
-  if (form != "text" && form != "json")
-    throw ConfigError("log/form: must be \"text\" or \"json\", not " + form.dump());
-  if (form == "json") config.log = base::LogFormat::kJson;
+  const json& log_format = file[pointer];
+  if (log_format != "text" && log_format != "json")
+    throw ConfigError("log/form: must be \"text\" or \"json\", not " + log_format.dump());
+  if (log_format == "json") config.log_format = base::LogFormat::kJson;
 }
 
-void ReadKnownList(const json& file, Config& config) {
+void ReadInitialList(const json& file, Config& config) {
   if (!HasValue(file, "known")) return;
   const auto known = ParseEndpointList(file["known"].dump());
   if (!known) throw ConfigError("known: not a valid host list in the format of a discovery response");
-  config.known = *known;
+  config.initial_list = *known;
 }
 
 }  // namespace
@@ -187,8 +188,8 @@
   ReadSeed(file, config);
   ReadLimits(file, config);
   ReadStateFolder(file, variable, config);
-  ReadLogForm(file, config);
-  ReadKnownList(file, config);
+  ReadLogFormat(file, config);
+  ReadInitialList(file, config);
   return config;
 }
 
--- a/src/proxy/config.hpp
+++ b/src/proxy/config.hpp
@@ -22,29 +22,29 @@
 
 using base::ConfigError;
 
-// The values of the NODE_* variables and of the configuration file.
+// The values of the NODE_* variables and of the configuration file. All times are in ms.
 struct Config {
   boost::asio::ip::tcp::endpoint listen;                            // address on which clients connect
   boost::asio::ip::tcp::endpoint discovery;                         // address of the first list service
   std::vector<boost::asio::ip::tcp::endpoint> other_list_services;  // further services that publish the list
   bool guard_mass_removal = false;                                  // see EndpointListWatcher::Options
-  double max_removed_share = 0.5;
+  double max_removed_share = 0.5;                                   // see EndpointListWatcher::Options
   Millis list_stale_after = 30000;  // time without an accepted list after which the list is stale
-  std::optional<boost::asio::ip::tcp::endpoint>
-      management;                 // address of the management port; empty: there is none
-  std::string hot_restart_path;   // path of the Unix socket for hot restarts; empty: disabled
-  std::uint64_t seed = 0;         // seed of the policy's random choices and of jitter
-  std::size_t sockets = 1024;     // number of file descriptors that the process may open
-  std::size_t memory = 64 << 20;  // memory that the process may use, in bytes
+  // Address of the management port; empty if there is none.
+  std::optional<boost::asio::ip::tcp::endpoint> management;
+  std::string hot_restart_path;               // path of the Unix socket for hot restarts; empty: disabled
+  std::uint64_t seed = 0;                     // seed of the policy's random choices and of jitter
+  std::size_t max_descriptors = 1024;         // number of file descriptors that the process may open
+  std::size_t memory_limit_bytes = 64 << 20;  // memory that the process may use
   policy::Settings settings;
   Millis connect_timeout = 250;
   Millis idle_timeout = 15000;  // time after which an endpoint closes an idle connection
-  EndpointList known;           // the endpoint list at the start; may be out of date
+  EndpointList initial_list;    // the endpoint list at the start; may be out of date
   std::string state_folder;     // folder for the saved state; empty: no state is saved
   bool load_state = true;       // false: the gateway ignores and overwrites the saved state
   Millis state_sync_delay = 0;  // delay added to each sync of the state, for tests of a slow disk
   std::string state_owner;      // name and client address of the gateway that owns the state
-  base::LogFormat log = base::LogFormat::kText;
+  base::LogFormat log_format = base::LogFormat::kText;
 };
 
 // Loads the configuration from the environment and the file. `variable` returns the value of an environment
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -51,15 +51,15 @@
   options.seed = config.seed;
   options.guard_mass_removal = config.guard_mass_removal;
   options.max_removed_share = config.max_removed_share;
-  options.revision = config.known.revision;
+  options.revision = config.initial_list.revision;
   options.position_is_current = true;
   if (inherited.transferred) {
     options.revision = inherited.transferred->list.revision;
     options.epoch = inherited.transferred->list.epoch;
   } else if (saved) {
-    options.revision = std::max(config.known.revision, saved->list.revision);
+    options.revision = std::max(config.initial_list.revision, saved->list.revision);
     options.epoch = saved->list.epoch;
-    options.position_is_current = saved->list.revision <= config.known.revision;
+    options.position_is_current = saved->list.revision <= config.initial_list.revision;
   }
   return options;
 }
@@ -69,7 +69,7 @@
   options.address = config.listen;
   options.shared = !config.hot_restart_path.empty();
   options.connection_limit = budget.client_connections;
-  options.body_budget_bytes = config.memory / kBodyBudgetDivisor;
+  options.body_budget_bytes = config.memory_limit_bytes / kBodyBudgetDivisor;
   return options;
 }
 
@@ -78,7 +78,7 @@
   options.connect_timeout_ms = config.connect_timeout;
   options.endpoint_idle_timeout_ms = config.idle_timeout;
   options.connection_limit = budget.upstream_connections;
-  options.response_budget_bytes = config.memory / kBodyBudgetDivisor;
+  options.response_budget_bytes = config.memory_limit_bytes / kBodyBudgetDivisor;
   return options;
 }
 
@@ -96,7 +96,7 @@
                  std::optional<SavedState> saved)
     : io_(io),
       settings_(config.settings),
-      budget_(MakeDescriptorBudget(config.sockets)),
+      budget_(MakeDescriptorBudget(config.max_descriptors)),
       driver_(io, config.settings, config.seed, requests_, [this] { list_.Watch(); }),
       upstream_(io, MakeUpstreamPoolOptions(config, budget_)),
       list_(io, WatcherOptions(config, inherited, saved), MakeListCallbacks()),
@@ -165,7 +165,7 @@
 void Gateway::StartManagement(const Config& config) {
   if (!config.management) return;
   const std::size_t connections =
-      std::min(kMaxManagementConnections, config.sockets / kDescriptorsPerManagementConnection);
+      std::min(kMaxManagementConnections, config.max_descriptors / kDescriptorsPerManagementConnection);
   management_.emplace(io_, *config.management, std::max(kMinManagementConnections, connections),
                       [this](const std::string& command) { return commands_.Run(command); });
 }
@@ -175,11 +175,11 @@
 // unless there is a transferred list: a successor starts without a drain.
 void Gateway::RestoreList(const Config& config, const std::optional<TransferredState>& transferred,
                           const std::optional<SavedState>& saved) {
-  list_from_state_ = !transferred && saved && saved->list.revision > config.known.revision;
+  list_from_state_ = !transferred && saved && saved->list.revision > config.initial_list.revision;
   if (!transferred && saved && saved->draining) SetDraining(true);
   list_confirmed_at_ = list_from_state_ ? saved->list_valid_at : Now();
   if (transferred) return list_.Apply(transferred->list);
-  list_.Apply(list_from_state_ ? saved->list : config.known);
+  list_.Apply(list_from_state_ ? saved->list : config.initial_list);
   if (list_from_state_)
     LogRestoredList(list_.revision(), list_.endpoints().size(), Now() - saved->list_valid_at);
 }
@@ -284,7 +284,7 @@
   stop_timer_.expires_after(TimerDuration(kAcceptAfterStopMs));
   stop_timer_.async_wait([this, done = std::move(done)](error_code) {
     clients_.StopListening(done);
-    FinishWithin(kRespondWithinMs - kAcceptAfterStopMs, done);
+    CompleteRequestsWithin(kRespondWithinMs - kAcceptAfterStopMs, done);
   });
 }
 
@@ -295,10 +295,10 @@
   clients_.TransferConnections(
       [this](base::FileDescriptor client) { return hot_restart_.TransferClient(std::move(client)); },
       [this, done] { hot_restart_.WhenTransfersSent(done); });
-  FinishWithin(kRespondWithinMs, done);
+  CompleteRequestsWithin(kRespondWithinMs, done);
 }
 
-void Gateway::FinishWithin(Millis timeout, const std::function<void()>& done) {
+void Gateway::CompleteRequestsWithin(Millis timeout, const std::function<void()>& done) {
   stop_timer_.expires_after(TimerDuration(timeout));
   stop_timer_.async_wait([this, done](error_code) {
     requests_.TimeOutAll();
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -80,7 +80,7 @@
   void LimitConnections(bool half);
   TransferredState StateForSuccessor() const { return {list_.Snapshot(), driver_.policy().ExportState()}; }
   void StopForSuccessor(const std::function<void()>& done);
-  void FinishWithin(Millis timeout, const std::function<void()>& done);
+  void CompleteRequestsWithin(Millis timeout, const std::function<void()>& done);
 
   boost::asio::io_context& io_;
   const policy::Settings settings_;
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -20,7 +20,7 @@
     const proxy::Config config = proxy::LoadConfig(variable);
     std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit must not end the process
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed log pipe must not end the process
-    base::SetLogFormat(config.log);
+    base::SetLogFormat(config.log_format);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     proxy::Gateway gateway(io, config);
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -31,7 +31,7 @@
 
 void HotRestart::Start() {
   if (predecessor_state_ != PredecessorState::kNone) BeginOverlap();
-  if (predecessor_state_ == PredecessorState::kUnresponsive) EndOverlapLater();
+  if (predecessor_state_ == PredecessorState::kUnresponsive) ScheduleEndOfOverlap();
   if (predecessor_) {
     base::Log(base::Level::kInfo, "replacement", "replaces", "this process replaces a running process");
     predecessor_->SetObserver(*this);
@@ -123,7 +123,7 @@
   if (!callbacks_.is_stopping()) EndOverlap();
 }
 
-void HotRestart::EndOverlapLater() {
+void HotRestart::ScheduleEndOfOverlap() {
   overlap_timer_.expires_after(TimerDuration(kUnresponsiveOverlapMs));
   overlap_timer_.async_wait([this](error_code ec) {
     if (ec) return;
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -104,7 +104,7 @@
   void OnPredecessorMessage(HotRestartMessage message);
   void OnPredecessorDisconnected();
   void OnSuccessorDisconnected();
-  void EndOverlapLater();
+  void ScheduleEndOfOverlap();
   void BeginOverlap();
   void EndOverlap();
 
--- a/src/proxy/restart/inherited_state.cpp
+++ b/src/proxy/restart/inherited_state.cpp
@@ -33,16 +33,16 @@
   int listens = 0;
   socklen_t size = sizeof listens;
   if (::getsockopt(socket, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) return false;
-  tcp::endpoint own;
-  size = static_cast<socklen_t>(own.capacity());
-  if (::getsockname(socket, own.data(), &size) != 0) return false;
-  own.resize(size);
-  return own == address;
+  tcp::endpoint local_address;
+  size = static_cast<socklen_t>(local_address.capacity());
+  if (::getsockname(socket, local_address.data(), &size) != 0) return false;
+  local_address.resize(size);
+  return local_address == address;
 }
 
 // Returns the next message if it arrives by `deadline` and is of type Message.
 template <typename Message>
-std::optional<Message> WaitFor(int socket, Millis deadline) {
+std::optional<Message> WaitForMessage(int socket, Millis deadline) {
   std::optional<Packet> packet = WaitForPacket(socket, deadline);
   if (!packet) return std::nullopt;
   HotRestartMessage message = DecodeMessage(*std::move(packet));
@@ -58,11 +58,11 @@
   if (!predecessor) return {};
   if (SendPacket(predecessor.get(), EncodeMessage(Hello{})) != SendResult::kSent) return {};
   const Millis deadline = Now() + kTransferTimeoutMs;
-  auto listener = WaitFor<ListenerTransfer>(predecessor.get(), deadline);
+  auto listener = WaitForMessage<ListenerTransfer>(predecessor.get(), deadline);
   if (!listener || !ListensAt(listener->listener.get(), address)) return {};
   InheritedState inherited;
   inherited.listener = std::move(listener->listener);
-  if (auto transfer = WaitFor<StateTransfer>(predecessor.get(), deadline)) {
+  if (auto transfer = WaitForMessage<StateTransfer>(predecessor.get(), deadline)) {
     inherited.transferred = std::move(transfer->state);
   }
   inherited.predecessor = std::move(predecessor);
--- a/src/proxy/restart/learned_state_json.cpp
+++ b/src/proxy/restart/learned_state_json.cpp
@@ -37,19 +37,20 @@
           endpoint.started_at,   endpoint.last_outcome_at};
 }
 
-LearnedState::Endpoint ParseEndpoint(const json& form) {
+LearnedState::Endpoint ParseEndpoint(const json& endpoint_json) {
   LearnedState::Endpoint endpoint;
-  endpoint.id = form.at(0);
-  endpoint.latency = ParseNumber(form.at(1));
-  endpoint.long_term_latency = ParseNumber(form.at(2));
-  endpoint.base_latency = ParseNumber(form.at(3));
-  endpoint.failure_rate = ParseNumber(form.at(4));
-  endpoint.concurrency_limit = ParseNumber(form.at(5));
-  endpoint.samples = ParseCount(form.at(6));
-  endpoint.ejected = form.at(7);
-  endpoint.restart_suspected = form.at(8);
-  endpoint.started_at = form.at(9);
-  if (form.size() > kLastOutcomeIndex) endpoint.last_outcome_at = form.at(kLastOutcomeIndex);
+  endpoint.id = endpoint_json.at(0);
+  endpoint.latency = ParseNumber(endpoint_json.at(1));
+  endpoint.long_term_latency = ParseNumber(endpoint_json.at(2));
+  endpoint.base_latency = ParseNumber(endpoint_json.at(3));
+  endpoint.failure_rate = ParseNumber(endpoint_json.at(4));
+  endpoint.concurrency_limit = ParseNumber(endpoint_json.at(5));
+  endpoint.samples = ParseCount(endpoint_json.at(6));
+  endpoint.ejected = endpoint_json.at(7);
+  endpoint.restart_suspected = endpoint_json.at(8);
+  endpoint.started_at = endpoint_json.at(9);
+  if (endpoint_json.size() > kLastOutcomeIndex)
+    endpoint.last_outcome_at = endpoint_json.at(kLastOutcomeIndex);
   return endpoint;
 }
 
@@ -81,21 +82,21 @@
           {"servers", std::move(endpoints)}};
 }
 
-LearnedState LearnedStateFromJson(const json& form) {
+LearnedState LearnedStateFromJson(const json& learned_json) {
   LearnedState learned;
-  learned.rate = ParseNumber(form.at("rate"));
-  learned.sent_rate = ParseNumber(form.at("spent"));
-  learned.failure_rate = ParseNumber(form.at("failing"));
-  learned.mean_latency = ParseNumber(form.at("mean_latency"));
-  learned.samples = ParseCount(form.at("samples"));
-  learned.exported_at = form.value("at", 0.0);
-  learned.gateway_count = form.value("gateways", 0);
-  for (const json& element : form.at("classes")) {
+  learned.rate = ParseNumber(learned_json.at("rate"));
+  learned.sent_rate = ParseNumber(learned_json.at("spent"));
+  learned.failure_rate = ParseNumber(learned_json.at("failing"));
+  learned.mean_latency = ParseNumber(learned_json.at("mean_latency"));
+  learned.samples = ParseCount(learned_json.at("samples"));
+  learned.exported_at = learned_json.value("at", 0.0);
+  learned.gateway_count = learned_json.value("gateways", 0);
+  for (const json& element : learned_json.at("classes")) {
     learned.classes.push_back(
         {element.at(0), ParseNumber(element.at(1)), ParseCount(element.at(2)), ParseNumber(element.at(3))});
   }
-  for (const json& element : form.at("servers")) learned.endpoints.push_back(ParseEndpoint(element));
-  for (const json& element : form.value("kinds", json::array())) {
+  for (const json& element : learned_json.at("servers")) learned.endpoints.push_back(ParseEndpoint(element));
+  for (const json& element : learned_json.value("kinds", json::array())) {
     learned.machine_types.push_back({element.at(0), ParseNumber(element.at(1)), ParseNumber(element.at(2))});
   }
   return learned;
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -24,7 +24,7 @@
 // write them; the fields then keep their defaults. Throws std::exception if any other value is missing, if a
 // value has the wrong type, or if a number is negative, infinite or above 1e12. Does not check points in
 // time.
-policy::LearnedState LearnedStateFromJson(const nlohmann::json& form);
+policy::LearnedState LearnedStateFromJson(const nlohmann::json& learned_json);
 
 }  // namespace gateway::proxy
 
--- a/src/proxy/restart/saved_state.cpp
+++ b/src/proxy/restart/saved_state.cpp
@@ -20,9 +20,9 @@
   base::Log(base::Level::kWarning, "state", "not_read", "saved state: " + reason);
 }
 
-std::optional<policy::LearnedState> ParseLearned(const json& form) {
+std::optional<policy::LearnedState> ParseLearned(const json& learned_json) {
   try {
-    return LearnedStateFromJson(form);
+    return LearnedStateFromJson(learned_json);
   } catch (const std::exception& error) {
     LogNotRead(std::string("ignored the learned state: ") + error.what());
     return std::nullopt;
@@ -32,22 +32,22 @@
 }  // namespace
 
 std::string SerializeSavedState(const SavedState& state) {
-  json form = {{"list", json::parse(SerializeEndpointList(state.list))},
-               {"draining", state.draining},
-               {"kept_at_ms", state.list_valid_at}};
-  if (state.learned) form["learned"] = LearnedStateToJson(*state.learned);
-  return form.dump();
+  json state_json = {{"list", json::parse(SerializeEndpointList(state.list))},
+                     {"draining", state.draining},
+                     {"kept_at_ms", state.list_valid_at}};
+  if (state.learned) state_json["learned"] = LearnedStateToJson(*state.learned);
+  return state_json.dump();
 }
 
 std::optional<SavedState> ParseSavedState(const std::string& text) {
-  const json form = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!form.is_object() || !form.contains("list")) return std::nullopt;
-  const json draining = form.value("draining", json());
-  const json list_valid_at = form.value("kept_at_ms", json());
-  std::optional<EndpointList> list = ParseEndpointList(form["list"].dump());
+  const json state_json = json::parse(text, nullptr, /*allow_exceptions=*/false);
+  if (!state_json.is_object() || !state_json.contains("list")) return std::nullopt;
+  const json draining = state_json.value("draining", json());
+  const json list_valid_at = state_json.value("kept_at_ms", json());
+  std::optional<EndpointList> list = ParseEndpointList(state_json["list"].dump());
   if (!list || !list->complete || !draining.is_boolean() || !list_valid_at.is_number()) return std::nullopt;
   SavedState state{*std::move(list), draining.get<bool>(), list_valid_at.get<double>(), std::nullopt};
-  if (form.contains("learned")) state.learned = ParseLearned(form["learned"]);
+  if (state_json.contains("learned")) state.learned = ParseLearned(state_json["learned"]);
   return state;
 }
 
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -33,10 +33,10 @@
 }  // namespace
 
 struct StateSaver::Shared {
-  ~Shared() { delete newest.load(); }
+  ~Shared() { delete newest_state.load(); }
 
-  std::atomic<std::string*> newest{nullptr};  // owned by the thread that exchanges it for null
-  std::atomic<std::uint32_t> wakes{0};  // incremented by each Save() and at the stop, to wake the thread
+  std::atomic<std::string*> newest_state{nullptr};  // owned by the thread that exchanges it for null
+  std::atomic<std::uint32_t> wake_count{0};  // incremented by each Save() and at the stop, to wake the thread
   std::atomic<bool> stopping{false};
   std::atomic<bool> done{false};  // the thread has finished
   std::atomic<bool> ok{true};
@@ -70,7 +70,7 @@
   std::unique_ptr<storage::Store> store_;  // null until the folder has been opened
   int open_polls_ = 0;
   std::string last_open_error_;  // used to log an error again only if it changes
-  std::uint32_t seen_wakes_ = 0;
+  std::uint32_t seen_wake_count_ = 0;
 };
 
 StateSaver::Writer::Writer(std::string folder, const std::string& owner, Millis sync_delay,
@@ -95,10 +95,10 @@
 // Waits for the next state to write. Returns null if the saver stops.
 std::unique_ptr<std::string> StateSaver::Writer::WaitForState() {
   for (;;) {
-    std::unique_ptr<std::string> state(shared_->newest.exchange(nullptr));
+    std::unique_ptr<std::string> state(shared_->newest_state.exchange(nullptr));
     if (state || shared_->stopping) return state;
-    shared_->wakes.wait(seen_wakes_);
-    seen_wakes_ = shared_->wakes;
+    shared_->wake_count.wait(seen_wake_count_);
+    seen_wake_count_ = shared_->wake_count;
   }
 }
 
@@ -157,8 +157,8 @@
 
 StateSaver::~StateSaver() {
   shared_->stopping = true;
-  shared_->wakes.fetch_add(1);
-  shared_->wakes.notify_one();
+  shared_->wake_count.fetch_add(1);
+  shared_->wake_count.notify_one();
   const auto deadline = std::chrono::steady_clock::now() + kMaxLastWriteTime;
   while (!shared_->done && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(kLastWritePollInterval);
@@ -167,9 +167,9 @@
 
 void StateSaver::Save(const SavedState& state) {
   if (!shared_->ok) return;
-  delete shared_->newest.exchange(new std::string(SerializeSavedState(state)));
-  shared_->wakes.fetch_add(1);
-  shared_->wakes.notify_one();
+  delete shared_->newest_state.exchange(new std::string(SerializeSavedState(state)));
+  shared_->wake_count.fetch_add(1);
+  shared_->wake_count.notify_one();
 }
 
 bool StateSaver::ok() const { return shared_->ok; }
--- a/src/proxy/restart/transferred_state.cpp
+++ b/src/proxy/restart/transferred_state.cpp
@@ -12,17 +12,17 @@
 using nlohmann::json;
 
 std::string SerializeTransferredState(const TransferredState& state) {
-  json form = LearnedStateToJson(state.learned);
-  form["list"] = json::parse(SerializeEndpointList(state.list));
-  return form.dump();
+  json state_json = LearnedStateToJson(state.learned);
+  state_json["list"] = json::parse(SerializeEndpointList(state.list));
+  return state_json.dump();
 }
 
 std::optional<TransferredState> ParseTransferredState(const std::string& text) {
   try {
-    const json form = json::parse(text);
-    std::optional<EndpointList> list = ParseEndpointList(form.at("list").dump());
+    const json state_json = json::parse(text);
+    std::optional<EndpointList> list = ParseEndpointList(state_json.at("list").dump());
     if (!list) return std::nullopt;
-    TransferredState state{*std::move(list), LearnedStateFromJson(form)};
+    TransferredState state{*std::move(list), LearnedStateFromJson(state_json)};
     const Millis now = Now();
     state.learned.exported_at = now;
     for (policy::LearnedState::Endpoint& endpoint : state.learned.endpoints) endpoint.last_outcome_at = now;
