--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -115,8 +115,8 @@
   ManagementServer& server_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  std::array<char, kMaxLineBytes>
-      buffer_;  // the command; after the response, the bytes that DiscardInput() reads
+  // Holds the command, and after the response the bytes that DiscardInput() reads.
+  std::array<char, kMaxLineBytes> buffer_;
   std::size_t received_bytes_ = 0;
   std::string response_;
   const Millis accepted_at_ = Now();
--- a/src/proxy/buffer_budget.hpp
+++ b/src/proxy/buffer_budget.hpp
@@ -27,7 +27,7 @@
  public:
   explicit BufferCharge(BufferBudget& budget) : budget_(budget) {}
   const BufferBudget& budget() const { return budget_; }
-  // Replaces the charge by `bytes`.
+  // Sets the charge to `bytes`.
   void Set(std::size_t bytes) {
     const std::size_t previous_bytes = std::exchange(bytes_, bytes);
     budget_.used_bytes_ = budget_.used_bytes_ - previous_bytes + bytes;
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -38,8 +38,8 @@
     virtual void OnEndpointList(EndpointList list) = 0;
     // Called when the watch has ended because every service failed in turn. `call_duration` is the time since
     // the start of the last call. Watch(), which this method may call, and ChangeAddress() begin a new watch.
-    // A probe also begins one if it detects that another service has a newer list, or that the first service
-    // responds again.
+    // A probe also begins a new watch if it detects that another service has a newer list, or that the first
+    // service responds again.
     virtual void OnWatchFailed(Millis call_duration) = 0;
     // Returns the reason for rejecting `list` as a text for the log, or an empty string to accept the list.
     // The client treats the call that returned a rejected list as failed. This method may apply the drains of
@@ -59,7 +59,7 @@
     // The following options apply only if there are several services.
     Millis probe_interval = 5000;    // mean time between two probes
     Millis catch_up_timeout = 2000;  // how long the client waits for the watched service to catch up
-    Millis return_delay = 30000;     // delay of a return to the first service, see ServiceFailover
+    Millis return_delay = 30000;     // see the constructor of ServiceFailover
   };
 
   // `observer` must outlive the client, which does not call it before Watch(). Probes begin at once.
--- a/src/proxy/discovery/endpoint_list.hpp
+++ b/src/proxy/discovery/endpoint_list.hpp
@@ -18,7 +18,7 @@
 
 struct ListedEndpoint {
   policy::EndpointInfo info;
-  boost::asio::ip::tcp::endpoint address;  // default-constructed if the list has none for a removed endpoint
+  boost::asio::ip::tcp::endpoint address;  // default-constructed if a removed endpoint has no address
 };
 
 // A snapshot of the endpoint list, or a delta to an earlier snapshot.
--- a/src/proxy/discovery/endpoint_list_watcher.hpp
+++ b/src/proxy/discovery/endpoint_list_watcher.hpp
@@ -38,8 +38,8 @@
     double max_removed_share = 0.5;
   };
 
-  // The watcher calls them from the event loop, and list_changed also from within Apply(). Each callback may
-  // call Watch() and the accessors.
+  // The watcher calls the callbacks from the event loop, and list_changed also from within Apply(). Each
+  // callback may call Watch() and the accessors.
   struct Callbacks {
     // Called after a list from a service was accepted. The call of list_changed follows at once.
     std::function<void()> list_received;
@@ -53,7 +53,8 @@
   // All callbacks must be set and must remain valid for the watcher's lifetime.
   EndpointListWatcher(boost::asio::io_context& io, Options options, Callbacks callbacks);
 
-  // Applies a list from another source than a call of this process, without the check for mass removal.
+  // Applies a list that does not come from a call of the discovery client, for example the list in the
+  // configuration. Does not check for a mass removal.
   void Apply(const EndpointList& list);
 
   // See DiscoveryClient.
--- a/src/proxy/discovery/service_failover.hpp
+++ b/src/proxy/discovery/service_failover.hpp
@@ -14,8 +14,8 @@
 
 // What the client does after a probe. A probe is a call to another service than the watched one.
 enum class ProbeDecision {
-  kStay,
-  kReturnToFirst,
+  kStay,           // continue to watch the current service
+  kReturnToFirst,  // the first service responds again; return to it
   // The probed service has a newer revision. Switch to it, unless the watched service sends that revision
   // within a grace period.
   kSwitchUnlessCaughtUp,
@@ -42,8 +42,8 @@
   // Makes the first service the current service. To be called when its address has changed.
   void ResetToFirst() { current_ = 0; }
 
-  // Returns the service to probe next: the first service if a return to it is due, otherwise each service
-  // that is not watched in turn. Requires at least two services.
+  // Returns the service to probe next: the first service if a return to it is due, otherwise the
+  // unwatched services in turn. Requires at least two services.
   std::size_t NextProbe(Millis now);
 
   // Compares `list`, which the probe of `service` returned, with the position of the watch. Returns kStay if
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -84,8 +84,7 @@
 
   boost::asio::io_context& io_;
   const policy::Settings settings_;
-  const DescriptorBudget
-      budget_;  // the full budget; half of it applies while two processes run as this gateway
+  const DescriptorBudget budget_;  // half of this budget applies while two processes run as this gateway
   PolicyDriver driver_;
   UpstreamPool upstream_;
   EndpointListWatcher list_;
--- a/src/proxy/load_report.hpp
+++ b/src/proxy/load_report.hpp
@@ -8,9 +8,9 @@
 
 namespace gateway::proxy {
 
-// Parses a report such as "inflight=7,util=0.61". Returns the values of `fields` in the order of `fields`;
-// the value of a missing or malformed field is NaN. Ignores all other fields of the report. Returns an empty
-// vector if `text` is empty.
+// Parses a report such as "inflight=7,util=0.61". Returns one value for each element of `fields`, in
+// this order. The value of a missing or malformed field is NaN. Ignores all other fields of the report.
+// Returns an empty vector if `text` is empty.
 std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace gateway::proxy
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -18,7 +18,7 @@
   try {
     const auto variable = [](const char* name) -> const char* { return std::getenv(name); };
     const proxy::Config config = proxy::LoadConfig(variable);
-    std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit must not end the process
+    std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit must fail, not end the process
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed log pipe must not end the process
     base::SetLogFormat(config.log_format);
     boost::asio::io_context io(1);
--- a/src/proxy/policy_driver.cpp
+++ b/src/proxy/policy_driver.cpp
@@ -11,8 +11,8 @@
 namespace gateway::proxy {
 namespace {
 
-// Returns the ID of the request of an event: a request has arrived, an attempt has ended or a client has
-// disconnected. Returns an empty ID for any other event.
+// Returns the ID of the request if the event reports the arrival of a request, the end of an attempt or the
+// disconnect of a client. Returns an empty ID for any other event.
 std::string RequestIdOf(const policy::Event& event) {
   if (const auto* request = std::get_if<policy::Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<policy::AttemptOutcome>(&event)) return outcome->request;
--- a/src/proxy/restart/hot_restart.cpp
+++ b/src/proxy/restart/hot_restart.cpp
@@ -12,8 +12,8 @@
 
 using boost::system::error_code;
 
-constexpr Millis kUnresponsiveOverlapMs =
-    11000;  // assumed length of the overlap with an unresponsive predecessor
+// The assumed length of the overlap with an unresponsive predecessor.
+constexpr Millis kUnresponsiveOverlapMs = 11000;
 constexpr Millis kTransferPollIntervalMs = 10;  // time between two checks whether all transfers were sent
 
 }  // namespace
@@ -99,8 +99,8 @@
   EndOverlap();
 }
 
-// Returns -1, which refuses a transfer, while a successor is connected, because a process can have only one
-// successor. Also returns -1 while this process stops.
+// Returns -1 (no transfer) while a successor is connected, because a process can have only one successor.
+// Also returns -1 while this process stops.
 int HotRestart::ListenerForSuccessor() {
   if (successor_ || callbacks_.is_stopping()) return -1;
   return callbacks_.listener();
--- a/src/proxy/restart/hot_restart.hpp
+++ b/src/proxy/restart/hot_restart.hpp
@@ -11,9 +11,9 @@
 //   5     returns to all connections
 //
 // If the predecessor exits early, the successor returns to the full rate and all connections. If the
-// successor exits, the predecessor does so. If no process responds to Hello but another process listens on
-// the client address, both processes share that address (SO_REUSEPORT) and the successor assumes an overlap
-// of fixed length.
+// successor exits, the predecessor returns to the full rate and all connections. If no process responds to
+// Hello but another process listens on the client address, both processes share that address (SO_REUSEPORT)
+// and the successor assumes an overlap of fixed length.
 #ifndef GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 #define GATEWAY_PROXY_RESTART_HOT_RESTART_HPP_
 
@@ -68,7 +68,7 @@
   // returns true. To be called whenever is_ready() may have become true, also before Start().
   void NotifyReadiness();
 
-  // Whether a successor is connected and accepts clients.
+  // Returns whether a successor is connected and accepts clients.
   bool HasReadySuccessor() const;
 
   // The following methods require that HasReadySuccessor() has returned true.
--- a/src/proxy/restart/inherited_state.hpp
+++ b/src/proxy/restart/inherited_state.hpp
@@ -20,8 +20,8 @@
 };
 
 // Requests the state of the process that listens on the Unix socket at `path`. Accepts the state only from a
-// process of the same user, and only if the transferred socket listens on `address`. Blocks for at most 0.5
-// s.
+// process of the same user, and only if the transferred socket listens on `address`. Blocks for at most
+// 500 ms.
 InheritedState InheritFromPredecessor(const std::string& path, const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/learned_state_json.hpp
+++ b/src/proxy/restart/learned_state_json.hpp
@@ -22,8 +22,8 @@
 
 // The values "at", "gateways", "kinds" and last_outcome_at may be absent, because earlier versions did not
 // write them; the fields then keep their defaults. Throws std::exception if any other value is missing, if a
-// value has the wrong type, or if a number is negative, infinite or above 1e12. Does not check points in
-// time.
+// value has the wrong type, or if a number is negative, infinite or above 1e12. Does not check the range of
+// points in time.
 policy::LearnedState LearnedStateFromJson(const nlohmann::json& learned_json);
 
 }  // namespace gateway::proxy
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -35,7 +35,8 @@
 struct StateSaver::Shared {
   ~Shared() { delete newest_state.load(); }
 
-  std::atomic<std::string*> newest_state{nullptr};  // owned by the thread that exchanges it for null
+  // The state to write next, or null. The thread that exchanges the pointer owns the previous state.
+  std::atomic<std::string*> newest_state{nullptr};
   std::atomic<std::uint32_t> wake_count{0};  // incremented by each Save() and at the stop, to wake the thread
   std::atomic<bool> stopping{false};
   std::atomic<bool> done{false};  // the thread has finished
--- a/src/proxy/restart/state_saver.hpp
+++ b/src/proxy/restart/state_saver.hpp
@@ -19,8 +19,8 @@
  public:
   // `sync_delay` is added to each sync, to test with a slow disk. It is 0 in production.
   StateSaver(std::string folder, std::string owner, Millis sync_delay = 0);
-  // Waits up to 200 ms for the thread to write the newest state. After that the detached thread continues to
-  // run, because the disk may hang.
+  // Waits up to 200 ms for the thread to write the newest state and to end. If the thread is still running
+  // after that time, for example because the disk hangs, leaves the detached thread running.
   ~StateSaver();
   StateSaver(const StateSaver&) = delete;
   StateSaver& operator=(const StateSaver&) = delete;
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -141,8 +141,8 @@
 
 // While discovery is down, idle clients and requests in flight could use up all file descriptors. The gateway
 // must reserve descriptors for the management port, for hosts and for discovery, and must reject further
-// clients at once. The limit of the process is equal to the configured limit, so the test fails if the
-// gateway needs more descriptors than that.
+// clients at once. The descriptor limit of the process equals the configured limit, so the test
+// fails if the gateway needs more descriptors.
 TEST(Program, ReservesDescriptorsForDiscoveryHostsAndOperators) {
   constexpr int kSockets = 128;
   constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
