--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -34,7 +34,8 @@
         list["epoch"] = service->epoch;
         const auto after = target.find("after=" + std::to_string(service->revision) + "&");
         const bool is_current = after != std::string::npos;
-        if (is_long_poll && is_current && service->status == 200) return;  // no response without a change
+        if (is_long_poll && is_current && service->status == 200)
+          return;  // a long poll receives no response until the list changes
         request.Respond(service->status, list.dump());
       };
     }
--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -142,7 +142,7 @@
   EXPECT_EQ(fixture.Request(busy, "three", 2), "three");
   EXPECT_FALSE(idle.closed_by_gateway());
   EXPECT_FALSE(busy.closed_by_gateway());
-  auto last = fixture.Start();  // a second replacement
+  auto last = fixture.Start();  // a third process replaces the second process
   ASSERT_TRUE(fixture.BecomesReady(last));
   next.process->Terminate();
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return next.process->HasExited(); }));
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -94,7 +94,7 @@
   EXPECT_EQ(client->Await(3).result_int(), 502u);
   client->Send(ApiCall("late", "pay", "15m"));
   EXPECT_EQ(client->Await(4).result_int(), 503u);
-  client->Send(ApiCall("no such class", "steal"));  // not counted: it belongs to no class
+  client->Send(ApiCall("no such class", "steal"));  // not counted, because there is no class "steal"
   EXPECT_EQ(client->Await(5).result_int(), 400u);
   const auto waits = harness.Connect(), leaves = harness.Connect();
   waits->Send(ApiCall("waits"));
@@ -204,7 +204,7 @@
     ASSERT_TRUE(saved);
     harness.Restart(/*load_state=*/false);  // ignores the saved state, as a start after two crashes does
     EXPECT_EQ(harness.Vars()["pool_size"], 2);
-    harness.Restart();  // discovery does not respond to the new gateway yet
+    harness.Restart();  // discovery has not responded to the restarted gateway yet
     EXPECT_EQ(harness.Vars()["list_from"], "state");
     EXPECT_EQ(harness.Vars()["pool_size"], 1);
     EXPECT_TRUE(harness.Call("check\n").starts_with("FAILURE draining"));
@@ -295,7 +295,7 @@
 
 // The gateway must save the learned state while it serves requests, and a restarted gateway must load that
 // state.
-TEST(SavedState, IncludesLearnedState) {
+TEST(SavedState, IncludesTheLearnedStateOfServedRequests) {
   const StateFolder folder;
   GatewayHarness harness(1, TestSettings(), 300, MakeStateConfiguration(folder));
   harness.host().serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, ""); };
@@ -417,7 +417,7 @@
     EXPECT_TRUE(client->AwaitClose());
   }
   partial->Send("GET /api HTTP/1.1\r\n");
-  EXPECT_TRUE(partial->AwaitClose());  // rejected or closed, but not kept open
+  EXPECT_TRUE(partial->AwaitClose());  // the gateway may respond, but must close the connection
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(harness.Call("drain-off\n").starts_with("SUCCESS"));
   EXPECT_EQ(health_status(), 200u);
   const auto client = harness.Connect();
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -181,7 +181,8 @@
   auto busy = connect_clients(kMaxClientConnections);
   for (std::size_t i = 0; i < busy.size(); ++i)
     busy[i]->Send(ApiCall("busy" + std::to_string(i), "view", "20000m"));
-  ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 2; }));  // the others are queued
+  ASSERT_TRUE(
+      RunUntil(io, [&] { return host.requests.size() == 2; }));  // the gateway queues the other requests
   EXPECT_TRUE(check().starts_with("SUCCESS"));
   // All client connections are in use: the gateway rejects another client before a request in flight
   // completes.
@@ -239,8 +240,8 @@
 // A failure of discovery while a gateway is restarted.
 struct DiscoveryFailure {
   std::string name;
-  bool listens;                                                     // if false, it refuses connections
-  std::function<void(const FakeServer::ReceivedRequest&)> respond;  // if empty, it never responds
+  bool listens;                                                     // if false, discovery refuses connections
+  std::function<void(const FakeServer::ReceivedRequest&)> respond;  // if empty, discovery never responds
 };
 
 std::vector<DiscoveryFailure> AllDiscoveryFailures() {
--- a/tests/replace_between_builds.py
+++ b/tests/replace_between_builds.py
@@ -4,8 +4,8 @@
 
 The script emulates three hosts and a discovery service. The configuration names no host, and discovery sends
 its list to the old process only. So the new process becomes ready only if the old process transfers the list.
-One host fails every request, so the old process ejects that host. The new process ejects it from the start
-only if the old process transfers the learned state.
+One host fails every request, so the old process ejects that host. At its start the new process ejects that
+host only if the old process transfers the learned state.
 """
 
 from __future__ import annotations
@@ -382,8 +382,8 @@
     check(
         failures,
         new_vars["pool_ejected"] == 1,
-        f"hosts that the new process ejects at its start: {new_vars['pool_ejected']}, expected 1 by the "
-        f"transferred learned state",
+        f"hosts ejected at the start of the new process by the transferred learned state: "
+        f"{new_vars['pool_ejected']}, expected 1",
     )
     await asyncio.sleep(DISCOVERY_CALLS_SECONDS)
     calls = discovery.calls_when_silent
