--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-// Returns a string without quotes, any other value as JSON.
+// Returns the text of a string without quotes, and the JSON of any other value.
 std::string ScalarToText(const json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Flattens the settings of the configuration file to path=value pairs, the form of the simulator's first
-// message. One parser thus reads the settings from either source, and a setting has the same name and unit in
+// Flattens the settings of the configuration file to path=value pairs, the format of the simulator's first
+// message. So one parser reads the settings from both sources, and a setting has the same name and unit in
 // both.
 void Flatten(const json& node, const std::string& path, std::vector<std::string>& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
@@ -51,24 +51,24 @@
   }
 }
 
-// Reads the number at the JSON pointer `path`, which must be above 0. Returns `default_value` if it is
-// absent.
+// Reads the number at the JSON pointer `path`. Returns `default_value` if the number is absent. Throws
+// ConfigError if it is not above 0.
 double ReadPositiveNumber(const json& file, const std::string& path, double default_value) {
   const json::json_pointer pointer(path);
   if (!file.contains(pointer) || file[pointer].is_null()) return default_value;
   if (!file[pointer].is_number() || !(file[pointer].get<double>() > 0)) {
-    throw ConfigError(path.substr(1) + ": must be a number above 0");
+    throw ConfigError(path.substr(1) + ": must be a number above 0, not " + file[pointer].dump());
   }
   return file[pointer].get<double>();
 }
 
-// Reads an address from `variable` if it is not null, otherwise from `field` of the file. Error messages
-// refer to the address by `name`.
-boost::asio::ip::tcp::endpoint ReadAddress(const char* variable, const std::string& name, const json& file,
+// Reads an address from `value`, the value of an environment variable, if it is not null. Otherwise reads the
+// address from `field` of the file. Error messages refer to the address by `name`.
+boost::asio::ip::tcp::endpoint ReadAddress(const char* value, const std::string& name, const json& file,
                                            const std::string& field) {
   std::string text;
-  if (variable != nullptr) {
-    text = variable;
+  if (value != nullptr) {
+    text = value;
   } else if (file.contains(field) && file[field].is_string()) {
     text = file[field].get<std::string>();
   } else {
@@ -89,7 +89,7 @@
   return file;
 }
 
-using Variables = std::function<const char*(const char*)>;
+using VariableLookup = std::function<const char*(const char*)>;
 
 bool HasValue(const json& file, const char* key) { return file.contains(key) && !file[key].is_null(); }
 
@@ -97,7 +97,7 @@
   if (HasValue(file, "discovery_endpoints")) {
     const json& services = file["discovery_endpoints"];
     if (!services.is_array() || services.empty())
-      throw ConfigError("discovery_endpoints: must be a list of addresses");
+      throw ConfigError("discovery_endpoints: must be a non-empty list of addresses");
     for (const json& service : services) {
       const auto address = base::ParseSocketAddress(service.is_string() ? service.get<std::string>() : "");
       if (!address)
@@ -113,8 +113,9 @@
       1000 * ReadPositiveNumber(file, "/list/old_after_s", config.list_stale_after / 1000);
 }
 
-// Hot restart requires the management port, which shows operators when the new process is ready.
-void ReadManagement(const json& file, const Variables& variable, Config& config) {
+// Reads the management address and enables hot restart. Hot restart requires the management port, because
+// operators check there whether the new process is ready.
+void ReadManagement(const json& file, const VariableLookup& variable, Config& config) {
   const char* const management = variable("NODE_MGMT");
   if (management == nullptr && !HasValue(file, "mgmt")) return;
   config.management = ReadAddress(management, "NODE_MGMT", file, "mgmt");
@@ -134,14 +135,15 @@
 }
 
 void ReadLimits(const json& file, Config& config) {
-  config.sockets = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/sockets", 1024));
-  config.memory = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/memory_mb", 64) * (1 << 20));
+  config.max_descriptors = static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/sockets", 1024));
+  config.memory_limit_bytes =
+      static_cast<std::size_t>(ReadPositiveNumber(file, "/limits/memory_mb", 64) * (1 << 20));
   config.settings = ReadSettings(file);
   config.connect_timeout = ReadPositiveNumber(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
   config.idle_timeout = ReadPositiveNumber(file, "/settings/limits/connIdleMs", config.idle_timeout);
 }
 
-void ReadStateFolder(const json& file, const Variables& variable, Config& config) {
+void ReadStateFolder(const json& file, const VariableLookup& variable, Config& config) {
   constexpr double kMaxSyncDelayMs = 60000;
   if (!HasValue(file, "state_dir")) return;
   const std::string folder = file["state_dir"].is_string() ? file["state_dir"].get<std::string>() : "";
@@ -158,19 +160,20 @@
   if (config.state_owner.find('\n') != std::string::npos) throw ConfigError("NODE_NAME: must be one line");
 }
 
-void ReadLogForm(const json& file, Config& config) {
+void ReadLogFormat(const json& file, Config& config) {
   const json::json_pointer pointer("/log/form");
   if (!file.contains(pointer)) return;
-  const json& form = file[pointer];
-  if (form != "text" && form != "json") throw ConfigError("log/form: must be \"text\" or \"json\"");
-  if (form == "json") config.log = base::LogFormat::kJson;
+  const json& log_format = file[pointer];
+  if (log_format != "text" && log_format != "json")
+    throw ConfigError("log/form: must be \"text\" or \"json\", not " + log_format.dump());
+  if (log_format == "json") config.log_format = base::LogFormat::kJson;
 }
 
-void ReadKnownList(const json& file, Config& config) {
+void ReadInitialList(const json& file, Config& config) {
   if (!HasValue(file, "known")) return;
   const auto known = ParseEndpointList(file["known"].dump());
   if (!known) throw ConfigError("known: not a valid host list in the format of a discovery response");
-  config.known = *known;
+  config.initial_list = *known;
 }
 
 }  // namespace
@@ -185,13 +188,14 @@
   ReadSeed(file, config);
   ReadLimits(file, config);
   ReadStateFolder(file, variable, config);
-  ReadLogForm(file, config);
-  ReadKnownList(file, config);
+  ReadLogFormat(file, config);
+  ReadInitialList(file, config);
   return config;
 }
 
 boost::asio::ip::tcp::endpoint LoadDiscoveryAddress(const std::function<const char*(const char*)>& variable) {
-  // Ignores NODE_DISCOVERY, which holds the address at the start of the process and may be out of date.
+  // Ignores NODE_DISCOVERY, because it contains the address at the start of the process, which may be out of
+  // date.
   return ReadAddress(nullptr, "discovery", ReadFile(variable), "discovery");
 }
 
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -13,29 +13,30 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Discovery treats a change as received 6 s after publishing it. A call that receives no response in time is
-// the only sign of a broken watch. So a call times out after 3.5 s, and the policy begins the next call
-// within 4.5 s, counted from the start of the failed call.
+// Discovery assumes that every gateway has received a change 6 s after its publication. The gateway detects a
+// broken watch only by a call that times out. So a call times out after 3.5 s, and the policy begins the next
+// call within 4.5 s after the start of the failed call.
 constexpr Millis kResponseTimeoutMs = 3500;
 constexpr Millis kConnectTimeoutMs = 1000;
-// The maximum wait of a long poll on an open connection.
+// How long the service may delay its response to a long poll on an open connection.
 constexpr Millis kMaxWaitMs = 2500;
-// The maximum wait of the first long poll on a new connection. It is shorter because the connection must be
-// opened.
+// How long the service may delay its response to the first long poll on a new connection. This time is
+// shorter because opening the connection also takes time.
 constexpr Millis kMaxFirstWaitMs = 1000;
-// The share by which a wait is shortened at random, so that gateways whose watches failed at the same time do
-// not retry at the same time.
+// The maximum share by which a wait is shortened at random. If the watches of many gateways fail at the same
+// time, the random wait spreads their later calls over time.
 constexpr double kWaitJitterShare = 0.2;
 // The minimum time between the starts of two calls. It prevents a tight loop if a service responds at once,
-// as an agent with pushed lists does. It must be shorter than 200 ms: a watch ends after 200 ms without a
+// as an agent with pushed lists does. It must be below 200 ms, because a watch ends after 200 ms without a
 // call.
 constexpr Millis kMinCallIntervalMs = 100;
 constexpr Millis kMaxFailoverDelayMs = 200;
-// The timeout, after a change of address, of the call at the former address. Discovery has closed its
-// connections there by then.
+// The timeout of the call at the former address, from the change of the address. Discovery closes its
+// connections at the former address within this time.
 constexpr Millis kFormerCallTimeoutMs = 1500;
 constexpr Millis kProbeTimeoutMs = 1000;
-constexpr double kProbeJitterShare = 0.25;  // of the probe interval, in either direction
+// The share of the probe interval by which a random jitter lengthens or shortens it at most.
+constexpr double kProbeJitterShare = 0.25;
 
 }  // namespace
 
@@ -45,7 +46,7 @@
       observer_(observer),
       position_(options_.position),
       position_is_current_(options_.position_is_current),
-      failover_(options_.services.size(), options_.return_after),
+      failover_(options_.services.size(), options_.return_delay),
       random_(static_cast<std::minstd_rand::result_type>(options_.seed)),
       next_call_(io),
       next_probe_(io),
@@ -54,8 +55,8 @@
 }
 
 DiscoveryClient::~DiscoveryClient() {
-  DropCall();
-  DropFormerCall();
+  AbandonCall();
+  AbandonFormerCall();
   if (probe_) probe_->Abandon();
 }
 
@@ -65,10 +66,10 @@
 }
 
 void DiscoveryClient::ChangeAddress(const tcp::endpoint& address) {
-  KeepFormerCall();
+  KeepCallAsFormerCall();
   next_call_.cancel();
   options_.services.front() = address;
-  failover_.StartOver();
+  failover_.ResetToFirst();
   position_is_current_ = false;
   watching_ = true;
   StartCall();
@@ -107,7 +108,7 @@
 void DiscoveryClient::WatchCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), position_is_current_);
   if (const auto* const error = std::get_if<ListError>(&result)) return WatchCallFailed(*error);
-  DropFormerCall();  // a list from the new address supersedes a list from the former address
+  AbandonFormerCall();  // a list from the new address supersedes a list from the former address
   position_is_current_ = true;
   failover_.RecordSuccess();
   const std::shared_ptr<ListCall> call = std::exchange(call_, nullptr);
@@ -116,12 +117,13 @@
   StartCallAfter(kMinCallIntervalMs - (Now() - call->started_at()));
 }
 
-// Tries each service once. A short random delay keeps the gateways of a fleet from switching all at once.
-// After all services have failed the observer decides when to watch again.
+// Calls the next service, unless every service has failed in turn. A short random delay prevents that all
+// gateways of a fleet switch to the next service at the same time. After every service has failed, the
+// observer decides when to begin a new watch.
 void DiscoveryClient::WatchCallFailed(const ListError& error) {
   const Millis started_at = call_->started_at();
   log_.LogFailure(error, Now() - started_at);
-  DropCall();
+  AbandonCall();
   if (!failover_.RecordFailure(Now())) return StartCallAfter(RandomBetween(0, kMaxFailoverDelayMs));
   watching_ = false;
   observer_.OnWatchFailed(Now() - started_at);
@@ -130,7 +132,7 @@
 ListCall::Result DiscoveryClient::Validate(ListCall::Result result, bool same_service) {
   const auto* const list = std::get_if<EndpointList>(&result);
   if (list == nullptr) return result;
-  if (std::optional<ListError> error = CheckSuccession(*list, position_, same_service)) {
+  if (std::optional<ListError> error = CheckListFollows(*list, position_, same_service)) {
     return *std::move(error);
   }
   std::string reason = observer_.RejectionReason(*list);
@@ -145,17 +147,17 @@
   observer_.OnEndpointList(std::move(list));
 }
 
-void DiscoveryClient::DropCall() {
+void DiscoveryClient::AbandonCall() {
   if (call_) call_->Abandon();
   call_.reset();
   connection_.reset();
 }
 
-// Keeps the call at the former address open. Discovery treats a list that it has written as received, even if
-// the gateway had not read the list when the address changed.
-void DiscoveryClient::KeepFormerCall() {
-  DropFormerCall();
-  if (!call_ || !call_->connected()) return DropCall();  // no request was sent, so no list can arrive
+// Keeps the call at the former address open. Discovery assumes that the gateway receives each list that
+// discovery has written, even if the gateway had not read the list before the address changed.
+void DiscoveryClient::KeepCallAsFormerCall() {
+  AbandonFormerCall();
+  if (!call_ || !call_->connected()) return AbandonCall();  // no request was sent, so no list can arrive
   former_call_ = std::exchange(call_, nullptr);
   former_position_is_current_ = position_is_current_;
   former_call_->SetTimeout(kFormerCallTimeoutMs);
@@ -164,12 +166,12 @@
 void DiscoveryClient::FormerCallEnded(ListCall::Result result) {
   result = Validate(std::move(result), former_position_is_current_);
   const std::shared_ptr<ListCall> call = former_call_;
-  DropFormerCall();
+  AbandonFormerCall();
   auto* const list = std::get_if<EndpointList>(&result);
   if (list != nullptr) AcceptList(*call, std::move(*list));
 }
 
-void DiscoveryClient::DropFormerCall() {
+void DiscoveryClient::AbandonFormerCall() {
   if (former_call_) former_call_->Abandon();
   former_call_.reset();
 }
@@ -209,7 +211,7 @@
 
 void DiscoveryClient::ScheduleSwitch(std::size_t service, std::int64_t revision) {
   if (std::exchange(switch_scheduled_, true)) return;
-  switch_timer_.expires_after(TimerDuration(options_.catch_up_within));
+  switch_timer_.expires_after(TimerDuration(options_.catch_up_timeout));
   switch_timer_.async_wait([this, service, revision](error_code ec) {
     if (ec) return;
     switch_scheduled_ = false;
@@ -224,7 +226,7 @@
             "discovery: switched to service " + std::to_string(service) + " of " +
                 std::to_string(options_.services.size()) + ": " + reason);
   failover_.SwitchTo(service, Now());
-  DropCall();
+  AbandonCall();
   next_call_.cancel();
   watching_ = true;
   StartCall();
