--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the membership protocol in simulated time: joins, loss, crashes, pauses, partitions and merging.
+// Tests of the membership protocol in simulated time: joins, datagram loss, crashes, pauses, partitions and
+// the merging of states.
 #include "membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -19,8 +20,8 @@
 constexpr int kSeedCount = 3;
 constexpr std::uint32_t kFirstIp = 0x0a000000U;
 
-// Members on a simulated network. The network loses datagrams and delays them by 1.1 to 17 ms, like the
-// network within a site. Time advances in steps of 10 ms.
+// Members on a simulated network. The network drops datagrams at `loss_rate` and delays the others by 1.1 to
+// 17 ms, like the network within a site. Time advances in steps of 10 ms.
 struct SimulatedNetwork {
   explicit SimulatedNetwork(int member_count, double loss_rate = 0, std::uint64_t seed = 1)
       : loss_rate(loss_rate), random(seed) {
@@ -62,8 +63,8 @@
     if (sync_with) Sync(member, MemberAt(*sync_with));
   }
 
-  // Exchanges the states of two members over a connection. The connection loses no data, but it is not
-  // established if the second member is not running or in another partition.
+  // Exchanges the states of two members over a connection, which loses no data. Does nothing if the second
+  // member is stopped, paused or on the other side of a partition.
   void Sync(int first, int second) {
     const auto first_index = static_cast<std::size_t>(first);
     const auto second_index = static_cast<std::size_t>(second);
@@ -106,7 +107,8 @@
     }
   }
 
-  // Returns whether each running member considers exactly the running members alive. Suspects count as alive.
+  // Returns whether all running members agree that exactly the running members are alive. Suspects count as
+  // alive.
   bool HasConverged() const {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!running[i]) continue;
@@ -119,14 +121,14 @@
     }
     return true;
   }
-  // Runs until the members have converged. Returns the elapsed time, or -1 if they have not converged in
-  // time.
+  // Runs until HasConverged(). Returns the elapsed time, or -1 if the members have not converged within
+  // `timeout`.
   Millis RunUntilConverged(Millis timeout) {
     const Millis start = now;
     while (!HasConverged() && now < start + timeout) Run(100);
     return HasConverged() ? now - start : -1;
   }
-  // Returns how often a member declared a running member dead.
+  // Returns how often any member declared a running member dead.
   int CountFalseDeaths() const {
     int count = 0;
     for (const auto& reported : changes) {
@@ -149,7 +151,7 @@
   std::mt19937_64 random;
   std::vector<std::unique_ptr<Membership>> nodes;
   std::vector<bool> running, paused;
-  std::function<bool(int)> partition_side;  // returns a member's side of the partition; empty: no partition
+  std::function<bool(int)> partition_side;  // the partition side of a member; empty if there is no partition
   std::vector<std::vector<Datagram>> in_flight{8};
   std::vector<ReportedChange> changes;
   std::uint64_t messages = 0, bytes = 0, sync_bytes = 0;
@@ -167,9 +169,10 @@
 
 class MembershipAtSize : public ::testing::TestWithParam<GroupCase> {};
 
-// In SWIM the first detection of a crash takes 1.6 periods on average, and the load of a member is constant.
-// Both do not depend on the size of the group. The bounds check this property. They are wide, because they
-// don't check performance. The test prints its measurements, so that changes can be seen.
+// In SWIM, a crash is first detected after 1.6 protocol periods on average, and each member sends a constant
+// number of messages. Neither value depends on the size of the group. The limits of this test check this
+// property. They are wide, because the test does not check performance. The test prints its measurements, so
+// that changes can be seen.
 TEST_P(MembershipAtSize, DetectsACrashWithoutFalseDeaths) {
   const GroupCase group = GetParam();
   for (std::uint64_t seed = 1; seed <= 1; ++seed) {
@@ -214,9 +217,9 @@
                                            GroupCase{300, 0, 10000, 90000, 0},
                                            GroupCase{100, 0.1, 10000, 200000, 0}));
 
-// During a partition, the members of each half declare the other half dead and remove its members. Therefore
-// the halves can find each other again only through the seed addresses.
-TEST(Membership, PartitionedHalvesMergeAgain) {
+// During a partition, the members of each half declare the members of the other half dead and remove them.
+// Therefore the halves can find each other again only through the seed addresses.
+TEST(Membership, PartitionedHalvesMergeAfterThePartitionEnds) {
   SimulatedNetwork net(40);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
   net.partition_side = [](int member) { return member < 20; };
@@ -230,7 +233,7 @@
 }
 
 // When a paused member resumes, all of its timeouts have elapsed. It must not suspect other members because
-// of messages that it missed.
+// it missed their messages.
 TEST(Membership, PausedMemberDoesNotSuspectOthers) {
   SimulatedNetwork net(30);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -246,8 +249,8 @@
   }
 }
 
-// A member whose link loses most datagrams may be suspected, but must not cause other members to be declared
-// dead.
+// A member whose link loses most datagrams may be suspected. It must not cause the other members to declare
+// each other dead.
 TEST(Membership, MemberWithLossyLinkDoesNotGetOthersDeclaredDead) {
   SimulatedNetwork net(30);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -265,8 +268,8 @@
   EXPECT_GE(net.RunUntilConverged(120000), 0);
 }
 
-// A restarted process must replace the earlier process with the same name, even if its clock was set back
-// since the start of the earlier process.
+// A restarted process must replace the earlier process with the same name. This must also work if the clock
+// was set back since the start of the earlier process.
 TEST(Membership, RestartedMemberGetsAHigherIncarnation) {
   for (const std::uint64_t process_start : {2000, 500}) {
     SimulatedNetwork net(10);
@@ -280,8 +283,8 @@
   }
 }
 
-// A member announces its shutdown. Without the announcement, other members would first suspect it and then
-// declare it dead.
+// A member announces its shutdown, so that other members mark it as left. Without the announcement, they
+// would first suspect it and then declare it dead.
 TEST(Membership, LeavingMemberIsNotSuspected) {
   SimulatedNetwork net(20);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -297,8 +300,8 @@
   }
 }
 
-// Truncated datagrams and datagrams of a newer version must not change the state. Duplicate datagrams must
-// not change which members are alive.
+// Truncated datagrams and datagrams with a newer protocol version must not change the state. Duplicate
+// datagrams must not change which members are alive.
 TEST(Membership, DropsMalformedDatagramsAndToleratesDuplicates) {
   SimulatedNetwork net(3);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
@@ -327,8 +330,8 @@
   EXPECT_THROW(Membership({}, "", {}, 1, 1), std::invalid_argument);
 }
 
-// Generates states with one update each. Draws from few members, incarnations and suspectors, so that the
-// updates affect the same members.
+// Generates encoded states with one update each. Draws from a few members, incarnations and suspectors, so
+// that several updates affect the same member.
 rc::Gen<std::vector<std::string>> AnyStates() {
   return rc::gen::container<std::vector<std::string>>(rc::gen::apply(
       [](int name, int incarnation, int status, int suspector, int port) {
--- a/tests/registry/agent_state_test.cpp
+++ b/tests/registry/agent_state_test.cpp
@@ -6,8 +6,8 @@
 namespace gateway::registry {
 namespace {
 
-// Follows a member from its start to its removal. A wrong action would leave a healthy server unlisted, or
-// keep an unhealthy or stopped server in the list.
+// Covers a member from its start to its removal. If the agent chose another action, a healthy server would be
+// missing from the list, or an unhealthy or stopped server would stay in the list.
 TEST(AgentState, ChoosesTheNextActionFromStartToRemoval) {
   AgentState state;
   EXPECT_EQ(state.next_action(), AgentAction::kNone);
@@ -19,7 +19,7 @@
   EXPECT_EQ(state.next_action(), AgentAction::kRegister);
   state.OnResult(AgentAction::kRegister, ErrorCode::kNone);
   for (int i = 0; i < 3; ++i) state.OnHealthCheck(false, 3);
-  EXPECT_EQ(state.next_action(), AgentAction::kNone);  // the lease of the unhealthy member must expire
+  EXPECT_EQ(state.next_action(), AgentAction::kNone);  // the agent must let the lease expire
   state.OnHealthCheck(true, 3);
   state.Stop();
   EXPECT_EQ(state.next_action(), AgentAction::kDrain);
--- a/tests/registry/catalog_test.cpp
+++ b/tests/registry/catalog_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the catalog against a reference implementation, and across crashes of the storage.
+// Tests that the catalog behaves like a reference implementation, and that it is recovered from the log and
+// the snapshot after a crash.
 #include "registry/catalog.hpp"
 
 #include <gtest/gtest.h>
@@ -24,8 +25,8 @@
   RC_ASSERT(catalog.members() == reference.ListAt(reference.revision()));
 }
 
-// Requires that the delta from the revision `after` turns the list of that revision into the newest list. The
-// delta must be in the order of the changes and contain each member once.
+// Requires that the delta from the revision `after` turns `list`, the list at that revision, into `newest`.
+// The delta must be ordered by revision and must contain each member at most once.
 void RequireDelta(const Catalog& catalog, Revision after, std::map<std::string, Member> list,
                   const std::map<std::string, Member>& newest) {
   const auto changed = catalog.ChangedSince(after);
@@ -42,10 +43,10 @@
   RC_ASSERT(list == newest);
 }
 
-// Every result must equal the result of the reference implementation, each accepted change must create one
-// revision, and a watch from any revision must get exactly the changes since then. The environment variable
-// RC_PARAMS="seed=... max_success=100000" runs more cases or repeats a run.
-RC_GTEST_PROP(Catalog, MatchesTheReference, ()) {
+// The catalog must return the same results as the reference implementation. Each accepted change must create
+// one revision. A watch from any revision must get exactly the changes after that revision. To run more cases
+// or to repeat a run, set the environment variable RC_PARAMS="seed=... max_success=100000".
+RC_GTEST_PROP(Catalog, MatchesReferenceImplementation, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   Catalog catalog("e", kInitialRevision);
   ReferenceCatalog reference;
@@ -72,11 +73,11 @@
   RC_ASSERT(!catalog.ChangedSince(catalog.revision() + 1).has_value());
 }
 
-// The history must stay within its limit. A watch from the oldest retained revision must still get its
-// changes; a watch from an older revision must not get an incomplete delta.
+// The history must not exceed its limit. A watch from the oldest retained revision must get all later
+// changes. A watch from an older revision must get no delta, because the delta would be incomplete.
 RC_GTEST_PROP(Catalog, CompactsHistoryBeyondItsLimit, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
-  Catalog catalog("e", kInitialRevision, {5, 3});
+  Catalog catalog("e", kInitialRevision, {/*changes=*/5, /*idempotency_keys=*/3});
   std::map<Revision, std::map<std::string, Member>> lists{{kInitialRevision, {}}};
   for (const Command& command : commands) {
     catalog.Apply(command);
@@ -89,13 +90,14 @@
   }
 }
 
-// Writes commands to the log in batches, with snapshots in between. At a random call to the file system, the
-// machine loses power or the process dies. All acknowledged commands must be recovered, and the recovered
-// commands must be a prefix of the written commands.
-RC_GTEST_PROP(Catalog, RecoversAcknowledgedCommandsAfterCrashAtAnyCall, ()) {
+// Writes commands to the log in batches and takes snapshots between batches. At a random call to the file
+// system, the machine loses power or the process dies. All acknowledged commands must be recovered, and the
+// recovered commands must be a prefix of the written commands.
+RC_GTEST_PROP(Catalog, RecoversAcknowledgedCommandsAfterCrashAtAnyFileSystemCall, ()) {
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   const auto crash_at = *rc::gen::inRange<int>(0, 60);
   const auto power_loss = *rc::gen::arbitrary<bool>();
+  // How much unsynced data survives a power loss: 0 nothing, 1 one half, 2 everything.
   const auto kept_halves = *rc::gen::inRange<int>(0, 3);
   storage::MemoryFileSystem disk;
   std::unique_ptr<storage::MemoryFileSystem> crashed;
@@ -115,8 +117,8 @@
   std::size_t acknowledged = 0;
   {
     std::unique_ptr<storage::Store> store;
-    storage::Examination found;
-    RC_ASSERT(storage::Store::Open(files, "r", {"registry", "test", 600}, store, found).ok());
+    storage::Examination examination;
+    RC_ASSERT(storage::Store::Open(files, "r", {"registry", "test", 600}, store, examination).ok());
     Catalog catalog("e", kInitialRevision);
     for (std::size_t i = 0; i < commands.size();) {
       const std::size_t batch_size = 1 + i % 3;
@@ -130,21 +132,21 @@
     }
     if (!crashed) crash();
   }
-  for (int recovery = 0; recovery < 2; ++recovery) {  // a second recovery must have the same result
+  for (int recovery = 0; recovery < 2; ++recovery) {  // a second recovery must restore the same state
     std::unique_ptr<storage::Store> store;
-    storage::Examination found;
-    RC_ASSERT(storage::Store::Open(*crashed, "r", {"registry", "test", 600}, store, found).ok());
+    storage::Examination examination;
+    RC_ASSERT(storage::Store::Open(*crashed, "r", {"registry", "test", 600}, store, examination).ok());
     std::string error;
     std::size_t recovered = 0;
     std::optional<Catalog> catalog;
-    if (found.snapshot) {
-      catalog = Catalog::FromSnapshot(found.snapshot->payload, {}, error);
+    if (examination.snapshot) {
+      catalog = Catalog::FromSnapshot(examination.snapshot->payload, {}, error);
       RC_ASSERT(catalog.has_value());
-      recovered = found.snapshot->sequence;
+      recovered = examination.snapshot->sequence;
     } else {
       catalog.emplace("e", kInitialRevision);
     }
-    for (const storage::Record& record : found.records) {
+    for (const storage::Record& record : examination.records) {
       const auto command = DecodeCommand(record.payload);
       RC_ASSERT(command.has_value());
       RC_ASSERT(*command == commands[record.sequence - 1]);
@@ -159,7 +161,8 @@
   }
 }
 
-// A truncated snapshot or one with trailing bytes must not be accepted as a shorter list.
+// The catalog must reject a snapshot that is truncated or has trailing bytes. Otherwise a truncated snapshot
+// would be read as a shorter list.
 TEST(Catalog, RejectsTruncatedOrExtendedSnapshots) {
   Catalog catalog("e", kInitialRevision);
   for (int i = 0; i < 4; ++i) {
--- a/tests/registry/command_generator.hpp
+++ b/tests/registry/command_generator.hpp
@@ -10,7 +10,7 @@
 
 namespace gateway::registry {
 
-// Draws from few ids, incarnations and addresses, so that the commands affect the same members.
+// Draws from a few ids, incarnations and addresses, so that several commands affect the same member.
 inline rc::Gen<Command> AnyCommand() {
   return rc::gen::apply(
       [](int action, int id, int incarnation, int address, int key, int preconditions, int size,
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Revision kInitialRevision = 100;
 
-// Simulates a catalog and its lease table with a tick every 200 ms, and members that renew their leases.
+// Simulates a catalog, its lease table with a tick every 200 ms, and members that renew their leases.
 struct LeaseSimulation {
   explicit LeaseSimulation(int member_count, LeaseOptions options = {}) : leases(options) {
     for (int i = 0; i < member_count; ++i) {
@@ -33,8 +33,8 @@
     const Member* const member = catalog.Find(command.member.id);
     leases.OnMemberChanged(member != nullptr ? *member : catalog.history().back(), now);
   }
-  // Advances the time. Members for which `renews` returns true renew their leases every 3.2 s, each at its
-  // own times.
+  // Advances the simulated time by `duration`. Each member for which `renews` returns true renews its lease
+  // every 3.2 s. The members renew at different times.
   void Run(Millis duration, const std::function<bool(int)>& renews) {
     for (const Millis until = now + duration; now < until;) {
       now += 200;
@@ -49,7 +49,7 @@
         }
       }
       for (const Command& proposal : leases.Tick(now)) Apply(proposal);
-      if (!leases.preserved_zones().empty()) ++preserved_ticks;
+      if (!leases.preserved_zones().empty()) ++ticks_in_self_preservation;
     }
   }
   int CountSuspects() const {
@@ -60,11 +60,11 @@
   Catalog catalog{"e", kInitialRevision};
   LeaseTable leases;
   Millis now = 0;
-  int preserved_ticks = 0;
+  int ticks_in_self_preservation = 0;
 };
 
-// If only a few members are dead, self-preservation must not start, and the dead members must be removed.
-// This takes the lease duration, the removal grace period and one tick.
+// If only a few members are dead, self-preservation must not start. The dead members must be removed after
+// the lease duration, the removal grace period and one tick.
 TEST(LeaseTable, RemovesAFewDeadMembersAfterLeaseAndGracePeriod) {
   LeaseSimulation simulation(60);
   const auto dead = [](int i) { return i == 4 || i == 20 || i == 51; };
@@ -74,7 +74,7 @@
   EXPECT_EQ(simulation.CountSuspects(), 3);
   simulation.Run(5200, [&](int i) { return !dead(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 57u);
-  EXPECT_EQ(simulation.preserved_ticks, 0);
+  EXPECT_EQ(simulation.ticks_in_self_preservation, 0);
 }
 
 // A network failure between the members and the registry must not empty the list.
@@ -84,8 +84,8 @@
   simulation.Run(20000, [](int) { return true; });
   simulation.Run(600000, [&](int i) { return !disconnected(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // each zone, and all zones together
-  // When the members renew again, self-preservation ends. A member that resumes its renewals later than
+  EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // zones a, b and c, and the entry for all zones
+  // When the members renew again, self-preservation ends. Members that resume their renewals later than
   // others must not be removed.
   simulation.Run(20000, [](int) { return true; });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
@@ -93,9 +93,9 @@
   EXPECT_EQ(simulation.CountSuspects(), 0);
 }
 
-// Leases that expire one after another within the window must count together. Otherwise self-preservation
-// would never start, and the members of the zone would be removed one by one. At most about a quarter of the
-// members of the zone may be removed.
+// All leases that expire within the self-preservation window must be counted together, even if the leases
+// expire one after another. Otherwise self-preservation would never start, and all members of the zone would
+// be removed one by one. At most about a quarter of the members of the zone may be removed.
 TEST(LeaseTable, RemovesOnlyPartOfAZoneThatFailsGradually) {
   LeaseSimulation simulation(60);
   int dead = 0;
@@ -107,7 +107,7 @@
   EXPECT_LT(simulation.catalog.members().size(), 60u);
 }
 
-// While the service is suspended, it misses renewals. It must not suspect members because of these renewals.
+// A suspended service misses renewals. When it resumes, it must not suspect members whose renewals it missed.
 TEST(LeaseTable, ExtendsAllLeasesAfterAPauseOfTheService) {
   LeaseSimulation simulation(60);
   simulation.Run(20000, [](int) { return true; });
@@ -119,7 +119,7 @@
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
 }
 
-// If many members are dead, they must not stay in the list forever.
+// Self-preservation must not keep dead members in the list forever, even if many members are dead.
 TEST(LeaseTable, EndsSelfPreservationAfterItsMaximumDuration) {
   LeaseOptions options;
   options.self_preservation.max_duration = 60000;
@@ -130,9 +130,9 @@
   EXPECT_EQ(simulation.catalog.members().size(), 30u);
 }
 
-// After the removal of a member was proposed, its renewals must be rejected. Otherwise the member would not
-// register again, although it is removed from the list.
-TEST(LeaseTable, RejectsRenewalsOnceTheExpiryIsProposed) {
+// Once the removal of a member is proposed, its renewals must be rejected. If a renewal succeeded, the member
+// would not register again, although it is about to be removed from the list.
+TEST(LeaseTable, RejectsRenewalsOnceRemovalIsProposed) {
   LeaseSimulation simulation(10);
   LeaseTable& leases = simulation.leases;
   Millis now = 0;
--- a/tests/registry/reference_catalog.hpp
+++ b/tests/registry/reference_catalog.hpp
@@ -11,8 +11,8 @@
 
 namespace gateway::registry {
 
-// Stores the state of the changed member after each change, in order. Searches these states from the end for
-// each result.
+// Stores one entry per change: the state of the changed member after the change. Determines each result from
+// these entries by a linear search from the newest to the oldest.
 struct ReferenceCatalog {
   std::vector<Member> changes;
   std::map<std::string, std::pair<std::string, Revision>> keys;
@@ -35,7 +35,7 @@
     return list;
   }
 
-  // Applies the command and returns the code of its result.
+  // Applies the command. Returns the error code of its result.
   ErrorCode Apply(const Command& command) {
     const std::string request = std::to_string(static_cast<int>(command.action)) + command.member.id;
     if (const auto known = keys.find(command.idempotency_key);
--- a/tests/registry/registry_compatibility_test.cpp
+++ b/tests/registry/registry_compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Tests that this program recovers a data folder of the registry service written by version 0.1.0
-// (fixtures/registry-0.1.0), and encodes its snapshot and log records to the same bytes.
+// Tests the compatibility with version 0.1.0 of the registry service. This program must recover the state
+// folder that version 0.1.0 wrote (fixtures/registry-0.1.0), and must encode the snapshot and the log records
+// in this folder to the same bytes.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -48,7 +49,7 @@
   void OnNewRevision() override {}
 };
 
-// Opens the durable catalog on a copy of the fixture.
+// A durable catalog that is recovered from a copy of the fixture.
 struct OpenedCatalog {
   OpenedCatalog() {
     ServiceOptions options;
@@ -65,7 +66,7 @@
     durable->Propose(command, [&outcome](const CommandResult& result) { outcome = result; });
     while (!outcome && io.run_one_for(std::chrono::seconds(10)) > 0) {
     }
-    return outcome.value_or(CommandResult::Failed(Error(ErrorCode::kOther, "", "no answer")));
+    return outcome.value_or(CommandResult::Failed(Error(ErrorCode::kOther, "", "no result within 10 s")));
   }
 
   const FolderCopy folder;
@@ -78,9 +79,9 @@
 // Examines the fixture without modifying it.
 storage::Examination ExamineFixture() {
   const auto files = storage::MakePosixFileSystem();
-  storage::Examination found;
-  EXPECT_TRUE(storage::Examine(*files, kFixture, kOwner, found).ok());
-  return found;
+  storage::Examination examination;
+  EXPECT_TRUE(storage::Examine(*files, kFixture, kOwner, examination).ok());
+  return examination;
 }
 
 Member MakeMember(const std::string& id, const std::string& address, Incarnation incarnation,
@@ -94,7 +95,7 @@
   return member;
 }
 
-// Sorted by name.
+// Returns the members that the fixture contains, sorted by id.
 std::vector<Member> ExpectedMembers() {
   Member web1 = MakeMember("web-1", "10.1.0.1:3001", 1764600000101, 16);
   web1.zone = "a";
@@ -127,7 +128,7 @@
   return {web1, web10, web2, web4, web7};
 }
 
-// The properties of a change of the list that the tests compare.
+// The properties of a change in the history that the tests compare.
 struct HistoryEntry {
   Revision change = 0;  // revision of the change minus kFirstRevision
   std::string id;
@@ -141,6 +142,7 @@
        << (entry.suspect ? " suspect" : "") << (entry.expired ? " expired" : "");
 }
 
+// Returns the changes that the fixture contains, oldest first.
 std::vector<HistoryEntry> ExpectedHistory() {
   return {
       {1, "web-1", MemberPhase::kUp, false, false},        {2, "web-2", MemberPhase::kUp, false, false},
@@ -177,7 +179,7 @@
   EXPECT_EQ(leases.size(), 5u);
 }
 
-// Watches continue after an upgrade only if the history was recovered.
+// After an upgrade, watches can continue only if the history was recovered.
 TEST(RegistryCompatibility, RecoversHistory) {
   const OpenedCatalog opened;
   std::vector<HistoryEntry> history;
@@ -188,8 +190,8 @@
   EXPECT_EQ(history, ExpectedHistory());
 }
 
-// A request that is retried after an upgrade must not be executed again. The result of the first execution
-// may come from the snapshot or from the log.
+// If a client retries a request after an upgrade, the request must not be executed again. The snapshot or the
+// log contains the result of the first execution.
 TEST(RegistryCompatibility, RecoversResultsOfIdempotencyKeys) {
   OpenedCatalog opened;
   struct KeyedRequest {
@@ -222,25 +224,25 @@
   EXPECT_EQ(opened.catalog().revision(), kLastRevision);
 }
 
-// Decoding and encoding must reproduce the bytes of the older program. Otherwise the older program could not
-// read the folder after a rollback.
-TEST(RegistryCompatibility, EncodesSnapshotAndRecordsInTheSameFormat) {
-  const storage::Examination found = ExamineFixture();
-  EXPECT_EQ(found.condition, storage::StoreCondition::kComplete) << found.error;
-  ASSERT_TRUE(found.manifest);
-  EXPECT_EQ(found.manifest->owner, kOwner);
-  EXPECT_EQ(found.manifest->program, "0.1.0");
-  ASSERT_TRUE(found.snapshot);
-  EXPECT_EQ(found.snapshot->version, 1);
+// If this program decodes and encodes the snapshot and the records, it must reproduce the bytes that version
+// 0.1.0 wrote. Otherwise version 0.1.0 could not read the folder after a rollback.
+TEST(RegistryCompatibility, ReencodesSnapshotAndRecordsToIdenticalBytes) {
+  const storage::Examination examination = ExamineFixture();
+  EXPECT_EQ(examination.condition, storage::StoreCondition::kComplete) << examination.error;
+  ASSERT_TRUE(examination.manifest);
+  EXPECT_EQ(examination.manifest->owner, kOwner);
+  EXPECT_EQ(examination.manifest->program, "0.1.0");
+  ASSERT_TRUE(examination.snapshot);
+  EXPECT_EQ(examination.snapshot->version, 1);
   EXPECT_EQ(kSnapshotVersion, 1);
   std::string error;
-  const auto catalog = Catalog::FromSnapshot(found.snapshot->payload, {100, 100}, error);
+  const auto catalog = Catalog::FromSnapshot(examination.snapshot->payload, {100, 100}, error);
   ASSERT_TRUE(catalog) << error;
   EXPECT_EQ(catalog->revision(), kSnapshotRevision);
-  EXPECT_EQ(catalog->Snapshot(), found.snapshot->payload);
-  EXPECT_EQ(found.records.size(), 14u);
+  EXPECT_EQ(catalog->Snapshot(), examination.snapshot->payload);
+  EXPECT_EQ(examination.records.size(), 14u);
   EXPECT_EQ(kCommandVersion, 1);
-  for (const storage::Record& record : found.records) {
+  for (const storage::Record& record : examination.records) {
     EXPECT_EQ(record.kind, 1);
     EXPECT_EQ(record.version, 1);
     const auto command = DecodeCommand(record.payload);
--- a/tests/registry/registry_json_test.cpp
+++ b/tests/registry/registry_json_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the JSON of the registry's HTTP interface.
+// Tests of the JSON encoding in the registry's HTTP API.
 #include "registry/registry_json.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   RC_ASSERT(std::get<Command>(call) == command);
 }
 
-// Clients depend on the error codes on the wire and on their HTTP statuses.
+// Clients depend on the name and the HTTP status of each error code.
 TEST(RegistryJson, EncodesAndDecodesEachErrorCode) {
   struct ErrorCase {
     ErrorCode code;
@@ -46,8 +46,8 @@
   }
 }
 
-// If a newer service sends an unknown error code, the code must be preserved as received. A response that
-// does not contain a result must be reported as unreadable.
+// A newer service may send an error code that this program does not know. The code must be preserved as
+// received. A response without a result must be reported as unreadable.
 TEST(RegistryJson, PreservesUnknownCodesAndReportsUnreadableResponses) {
   const CommandResult unknown_code = ParseResult(409, R"({"error":{"code":"frozen","message":"text"}})");
   EXPECT_EQ(unknown_code.code(), ErrorCode::kOther);
--- a/tests/registry/service_test.cpp
+++ b/tests/registry/service_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the registry service over sockets, with a disk that may be full.
+// Tests of the registry service over sockets. The simulated disk can be full.
 #include "registry/service.hpp"
 
 #include <gtest/gtest.h>
@@ -87,8 +87,8 @@
   std::optional<Service> service;
 };
 
-// Covers the full list, the delta for all watches, and the same delta after a restart of the service. If a
-// watch missed a change, its gateway would keep an outdated list.
+// Covers the full list, the delta that each pending watch gets, and the same delta after a restart of the
+// service. If a watch missed a change, its gateway would keep an outdated list.
 TEST(RegistryService, NotifiesAllWatchesOfDurableChanges) {
   ServiceFixture fixture;
   EXPECT_EQ(fixture.Register("a", 1).first, 200u);
@@ -119,14 +119,14 @@
   const json delta_after_restart =
       fixture.Request("GET", "/discovery/hosts?after=" + std::to_string(kInitialRevision + 1)).second;
   EXPECT_EQ(delta_after_restart, notified[0]);
-  // If the client's revision is from another epoch or in the future, the client gets the full list.
+  // If the client's revision belongs to another epoch or is in the future, the client gets the full list.
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=101&epoch=other").second["complete"], true);
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts?after=999&wait_ms=9000").second["complete"], true);
 }
 
-// The response to a malformed call must contain the matching status, code and field. The call must not end
-// the service.
-TEST(RegistryService, ReportsErrorsOfCalls) {
+// The response to an invalid call must state the HTTP status, the error code and the invalid field. The
+// service must continue to serve other calls.
+TEST(RegistryService, ReportsStatusCodeAndFieldForInvalidCalls) {
   ServiceFixture fixture;
   struct InvalidCall {
     const char *method, *target, *body;
@@ -166,8 +166,8 @@
   }
 }
 
-// A full disk must not stop lists and renewals. Writes are rejected, no client sees a change that is not
-// durable, and writes succeed again once there is space.
+// While the disk is full, the service must still serve lists and accept renewals. It must reject writes, and
+// no client may see a change that is not durable. Writes must succeed again once the disk has space.
 TEST(RegistryService, ServesListsWhileTheDiskIsFull) {
   ServiceFixture fixture;
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
@@ -187,9 +187,9 @@
   EXPECT_EQ(fixture.Request("GET", "/discovery/hosts").second["members"].size(), 2u);
 }
 
-// Clients beyond the limit must be rejected at once, without affecting pending watches or operators.
-// Otherwise operators could not reach the service when it is overloaded by clients.
-TEST(RegistryService, RejectsClientsAndReservesConnectionsForOperators) {
+// The service must reject clients over the connection limit at once. Pending watches must stay open, and
+// operators must still be served. Otherwise operators could not reach a service that clients overload.
+TEST(RegistryService, RejectsClientsOverTheLimitAndServesOperators) {
   ServiceFixture fixture(/*max_clients=*/3);
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
   std::vector<std::shared_ptr<base::ClientConnection>> watchers;
@@ -206,7 +206,7 @@
   EXPECT_TRUE(fixture.RunUntil([&] { return notified == 3; }));
 }
 
-// Many gateways that request the full list at once, as after an outage, must not overload the service.
+// After an outage, many gateways request the full list at once. They must not overload the service.
 TEST(RegistryService, LimitsTheRateOfFullLists) {
   ServiceFixture fixture(/*max_clients=*/100, /*full_lists_per_second=*/5);
   ASSERT_EQ(fixture.Register("a", 1).first, 200u);
--- a/tests/storage/corruption_test.cpp
+++ b/tests/storage/corruption_test.cpp
@@ -10,8 +10,8 @@
 namespace gateway::storage {
 namespace {
 
-// Flips one bit in each byte of each file in turn. The corrupt file or record must never be used, while the
-// records before it in the log must still be recovered.
+// Flips one bit of one byte, and repeats this for each byte of each file. The corrupt file or record must
+// never be used. The log records before the corrupt record must still be recovered.
 TEST(Corruption, DetectsEveryFlippedBit) {
   const auto intact = MakeFilledFolder();
   std::vector<std::string> names;
@@ -22,19 +22,21 @@
     for (std::size_t offset = 0; offset < size; ++offset) {
       const auto corrupted = intact->AfterProcessDeath();
       (*corrupted->Content(kFolder + "/" + name))[offset] ^= static_cast<char>(1 << (offset % 8));
-      Examination found;
-      ASSERT_TRUE(Examine(*corrupted, kFolder, kOptions.owner, found).ok());
+      Examination examination;
+      ASSERT_TRUE(Examine(*corrupted, kFolder, kOptions.owner, examination).ok());
       ++flips;
-      detected += found.condition == StoreCondition::kCorrupt;
-      if (found.is_foreign()) continue;  // a foreign store must not be opened, since that would modify it
-      Sequence expected = found.snapshot ? found.snapshot->sequence : 0;
-      EXPECT_TRUE(!found.snapshot || found.snapshot->payload == "all up to 30");
-      for (const Record& record : found.records) {
+      detected += examination.condition == StoreCondition::kCorrupt;
+      // A store of another owner or of a newer format must not be modified, so it is not opened here.
+      if (examination.is_foreign()) continue;
+      Sequence expected = examination.snapshot ? examination.snapshot->sequence : 0;
+      EXPECT_TRUE(!examination.snapshot || examination.snapshot->payload == "all up to 30");
+      for (const Record& record : examination.records) {
         ASSERT_EQ(record.sequence, ++expected);
         ASSERT_EQ(record.payload, PayloadOf(expected)) << name << " byte " << offset;
       }
-      // A flipped bit may go unnoticed only if the corrupt record looks like an unsynced record at the end.
-      EXPECT_TRUE(found.condition != StoreCondition::kComplete || found.last() >= 87)
+      // A flipped bit may go undetected only in the last commit (records 88 to 90). There, a corrupt record
+      // looks like a record that was not synced before a crash.
+      EXPECT_TRUE(examination.condition != StoreCondition::kComplete || examination.last() >= 87)
           << name << " byte " << offset;
       StoreOptions open_corrupt = kOptions;
       open_corrupt.open_corrupt = true;
@@ -43,13 +45,13 @@
       ASSERT_GT(opened.store->Append(7, 1, "on"), 0U);
       ASSERT_TRUE(opened.store->Commit().ok());
       opened.store.reset();
-      ASSERT_TRUE(Examine(*corrupted, kFolder, kOptions.owner, found).ok());
-      EXPECT_EQ(found.condition, StoreCondition::kComplete)
-          << found.error << ", " << name << " byte " << offset;
-      EXPECT_EQ(found.records.empty() ? "" : found.records.back().payload, "on");
+      ASSERT_TRUE(Examine(*corrupted, kFolder, kOptions.owner, examination).ok());
+      EXPECT_EQ(examination.condition, StoreCondition::kComplete)
+          << examination.error << ", " << name << " byte " << offset;
+      EXPECT_EQ(examination.records.empty() ? "" : examination.records.back().payload, "on");
     }
   }
-  std::printf("%zu flips, %zu reported as corrupt\n", flips, detected);
+  std::printf("%zu bits flipped, %zu of them reported as corrupt\n", flips, detected);
   EXPECT_GT(detected, flips * 9 / 10);
 }
 
--- a/tests/storage/crash_recovery_test.cpp
+++ b/tests/storage/crash_recovery_test.cpp
@@ -16,8 +16,8 @@
 
 using Call = FaultyFileSystem::Call;
 
-// Writes 200 records in batches and four snapshots, with segments of 1,200 bytes. Before each call to the
-// file system, passes the file system to `observe`.
+// Writes 200 records in batches, and takes four snapshots. Segments have about 1,200 bytes. Calls
+// `observe(memory)` before each call to the file system.
 struct Workload {
   Sequence acknowledged = 0;
   Sequence written = 0;
@@ -50,7 +50,8 @@
   Sequence snapshots_ = 0;
 };
 
-// Returns copies of the file system as a power loss or the death of the process may leave it at this point.
+// Returns copies of the file system in the states that a crash may leave behind now. Covers power loss and
+// the death of the process.
 std::vector<std::unique_ptr<MemoryFileSystem>> SimulateCrashes(const MemoryFileSystem& memory,
                                                                boost::random::mt19937_64& random) {
   const auto draw = [&random](std::size_t max) {
@@ -59,7 +60,9 @@
   const std::vector<std::function<std::string(std::string)>> tails{
       {},
       [](std::string tail) { return tail; },
-      [&](std::string tail) { return tail.substr(0, draw(tail.size())); },  // torn
+      [&](std::string tail) {  // torn write: only a prefix was written
+        return tail.substr(0, draw(tail.size()));
+      },
       [&](std::string tail) {  // written out of order: some blocks of 16 bytes are missing
         for (std::size_t block = 0; block < tail.size(); block += 16) {
           if (draw(1) == 0)
@@ -68,7 +71,7 @@
         }
         return tail;
       },
-      [&](std::string tail) {  // the length was written, but not the bytes
+      [&](std::string tail) {  // the length is durable, but the bytes are arbitrary
         for (char& byte : tail) byte = static_cast<char>(draw(255));
         return tail;
       }};
@@ -94,8 +97,9 @@
   std::string first_error;
 };
 
-// Recovers the folder after a crash, checks that a second recovery has the same result, and continues the log
-// until the next power loss. Returns an error message, or an empty string if all checks pass.
+// Recovers the folder after a crash and checks that a second recovery would find the same records. Then
+// appends records until the next power loss, and checks them. Returns an error message, or an empty string if
+// all checks pass.
 std::string CheckRecovery(MemoryFileSystem& crashed, const FaultyFileSystem::Hook& recovery_faults,
                           const Workload& workload) {
   FaultyFileSystem files(crashed, [&](Call call, const std::string& path) {
@@ -103,25 +107,26 @@
   });
   auto opened = Open(files);
   if (!opened.status.ok()) return opened.status.Text();
-  std::string error = FindError(opened.found, workload.acknowledged, workload.written);
+  std::string error = FindError(opened.examination, workload.acknowledged, workload.written);
   if (!error.empty()) return error;
-  const Sequence last = opened.found.last();
+  const Sequence last = opened.examination.last();
   Examination second_examination;
   if (!Examine(crashed, kFolder, kOptions.owner, second_examination).ok() ||
       second_examination.last() != last) {
-    error = "a second recovery has another result";
+    error = "a second examination does not find the same last record";
   }
   // Two more records are acknowledged immediately before the next power loss.
   for (Sequence next = last + 1; next <= last + 2; ++next) opened.store->Append(7, 1, PayloadOf(next));
-  if (!opened.store->Commit().ok()) error = "cannot commit after the recovery";
+  if (!opened.store->Commit().ok()) error = "cannot commit records after the recovery";
   const auto crashed_again = crashed.AfterPowerLoss({});
   Examination last_examination;
-  if (!Examine(*crashed_again, kFolder, kOptions.owner, last_examination).ok()) error = "cannot be read";
+  if (!Examine(*crashed_again, kFolder, kOptions.owner, last_examination).ok())
+    error = "cannot examine the folder";
   if (error.empty()) error = FindError(last_examination, last + 2, last + 2);
   return error.empty() ? error : "after the next power loss: " + error;
 }
 
-// Recovers from every crash state of the workload.
+// Simulates crashes throughout the workload, and checks the recovery from each crash state.
 CrashResults RunCrashes(const FaultyFileSystem::Hook& workload_faults,
                         const FaultyFileSystem::Hook& recovery_faults) {
   CrashResults results;
@@ -147,8 +152,9 @@
   std::printf("%zu crash states\n", results.states);
 }
 
-// Skips one kind of sync at a time. Each time, some crash must lose an acknowledged record. Otherwise this
-// kind of sync would be superfluous, or the simulated crashes would not cover it.
+// Skips one kind of sync in each round. In each round, at least one simulated crash must lose an acknowledged
+// record. Otherwise the skipped kind of sync would be superfluous, or the simulated crashes would not cover
+// it.
 TEST(CrashRecovery, LosesRecordsIfAnyKindOfSyncIsSkipped) {
   struct SkippedSync {
     const char* description;
@@ -180,7 +186,7 @@
     };
     const CrashResults results = RunCrashes(skipped_sync.in_recovery ? nullptr : skip_sync,
                                             skipped_sync.in_recovery ? skip_sync : nullptr);
-    EXPECT_GT(results.failures, 0U) << "no record is lost without the sync " << skipped_sync.description;
+    EXPECT_GT(results.failures, 0U) << "no crash lost a record without the sync " << skipped_sync.description;
     std::printf("without the sync %s: %zu of %zu crash states failed\n", skipped_sync.description,
                 results.failures, results.states);
   }
--- a/tests/storage/store_fixture.hpp
+++ b/tests/storage/store_fixture.hpp
@@ -1,4 +1,5 @@
-// Helpers of the store tests: a store in memory with records that identify themselves.
+// Helpers of the store tests: a store in memory. The payload of each record depends on its sequence, so that
+// tests can verify it.
 #ifndef GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 #define GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 
@@ -13,7 +14,8 @@
 namespace gateway::storage {
 
 inline const std::string kFolder = "state";
-inline const StoreOptions kOptions{"site/n1", "0.1.0", 1200, 1 << 20, false};
+inline const StoreOptions kOptions{/*owner=*/"site/n1", /*program=*/"0.1.0", /*max_segment_bytes=*/1200,
+                                   /*max_log_bytes=*/1 << 20, /*open_corrupt=*/false};
 
 inline std::string PayloadOf(Sequence sequence) {
   return "record " + std::to_string(sequence) +
@@ -23,36 +25,40 @@
 struct OpenResult {
   Status status;
   std::unique_ptr<Store> store;
-  Examination found;
+  Examination examination;
 };
 inline OpenResult Open(FileSystem& files, const StoreOptions& options = kOptions) {
   OpenResult opened;
-  opened.status = Store::Open(files, kFolder, options, opened.store, opened.found);
+  opened.status = Store::Open(files, kFolder, options, opened.store, opened.examination);
   return opened;
 }
 
 // Checks that the recovered state contains all records up to `acknowledged`, and no record after `written`.
 // Returns an error message, or an empty string if the check passes.
-inline std::string FindError(const Examination& found, Sequence acknowledged, Sequence written) {
-  if (found.condition == StoreCondition::kCorrupt || found.is_foreign())
-    return "reported as corrupt: " + found.error;
-  if (found.last() < acknowledged) {
-    return "recovered up to " + std::to_string(found.last()) + ", but acknowledged up to " +
-           std::to_string(acknowledged);
+inline std::string FindError(const Examination& examination, Sequence acknowledged, Sequence written) {
+  if (examination.condition == StoreCondition::kCorrupt || examination.is_foreign())
+    return "reported as corrupt, or as a store of another owner or format: " + examination.error;
+  if (examination.last() < acknowledged) {
+    return "recovered records up to " + std::to_string(examination.last()) + ", but records up to " +
+           std::to_string(acknowledged) + " were acknowledged";
   }
-  if (found.last() > written) return "recovered records that were never written";
-  if (found.snapshot && found.snapshot->payload != "all up to " + std::to_string(found.snapshot->sequence)) {
+  if (examination.last() > written) {
+    return "recovered records up to " + std::to_string(examination.last()) +
+           ", but wrote records only up to " + std::to_string(written);
+  }
+  if (examination.snapshot &&
+      examination.snapshot->payload != "all up to " + std::to_string(examination.snapshot->sequence)) {
     return "the snapshot has an unexpected payload";
   }
-  Sequence expected = found.snapshot ? found.snapshot->sequence : 0;
-  for (const Record& record : found.records) {
+  Sequence expected = examination.snapshot ? examination.snapshot->sequence : 0;
+  for (const Record& record : examination.records) {
     if (record.sequence != ++expected || record.payload != PayloadOf(expected))
-      return "unexpected record instead of " + std::to_string(expected);
+      return "record " + std::to_string(expected) + " is missing or has an unexpected payload";
   }
   return "";
 }
 
-// Returns a file system whose folder contains a snapshot and three segments after it.
+// Returns a file system with a store that consists of a snapshot and three segments after the snapshot.
 inline std::unique_ptr<MemoryFileSystem> MakeFilledFolder() {
   auto memory = std::make_unique<MemoryFileSystem>();
   auto opened = Open(*memory);
--- a/tests/storage/store_fuzz.cpp
+++ b/tests/storage/store_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target (libFuzzer) for the decoders of a store's files. No input may crash a decoder, and encoding the
-// decoded data must result in the accepted input.
+// Fuzz target (libFuzzer) for the decoders of a store's files. No input may crash a decoder. If a decoder
+// accepts an input, encoding the decoded data must reproduce the input.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -17,7 +17,7 @@
 
 using Call = FaultyFileSystem::Call;
 
-// After a failed write or sync it is unknown which data is durable, so later writes must not be acknowledged.
+// After a failed write or sync, it is unknown which data is durable. Later writes must not be acknowledged.
 TEST(Store, IsReadOnlyAfterTheFirstError) {
   struct FailingCall {
     Call call;
@@ -49,12 +49,13 @@
     const auto after_power_loss = memory.AfterPowerLoss({});
     auto reopened = Open(*after_power_loss);
     ASSERT_TRUE(reopened.status.ok()) << reopened.status.Text();
-    EXPECT_EQ(reopened.found.last(), 1U);
+    EXPECT_EQ(reopened.examination.last(), 1U);
   }
 }
 
-// Two processes, or programs of different owners, that write to one folder would corrupt it.
-TEST(Store, RejectsOtherOwnersAndProcesses) {
+// If two processes or two owners wrote to the same folder, they would corrupt the store. If an older program
+// wrote to a store with a newer format, it would corrupt the store too.
+TEST(Store, RejectsOtherProcessesOtherOwnersAndNewerFormats) {
   const auto memory = MakeFilledFolder();
   auto first = Open(*memory);
   ASSERT_TRUE(first.status.ok());
@@ -66,7 +67,7 @@
   EXPECT_NE(Open(*memory, other_owner).status.Text().find("belongs to 'site/n1', not to 'site/n2'"),
             std::string::npos);
   // A store with a newer format must not be modified.
-  std::string newer = "elderhead-state 2\nwhatever it says\n";
+  std::string newer = "elderhead-state 2\nlines of a newer format\n";
   char crc[32];
   std::snprintf(crc, sizeof crc, "crc32c %08x\n", Crc32c(newer));
   *memory->Content(kFolder + "/MANIFEST") = newer + crc;
@@ -80,7 +81,7 @@
   }
 }
 
-// If no snapshot is taken, the log must not grow without limit.
+// The log must not grow without limit if no snapshot is taken. A snapshot makes room for new records.
 TEST(Store, RejectsRecordsWhenLogIsFullUntilSnapshot) {
   MemoryFileSystem memory;
   StoreOptions small_log = kOptions;
@@ -107,21 +108,22 @@
   const auto files = MakePosixFileSystem();
   for (Sequence round = 0; round < 5; ++round) {
     std::unique_ptr<Store> store;
-    Examination found;
-    const Status status = Store::Open(*files, folder, kOptions, store, found);
+    Examination examination;
+    const Status status = Store::Open(*files, folder, kOptions, store, examination);
     ASSERT_TRUE(status.ok()) << status.Text();
-    EXPECT_EQ(found.last(), round * 20);
-    EXPECT_EQ(FindError(found, round * 20, round * 20), "");
+    EXPECT_EQ(examination.last(), round * 20);
+    EXPECT_EQ(FindError(examination, round * 20, round * 20), "");
     for (Sequence i = 1; i <= 20; ++i)
       ASSERT_EQ(store->Append(7, 1, PayloadOf(round * 20 + i)), round * 20 + i);
     ASSERT_TRUE(store->Commit().ok());
     ASSERT_TRUE(round != 2 || store->TakeSnapshot(2, "all up to 60").ok());
     std::unique_ptr<Store> second;
-    EXPECT_FALSE(Store::Open(*files, folder, kOptions, second, found).ok());
+    EXPECT_FALSE(Store::Open(*files, folder, kOptions, second, examination).ok());
   }
   std::filesystem::remove_all(folder);
-  Examination found;
-  EXPECT_FALSE(Examine(*files, folder, "", found).ok());  // the folder does not exist and must not be created
+  Examination examination;
+  // The folder does not exist. Examine() must not create it.
+  EXPECT_FALSE(Examine(*files, folder, "", examination).ok());
   EXPECT_FALSE(std::filesystem::exists(folder));
 }
 
