--- a/src/membership/dissemination_queue.hpp
+++ b/src/membership/dissemination_queue.hpp
@@ -11,12 +11,14 @@
 
 namespace gateway::membership {
 
-// Holds at most one update per member and at most 4,096 updates; drops the oldest first. Not thread-safe.
+// Holds at most one update per member and at most 4,096 updates. If the queue is full, drops the update at
+// its end. Not thread-safe.
 class DisseminationQueue {
  public:
   // Adds the update at the front. Replaces an earlier update about the same member.
   void Enqueue(const GossipUpdate& update);
-  // Adds the next updates that fit to the datagram. Drops each update after `retransmit_limit` transmissions.
+  // Adds as many updates to the datagram as fit, from the front of the queue. Drops each update after
+  // `retransmit_limit` transmissions.
   void Fill(DatagramBuilder& datagram, int retransmit_limit);
 
  private:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,8 +9,8 @@
 using base::Millis;
 
 constexpr double kPeriodJitter = 0.05;
-// A helper sends a nack if it has not received an ack after this fraction of the probe timeout.
-constexpr double kNackAfterTimeouts = 0.8;
+// If a helper has received no ack after this fraction of the probe timeout, it sends a nack to the requester.
+constexpr double kNackDelayFraction = 0.8;
 constexpr double kRelayedProbeLifetimePeriods = 2;
 constexpr int kMaxRoundsPerProbe = 2;
 
@@ -57,8 +57,8 @@
   delegate_.SendMessage({probe.address, MessageType::kPing, probe.sequence, probe.name, {}}, out);
 }
 
-// Returns the next member to probe. Each round contains all members in a new random order. Thus at most two
-// rounds pass between two probes of a member.
+// Returns the next member to probe, or null if no other member is alive. Each round contains all alive
+// members in a new random order. Thus at most two rounds pass between two probes of a member.
 const Member* FailureDetector::NextProbeTarget() {
   for (int rounds = 0; rounds < kMaxRoundsPerProbe;) {
     if (round_.empty()) {
@@ -100,8 +100,9 @@
   }
 }
 
-// Ends the probe as failed. If a helper has sent neither an ack nor a nack, or if no helper was asked in
-// time, the fault is probably at this member or its link. In this case its local health becomes worse.
+// Ends the probe as failed. If a helper has sent neither an ack nor a nack, or if no ping-req was sent before
+// the deadline, the cause is probably this member or its link. Then the local health of this member gets
+// worse.
 void FailureDetector::FailProbe(Millis now, ProtocolOutput& out) {
   if (probe_->missing_nacks > 0) {
     local_health_.Worsen(probe_->missing_nacks);
@@ -142,7 +143,7 @@
   RelayedProbe relayed;
   relayed.requester = from;
   relayed.requester_sequence = request.sequence;
-  relayed.nack_at = now + kNackAfterTimeouts * options_.probe_timeout;
+  relayed.nack_at = now + kNackDelayFraction * options_.probe_timeout;
   relayed.expires_at = now + kRelayedProbeLifetimePeriods * options_.protocol_period;
   relayed_[sequence] = relayed;
   delegate_.SendMessage({request.probe_address, MessageType::kPing, sequence, request.target, {}}, out);
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-// SWIM's failure detector. Probes one member in each protocol period, first directly and then through other
-// members. Answers probes from other members.
+// SWIM's failure detector. Probes one member in each protocol period: first directly, and after a timeout
+// through other members (helpers). Answers the probes of other members.
 #ifndef GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 #define GATEWAY_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 
@@ -21,8 +21,7 @@
 // Does no I/O and reads no clock. Not thread-safe.
 class FailureDetector {
  public:
-  // The fields of a message that its sender chooses. `target` and `probe_address` have the meaning that
-  // MessageHeader describes.
+  // A message that the failure detector sends. See MessageHeader for `target` and `probe_address`.
   struct OutgoingMessage {
     Address to;
     MessageType type = MessageType::kPing;
@@ -35,7 +34,8 @@
    public:
     virtual ~Delegate() = default;
     virtual void SendMessage(const OutgoingMessage& message, ProtocolOutput& out) = 0;
-    // Called when no ack of a probe has arrived in time, neither directly nor through other members.
+    // Called when the probe of the member `name` failed: no ack arrived in time, neither directly nor through
+    // other members.
     virtual void OnProbeFailed(base::Millis now, const std::string& name, ProtocolOutput& out) = 0;
   };
 
@@ -45,7 +45,7 @@
 
   // Advances running probes and starts new ones.
   void Tick(base::Millis now, ProtocolOutput& out);
-  // Cancels all probes, because this process may have missed their acks.
+  // Cancels all probes. Must be called if this process may have missed acks.
   void Reset();
   // Sends a ping that is not a probe. An empty `target` addresses any member at `to`.
   void SendPing(Address to, const std::string& target, ProtocolOutput& out);
@@ -62,10 +62,10 @@
     std::uint32_t sequence = 0;
     base::Millis direct_deadline = 0;  // timeout of the direct ping
     base::Millis deadline = 0;         // timeout of the probe
-    bool indirect = false;             // ping-reqs were sent
+    bool indirect = false;             // whether ping-reqs were sent
     int missing_nacks = 0;             // number of helpers that have sent neither an ack nor a nack
   };
-  // A probe that this member makes at the request of another member.
+  // A ping that this member sends at the request of another member (ping-req).
   struct RelayedProbe {
     Address requester;
     std::uint32_t requester_sequence = 0;
--- a/src/membership/gossip_codec.cpp
+++ b/src/membership/gossip_codec.cpp
@@ -30,8 +30,8 @@
   PutName(out, update.suspector);
 }
 
-// The Take functions decode a value at the front of `in` and remove it. They return std::nullopt if the input
-// is too short or malformed.
+// The Take functions decode a value at the front of `in` and remove its bytes from `in`. They return
+// std::nullopt if the input is too short or malformed.
 
 std::optional<std::uint64_t> TakeNumber(std::string_view& in, std::size_t bytes) {
   if (in.size() < bytes) return std::nullopt;
--- a/src/membership/gossip_codec.hpp
+++ b/src/membership/gossip_codec.hpp
@@ -22,7 +22,7 @@
   std::uint32_t sequence = 0;  // identifies the probe; assigned by the member that sends the ping
   std::string sender;
   Incarnation sender_incarnation = 0;
-  std::string target;     // kPing and kPingReq: name of the probed member; if empty, any member answers
+  std::string target;     // kPing, kPingReq: name of the probed member; empty for any member
   Address probe_address;  // kPingReq: destination of the ping
 };
 
@@ -44,12 +44,13 @@
   std::string bytes_;
 };
 
-// Returns std::nullopt if any part of the datagram is malformed or if its version is not supported.
+// Returns std::nullopt if any part of the datagram is malformed or if this program does not support its
+// version.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
-// Encodes a state, which consists of any number of updates.
+// Encodes a membership state, which consists of any number of updates.
 std::string EncodeState(const std::vector<GossipUpdate>& updates);
-// Returns std::nullopt if any part of the state is malformed or if its version is not supported.
+// Returns std::nullopt if any part of the state is malformed or if this program does not support its version.
 std::optional<std::vector<GossipUpdate>> DecodeState(std::string_view bytes);
 
 }  // namespace gateway::membership
--- a/src/membership/local_health.hpp
+++ b/src/membership/local_health.hpp
@@ -1,5 +1,5 @@
-// Lifeguard's local health: a member that is slow or poorly connected itself waits longer before it suspects
-// others.
+// Lifeguard's local health: if a member itself is slow or poorly connected, it waits longer before it
+// suspects other members.
 #ifndef GATEWAY_MEMBERSHIP_LOCAL_HEALTH_HPP_
 #define GATEWAY_MEMBERSHIP_LOCAL_HEALTH_HPP_
 
@@ -11,7 +11,7 @@
  public:
   explicit LocalHealth(int max_score) : max_score_(max_score) {}
 
-  // Returns 0 if the member is healthy. A higher score is worse.
+  // Returns the score of the local member: 0 if the member is healthy, more if its health is worse.
   int score() const { return score_; }
   // Returns the factor by which this member's protocol periods and timeouts are extended.
   int multiplier() const { return score_ + 1; }
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -13,22 +13,22 @@
 
 inline constexpr std::size_t kMaxNameBytes = 24;
 
-// Orders the updates about a member: a higher incarnation is newer. The upper 48 bits are the start time of
-// the member's process in ms of Unix time. If other members know a later start time for this name, for
-// example because the clock was set back, the member uses a higher value instead. The lower 16 bits count the
-// member's refutations.
+// Orders the updates about a member: an update with a higher incarnation is newer. The upper 48 bits are the
+// start time of the member's process (Unix time in ms). If other members know a later start time for this
+// name, for example because the clock was set back, the member uses a higher value instead. The lower 16 bits
+// count the member's refutations.
 using Incarnation = std::uint64_t;
 inline constexpr int kRefutationBits = 16;
 
 struct Address {  // IPv4
   std::uint32_t ip = 0;
   std::uint16_t port = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the 0 in it for a pointer
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 mistakes a generated 0 for a pointer
   auto operator<=>(const Address&) const = default;
 };
 
-// Among updates with the same incarnation, the highest status applies. The values are part of the wire
-// format.
+// If two updates have the same incarnation, the update with the higher status takes precedence. The values
+// are part of the wire format.
 enum class MemberStatus : std::uint8_t { kAlive = 0, kSuspect = 1, kDead = 2, kLeft = 3 };
 
 struct Member {
@@ -45,7 +45,7 @@
   bool IsAlive() const { return status <= MemberStatus::kSuspect; }
 };
 
-// A report about a member.
+// A report about the status of a member, which members pass on to each other.
 struct GossipUpdate {
   std::string name;
   Address address;
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -10,7 +10,7 @@
 
 using base::Millis;
 
-// Orders updates by incarnation, then by status. The address is compared last, so that the order is total.
+// Orders updates by incarnation, then by status. Compares the address last, so that the order is total.
 template <typename Update>
 auto PrecedenceOf(const Update& update) {
   return std::tuple(update.incarnation, update.status, update.address);
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,4 +1,4 @@
-// Table of all known members, which merges updates about them.
+// Table of all known members. Merges updates about members.
 #ifndef GATEWAY_MEMBERSHIP_MEMBER_TABLE_HPP_
 #define GATEWAY_MEMBERSHIP_MEMBER_TABLE_HPP_
 
@@ -36,12 +36,12 @@
 
   void SetOwnIncarnation(Incarnation incarnation) { members_.at(own_name_).incarnation = incarnation; }
 
-  // Merges an update about another member. Returns whether the table changed, in which case the update should
-  // be disseminated.
+  // Merges an update about another member. Returns whether the table changed. If so, the caller should
+  // disseminate the update.
   bool Merge(base::Millis now, const GossipUpdate& update, ProtocolOutput& out);
-  // Marks suspects whose suspicion has timed out as dead, and returns the updates about them.
+  // Marks each suspect as dead if its suspicion timeout has elapsed. Returns the updates about these members.
   std::vector<GossipUpdate> ExpireSuspicions(base::Millis now, ProtocolOutput& out);
-  // Removes members that have been dead or have left for longer than the retention time.
+  // Removes each member that died or left more than the retention time ago.
   void RemoveExpiredMembers(base::Millis now);
   // Postpones the suspicion timeouts and the removal of members by `delay`.
   void DelayTimeouts(base::Millis delay);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -13,10 +13,10 @@
 using base::Millis;
 
 constexpr int kRandomMembersPerMessage = 2;
-constexpr double kSeedPingPeriods = 10;  // interval between pings of seed addresses, in protocol periods
+constexpr double kSeedPingPeriods = 10;  // interval between two pings of seed addresses, in protocol periods
 constexpr double kIntervalJitter = 0.25;
-constexpr int kEarlySyncs = 4;                // the first syncs, which are one protocol period apart
-constexpr std::size_t kSyncsPerSeedSync = 4;  // one of this many syncs goes to a seed address
+constexpr int kEarlySyncs = 4;                // number of first syncs that are one protocol period apart
+constexpr std::size_t kSyncsPerSeedSync = 4;  // on average, one of this many syncs goes to a seed address
 
 std::string CheckedName(std::string name) {
   if (name.empty() || name.size() > kMaxNameBytes) {
@@ -61,8 +61,8 @@
   ExpireSuspicions(now, out);
 }
 
-// Detects that this process was suspended or starved of CPU. In this case it may have missed messages, for
-// which it must not suspect other members.
+// Detects that this process was suspended or starved of CPU. Such a process may have missed messages, and
+// must not suspect other members because of them.
 void Membership::DetectPause(Millis now) {
   const Millis since_last_tick = now - last_tick_;
   if (last_tick_ >= 0 && since_last_tick > options_.protocol_period) {
@@ -79,8 +79,8 @@
   next_seed_ping_at_ = now + options_.protocol_period * periods * Jitter(random_, kIntervalJitter);
 }
 
-// Requests a sync with a random member or sometimes with a seed address. Syncs with seed addresses let the
-// halves of a partitioned group find each other again.
+// Requests a sync with a random member, or sometimes with a seed address. Syncs with seed addresses let the
+// halves of a partitioned group find each other again after the partition.
 void Membership::RequestSync(Millis now, ProtocolOutput& out) {
   const std::vector<Member*>& members = members_.by_arrival();
   const Address member = members[RandomIndex(random_, members.size())]->address;
@@ -122,19 +122,19 @@
 void Membership::Merge(Millis now, const GossipUpdate& update, ProtocolOutput& out) {
   if (update.name == name_) return Refute(update);
   GossipUpdate merged = update;
-  // A report that a member is dead counts only as one suspicion, because the link of the reporting member may
-  // be faulty. This member declares the other member dead only after its own suspicion timeout.
+  // A report of a death counts only as one suspicion, because the link of the reporting member may be faulty.
+  // This member declares the reported member dead only after its own suspicion timeout.
   if (merged.status == MemberStatus::kDead) merged.status = MemberStatus::kSuspect;
   if (members_.Merge(now, merged, out)) dissemination_.Enqueue(merged);
 }
 
-// Refutes an update about this member with a higher incarnation.
+// Refutes an update about this member: raises the incarnation of this member and announces it as alive.
 void Membership::Refute(const GossipUpdate& update) {
   const Incarnation own = self().incarnation;
   const bool reports_alive = update.status == MemberStatus::kAlive;
   const bool is_older = update.incarnation < own || (reports_alive && update.incarnation == own);
   if (is_older || left_) return;
-  // Other members could not reach this member. If probes by this member fail, the cause may be the same.
+  // Another member could not reach this member. Probes by this member may fail for the same reason.
   if (!reports_alive) local_health_.Worsen(1);
   members_.SetOwnIncarnation(update.incarnation + 1);
   dissemination_.Enqueue(UpdateAbout(self(), ""));
@@ -192,7 +192,7 @@
     case MessageType::kAck: break;
   }
   failure_detector_.OnAck(header, out);
-  // If a member answers that is not known as alive, the ping informs it about its status, so that it can
+  // If the sender is not known as alive, sends it a ping that states its status, so that the sender can
   // refute the status.
   const Member* const sender = members_.Find(header.sender);
   if (sender != nullptr && sender->status != MemberStatus::kAlive) {
@@ -209,7 +209,7 @@
   out.datagrams.push_back({message.to, datagram.Take()});
 }
 
-// If the recipient is not known as alive, adds its status first, so that the recipient can refute the status.
+// If the recipient is not known as alive, adds the recipient's status, so that the recipient can refute it.
 void Membership::AddUpdatesAbout(Address recipient, DatagramBuilder& datagram) const {
   if (members_.all_healthy()) return;
   for (const Member* member : members_.by_arrival()) {
@@ -218,8 +218,8 @@
   }
 }
 
-// Adds updates about random members in the remaining space, for recipients that missed an update. Omits dead
-// members, because old updates about them would circulate forever.
+// Uses the remaining space for updates about random members, because the recipient may have missed an update.
+// Omits dead members, because old updates about them would circulate forever.
 void Membership::AddRandomMembers(DatagramBuilder& datagram) {
   if (members().size() <= 1) return;
   for (int i = 0; i < kRandomMembersPerMessage; ++i) {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -23,28 +23,30 @@
 namespace gateway::membership {
 
 // The protocol as a state machine: consumes datagrams and the current time, and produces datagrams and status
-// changes. Does no I/O and reads no clock. Random choices depend only on the seed. All times are on the
-// caller's monotonic clock, and times of other machines are never used. Not thread-safe.
+// changes. Does no I/O and reads no clock: the caller passes the time of its monotonic clock. Times of other
+// machines are never used. Random choices depend only on the seed. Not thread-safe.
 class Membership final : private FailureDetector::Delegate {
  public:
-  // `process_start` is the start of the local process in ms of Unix time. Throws std::invalid_argument if the
-  // name is empty or too long.
+  // `process_start` is the start time of the local process (Unix time in ms). Throws std::invalid_argument if
+  // the name is empty or longer than kMaxNameBytes.
   Membership(MembershipOptions options, std::string name, Address address, std::uint64_t process_start,
              std::uint64_t seed);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Adds the address of a gateway whose name is not known yet.
+  // Adds an address through which this member joins the group. The name of the gateway at this address need
+  // not be known.
   void AddSeedAddress(Address address);
   // Does the periodic work: probes, suspicions and state exchanges. Must be called every few tens of ms.
   void Tick(base::Millis now, ProtocolOutput& out);
   // Handles a received datagram. Drops and counts malformed datagrams.
   void Receive(base::Millis now, Address from, std::string_view bytes, ProtocolOutput& out);
-  // Announces to some members that this member leaves the group. Must be called once, at shutdown.
+  // Announces to some members that this member leaves the group. Must be called once, at shutdown. Afterwards
+  // this member ignores datagrams and sends none.
   void Leave(ProtocolOutput& out);
 
   // Anti-entropy: two members exchange their states to get updates that they missed because datagrams were
-  // lost. State() encodes all known members except dead ones. MergeState() is commutative, associative and
+  // lost. State() encodes all known members except dead members. MergeState() is commutative, associative and
   // idempotent. It returns false if the state is malformed.
   std::string State() const;
   bool MergeState(base::Millis now, std::string_view state, ProtocolOutput& out);
--- a/src/membership/membership_options.hpp
+++ b/src/membership/membership_options.hpp
@@ -16,16 +16,16 @@
   int indirect_probes = 3;              // number of ping-reqs sent after the direct probe timed out
   // Lifeguard's alpha: the minimum suspicion timeout, in protocol periods times LogGroupSize().
   double suspicion_multiplier = 4;
-  // Lifeguard's beta: ratio of the maximum to the minimum suspicion timeout. The maximum applies without
-  // confirmations.
+  // Lifeguard's beta: ratio of the maximum to the minimum suspicion timeout. The maximum applies while no
+  // other member has confirmed the suspicion.
   double max_suspicion_multiplier = 6;
-  int expected_confirmations = 3;  // Lifeguard's k: confirmations that reduce the timeout to the minimum
+  int expected_confirmations = 3;  // Lifeguard's k: after this many, the minimum timeout applies
   int max_local_health = 8;        // Lifeguard's S: the worst local health score
-  // Interval between exchanges of the complete state. The interval is one protocol period after the start and
-  // while no other member is known.
+  // Interval between exchanges of the complete state. Shortly after the start, and while no other member is
+  // known, the interval is one protocol period instead.
   base::Millis sync_interval = 30000;
   double retransmit_multiplier = 4;  // SWIM's lambda: an update is sent lambda * LogGroupSize() times
-  // How long a dead member is retained, so that old updates do not revive it.
+  // How long a dead member stays in the member table, so that old updates do not mark it as alive again.
   base::Millis dead_retention = 60000;
 };
 
--- a/src/membership/protocol_output.hpp
+++ b/src/membership/protocol_output.hpp
@@ -1,4 +1,4 @@
-// Output of the membership protocol: actions for its owner to perform, and status changes.
+// Output of the membership protocol: actions that the caller must perform, and status changes.
 #ifndef GATEWAY_MEMBERSHIP_PROTOCOL_OUTPUT_HPP_
 #define GATEWAY_MEMBERSHIP_PROTOCOL_OUTPUT_HPP_
 
@@ -24,8 +24,8 @@
 struct ProtocolOutput {
   std::vector<Datagram> datagrams;  // datagrams to send
   std::vector<StatusChange> status_changes;
-  // Address of a member with which the owner must exchange the complete state over a connection. The exchange
-  // may fail; some updates then take longer to spread.
+  // Address of a member with which the caller must exchange the complete state over a connection. If the
+  // exchange fails, some updates take longer to spread.
   std::optional<Address> sync_with;
 };
 
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,4 +1,4 @@
-// Lifeguard's suspicion: determines how long a member is suspect before it counts as dead.
+// Lifeguard's suspicion: determines how long a member stays suspect before it is declared dead.
 #ifndef GATEWAY_MEMBERSHIP_SUSPICION_HPP_
 #define GATEWAY_MEMBERSHIP_SUSPICION_HPP_
 
@@ -15,9 +15,9 @@
 base::Millis SuspicionTimeout(const MembershipOptions& options, std::size_t alive_members,
                               std::size_t suspectors);
 
-// Adds a member to the sorted list of suspectors. If the list becomes too long, removes the last name in
-// lexicographic order, so that the result does not depend on the order of updates. Returns whether the list
-// changed.
+// Adds the member `name` to the sorted list of suspectors. The list has room for the first suspector and
+// `expected_confirmations` others. If it becomes longer, removes the last name in lexicographic order, so
+// that the result does not depend on the order of updates. Returns whether the list changed.
 bool AddSuspector(std::vector<std::string>& suspectors, const std::string& name, int expected_confirmations);
 
 }  // namespace gateway::membership
--- a/src/registry/admission.hpp
+++ b/src/registry/admission.hpp
@@ -19,7 +19,7 @@
   double full_lists_per_second = 0;  // maximum rate, and maximum number of full lists in a burst
 };
 
-// Does no I/O and reads no clock: times are those of the caller's monotonic clock. Not thread-safe.
+// Does no I/O and reads no clock: the caller passes the time of a monotonic clock. Not thread-safe.
 class Admission {
  public:
   explicit Admission(AdmissionLimits limits);
--- a/src/registry/agent.cpp
+++ b/src/registry/agent.cpp
@@ -69,7 +69,8 @@
   ScheduleNextAction(0);
 }
 
-// If no service responds before the lease has expired, the agent finishes without removing the member.
+// Removes the member. If no service responds before the lease expires, the agent finishes without the
+// removal.
 void Agent::OnDrainGraceElapsed() {
   state_.OnDrainGraceElapsed();
   stop_timer_.expires_after(TimerDuration(options_.member.lease_duration + 2 * kCallTimeout));
@@ -85,7 +86,8 @@
   if (was_healthy == state_.healthy()) return;
   base::Log(was_healthy ? Level::kWarning : Level::kInfo, "member", "health",
             fmt::format("member {}: {}", options_.member.id,
-                        was_healthy ? "does not answer; its lease is not renewed" : "answers"));
+                        was_healthy ? "health checks failed; the agent no longer renews its lease"
+                                    : "health check passed"));
   if (!was_healthy) ScheduleNextAction(0);
 }
 
@@ -148,7 +150,7 @@
   const char* const name = ActionName(action);
   base::Log(Level::kInfo, "member", name,
             fmt::format("member {}: {} {}", options_.member.id, name,
-                        result.error ? ErrorCodeName(*result.error) : "done"));
+                        result.error ? "failed: " + ErrorCodeName(*result.error) : "succeeded"));
 }
 
 void Agent::RetryWithNextService() {
--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -17,16 +17,16 @@
 
 namespace gateway::registry {
 
-// Must be used in the thread of the io_context. Must outlive its operations, which end when the io_context
-// stops.
+// Must be used in the thread of the io_context. Must not be destroyed before the io_context has stopped,
+// because pending operations refer to the agent.
 class Agent {
  public:
-  // Starts with a health check. `io` must outlive the agent. `on_finished` is called once with an exit code.
-  // The code is 0 after Stop(), and 1 if another process has registered with the member's id or operators
-  // have removed the member.
+  // Starts the first health check. `io` must outlive the agent. `on_finished` is called once with an exit
+  // code: 0 if the agent finished after Stop(), or 1 if another process has registered with the member's id
+  // or operators have removed the member.
   Agent(boost::asio::io_context& io, AgentOptions options, std::function<void(int)> on_finished);
 
-  // Drains the member, and removes it after the drain grace period.
+  // Drains the member at once, and removes it from the list after the drain grace period.
   void Stop();
 
  private:
@@ -48,9 +48,9 @@
   HealthChecker health_checker_;
   boost::asio::steady_timer action_timer_;
   boost::asio::steady_timer stop_timer_;
-  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null if there is none
-  std::size_t service_index_ = 0;
-  int failed_calls_ = 0;  // consecutive failed calls to the service
+  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null before the first call
+  std::size_t service_index_ = 0;                       // index of the current service in the options
+  int failed_calls_ = 0;                                // consecutive failed calls to the service
   bool call_pending_ = false;
   bool finished_ = false;
 };
--- a/src/registry/agent_options.cpp
+++ b/src/registry/agent_options.cpp
@@ -19,7 +19,9 @@
 
 tcp::endpoint ParseAddress(const base::TomlTable& table, const std::string& key, const std::string& text) {
   const auto endpoint = base::ParseSocketAddress(text);
-  if (!endpoint || endpoint->port() == 0) table.Fail(key, "'" + text + "' is not an address and port");
+  if (!endpoint || endpoint->port() == 0) {
+    table.Fail(key, "'" + text + "' must be an IP address and a port above 0, such as 10.1.0.18:3000");
+  }
   return *endpoint;
 }
 
@@ -57,7 +59,7 @@
   if (options.services.empty()) table.Fail("services", "must contain at least one address");
   options.drain_grace = table.Seconds("grace_s", options.drain_grace, base::kNotNegative);
   auto member = table.Table("member");
-  if (!member) table.Fail("member", "is missing");
+  if (!member) table.Fail("member", "the table [member] is missing");
   options.member = ReadMemberTable(*member);
   options.health_check.address = ParseAddress(*member, "address", options.member.address);
   if (auto check = table.Table("check")) ReadHealthCheck(*check, options.health_check);
--- a/src/registry/agent_options.hpp
+++ b/src/registry/agent_options.hpp
@@ -13,7 +13,7 @@
 
 struct HealthCheckOptions {
   boost::asio::ip::tcp::endpoint address;  // address of the member
-  std::string path;  // must respond with 200; if empty, an established connection suffices
+  std::string path;  // HTTP path that must respond with 200; if empty, the check only connects
   base::Millis interval = 1000;
   base::Millis timeout = 1000;
   int failure_threshold = 3;  // consecutive failures after which the member is unhealthy
--- a/src/registry/agent_state.hpp
+++ b/src/registry/agent_state.hpp
@@ -6,6 +6,7 @@
 
 namespace gateway::registry {
 
+// kNone: the agent makes no call at present.
 enum class AgentAction { kRegister, kRenew, kDrain, kRemove, kNone };
 
 // Registers the member and renews its lease while it is healthy, and drains and removes it after Stop(). Does
@@ -14,13 +15,13 @@
  public:
   AgentAction next_action() const;
 
-  // Handles the registry's result of an action.
+  // Handles the error code that the registry returned for an action; kNone if the action succeeded.
   void OnResult(AgentAction action, ErrorCode code);
   // Handles the result of a health check. The member is unhealthy after `failure_threshold` consecutive
   // failures.
   void OnHealthCheck(bool passed, int failure_threshold);
   void Stop() { stopping_ = true; }
-  // Called when the time between drain and removal has elapsed.
+  // Must be called when the drain grace period, the time between drain and removal, has elapsed.
   void OnDrainGraceElapsed() { drain_grace_elapsed_ = true; }
 
   bool listed() const { return listed_; }
@@ -29,7 +30,7 @@
   // Returns whether another process has registered with the member's id, or operators have removed the
   // member.
   bool replaced() const { return replaced_; }
-  // Returns whether all work after Stop() is complete.
+  // Returns whether the agent was stopped and the member is no longer listed.
   bool done() const { return removed_ || (stopping_ && !listed_); }
 
  private:
--- a/src/registry/byte_codec.hpp
+++ b/src/registry/byte_codec.hpp
@@ -31,7 +31,7 @@
   std::string bytes_;
 };
 
-// A read past the end returns zero or an empty string and makes ok() return false from then on.
+// A read past the end returns zero or an empty string. After such a read, ok() returns false.
 class ByteReader {
  public:
   // `bytes` must outlive the reader.
--- a/src/registry/call_handler.hpp
+++ b/src/registry/call_handler.hpp
@@ -21,8 +21,8 @@
   CallHandler(DurableCatalog& catalog, LeaseMonitor& leases, base::Millis default_lease_duration)
       : catalog_(catalog), leases_(leases), default_lease_duration_(default_lease_duration) {}
 
-  // Handles POST /registry/CALL. Responds at once to a renewal or an invalid call, otherwise when the command
-  // is durable.
+  // Handles POST /registry/CALL. Responds to a renewal or an invalid call at once, and to a command when the
+  // command is durable.
   void Handle(const std::shared_ptr<Session>& session, std::string_view call, const std::string& body);
 
   // Returns the number of renewals received since the start.
--- a/src/registry/catalog.cpp
+++ b/src/registry/catalog.cpp
@@ -24,15 +24,16 @@
   return std::nullopt;
 }
 
-// Returns an error if the process of `member` must not register because its member was removed before.
+// Returns an error if the process of `member` must not register again after a removal. `removed` is the
+// member's state at its removal.
 std::optional<Error> CheckReregistration(const Member& member, const Member& removed) {
-  // This is a delayed request from a process that was removed or replaced by a later process.
+  // The request was delayed: a later process has replaced the process that sent it.
   if (member.incarnation < removed.incarnation) {
     return Error(ErrorCode::kStaleIncarnation, "incarnation",
                  "a later process with incarnation " + std::to_string(removed.incarnation) + " was listed");
   }
-  // A process that was removed explicitly must not register again. If the incarnation is not stated (0), the
-  // request may come from another process.
+  // A process that was removed explicitly must not register again. If the incarnation is 0 (not stated), the
+  // request may come from a new process.
   const bool same_process = member.incarnation == removed.incarnation && member.incarnation != 0;
   if (same_process && !removed.expired) {
     return Error(ErrorCode::kRemoved, "incarnation",
@@ -41,7 +42,8 @@
   return std::nullopt;
 }
 
-// Returns a text that identifies the action and member of a request with an idempotency key.
+// Returns a text that identifies the action and the member, to detect an idempotency key that is reused for
+// another request.
 std::string DescribeRequest(const Command& command) {
   return std::to_string(static_cast<int>(command.action)) + " " + command.member.id;
 }
@@ -146,7 +148,7 @@
   return Commit(std::move(member));
 }
 
-// Creates a new revision of the list that contains this state of the member.
+// Stores the new state of the member and creates a new revision of the list.
 CommandResult Catalog::Commit(Member member) {
   member.revision = ++revision_;
   history_.push_back(member);
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -1,7 +1,7 @@
 // The list of members as a deterministic state machine, which applies commands and produces revisions. The
 // same commands in the same order always produce the same catalog, so the catalog can be recovered by
-// applying the logged commands again. A command must be applied only once it is durable. Does no I/O and uses
-// neither a clock nor randomness. See docs/design/registry.md for the rationale.
+// applying the logged commands again. Only durable commands may be applied. Does no I/O and uses neither a
+// clock nor randomness. See docs/design/registry.md for the rationale.
 #ifndef GATEWAY_REGISTRY_CATALOG_HPP_
 #define GATEWAY_REGISTRY_CATALOG_HPP_
 
@@ -22,16 +22,16 @@
 
 // Limits of the retained history.
 struct RetentionLimits {
-  std::size_t changes = 100000;          // a watch can continue from the revision of a retained change
-  std::size_t idempotency_keys = 10000;  // idempotency keys for which the result of the request is retained
+  std::size_t changes = 100000;          // newest changes to retain; a watch can continue only from these
+  std::size_t idempotency_keys = 10000;  // newest idempotency keys whose results to retain
 };
 
 // Not thread-safe.
 class Catalog {
  public:
-  // `epoch` identifies this history permanently. `initial_revision` is the revision before the first change.
-  // A service that has lost its state starts a new epoch. The initial revision of the new epoch must be
-  // higher than any revision that the lost epoch can have reached.
+  // `epoch` permanently identifies this history of changes. `initial_revision` is the revision before the
+  // first change. A service that has lost its state starts a new epoch. The initial revision of the new epoch
+  // must be higher than any revision that the previous epoch can have reached.
   Catalog(std::string epoch, Revision initial_revision, RetentionLimits limits = {});
 
   // Applies the command. Every accepted change creates exactly one revision; a failed command creates none.
@@ -43,8 +43,8 @@
   Revision oldest_revision() const { return history_.empty() ? revision_ : history_.front().revision - 1; }
   // Returns whether ChangedSince() supports this revision.
   bool HasHistorySince(Revision after) const { return after >= oldest_revision() && after <= revision_; }
-  // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept the loss
-  // of many members only if operators have removed them.
+  // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept a list
+  // that lacks many of its previous members only if operators have removed these members.
   Revision last_operator_removal() const { return last_operator_removal_; }
   const std::map<std::string, Member>& members() const { return members_; }
   // Returns null if the member is not listed. The pointer is valid until the next Apply().
@@ -77,8 +77,8 @@
   Revision last_operator_removal_ = 0;
   RetentionLimits limits_;
   std::map<std::string, Member> members_;            // ordered, so that snapshots are reproducible
-  std::deque<Member> history_;                       // see history()
-  std::unordered_map<std::string, Member> removed_;  // removed members whose removal is in the history
+  std::deque<Member> history_;                       // retained changes, oldest first
+  std::unordered_map<std::string, Member> removed_;  // by id: members whose removal is still in the history
   IdempotencyTable results_;
 };
 
--- a/src/registry/catalog_snapshot.cpp
+++ b/src/registry/catalog_snapshot.cpp
@@ -44,13 +44,14 @@
   return catalog;
 }
 
-// Returns false, and sets `error`, if revisions are missing.
+// Reads the retained changes. Returns false, and sets `error`, if their revisions are not contiguous.
 bool Catalog::ReadHistory(ByteReader& reader, std::string& error) {
   Revision last = 0;
   for (std::uint64_t remaining = reader.ReadUnsigned(); remaining > 0 && reader.ok(); --remaining) {
     Member member = ReadMember(reader);
     if (last != 0 && member.revision != last + 1) {
-      error = "the history is missing revisions";
+      error = "the history is missing revisions: revision " + std::to_string(member.revision) +
+              " follows revision " + std::to_string(last);
       return false;
     }
     last = member.revision;
--- a/src/registry/command.hpp
+++ b/src/registry/command.hpp
@@ -18,7 +18,8 @@
   kUndrain = 2,  // ends a drain by operators
   kRemove = 3,
   kSetSize = 4,
-  // Proposed by the service itself when a lease expires or is renewed again.
+  // Only the service itself proposes the following actions: kSuspect and kExpire after a lease has expired,
+  // kRecover when the lease of a suspect is renewed.
   kSuspect = 5,
   kRecover = 6,
   kExpire = 7
@@ -29,10 +30,10 @@
   // The idempotency key identifies the request: a repeated request gets the result of the first execution.
   // Empty if there is no key.
   std::string idempotency_key;
-  bool by_operator = false;  // false: the command comes from the member's own process
-  Member member;             // `id` for all actions, `size` for kSetSize, all properties for kRegister
-  // Preconditions. The command fails if the member changed after the revision `if_revision`, or if its
-  // process has another incarnation than `if_incarnation`.
+  bool by_operator = false;  // false if the member's own process sent the command
+  Member member;             // used: `id` by all actions, `size` by kSetSize, all properties by kRegister
+  // Preconditions. The command fails if the member changed after the revision `if_revision`, or if the
+  // incarnation of the listed process is not `if_incarnation`.
   std::optional<Revision> if_revision;
   std::optional<Incarnation> if_incarnation;
 
@@ -50,15 +51,15 @@
   kBadRequest,
   kUnknownMember,
   kUnknownCall,
-  kStaleIncarnation,  // a later process of this member is known
+  kStaleIncarnation,  // a later process of this member was listed
   kAddressConflict,   // a process with the same incarnation is listed at another address
   kRemoved,           // this process was removed explicitly
   kChangedSince,      // the member changed after `if_revision`
   kKeyReused,         // the idempotency key was used for another request
-  kOverloaded,        // nothing was written; the caller may retry later
+  kOverloaded,        // the request was not executed; the caller may retry later
   kStorageFailed,     // the write may or may not be durable; the caller may retry with the same key
-  kUnreadable,        // used by clients: the response cannot be decoded
-  kOther              // used by clients: the service sent an unknown code
+  kUnreadable,        // set by clients: the response cannot be decoded
+  kOther              // set by clients: the service sent an unknown code
 };
 
 struct Error {
@@ -74,7 +75,9 @@
 // Result of a command: an error, or the revision that contains its effect.
 struct CommandResult {
   std::optional<Error> error;
-  Revision revision = 0;  // created by the command; if nothing had to change, the newest revision
+  // The revision that the command created. If the command changed nothing, a revision that already contains
+  // its effect.
+  Revision revision = 0;
   bool changed = false;
 
   bool ok() const { return !error.has_value(); }
--- a/src/registry/commit_notifier.cpp
+++ b/src/registry/commit_notifier.cpp
@@ -9,7 +9,7 @@
 namespace gateway::registry {
 namespace {
 
-constexpr useconds_t kPollMicroseconds = 200;
+constexpr useconds_t kPollIntervalMicroseconds = 200;
 
 }  // namespace
 
@@ -27,7 +27,8 @@
 
 CommitNotifier::Result CommitNotifier::Wait() {
   std::uint64_t count = 0;
-  while (::read(event_.native_handle(), &count, sizeof count) != sizeof count) ::usleep(kPollMicroseconds);
+  while (::read(event_.native_handle(), &count, sizeof count) != sizeof count)
+    ::usleep(kPollIntervalMicroseconds);
   return *Take();
 }
 
--- a/src/registry/commit_notifier.hpp
+++ b/src/registry/commit_notifier.hpp
@@ -14,7 +14,7 @@
 
 namespace gateway::registry {
 
-// Holds one result at a time, since the next batch is written only after the previous result was received.
+// Stores at most one result, because the next batch is written only after the previous result was received.
 class CommitNotifier {
  public:
   using Result = LogWriter::BatchResult;
@@ -22,11 +22,11 @@
   // `io` must outlive the notifier.
   explicit CommitNotifier(boost::asio::io_context& io);
 
-  // Passes a result. Called in the log writer's thread.
+  // Passes a result to Wait() or to the handler of Listen(). Called in the log writer's thread.
   void Notify(Result result);
   // Blocks until a result is available. Must not be called after Listen().
   Result Wait();
-  // Calls `handler` with each further result in the thread of the io_context.
+  // From now on, calls `handler` with each result in the thread of the io_context.
   void Listen(std::function<void(Result)> handler);
 
  private:
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -49,7 +49,7 @@
 // ---- Recovery -------------------------------------------------------------------------------------
 
 // Runs at the start and after a storage failure. After a failure, the log may contain commands that were
-// reported as failed. These commands are applied, since they are durable.
+// reported to their proposers as failed. These commands are applied, because they are durable.
 void DurableCatalog::Recover() {
   storage::Examination examination;
   if (const storage::Status status = log_writer_.Open(examination); !status.ok()) {
@@ -68,7 +68,8 @@
 void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
   std::string error;
   if (snapshot.version > kSnapshotVersion) {
-    error = "it was written by a newer program";
+    error = fmt::format("it was written by a newer program: it has version {}, expected at most {}",
+                        snapshot.version, kSnapshotVersion);
   } else {
     catalog_ = Catalog::FromSnapshot(snapshot.payload, options_.retention, error);
   }
@@ -78,7 +79,7 @@
   applied_ = snapshot.sequence;
 }
 
-// Returns the number of records applied.
+// Applies the records that are not applied yet. Returns their number.
 std::size_t DurableCatalog::Replay(const std::vector<storage::Record>& records) {
   std::size_t replayed = 0;
   for (const storage::Record& record : records) {
@@ -87,7 +88,9 @@
     const auto command = readable ? DecodeCommand(record.payload) : std::nullopt;
     if (!command) {
       throw std::runtime_error(
-          fmt::format("{}: cannot decode record {}", options_.state_folder, record.sequence));
+          fmt::format("{}: cannot decode record {}: it is corrupt, or its version {} is above the supported "
+                      "version {}",
+                      options_.state_folder, record.sequence, record.version, kCommandVersion));
     }
     applied_ = record.sequence;
     catalog_->Apply(*command);
@@ -193,8 +196,8 @@
   });
 }
 
-// Recovers the catalog from the state folder again. The store rewrites the last segment of the log, since its
-// content may not be durable after the failure.
+// Opens the store again and applies the records that are not applied yet. The store rewrites the last segment
+// of the log, because the content of the segment may not be durable after the failure.
 void DurableCatalog::Reopen() {
   const Revision before = catalog_->revision();
   try {
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -1,6 +1,6 @@
-// Catalog with a write-ahead log. Proposed commands are written in batches (group commit). Once a command is
-// durable, it is applied and its proposer gets the result. While the storage fails, commands are rejected and
-// the store is reopened periodically.
+// Catalog with a write-ahead log. Proposed commands are written in batches (group commit). When a command is
+// durable, it is applied and its proposer gets the result. After a storage failure, commands are rejected
+// until the store can be reopened.
 #ifndef GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 #define GATEWAY_REGISTRY_DURABLE_CATALOG_HPP_
 
@@ -29,10 +29,10 @@
   virtual void OnApplied(const Command& command, const CommandResult& result) = 0;
   // Called when the command was not applied, before its proposer gets the error.
   virtual void OnRejected(const Command& command) = 0;
-  // Called when the storage accepts writes again. `changed` contains the members that were changed by
-  // recovered records.
+  // Called when the storage accepts writes again. `changed` contains the members that the records recovered
+  // from the log have changed.
   virtual void OnReopened(const std::vector<const Member*>& changed) = 0;
-  // Called after all commands of a batch were applied and answered, if the revision increased.
+  // Called if a batch has increased the revision, after the proposers of all its commands got their results.
   virtual void OnNewRevision() = 0;
 };
 
@@ -86,7 +86,7 @@
   const ServiceOptions options_;
   CatalogObserver& observer_;
   std::optional<Catalog> catalog_;           // empty only during the first recovery
-  storage::Sequence applied_ = 0;            // last applied record
+  storage::Sequence applied_ = 0;            // sequence of the last applied record
   std::vector<Proposal> queued_;             // commands of the next batch
   std::vector<Proposal> batch_in_progress_;  // commands of the batch that the log writer is writing
   std::string storage_error_;
--- a/src/registry/health_checker.hpp
+++ b/src/registry/health_checker.hpp
@@ -1,4 +1,5 @@
-// Checks periodically whether a server is healthy, with an HTTP request or a connection.
+// Periodically checks whether a server is healthy: whether it responds to an HTTP request, or accepts a
+// connection.
 #ifndef GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 #define GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 
@@ -13,8 +14,8 @@
 
 namespace gateway::registry {
 
-// Must be used in the thread of the io_context. Must outlive its operations, which end when the io_context
-// stops.
+// Must be used in the thread of the io_context. Must not be destroyed before the io_context has stopped,
+// because pending operations refer to the checker.
 class HealthChecker {
  public:
   // `io` must outlive the checker. `on_result` receives the result of each check.
--- a/src/registry/http_request.cpp
+++ b/src/registry/http_request.cpp
@@ -16,7 +16,7 @@
          " HTTP/1.1\r\nHost: registry\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Returns std::nullopt unless the complete text is a non-negative number.
+// Parses a text that consists only of a non-negative integer. Returns std::nullopt for any other text.
 std::optional<std::int64_t> ParseNonNegative(std::string_view text) {
   std::int64_t number = 0;
   const char* const end = text.data() + text.size();
@@ -25,7 +25,7 @@
   return number;
 }
 
-// Returns false if the value is malformed.
+// Stores the parameter in `query`. Returns false if its value is malformed.
 bool ReadParameter(std::string_view name, std::string_view value, WatchQuery& query) {
   if (name == "epoch") query.epoch = value;
   if (name != "after" && name != "wait_ms") return true;
--- a/src/registry/http_response.hpp
+++ b/src/registry/http_response.hpp
@@ -23,8 +23,9 @@
 unsigned HttpStatus(ErrorCode code);
 
 Response ResultResponse(const CommandResult& result);
-// The status is derived from the error's code unless it is given.
+// Returns a response with the HTTP status of the error's code.
 Response ErrorResponse(const Error& error);
+// Returns a response with the given HTTP status.
 Response ErrorResponse(const Error& error, unsigned status);
 // Responses with status 200.
 Response BodyResponse(Body body);
--- a/src/registry/idempotency_table.hpp
+++ b/src/registry/idempotency_table.hpp
@@ -12,7 +12,7 @@
 
 namespace gateway::registry {
 
-// Retains the newest `capacity` keys and drops the oldest first.
+// Retains the newest `capacity` keys. If the table is full, an insertion drops the oldest key.
 class IdempotencyTable {
  public:
   struct Entry {
--- a/src/registry/lease_monitor.hpp
+++ b/src/registry/lease_monitor.hpp
@@ -1,4 +1,5 @@
-// Keeps the lease table consistent with the catalog, proposes its commands, and logs lease events.
+// Keeps the lease table consistent with the catalog, proposes the commands of the lease table to the catalog,
+// and logs lease events.
 #ifndef GATEWAY_REGISTRY_LEASE_MONITOR_HPP_
 #define GATEWAY_REGISTRY_LEASE_MONITOR_HPP_
 
@@ -36,7 +37,7 @@
 
   DurableCatalog& catalog_;
   LeaseTable leases_;
-  std::set<std::string> logged_zones_;  // zones whose suspended removals were logged
+  std::set<std::string> logged_zones_;  // zones for which suspended removals were logged
 };
 
 }  // namespace gateway::registry
--- a/src/registry/lease_table.cpp
+++ b/src/registry/lease_table.cpp
@@ -49,8 +49,8 @@
 std::vector<Command> LeaseTable::Tick(Millis now) {
   if (DetectPause(now)) ExtendAll(now);
   const SelfPreservation::Decision decision = self_preservation_.Decide(CountLeases(now), now);
-  // At the end of self-preservation, members resume their renewals one after another. Members whose lease is
-  // still expired get a full lease.
+  // When self-preservation ends, some members have not resumed their renewals yet. Their expired leases are
+  // extended by the full duration.
   for (const std::string& zone : decision.ended) ExtendLapsed(zone, now);
   std::vector<Command> proposals;
   if (decision.suspended.contains(kAllZones)) return proposals;
--- a/src/registry/lease_table.hpp
+++ b/src/registry/lease_table.hpp
@@ -16,7 +16,7 @@
 struct LeaseOptions {
   base::Millis default_duration = 10000;  // for members that do not state a duration
   base::Millis removal_grace = 5000;      // time from suspicion to removal
-  // A longer time between two ticks means that this service was suspended or starved of CPU.
+  // If two ticks are further apart, this service was suspended or starved of CPU.
   base::Millis max_tick_interval = 1000;
   SelfPreservationOptions self_preservation;
 };
@@ -29,15 +29,15 @@
   kExpiring           // the removal of the member was proposed; the member must register again
 };
 
-// Leases exist only in memory; after a restart every lease starts with its full duration. Does no I/O and
-// reads no clock: times are those of the caller's monotonic clock. Not thread-safe.
+// Leases exist only in memory. After a restart of the service, every lease starts with its full duration.
+// Does no I/O and reads no clock: the caller passes the time of a monotonic clock. Not thread-safe.
 class LeaseTable {
  public:
   explicit LeaseTable(LeaseOptions options)
       : options_(options), self_preservation_(options.self_preservation) {}
 
-  // Must be called with each member of the catalog at the start, and with each change that the catalog
-  // applied.
+  // Must be called at the start with each member of the catalog, and later with the new state of each member
+  // that the catalog changed.
   void OnMemberChanged(const Member& member, base::Millis now);
   RenewalResult Renew(const std::string& id, Incarnation incarnation, base::Millis now);
 
@@ -46,7 +46,7 @@
   // Must be called if a proposed command was not applied, so that a later tick proposes it again.
   void OnProposalFailed(const Command& command);
 
-  // Returns the zones in which self-preservation is active, so that removals are suspended.
+  // Returns the zones in which self-preservation is active and suspends removals.
   std::vector<SelfPreservation::ActiveZone> preserved_zones() const { return self_preservation_.active(); }
   std::size_t size() const { return leases_.size(); }
   // Returns the number of listed members whose lease has expired.
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -8,7 +8,8 @@
 namespace gateway::registry {
 namespace {
 
-// A delta is assumed to be longer than the full list if it has this many changes more than there are members.
+// If a delta has more entries than the full list has members, plus this number, the delta is assumed to be
+// longer than the full list.
 constexpr std::size_t kMaxChangesBeyondMembers = 64;
 constexpr std::size_t kMaxCachedDeltas = 64;
 
--- a/src/registry/list_cache.hpp
+++ b/src/registry/list_cache.hpp
@@ -18,7 +18,8 @@
   // `catalog` must outlive the cache.
   explicit ListCache(const Catalog& catalog) : catalog_(catalog) {}
 
-  // Returns the delta from a revision, or the full list if it is shorter or if the revision is compacted.
+  // Returns the delta from the revision `after`. Returns the full list instead if the full list is shorter or
+  // if the revision is compacted.
   Body DeltaSince(Revision after);
   Body FullList();
   // Must be called after each new revision.
@@ -32,7 +33,7 @@
   Body Encode(bool complete, const std::vector<const Member*>& members) const;
 
   const Catalog& catalog_;
-  std::map<Revision, Body> deltas_;  // by the client's revision
+  std::map<Revision, Body> deltas_;  // by the revision of the client's list
   Body full_list_;                   // null until first requested
   std::uint64_t encoded_ = 0;
 };
--- a/src/registry/log_writer.cpp
+++ b/src/registry/log_writer.cpp
@@ -8,7 +8,7 @@
 namespace gateway::registry {
 namespace {
 
-constexpr std::uint16_t kCommandRecord = 1;  // the only kind of record in this log
+constexpr std::uint16_t kCommandRecord = 1;  // the record kind of a command; this log contains no other kind
 
 }  // namespace
 
--- a/src/registry/log_writer.hpp
+++ b/src/registry/log_writer.hpp
@@ -1,4 +1,4 @@
-// Writes batches of commands to the write-ahead log in its own thread, with one sync per batch (group
+// Writes batches of commands to the write-ahead log in a separate thread, with one sync per batch (group
 // commit).
 #ifndef GATEWAY_REGISTRY_LOG_WRITER_HPP_
 #define GATEWAY_REGISTRY_LOG_WRITER_HPP_
@@ -24,7 +24,7 @@
     std::vector<std::string> records;
   };
   struct BatchResult {
-    storage::Status status;  // if it is an error, all further writes fail until the next Open()
+    storage::Status status;  // after an error, all further writes fail until the next Open()
     std::vector<storage::Sequence> sequences;
     double duration_ms = 0;
     std::uint64_t log_bytes = 0;  // size of the log since the last snapshot
--- a/src/registry/member.hpp
+++ b/src/registry/member.hpp
@@ -24,7 +24,7 @@
   std::string zone;
   std::string machine_type;
   std::string cell;     // JSON value that gateways compare as text; empty if there is none
-  std::string version;  // label of the software that the process runs
+  std::string version;  // version of the software that the process runs
   double size = 1;      // capacity relative to other members
   // Time between a renewal and the expiry of the lease. If the value is 0, the member has no lease and is
   // listed until it is removed explicitly.
@@ -32,7 +32,7 @@
   Incarnation incarnation = 0;
   bool draining = false;             // requested by the process itself; ends when the process is replaced
   bool drained_by_operator = false;  // survives restarts of the process
-  bool suspect = false;              // the lease has expired, and the member will be removed if not renewed
+  bool suspect = false;              // the lease has expired; the member is removed unless it renews
   bool removed = false;
   bool expired = false;   // removed because the lease expired; the same process may register again
   Revision revision = 0;  // revision of the member's last change
--- a/src/registry/pending_watches.hpp
+++ b/src/registry/pending_watches.hpp
@@ -20,8 +20,8 @@
   // Responds to the session at the next NotifyAll(), or after `wait` without a change.
   void Add(const std::shared_ptr<Session>& session, Revision after, base::Millis wait);
   void Remove(const std::shared_ptr<Session>& session) { watches_.erase(session); }
-  // Responds to all watches with their deltas. Must be called after each new revision. The list cache must
-  // have been cleared before.
+  // Responds to all watches with their deltas. Must be called after each new revision, once the list cache
+  // has been cleared.
   void NotifyAll();
   std::size_t size() const { return watches_.size(); }
 
@@ -29,7 +29,8 @@
   void OnTimeout(const std::shared_ptr<Session>& session);
 
   ListCache& lists_;
-  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;  // revision of the client by session
+  // The revision of the client's list, by session.
+  std::unordered_map<std::shared_ptr<Session>, Revision> watches_;
 };
 
 }  // namespace gateway::registry
--- a/src/registry/registry_json.cpp
+++ b/src/registry/registry_json.cpp
@@ -33,7 +33,7 @@
                                                {ErrorCode::kStorageFailed, "storage_failed"},
                                                {ErrorCode::kUnreadable, "unreadable"}}};
 
-// The name of a field in the published list, and its name in calls to this service.
+// The name of a field in the published list, and the name of this field in calls to the service.
 struct FieldName {
   const char* published;
   const char* call;
@@ -279,12 +279,12 @@
   if (!parsed.is_object() || !parsed.contains("members") || !parsed["members"].is_array()) {
     return fail("'members' must be an array");
   }
-  if (!parsed.value("complete", true)) return fail("the list is not complete");
+  if (!parsed.value("complete", true)) return fail("the list is not complete: 'complete' is false");
   PublishedList list;
   try {
     list.revision = parsed.value("revision", Revision{0});
     for (const json& entry : parsed["members"]) {
-      if (!entry.is_object()) return fail("each member must be an object");
+      if (!entry.is_object()) return fail("each entry of 'members' must be an object");
       list.members.push_back(ReadPublishedMember(entry));
     }
   } catch (const FieldError& field_error) {
--- a/src/registry/registry_json.hpp
+++ b/src/registry/registry_json.hpp
@@ -1,6 +1,6 @@
-// Encodes and decodes the JSON of the registry's HTTP interface: the published list (see "Discovery" in
-// PROTOCOL), the calls of members and operators, and the results of calls. The names on the wire are fixed
-// and differ from the names in the code.
+// Encodes and decodes the JSON of the registry's HTTP API: the published list (see "Discovery" in PROTOCOL),
+// the calls of members and operators, and the results of calls. The field names on the wire are fixed. Some
+// of them differ from the names in the code.
 #ifndef GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 #define GATEWAY_REGISTRY_REGISTRY_JSON_HPP_
 
@@ -15,16 +15,16 @@
 
 namespace gateway::registry {
 
-// Returns the code as used on the wire. Empty for kNone and kOther.
+// Returns the name of the code on the wire, or an empty string for kNone and kOther.
 const char* ErrorCodeName(ErrorCode code);
-// Returns the code as the service sent it, even if it is unknown to this program.
+// Returns the name of the error's code as the service sent it, even if this program does not know the code.
 std::string ErrorCodeName(const Error& error);
-// Returns the last segment of the call's path, such as "register". Empty for actions that only the service
-// itself proposes.
+// Returns the last segment of the call's path, such as "register". Returns an empty string for actions that
+// only the service itself proposes.
 const char* CallName(Action action);
 
-// Encodes a member as in the published list, with the additional fields of this service. Gateways ignore
-// unknown fields.
+// Encodes a member as an entry of the published list. Adds fields that only this service defines; gateways
+// ignore unknown fields.
 std::string EncodeMember(const Member& member);
 // Encodes the published list. `complete` states that `members` is the full list, not a delta or part of the
 // history.
@@ -42,7 +42,7 @@
 // Decodes the result that a service sent. The code is kUnreadable if the response cannot be decoded.
 CommandResult ParseResult(unsigned status, const std::string& body);
 
-// A published list that is read to restore the members of a service that has lost its state.
+// A published list. Operators use it to restore the members after a service has lost its state.
 struct PublishedList {
   Revision revision = 0;
   std::vector<Member> members;
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -1,5 +1,5 @@
 // Self-preservation, as in Netflix's Eureka: if many leases expire at about the same time, the cause is
-// likely the network or this service, so no member is suspected or removed.
+// likely the network or this service. No member is suspected or removed then.
 #ifndef GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 #define GATEWAY_REGISTRY_SELF_PRESERVATION_HPP_
 
@@ -14,12 +14,14 @@
 namespace gateway::registry {
 
 struct SelfPreservationOptions {
-  // Self-preservation of a zone, or of all zones together, starts if too many of its leases have expired:
-  // more than this share and more than `min_lapsed`. Members that were removed within the window count too.
+  // Self-preservation starts in a zone, or in all zones together, if more than this share and more than
+  // `min_lapsed` of the leases have expired. Members that were removed within `window` because their lease
+  // expired are counted too.
   double max_lapsed_share = 0.25;
   int min_lapsed = 3;
   base::Millis window = 60000;
-  base::Millis max_duration = 3600000;  // after this time, members are removed although many leases expired
+  // After this time, members are removed even if many leases have expired.
+  base::Millis max_duration = 3600000;
 };
 
 // The zone name that represents all zones together.
@@ -32,6 +34,7 @@
 // Lease counts by zone, with an additional entry for all zones together.
 class ZoneLeaseCounts {
  public:
+  // Counts one lease, both in its zone and in the entry for all zones.
   void Add(const std::string& zone, bool lapsed);
   const std::map<std::string, LeaseCount>& zones() const { return zones_; }
 
@@ -39,8 +42,8 @@
   std::map<std::string, LeaseCount> zones_;
 };
 
-// Decides in which zones removals are suspended. Does no I/O and reads no clock: times are those of the
-// caller's monotonic clock. Not thread-safe.
+// Decides in which zones removals are suspended. Does no I/O and reads no clock: the caller passes the time
+// of a monotonic clock. Not thread-safe.
 class SelfPreservation {
  public:
   struct ActiveZone {
--- a/src/registry/service.hpp
+++ b/src/registry/service.hpp
@@ -1,5 +1,5 @@
 // The registry service, which publishes the endpoint list. Gateways read and watch the list, members renew
-// their leases, and members and operators change the list. Clients see a change only once it is durable.
+// their leases, and members and operators change the list. Clients see only durable changes.
 #ifndef GATEWAY_REGISTRY_SERVICE_HPP_
 #define GATEWAY_REGISTRY_SERVICE_HPP_
 
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -72,7 +72,7 @@
   metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
   metrics.Gauge("holds", "Scopes in which removals are suspended; a scope is one zone or all zones together",
                 view.leases.preserved_zones().size());
-  metrics.Counter("absences_total", "Times that this service was suspended or starved of CPU",
+  metrics.Counter("absences_total", "Number of times that this service was suspended or starved of CPU",
                   view.leases.pauses());
   metrics.Gauge("watches", "Pending watches", view.watches);
   metrics.Gauge("connections", "Open connections", view.connections);
@@ -89,14 +89,16 @@
   metrics.Counter("whole_lists_total", "Full lists sent", view.totals.full_lists);
   metrics.Counter("list_calls_total", "Requests for the list, including watches", view.totals.list.requests);
   metrics.Counter("bytes_received_total", "Bytes of requests received", view.totals.all.bytes_received);
-  metrics.Counter("bytes_sent_total", "Bytes of responses, counted when their sending begins",
+  metrics.Counter("bytes_sent_total", "Bytes of responses; each response is counted when its sending begins",
                   view.totals.all.bytes_sent);
   metrics.Counter("list_bytes_received_total", "Bytes of requests for the list",
                   view.totals.list.bytes_received);
-  metrics.Counter("list_bytes_sent_total",
-                  "Bytes of responses to requests for the list, counted when their sending begins",
-                  view.totals.list.bytes_sent);
-  metrics.Counter("encoded_total", "Bodies of lists encoded", view.totals.encoded_bodies);
+  metrics.Counter(
+      "list_bytes_sent_total",
+      "Bytes of responses to requests for the list; each response is counted when its sending begins",
+      view.totals.list.bytes_sent);
+  metrics.Counter("encoded_total", "Encoded response bodies that contain a full list or a delta",
+                  view.totals.encoded_bodies);
   metrics.Counter("turned_away_total", "Requests and connections rejected by admission control",
                   view.totals.rejected);
   metrics.Counter("cut_off_total", "Connections closed because the client read too slowly",
@@ -107,8 +109,8 @@
   const auto seconds = [&](double quantile) {
     return static_cast<double>(times_us.Quantile(quantile)) / kMicrosPerSecond;
   };
-  metrics.Gauge("sync_seconds_p50", "Median duration of writing a batch to the log", seconds(0.5));
-  metrics.Gauge("sync_seconds_p99", "99th percentile of the duration of writing a batch to the log",
+  metrics.Gauge("sync_seconds_p50", "Median time to write a batch to the log, in seconds", seconds(0.5));
+  metrics.Gauge("sync_seconds_p99", "99th percentile of the time to write a batch to the log, in seconds",
                 seconds(0.99));
 }
 
--- a/src/registry/service_report.hpp
+++ b/src/registry/service_report.hpp
@@ -23,7 +23,8 @@
   std::uint64_t slow_readers_closed = 0;
 };
 
-// Data for the reports. Valid until the service changes.
+// The data that the reports show. Valid only until the service handles its next event, because some members
+// refer to the state of the service.
 struct ServiceView {
   const DurableCatalog& durable_catalog;
   const LeaseTable& leases;
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -18,7 +18,7 @@
 
 constexpr Millis kFirstRequestTimeout = 10000;  // from the accepted connection to its first request
 constexpr Millis kIdleTimeout = 75000;          // from a response to the next complete request
-constexpr Millis kWriteTimeout = 5000;          // time in which a client must read a response
+constexpr Millis kWriteTimeout = 5000;          // time within which a client must read a response
 constexpr std::size_t kMaxBodyBytes = 64 << 10;
 constexpr std::size_t kMaxHeaderBytes = 8 << 10;
 
--- a/src/registry/session.hpp
+++ b/src/registry/session.hpp
@@ -26,7 +26,7 @@
 struct TrafficTotals {
   std::uint64_t requests = 0;
   std::uint64_t bytes_received = 0;
-  std::uint64_t bytes_sent = 0;  // bytes of responses, counted when their sending begins
+  std::uint64_t bytes_sent = 0;  // each response is counted when its sending begins
 };
 
 // Handler of the events of sessions. Called in the thread of their io_context.
@@ -45,8 +45,8 @@
 };
 
 // Handles one request at a time, so a slow client occupies at most one response body. Keeps itself alive
-// while an operation is pending. `io` must outlive the session, and `handler` must outlive it until it is
-// closed. Must be used in the thread of `io`.
+// while an operation is pending. `io` must outlive the session. `handler` must not be destroyed before the
+// session is closed. Must be used in the thread of `io`.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket, SessionHandler& handler);
--- a/src/storage/atomic_file.hpp
+++ b/src/storage/atomic_file.hpp
@@ -10,9 +10,9 @@
 
 namespace gateway::storage {
 
-// Writes the bytes to a temporary file, syncs it, and renames it to `path`. After a crash, `path` holds
-// either the old or the new content; the new content is guaranteed only after a sync of the folder. If
-// `open_file` is not null, it receives the new file, open for appending.
+// Writes the bytes to a temporary file, syncs this file, and renames it to `path`. After a crash, `path`
+// holds either the old or the new content. The new content is guaranteed only after a sync of the folder. If
+// `open_file` is not null, it is set to the new file, which is open for appending.
 Status ReplaceFile(FileSystem& files, const std::string& path, std::string_view bytes,
                    std::unique_ptr<File>* open_file = nullptr);
 
--- a/src/storage/byte_order.hpp
+++ b/src/storage/byte_order.hpp
@@ -13,7 +13,7 @@
   for (std::size_t i = 0; i < sizeof number; ++i) bytes += static_cast<char>(number >> (8 * i) & 0xff);
 }
 
-// Requires that all bytes of the number, from `offset` on, lie within `bytes`.
+// Reads a number that starts at `offset`. All bytes of the number must lie within `bytes`.
 template <typename Number>
 Number ReadLittleEndian(std::string_view bytes, std::size_t offset) {
   Number number = 0;
--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -8,6 +8,11 @@
 namespace gateway::storage {
 namespace {
 
+std::string DescribeMismatch(Sequence in_header, Sequence in_name) {
+  return "the sequence " + std::to_string(in_header) + " in the header does not match the sequence " +
+         std::to_string(in_name) + " in the file name";
+}
+
 class Examiner {
  public:
   Examiner(FileSystem& files, const std::string& folder, Examination& result)
@@ -36,7 +41,7 @@
   Examination& result_;
   std::vector<NumberedFile> snapshots_;
   std::vector<NumberedFile> segments_;
-  bool log_intact_ = true;  // false after a segment that is corrupt or missing
+  bool log_intact_ = true;  // false once a corrupt or missing segment was found
 };
 
 Status Examiner::Run(const std::string& owner) {
@@ -48,10 +53,10 @@
     if (name.ends_with(kTemporarySuffix)) result_.obsolete_files.push_back(name);
   }
   if (std::find(names.begin(), names.end(), kManifestName) == names.end()) {
-    // The manifest is durable before any other file is created.
+    // A new store makes its manifest durable before it creates any other file.
     if (snapshots_.empty() && segments_.empty()) return {};
     ExcludeAllFiles();
-    MarkCorrupt("found log or snapshot files but no manifest");
+    MarkCorrupt("the folder contains log or snapshot files but no MANIFEST file");
     return {};
   }
   if (Status status = ExamineManifest(owner); !status.ok()) return status;
@@ -132,7 +137,7 @@
   std::string error;
   result_.snapshot = DecodeSnapshot(bytes, error);
   if (result_.snapshot && result_.snapshot->sequence != file.sequence) {
-    error = "the sequence in the header does not match the file name";
+    error = DescribeMismatch(result_.snapshot->sequence, file.sequence);
     result_.snapshot.reset();
   }
   result_.files.push_back(
@@ -166,7 +171,7 @@
   result_.highest_sequence = std::max(result_.highest_sequence, last);
   if (segment.first == 0 && !is_last) segment.corrupt = true;
   if (segment.first != 0 && segment.first != file.sequence) {
-    segment.error = "the sequence in the header does not match the file name";
+    segment.error = DescribeMismatch(segment.first, file.sequence);
     segment.corrupt = true;
     segment.records.clear();
   }
@@ -199,7 +204,8 @@
     if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
   }
   result_.active_segment = file.sequence;
-  // Only the last segment may end with a torn record, because a segment is synced before the next is created.
+  // Only the last segment may end with a torn record, because each segment is synced before the next segment
+  // is created.
   if (!segment.complete && (segment.corrupt || !is_last)) {
     MarkCorrupt(file.name + ": " + segment.error);
     log_intact_ = false;
@@ -207,7 +213,7 @@
   }
 }
 
-// If no record follows the snapshot, no records are appended to the last segment, so it is obsolete.
+// If no record follows the snapshot, the last segment is obsolete: the next commit creates a new segment.
 void Examiner::DropEmptyActiveSegment() {
   if (!result_.active_segment || !result_.records.empty()) return;
   if (result_.condition != StoreCondition::kCorrupt) {
--- a/src/storage/examination.hpp
+++ b/src/storage/examination.hpp
@@ -19,7 +19,7 @@
   // All durable data is valid. A power loss may have left a torn record at the end of the log, which is
   // dropped.
   kComplete,
-  kCorrupt,             // durable data is missing or invalid; later data is not used
+  kCorrupt,             // durable data is missing or invalid; records after it are not used
   kOtherOwner,          // written by another owner; must not be modified
   kUnsupportedVersion,  // written by a newer program; must not be modified
 };
@@ -29,22 +29,22 @@
   std::optional<Manifest> manifest;
   std::optional<Snapshot> snapshot;  // the newest valid snapshot
   std::vector<Record> records;       // contiguous records after the snapshot
-  std::string error;                 // why the store is corrupt or must not be modified; otherwise empty
+  std::string error;  // why the store is corrupt or must not be modified; empty if neither applies
 
   struct FileReport {
     std::string name;
     std::uint64_t bytes = 0;
-    std::string description;  // describes the content
-    std::string error;        // why the file is invalid; otherwise empty
+    std::string description;  // the content in words, such as "records 1 to 30"
+    std::string error;        // why the file is invalid; empty if it is valid
   };
   std::vector<FileReport> files;
 
   // Used by recovery.
   Sequence first_sequence = 1;             // sequence of the store's first record
-  Sequence highest_sequence = 0;           // in the names and records of all files, including corrupt files
+  Sequence highest_sequence = 0;           // highest sequence in any file, including corrupt files
   std::optional<Sequence> active_segment;  // first sequence of the segment that contains the last record
   std::vector<std::string> obsolete_files;
-  std::vector<std::string> corrupt_files;  // includes valid files that follow a corrupt one
+  std::vector<std::string> corrupt_files;  // includes valid files that must not be used
 
   // Returns the sequence of the last recovered record.
   Sequence last() const {
--- a/src/storage/faulty_file_system.hpp
+++ b/src/storage/faulty_file_system.hpp
@@ -18,7 +18,7 @@
 class FaultyFileSystem : public FileSystem {
  public:
   enum class Call { kCreate, kAppend, kSync, kRead, kRename, kRemove, kSyncFolder, kList, kLock };
-  // A fault that replaces the effect of a call. The default value is no fault.
+  // A fault that replaces the effect of a call. The default value injects no fault.
   struct Fault {
     std::error_code error;
     bool skip = false;              // reports success without making the call
--- a/src/storage/file_names.hpp
+++ b/src/storage/file_names.hpp
@@ -20,7 +20,8 @@
 
 // Returns the file name for a sequence, such as "log-0000000000000001".
 std::string NumberedName(std::string_view stem, Sequence sequence);
-// Returns the sequence, or std::nullopt if `name` is not a numbered name with this stem.
+// Returns the sequence in a file name that NumberedName() returned for this stem. Returns std::nullopt for
+// any other name.
 std::optional<Sequence> ParseNumberedName(std::string_view stem, std::string_view name);
 
 struct NumberedFile {
--- a/src/storage/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -1,5 +1,5 @@
-// File system interface of the store. Tests implement it to simulate power loss, full disks and failing
-// syncs. Not thread-safe: a single thread owns a store and its file system.
+// File system interface of the store. Tests use their own implementations to simulate power loss, full disks
+// and failing syncs. Not thread-safe: a single thread owns a store and its file system.
 #ifndef GATEWAY_STORAGE_FILE_SYSTEM_HPP_
 #define GATEWAY_STORAGE_FILE_SYSTEM_HPP_
 
@@ -15,7 +15,7 @@
 // Result of an operation. The default value is success.
 struct [[nodiscard]] Status {
   std::error_code code;  // set if a system call failed
-  std::string what;      // the failed call and its path, or the complete message if there is no code
+  std::string what;      // the failed call and its path; without a code, the complete message
   bool ok() const { return !code && what.empty(); }
   std::string Text() const { return code ? what + ": " + code.message() : what; }
 };
@@ -42,7 +42,7 @@
   virtual Status Remove(const std::string& path) = 0;
   // Makes all created, renamed and removed names in the folder durable.
   virtual Status SyncFolder(const std::string& folder) = 0;
-  // Lists the names in the folder, sorted. Creates a missing folder if `create_missing` is set.
+  // Lists the names of the files in the folder, sorted. If `create_missing` is set, creates a missing folder.
   virtual Status List(const std::string& folder, bool create_missing, std::vector<std::string>& names) = 0;
   // Releases the lock on destruction.
   class Lock {
--- a/src/storage/manifest.cpp
+++ b/src/storage/manifest.cpp
@@ -12,7 +12,10 @@
 
 constexpr std::string_view kChecksumKey = "crc32c ";
 constexpr std::size_t kChecksumLineBytes = 24;  // sufficient for "crc32c ", 8 digits and a newline
-constexpr const char* kInvalidManifest = "the content is not a valid manifest";
+constexpr const char* kInvalidFormatLine = "the first line of the manifest must be 'elderhead-state NUMBER'";
+constexpr const char* kInvalidLines =
+    "after its first line, the manifest must have the lines 'owner TEXT', 'program TEXT' and 'begin NUMBER' "
+    "with a number above 0";
 
 // The keys in the order of their lines.
 enum Line { kFormatLine, kOwnerLine, kProgramLine, kFirstSequenceLine, kLineCount };
@@ -37,7 +40,7 @@
   return values;
 }
 
-// Returns false unless the complete text is a number.
+// Parses a text that consists only of a number. Returns false for any other text.
 template <typename Number>
 bool ParseNumber(std::string_view text, Number& number) {
   const char* const end = text.data() + text.size();
@@ -71,13 +74,13 @@
   const std::vector<std::string_view> values = SplitValues(remaining);
   Manifest manifest;
   if (values.empty() || !ParseNumber(values[kFormatLine], manifest.format)) {
-    error = kInvalidManifest;
+    error = kInvalidFormatLine;
     return std::nullopt;
   }
   if (manifest.format > kFormatVersion) return manifest;
   if (values.size() != kLineCount || !remaining.empty() ||
       !ParseNumber(values[kFirstSequenceLine], manifest.first_sequence) || manifest.first_sequence == 0) {
-    error = kInvalidManifest;
+    error = kInvalidLines;
     return std::nullopt;
   }
   manifest.owner = values[kOwnerLine];
--- a/src/storage/memory_file_system.cpp
+++ b/src/storage/memory_file_system.cpp
@@ -101,7 +101,7 @@
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::Copy(const Names& names, const PowerLoss* loss) const {
   auto copy = std::make_unique<MemoryFileSystem>();
-  std::map<const Node*, std::shared_ptr<Node>> nodes;  // copies by original; names of one file share a copy
+  std::map<const Node*, std::shared_ptr<Node>> nodes;  // copy by original; all names of a file share one copy
   for (const auto& [path, node] : names) {
     auto& copied = nodes[node.get()];
     if (!copied) {
@@ -129,8 +129,8 @@
 
 std::unique_ptr<MemoryFileSystem> MemoryFileSystem::AfterProcessDeath() const {
   auto copy = Copy(names_, nullptr);
-  // The copy keeps unsynced changes unsynced, because a power loss may follow. Its synced names refer to the
-  // copied files.
+  // In the copy, unsynced changes are still unsynced, because a power loss may follow. The synced names of
+  // the copy refer to the copied files.
   std::map<const Node*, std::shared_ptr<Node>> nodes;
   for (const auto& [path, node] : names_) nodes[node.get()] = copy->names_[path];
   copy->synced_names_.clear();
--- a/src/storage/memory_file_system.hpp
+++ b/src/storage/memory_file_system.hpp
@@ -15,8 +15,8 @@
 
 namespace gateway::storage {
 
-// Bytes become durable when their file is synced, and names when their folder is synced. The caller chooses
-// which other changes survive a power loss. Folders are one level deep and need not be created.
+// Bytes become durable when their file is synced, and file names when their folder is synced. The caller
+// chooses which unsynced changes survive a power loss. Folders are one level deep and need not be created.
 class MemoryFileSystem : public FileSystem {
  public:
   Status Create(const std::string& path, std::unique_ptr<File>& file) override;
@@ -29,14 +29,14 @@
 
   // Chooses which unsynced changes survive a power loss. An empty function keeps none.
   struct PowerLoss {
-    // Returns whether a change of a name survives.
+    // Returns whether an unsynced creation, renaming or removal of a file survives. `change` is its index.
     std::function<bool(std::size_t change)> keeps_change;
-    // Returns the bytes that remain in place of a file's unsynced bytes.
+    // Returns the bytes that replace the unsynced bytes of a file.
     std::function<std::string(std::string unsynced)> surviving_tail;
   };
-  // Returns a copy of the file system as a power loss leaves it.
+  // Returns a copy of the file system after a power loss.
   std::unique_ptr<MemoryFileSystem> AfterPowerLoss(const PowerLoss& loss) const;
-  // Returns a copy of the file system as it is if the process dies while the machine keeps running.
+  // Returns a copy of the file system after the death of the process, while the machine keeps running.
   std::unique_ptr<MemoryFileSystem> AfterProcessDeath() const;
 
   // Returns the content of a file, which tests may modify to corrupt it, or null if the file does not exist.
@@ -55,7 +55,7 @@
 
   Names names_;
   Names synced_names_;
-  std::vector<std::function<void(Names&)>> pending_changes_;  // changes of names that are not durable yet
+  std::vector<std::function<void(Names&)>> pending_changes_;  // unsynced changes of file names, oldest first
   std::shared_ptr<std::set<std::string>> locks_ = std::make_shared<std::set<std::string>>();
 };
 
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -22,7 +22,7 @@
   return {std::error_code(error, std::generic_category()), std::string(call) + " " + path};
 }
 
-// Owns a file descriptor. A negative value means that there is none.
+// Owns a file descriptor. A negative value means that no file is open.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int fd) : fd_(fd) {}
@@ -59,8 +59,8 @@
     return {};
   }
 
-  // The sync is not retried after any error, including EINTR. A second sync may succeed although the first
-  // sync has lost pages.
+  // A failed sync is not retried, not even after EINTR. A second sync could succeed although the first sync
+  // has lost pages.
   Status Sync() override { return ::fdatasync(fd_.get()) == 0 ? Status{} : SystemError("sync", path_); }
 
  private:
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -36,8 +36,8 @@
   if (Status status = QuarantineCorruptFiles(); !status.ok()) return status;
   if (Status status = RemoveObsoleteFiles(); !status.ok()) return status;
   log_.durable = examination_.last();
-  // No record was recovered, but a sequence must never be reused. The log continues after the highest
-  // sequence.
+  // No record was recovered. A sequence must never be reused, so the log continues after the highest sequence
+  // in any file.
   if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, examination_.highest_sequence);
   if (Status status = WriteManifest(owner, program); !status.ok()) return status;
   if (!examination_.records.empty()) {
@@ -75,7 +75,7 @@
   return ReplaceFile(files_, Path(kManifestName), EncodeManifest(manifest));
 }
 
-// Rewrites only the last segment. Earlier segments are kept unchanged.
+// Rewrites only the last segment. Earlier segments stay unchanged.
 Status Recoverer::RewriteLastSegment() {
   const Sequence active = *examination_.active_segment;
   const Sequence first = std::max(active, examination_.records.front().sequence);
--- a/src/storage/recovery.hpp
+++ b/src/storage/recovery.hpp
@@ -22,9 +22,9 @@
 };
 
 // Prepares the folder. Removes obsolete files and renames corrupt files, so that only files that the
-// examination found valid are used. Rewrites the last segment: after a failed sync, its pages may exist only
-// in memory, and another sync would not write them. If recovery crashes, it can be repeated with the same
-// result. `log` must be empty. `owner` and `program` are stored if a new manifest is written.
+// examination found valid are used. Rewrites the last segment, because after a failed sync its pages may
+// exist only in memory, and another sync would not write these pages. After a crash, recovery can be repeated
+// with the same result. `log` must be empty. `owner` and `program` are stored if a new manifest is written.
 Status Recover(FileSystem& files, const std::string& folder, const std::string& owner,
                const std::string& program, const Examination& examination, LogState& log);
 
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -30,7 +30,7 @@
   std::size_t size = 0;  // bytes of the encoded record
 };
 
-// Returns std::nullopt unless a complete and valid record starts at the offset.
+// Decodes the record at the offset. Returns std::nullopt if the record is incomplete or invalid.
 std::optional<DecodedRecord> DecodeRecord(std::string_view segment, std::size_t offset) {
   const std::string_view bytes = segment.substr(offset);
   if (bytes.size() < kRecordHeaderBytes) return std::nullopt;
@@ -48,8 +48,8 @@
   return decoded;
 }
 
-// Returns whether a valid record after the offset shows that the record with the sequence `missing` had been
-// synced. Tries to decode a record at each offset where the sequences are plausible.
+// Returns whether the record with the sequence `missing` had been synced, according to a valid record after
+// the offset. Tries to decode a record at each offset where the sequences of a record are plausible.
 bool WasSynced(std::string_view bytes, std::size_t offset, Sequence missing) {
   for (; offset + kRecordHeaderBytes <= bytes.size(); ++offset) {
     const auto durable = ReadLittleEndian<Sequence>(bytes, offset + kDurableOffset);
@@ -97,8 +97,9 @@
 Segment ReadSegment(std::string_view bytes, Sequence expected_first) {
   Segment segment;
   if (!IsHeaderValid(bytes)) {
-    segment.error = bytes.size() < kHeaderBytes ? "the segment header is truncated"
-                                                : "the segment header has a wrong magic number or checksum";
+    segment.error = bytes.size() < kHeaderBytes
+                        ? "the segment header is truncated"
+                        : "the magic number or the checksum of the segment header does not match";
     segment.corrupt = WasSynced(bytes, 0, expected_first);
     return segment;
   }
--- a/src/storage/snapshot.cpp
+++ b/src/storage/snapshot.cpp
@@ -29,11 +29,14 @@
 
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes, std::string& error) {
   if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
-    error = "the snapshot header is truncated or has a wrong magic number";
+    error = "the snapshot header is truncated or its magic number does not match";
     return std::nullopt;
   }
-  if (ReadLittleEndian<std::uint64_t>(bytes, kLengthOffset) != bytes.size() - kHeaderBytes) {
-    error = "the payload length does not match the header";
+  const auto length = ReadLittleEndian<std::uint64_t>(bytes, kLengthOffset);
+  const std::size_t payload_bytes = bytes.size() - kHeaderBytes;
+  if (length != payload_bytes) {
+    error = "the header states a payload of " + std::to_string(length) + " bytes, but the payload has " +
+            std::to_string(payload_bytes) + " bytes";
     return std::nullopt;
   }
   if (Crc32c(bytes.substr(kSequenceOffset)) != ReadLittleEndian<std::uint32_t>(bytes, kCrcOffset)) {
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -29,7 +29,7 @@
   return {};
 }
 
-// Makes the store read-only.
+// Makes the store read-only and returns `status`.
 Status Store::Fail(Status status) {
   error_ = std::move(status);
   log_.segment.reset();
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -20,17 +20,17 @@
   std::string owner;                          // a single line; a store of another owner is not opened
   std::string program;                        // a single line: version of the program
   std::uint64_t max_segment_bytes = 1 << 20;  // a new segment is created once a segment exceeds this size
-  std::uint64_t max_log_bytes = 16 << 20;     // all segments; a full log accepts no records until a snapshot
-  bool open_corrupt = false;  // whether to open a corrupt store with the valid part of its data
+  std::uint64_t max_log_bytes = 16 << 20;     // limit for all segments; if reached, a snapshot is needed
+  bool open_corrupt = false;                  // whether to open a corrupt store; only its valid data is used
 };
 
-// Not thread-safe. Calls block until the disk has completed them. After any error the store is read-only.
-// When it is opened again, records that were not acknowledged may or may not exist. A failed sync is not
-// retried, because the kernel may already have marked the lost pages as clean.
+// Not thread-safe. Calls block until the disk has completed them. After a failed call to the file system, the
+// store is read-only. When the store is opened again, records that were not acknowledged may or may not
+// exist. A failed sync is not retried, because the kernel may already have marked the lost pages as clean.
 class Store {
  public:
-  // Locks and recovers the folder, and creates it if it is missing. `examination` receives the content of the
-  // folder, even if the store is not opened. `files` must outlive the store.
+  // Creates the folder if it is missing, locks it and recovers its content. Sets `examination` to the content
+  // of the folder, even if the store must not be opened. `files` must outlive the store.
   static Status Open(FileSystem& files, const std::string& folder, const StoreOptions& options,
                      std::unique_ptr<Store>& store, Examination& examination);
 
@@ -65,7 +65,7 @@
   const StoreOptions options_;
   std::unique_ptr<FileSystem::Lock> lock_;
   LogState log_;
-  bool folder_needs_sync_ = false;  // a segment was created since the last sync of the folder
+  bool folder_needs_sync_ = false;  // true if a segment was created after the last sync of the folder
   std::string pending_;             // encoded records of the next commit
   Sequence next_sequence_ = 1;
   Status error_;
