--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -25,7 +25,7 @@
   self.name = own_name;
   self.address = address;
   self.incarnation = incarnation;
-  by_arrival_.push_back(&self);
+  in_discovery_order_.push_back(&self);
 }
 
 const Member* MemberTable::Find(const std::string& name) const {
@@ -49,7 +49,7 @@
   const bool was_alive = !is_new && member.IsAlive();
   const bool was_unhealthy = !is_new && member.status != MemberStatus::kAlive;
   const bool status_changed = is_new || member.status != update.status;
-  if (is_new) by_arrival_.push_back(&member);
+  if (is_new) in_discovery_order_.push_back(&member);
   if (status_changed || member.incarnation != update.incarnation) member.suspectors.clear();
   if (status_changed) member.status_since = now;
   member.address = update.address;
@@ -85,7 +85,7 @@
       ++entry;
       continue;
     }
-    std::erase(by_arrival_, &member);
+    std::erase(in_discovery_order_, &member);
     --unhealthy_count_;
     entry = members_.erase(entry);
   }
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -28,7 +28,7 @@
   // Returns null if the member is not known. The pointer is valid until the member is removed.
   const Member* Find(const std::string& name) const;
   // Returns the members in the order in which they became known.
-  const std::vector<Member*>& by_arrival() const { return by_arrival_; }
+  const std::vector<Member*>& in_discovery_order() const { return in_discovery_order_; }
   // Returns the number of alive members, including suspects.
   std::size_t alive_count() const { return alive_count_; }
   // Returns whether every member is alive and none is suspect.
@@ -52,7 +52,7 @@
   const MembershipOptions options_;
   const std::string own_name_;
   std::map<std::string, Member> members_;  // ordered, so that random choices are reproducible
-  std::vector<Member*> by_arrival_;
+  std::vector<Member*> in_discovery_order_;
   std::size_t alive_count_ = 1;
   std::size_t unhealthy_count_ = 0;
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -75,21 +75,21 @@
 
 void Membership::PingSeed(Millis now, ProtocolOutput& out) {
   failure_detector_.SendPing(RandomSeedAddress(), "", out);
-  const double periods = knows_others() ? kSeedPingPeriods : 1;
+  const double periods = knows_other_members() ? kSeedPingPeriods : 1;
   next_seed_ping_at_ = now + options_.protocol_period * periods * Jitter(random_, kIntervalJitter);
 }
 
 // Requests a sync with a random member, or sometimes with a seed address. Syncs with seed addresses let the
 // halves of a partitioned group find each other again after the partition.
 void Membership::RequestSync(Millis now, ProtocolOutput& out) {
-  const std::vector<Member*>& members = members_.by_arrival();
+  const std::vector<Member*>& members = members_.in_discovery_order();
   const Address member = members[RandomIndex(random_, members.size())]->address;
   const bool with_seed =
       !seed_addresses_.empty() &&
-      (!knows_others() || RandomIndex(random_, kSyncsPerSeedSync) == 0 || member == self().address);
+      (!knows_other_members() || RandomIndex(random_, kSyncsPerSeedSync) == 0 || member == self().address);
   const Address partner = with_seed ? RandomSeedAddress() : member;
   if (partner != self().address) out.sync_with = partner;
-  const bool early = !knows_others() || ++syncs_ <= kEarlySyncs;
+  const bool early = !knows_other_members() || ++syncs_ <= kEarlySyncs;
   const Millis interval = early ? options_.protocol_period : options_.sync_interval;
   next_sync_at_ = now + interval * Jitter(random_, kIntervalJitter);
 }
@@ -212,7 +212,7 @@
 // If the recipient is not known as alive, adds the recipient's status, so that the recipient can refute it.
 void Membership::AddUpdatesAbout(Address recipient, DatagramBuilder& datagram) const {
   if (members_.all_healthy()) return;
-  for (const Member* member : members_.by_arrival()) {
+  for (const Member* member : members_.in_discovery_order()) {
     if (member->address != recipient || member->status == MemberStatus::kAlive) continue;
     datagram.Add(UpdateAbout(*member, member->suspectors.empty() ? name_ : member->suspectors.front()));
   }
@@ -223,7 +223,7 @@
 void Membership::AddRandomMembers(DatagramBuilder& datagram) {
   if (members().size() <= 1) return;
   for (int i = 0; i < kRandomMembersPerMessage; ++i) {
-    const std::vector<Member*>& known = members_.by_arrival();
+    const std::vector<Member*>& known = members_.in_discovery_order();
     const Member& member = *known[RandomIndex(random_, known.size())];
     if (member.status == MemberStatus::kDead) continue;
     const std::string suspector = member.suspectors.empty() ? "" : member.suspectors.front();
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -76,7 +76,7 @@
   void AddUpdatesAbout(Address recipient, DatagramBuilder& datagram) const;
   void AddRandomMembers(DatagramBuilder& datagram);
   int RetransmitLimit() const;
-  bool knows_others() const { return members_.alive_count() > 1; }
+  bool knows_other_members() const { return members_.alive_count() > 1; }
   Address RandomSeedAddress();
 
   const MembershipOptions options_;
--- a/src/proxy/restart/state_saver.cpp
+++ b/src/proxy/restart/state_saver.cpp
@@ -117,7 +117,7 @@
 StateSaver::Writer::OpenResult StateSaver::Writer::TryToOpen() {
   storage::Examination found;
   const storage::Status status = storage::Store::Open(files_, folder_, options_, store_, found);
-  if (found.is_foreign()) return ReportUnusable(status.Text() + "; the folder is left unchanged");
+  if (found.must_not_be_modified()) return ReportUnusable(status.Text() + "; the folder is left unchanged");
   if (status.ok() && found.snapshot && found.snapshot->version > kSavedStateVersion) {
     return ReportUnusable(folder_ + ": saved by a newer program; the folder is left unchanged");
   }
--- a/src/registry/lease_monitor.cpp
+++ b/src/registry/lease_monitor.cpp
@@ -65,7 +65,7 @@
     base::Log(Level::kWarning, "registry", "was_away",
               "registry: the process was suspended or starved of CPU; all leases were extended");
   }
-  LogPreservedZones();
+  LogSelfPreservation();
 }
 
 void LeaseMonitor::OnApplied(const Command& command, const CommandResult& result) {
@@ -83,14 +83,14 @@
   for (const Member* member : changed) leases_.OnMemberChanged(*member, MonotonicNow());
 }
 
-void LeaseMonitor::LogPreservedZones() {
+void LeaseMonitor::LogSelfPreservation() {
   std::set<std::string> zones;
-  for (const SelfPreservation::ActiveZone& active : leases_.preserved_zones()) {
+  for (const SelfPreservation::ActiveZone& active : leases_.zones_in_self_preservation()) {
     zones.insert(active.zone);
     if (logged_zones_.contains(active.zone)) continue;
     base::Log(Level::kWarning, "registry", "hold",
               fmt::format("registry: removals suspended {}: {} of {} leases expired within a short time",
-                          ZoneText(active.zone), active.leases.lapsed, active.leases.total));
+                          ZoneText(active.zone), active.leases.expired, active.leases.total));
   }
   for (const std::string& zone : logged_zones_) {
     if (zones.contains(zone)) continue;
--- a/src/registry/lease_monitor.hpp
+++ b/src/registry/lease_monitor.hpp
@@ -33,7 +33,7 @@
 
  private:
   void ProposeRecovery(const RenewalRequest& renewal);
-  void LogPreservedZones();
+  void LogSelfPreservation();
 
   DurableCatalog& catalog_;
   LeaseTable leases_;
--- a/src/registry/lease_table.cpp
+++ b/src/registry/lease_table.cpp
@@ -47,11 +47,11 @@
 }
 
 std::vector<Command> LeaseTable::Tick(Millis now) {
-  if (DetectPause(now)) ExtendAll(now);
+  if (DetectPause(now)) ExtendAllLeases(now);
   const SelfPreservation::Decision decision = self_preservation_.Decide(CountLeases(now), now);
   // When self-preservation ends, some members have not resumed their renewals yet. Their expired leases are
   // extended by the full duration.
-  for (const std::string& zone : decision.ended) ExtendLapsed(zone, now);
+  for (const std::string& zone : decision.ended) ExtendExpiredLeases(zone, now);
   std::vector<Command> proposals;
   if (decision.suspended.contains(kAllZones)) return proposals;
   for (auto& [id, lease] : leases_) {
@@ -71,24 +71,24 @@
 
 ZoneLeaseCounts LeaseTable::CountLeases(Millis now) const {
   ZoneLeaseCounts counts;
-  for (const auto& [id, lease] : leases_) counts.Add(lease.zone, lease.IsLapsed(now));
+  for (const auto& [id, lease] : leases_) counts.Add(lease.zone, lease.HasExpired(now));
   return counts;
 }
 
-void LeaseTable::ExtendAll(Millis now) {
+void LeaseTable::ExtendAllLeases(Millis now) {
   for (auto& [id, lease] : leases_) lease.expires_at = std::max(lease.expires_at, now + lease.duration);
 }
 
-void LeaseTable::ExtendLapsed(const std::string& zone, Millis now) {
+void LeaseTable::ExtendExpiredLeases(const std::string& zone, Millis now) {
   for (auto& [id, lease] : leases_) {
     if (zone != kAllZones && lease.zone != zone) continue;
-    if (lease.IsLapsed(now)) lease.expires_at = now + lease.duration;
+    if (lease.HasExpired(now)) lease.expires_at = now + lease.duration;
   }
 }
 
 void LeaseTable::Propose(const std::string& id, Lease& lease, Millis now,
                          std::vector<Command>& proposals) const {
-  if (!lease.IsLapsed(now)) return;
+  if (!lease.HasExpired(now)) return;
   if (!lease.suspect && !lease.suspect_proposed) {
     lease.suspect_proposed = true;
     proposals.push_back(ProposalFor(id, lease.incarnation, Action::kSuspect));
@@ -106,9 +106,9 @@
   if (command.action == Action::kExpire) found->second.expiry_proposed = false;
 }
 
-std::size_t LeaseTable::CountLapsed(Millis now) const {
+std::size_t LeaseTable::CountExpiredLeases(Millis now) const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(leases_, [now](const auto& entry) { return entry.second.IsLapsed(now); }));
+      std::ranges::count_if(leases_, [now](const auto& entry) { return entry.second.HasExpired(now); }));
 }
 
 }  // namespace gateway::registry
--- a/src/registry/lease_table.hpp
+++ b/src/registry/lease_table.hpp
@@ -47,10 +47,12 @@
   void OnProposalFailed(const Command& command);
 
   // Returns the zones in which self-preservation is active and suspends removals.
-  std::vector<SelfPreservation::ActiveZone> preserved_zones() const { return self_preservation_.active(); }
+  std::vector<SelfPreservation::ActiveZone> zones_in_self_preservation() const {
+    return self_preservation_.active_zones();
+  }
   std::size_t size() const { return leases_.size(); }
   // Returns the number of listed members whose lease has expired.
-  std::size_t CountLapsed(base::Millis now) const;
+  std::size_t CountExpiredLeases(base::Millis now) const;
   // Returns how often this service was suspended or starved of CPU.
   int pauses() const { return pauses_; }
 
@@ -65,13 +67,13 @@
     bool expiry_proposed = false;
 
     // Returns whether the lease has expired. The member is removed only after the grace period.
-    bool IsLapsed(base::Millis now) const { return expires_at < now; }
+    bool HasExpired(base::Millis now) const { return expires_at < now; }
   };
 
   bool DetectPause(base::Millis now);
   ZoneLeaseCounts CountLeases(base::Millis now) const;
-  void ExtendAll(base::Millis now);
-  void ExtendLapsed(const std::string& zone, base::Millis now);
+  void ExtendAllLeases(base::Millis now);
+  void ExtendExpiredLeases(const std::string& zone, base::Millis now);
   void Propose(const std::string& id, Lease& lease, base::Millis now, std::vector<Command>& proposals) const;
 
   const LeaseOptions options_;
--- a/src/registry/self_preservation.cpp
+++ b/src/registry/self_preservation.cpp
@@ -6,11 +6,11 @@
 
 using base::Millis;
 
-void ZoneLeaseCounts::Add(const std::string& zone, bool lapsed) {
+void ZoneLeaseCounts::Add(const std::string& zone, bool expired) {
   const auto add = [&](const std::string& name) {
     LeaseCount& count = zones_[name];
     ++count.total;
-    count.lapsed += lapsed ? 1 : 0;
+    count.expired += expired ? 1 : 0;
   };
   add(kAllZones);
   if (zone != kAllZones) add(zone);
@@ -18,7 +18,7 @@
 
 SelfPreservation::Decision SelfPreservation::Decide(ZoneLeaseCounts leases, Millis now) {
   while (!expiries_.empty() && expiries_.front().at < now - options_.window) expiries_.pop_front();
-  for (const Expiry& expiry : expiries_) leases.Add(expiry.zone, /*lapsed=*/true);
+  for (const Expiry& expiry : expiries_) leases.Add(expiry.zone, /*expired=*/true);
   Decision decision;
   for (const auto& [zone, count] : leases.zones()) {
     const State state = Update(zone, count, now);
@@ -30,9 +30,9 @@
 
 SelfPreservation::State SelfPreservation::Update(const std::string& zone, const LeaseCount& leases,
                                                  Millis now) {
-  const bool many_lapsed =
-      leases.lapsed > options_.min_lapsed && leases.lapsed > options_.max_lapsed_share * leases.total;
-  if (!many_lapsed) {
+  const bool many_expired =
+      leases.expired > options_.min_expired && leases.expired > options_.max_expired_fraction * leases.total;
+  if (!many_expired) {
     timed_out_zones_.erase(zone);
     return active_.erase(zone) > 0 ? State::kEnded : State::kInactive;
   }
@@ -52,7 +52,7 @@
   return State::kInactive;
 }
 
-std::vector<SelfPreservation::ActiveZone> SelfPreservation::active() const {
+std::vector<SelfPreservation::ActiveZone> SelfPreservation::active_zones() const {
   std::vector<ActiveZone> zones;
   for (const auto& [name, zone] : active_) zones.push_back(zone);
   return zones;
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -14,11 +14,11 @@
 namespace gateway::registry {
 
 struct SelfPreservationOptions {
-  // Self-preservation starts in a zone, or in all zones together, if more than this share and more than
-  // `min_lapsed` of the leases have expired. Members that were removed within `window` because their lease
+  // Self-preservation starts in a zone, or in all zones together, if more than this fraction and more than
+  // `min_expired` of the leases have expired. Members that were removed within `window` because their lease
   // expired are counted too.
-  double max_lapsed_share = 0.25;
-  int min_lapsed = 3;
+  double max_expired_fraction = 0.25;
+  int min_expired = 3;
   base::Millis window = 60000;
   // After this time, members are removed even if many leases have expired.
   base::Millis max_duration = 3600000;
@@ -28,14 +28,14 @@
 inline constexpr const char* kAllZones = "";
 
 struct LeaseCount {
-  int lapsed = 0;  // expired leases
+  int expired = 0;  // expired leases
   int total = 0;
 };
 // Lease counts by zone, with an additional entry for all zones together.
 class ZoneLeaseCounts {
  public:
   // Counts one lease, both in its zone and in the entry for all zones.
-  void Add(const std::string& zone, bool lapsed);
+  void Add(const std::string& zone, bool expired);
   const std::map<std::string, LeaseCount>& zones() const { return zones_; }
 
  private:
@@ -63,7 +63,7 @@
   // Updates the state of all zones. `leases` counts the leases of the listed members.
   Decision Decide(ZoneLeaseCounts leases, base::Millis now);
 
-  std::vector<ActiveZone> active() const;
+  std::vector<ActiveZone> active_zones() const;
 
  private:
   enum class State { kInactive, kActive, kEnded };
--- a/src/registry/service_options.cpp
+++ b/src/registry/service_options.cpp
@@ -11,7 +11,7 @@
   int max;
 };
 constexpr base::Range kLeaseDurationSeconds{0.5, 3600};
-constexpr CountRange kMinLapsedRange{0, 1000000};
+constexpr CountRange kMinExpiredRange{0, 1000000};
 constexpr CountRange kRetentionRange{100, 1000000};
 constexpr CountRange kClientRange{1, 1000000};
 constexpr CountRange kOperatorRange{1, 10000};
@@ -24,9 +24,10 @@
   SelfPreservationOptions& preservation = leases.self_preservation;
   leases.default_duration = table.Seconds("term_s", leases.default_duration, kLeaseDurationSeconds);
   leases.removal_grace = table.Seconds("grace_s", leases.removal_grace, base::kNotNegative);
-  preservation.max_lapsed_share = table.Number("most_lapsed", preservation.max_lapsed_share, base::kFraction);
-  preservation.min_lapsed =
-      table.Integer("least_lapsed", preservation.min_lapsed, kMinLapsedRange.min, kMinLapsedRange.max);
+  preservation.max_expired_fraction =
+      table.Number("most_lapsed", preservation.max_expired_fraction, base::kFraction);
+  preservation.min_expired =
+      table.Integer("least_lapsed", preservation.min_expired, kMinExpiredRange.min, kMinExpiredRange.max);
   preservation.window = table.Seconds("window_s", preservation.window, base::kNotNegative);
   preservation.max_duration = table.Seconds("longest_hold_s", preservation.max_duration, base::kAboveZero);
   table.RejectUnknownKeys();
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -28,11 +28,11 @@
   return {{"up", up}, {"draining", draining}, {"suspect", suspect}};
 }
 
-json EncodePreservedZones(const ServiceView& view) {
+json EncodeSelfPreservation(const ServiceView& view) {
   json zones = json::array();
-  for (const SelfPreservation::ActiveZone& active : view.leases.preserved_zones()) {
+  for (const SelfPreservation::ActiveZone& active : view.leases.zones_in_self_preservation()) {
     zones.push_back({{"zone", active.zone},
-                     {"lapsed", active.leases.lapsed},
+                     {"lapsed", active.leases.expired},
                      {"of", active.leases.total},
                      {"for_s", (view.now - active.since) / kMillisPerSecond}});
   }
@@ -69,9 +69,10 @@
   metrics.Gauge("oldest_revision", "Oldest revision that a watch can continue from",
                 catalog.oldest_revision());
   metrics.Gauge("members", "Listed members", catalog.members().size());
-  metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
+  metrics.Gauge("leases_overdue", "Members whose lease has expired",
+                view.leases.CountExpiredLeases(view.now));
   metrics.Gauge("holds", "Scopes in which removals are suspended; a scope is one zone or all zones together",
-                view.leases.preserved_zones().size());
+                view.leases.zones_in_self_preservation().size());
   metrics.Counter("absences_total", "Number of times that this service was suspended or starved of CPU",
                   view.leases.pauses());
   metrics.Gauge("watches", "Pending watches", view.watches);
@@ -124,8 +125,8 @@
               {"oldest", catalog.oldest_revision()},
               {"members", CountPhases(catalog)},
               {"leases", view.leases.size()},
-              {"overdue", view.leases.CountLapsed(view.now)},
-              {"holds", EncodePreservedZones(view)},
+              {"overdue", view.leases.CountExpiredLeases(view.now)},
+              {"holds", EncodeSelfPreservation(view)},
               {"watches", view.watches},
               {"connections", view.connections},
               {"storage", storage_error.empty() ? "ok" : storage_error},
--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -60,7 +60,7 @@
     return {};
   }
   if (Status status = ExamineManifest(owner); !status.ok()) return status;
-  if (result_.is_foreign()) return {};
+  if (result_.must_not_be_modified()) return {};
   if (result_.condition == StoreCondition::kCorrupt) {
     ExcludeAllFiles();
     return {};
@@ -150,7 +150,7 @@
 }
 
 Status Examiner::ExamineSegments() {
-  const Sequence last_replaced = result_.last();  // last record that the snapshot replaces
+  const Sequence last_replaced = result_.last_sequence();  // last record that the snapshot replaces
   for (std::size_t i = 0; i < segments_.size(); ++i) {
     const bool is_last = i + 1 == segments_.size();
     if (!is_last && segments_[i + 1].sequence <= last_replaced + 1) {
@@ -169,9 +169,9 @@
   Segment segment = ReadSegment(bytes, file.sequence);
   const Sequence last = file.sequence + segment.records.size() - 1;
   result_.highest_sequence = std::max(result_.highest_sequence, last);
-  if (segment.first == 0 && !is_last) segment.corrupt = true;
-  if (segment.first != 0 && segment.first != file.sequence) {
-    segment.error = DescribeMismatch(segment.first, file.sequence);
+  if (segment.first_sequence == 0 && !is_last) segment.corrupt = true;
+  if (segment.first_sequence != 0 && segment.first_sequence != file.sequence) {
+    segment.error = DescribeMismatch(segment.first_sequence, file.sequence);
     segment.corrupt = true;
     segment.records.clear();
   }
@@ -194,14 +194,14 @@
 
 void Examiner::ApplySegment(const NumberedFile& file, Segment segment, bool is_last) {
   if (!log_intact_) return ExcludeFile(file);
-  if (file.sequence > result_.last() + 1) {
-    MarkCorrupt(file.name + ": records " + std::to_string(result_.last() + 1) + " to " +
+  if (file.sequence > result_.last_sequence() + 1) {
+    MarkCorrupt(file.name + ": records " + std::to_string(result_.last_sequence() + 1) + " to " +
                 std::to_string(file.sequence - 1) + " are missing");
     log_intact_ = false;
     return ExcludeFile(file);
   }
   for (Record& record : segment.records) {
-    if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
+    if (record.sequence > result_.last_sequence()) result_.records.push_back(std::move(record));
   }
   result_.active_segment = file.sequence;
   // Only the last segment may end with a torn record, because each segment is synced before the next segment
--- a/src/storage/examination.hpp
+++ b/src/storage/examination.hpp
@@ -47,12 +47,12 @@
   std::vector<std::string> corrupt_files;  // includes valid files that must not be used
 
   // Returns the sequence of the last recovered record.
-  Sequence last() const {
+  Sequence last_sequence() const {
     if (!records.empty()) return records.back().sequence;
     return snapshot ? snapshot->sequence : first_sequence - 1;
   }
   // Returns whether another owner or a newer program wrote the store.
-  bool is_foreign() const {
+  bool must_not_be_modified() const {
     return condition == StoreCondition::kOtherOwner || condition == StoreCondition::kUnsupportedVersion;
   }
 };
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -35,10 +35,11 @@
 Status Recoverer::Run(const std::string& owner, const std::string& program) {
   if (Status status = QuarantineCorruptFiles(); !status.ok()) return status;
   if (Status status = RemoveObsoleteFiles(); !status.ok()) return status;
-  log_.durable = examination_.last();
+  log_.durable_sequence = examination_.last_sequence();
   // No record was recovered. A sequence must never be reused, so the log continues after the highest sequence
   // in any file.
-  if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, examination_.highest_sequence);
+  if (IsCorrupt() && HasNoState())
+    log_.durable_sequence = std::max(log_.durable_sequence, examination_.highest_sequence);
   if (Status status = WriteManifest(owner, program); !status.ok()) return status;
   if (!examination_.records.empty()) {
     if (Status status = RewriteLastSegment(); !status.ok()) return status;
@@ -71,7 +72,7 @@
   manifest.owner = owner;
   manifest.program = program;
   manifest.first_sequence = examination_.first_sequence;
-  if (IsCorrupt() && HasNoState()) manifest.first_sequence = log_.durable + 1;
+  if (IsCorrupt() && HasNoState()) manifest.first_sequence = log_.durable_sequence + 1;
   return ReplaceFile(files_, Path(kManifestName), EncodeManifest(manifest));
 }
 
--- a/src/storage/recovery.hpp
+++ b/src/storage/recovery.hpp
@@ -14,7 +14,7 @@
 
 // State of an open store's log.
 struct LogState {
-  Sequence durable = 0;           // last durable sequence
+  Sequence durable_sequence = 0;  // sequence of the last durable record
   std::unique_ptr<File> segment;  // current segment, open for appending; if null, the next commit creates one
   std::uint64_t segment_bytes = 0;
   std::uint64_t log_bytes = 0;     // total size of all segments
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -74,22 +74,22 @@
 
 }  // namespace
 
-void AppendRecord(std::string& bytes, const Record& record, Sequence durable) {
+void AppendRecord(std::string& bytes, const Record& record, Sequence durable_sequence) {
   std::string checked;
   checked.reserve(kRecordHeaderBytes + record.payload.size());
   AppendLittleEndian(checked, static_cast<std::uint32_t>(record.payload.size()));
   AppendLittleEndian(checked, record.kind);
   AppendLittleEndian(checked, record.version);
   AppendLittleEndian(checked, record.sequence);
-  AppendLittleEndian(checked, durable);
+  AppendLittleEndian(checked, durable_sequence);
   checked += record.payload;
   AppendLittleEndian(bytes, Crc32c(checked));
   bytes += checked;
 }
 
-std::string EncodeSegmentHeader(Sequence first) {
+std::string EncodeSegmentHeader(Sequence first_sequence) {
   std::string bytes(kMagic);
-  AppendLittleEndian(bytes, first);
+  AppendLittleEndian(bytes, first_sequence);
   AppendLittleEndian(bytes, Crc32c(bytes));
   return bytes;
 }
@@ -103,10 +103,10 @@
     segment.corrupt = WasSynced(bytes, 0, expected_first);
     return segment;
   }
-  segment.first = ReadLittleEndian<Sequence>(bytes, kFirstOffset);
+  segment.first_sequence = ReadLittleEndian<Sequence>(bytes, kFirstOffset);
   segment.valid_bytes = kHeaderBytes;
   while (segment.valid_bytes < bytes.size()) {
-    const Sequence expected = segment.first + segment.records.size();
+    const Sequence expected = segment.first_sequence + segment.records.size();
     auto decoded = DecodeRecord(bytes, segment.valid_bytes);
     if (!decoded || decoded->record.sequence != expected) {
       segment.error = DescribeInvalidRecord(decoded, expected);
--- a/src/storage/segment.hpp
+++ b/src/storage/segment.hpp
@@ -25,17 +25,17 @@
   bool operator==(const Record&) const = default;
 };
 
-// Appends the encoded record: crc u32, length u32, kind u16, version u16, sequence u64, durable u64, payload.
-// `durable` is the last sequence that was durable when the record was written. It lets a reader determine
-// whether a corrupt record before this record had been synced.
-void AppendRecord(std::string& bytes, const Record& record, Sequence durable);
-// Returns the header of a segment whose first record has the sequence `first`.
-std::string EncodeSegmentHeader(Sequence first);
+// Appends the encoded record: crc u32, length u32, kind u16, version u16, sequence u64, durable sequence u64,
+// payload. `durable_sequence` is the last sequence that was durable when the record was written. It lets a
+// reader determine whether a corrupt record before this record had been synced.
+void AppendRecord(std::string& bytes, const Record& record, Sequence durable_sequence);
+// Returns the header of a segment that starts with the record `first_sequence`.
+std::string EncodeSegmentHeader(Sequence first_sequence);
 
 // Content of a segment up to the first invalid byte.
 struct Segment {
-  Sequence first = 0;           // first sequence according to the header; 0 if the header is torn or corrupt
-  std::vector<Record> records;  // contiguous, starting at `first`
+  Sequence first_sequence = 0;  // first sequence according to the header; 0 if the header is torn or corrupt
+  std::vector<Record> records;  // contiguous, starting at `first_sequence`
   std::size_t valid_bytes = 0;  // size of the header and the valid records
   bool complete = false;        // no bytes follow the valid records
   // True if a later record shows that the invalid record at `valid_bytes` had been synced. The record is then
--- a/src/storage/store.cpp
+++ b/src/storage/store.cpp
@@ -18,13 +18,13 @@
   if (Status status = files.AcquireLock(opened->Path(kLockName), opened->lock_); !status.ok()) return status;
   if (Status status = Examine(files, folder, options.owner, examination); !status.ok()) return status;
   const bool is_corrupt = examination.condition == StoreCondition::kCorrupt;
-  if (examination.is_foreign() || (is_corrupt && !options.open_corrupt))
+  if (examination.must_not_be_modified() || (is_corrupt && !options.open_corrupt))
     return {{}, folder + ": " + examination.error};
   if (Status status = Recover(files, folder, options.owner, options.program, examination, opened->log_);
       !status.ok()) {
     return status;
   }
-  opened->next_sequence_ = opened->log_.durable + 1;
+  opened->next_sequence_ = opened->log_.durable_sequence + 1;
   store = std::move(opened);
   return {};
 }
@@ -42,7 +42,7 @@
 Sequence Store::Append(std::uint16_t kind, std::uint16_t version, std::string_view payload) {
   if (read_only() || payload.size() > kMaxPayloadBytes) return 0;
   if (log_.log_bytes + pending_.size() + payload.size() > options_.max_log_bytes) return 0;
-  AppendRecord(pending_, {next_sequence_, kind, version, std::string(payload)}, log_.durable);
+  AppendRecord(pending_, {next_sequence_, kind, version, std::string(payload)}, log_.durable_sequence);
   return next_sequence_++;
 }
 
@@ -53,7 +53,7 @@
   log_.segment_bytes += pending_.size();
   log_.log_bytes += pending_.size();
   pending_.clear();
-  log_.durable = next_sequence_ - 1;
+  log_.durable_sequence = next_sequence_ - 1;
   return {};
 }
 
@@ -70,7 +70,7 @@
 }
 
 Status Store::CreateSegment() {
-  const Sequence first = log_.durable + 1;
+  const Sequence first = log_.durable_sequence + 1;
   const std::string name = NumberedName(kLogStem, first);
   if (Status status = files_.Create(Path(name), log_.segment); !status.ok()) return status;
   log_.files.push_back(name);
@@ -85,8 +85,8 @@
 
 Status Store::TakeSnapshot(std::uint16_t version, std::string_view payload) {
   if (Status status = Commit(); !status.ok()) return status;
-  const std::string name = NumberedName(kSnapshotStem, log_.durable);
-  const std::string bytes = EncodeSnapshot({log_.durable, version, std::string(payload)});
+  const std::string name = NumberedName(kSnapshotStem, log_.durable_sequence);
+  const std::string bytes = EncodeSnapshot({log_.durable_sequence, version, std::string(payload)});
   if (bytes.size() > kMaxSnapshotBytes) {
     return {{},
             "a snapshot of " + std::to_string(bytes.size()) + " bytes exceeds the limit of " +
--- a/src/storage/store.hpp
+++ b/src/storage/store.hpp
@@ -42,8 +42,8 @@
   // Commits, replaces all records by the snapshot, and removes the files of these records.
   Status TakeSnapshot(std::uint16_t version, std::string_view payload);
 
-  // Returns the last durable sequence.
-  Sequence durable() const { return log_.durable; }
+  // Returns the sequence of the last durable record.
+  Sequence durable_sequence() const { return log_.durable_sequence; }
   // Returns the total size of all segments since the last snapshot.
   std::uint64_t log_bytes() const { return log_.log_bytes; }
   bool read_only() const { return !error_.ok(); }
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -49,7 +49,7 @@
         }
       }
       for (const Command& proposal : leases.Tick(now)) Apply(proposal);
-      if (!leases.preserved_zones().empty()) ++ticks_in_self_preservation;
+      if (!leases.zones_in_self_preservation().empty()) ++ticks_in_self_preservation;
     }
   }
   int CountSuspects() const {
@@ -84,12 +84,13 @@
   simulation.Run(20000, [](int) { return true; });
   simulation.Run(600000, [&](int i) { return !disconnected(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  EXPECT_EQ(simulation.leases.preserved_zones().size(), 4u);  // zones a, b and c, and the entry for all zones
+  // Zones a, b and c, and the entry for all zones together.
+  EXPECT_EQ(simulation.leases.zones_in_self_preservation().size(), 4u);
   // When the members renew again, self-preservation ends. Members that resume their renewals later than
   // others must not be removed.
   simulation.Run(20000, [](int) { return true; });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  EXPECT_EQ(simulation.leases.preserved_zones().size(), 0u);
+  EXPECT_EQ(simulation.leases.zones_in_self_preservation().size(), 0u);
   EXPECT_EQ(simulation.CountSuspects(), 0);
 }
 
--- a/tests/storage/corruption_test.cpp
+++ b/tests/storage/corruption_test.cpp
@@ -27,7 +27,7 @@
       ++flips;
       detected += examination.condition == StoreCondition::kCorrupt;
       // A store of another owner or of a newer format must not be modified, so it is not opened here.
-      if (examination.is_foreign()) continue;
+      if (examination.must_not_be_modified()) continue;
       Sequence expected = examination.snapshot ? examination.snapshot->sequence : 0;
       EXPECT_TRUE(!examination.snapshot || examination.snapshot->payload == "all up to 30");
       for (const Record& record : examination.records) {
@@ -36,7 +36,7 @@
       }
       // A flipped bit may go undetected only in the last commit (records 88 to 90). There, a corrupt record
       // looks like a record that was not synced before a crash.
-      EXPECT_TRUE(examination.condition != StoreCondition::kComplete || examination.last() >= 87)
+      EXPECT_TRUE(examination.condition != StoreCondition::kComplete || examination.last_sequence() >= 87)
           << name << " byte " << offset;
       StoreOptions open_corrupt = kOptions;
       open_corrupt.open_corrupt = true;
--- a/tests/storage/crash_recovery_test.cpp
+++ b/tests/storage/crash_recovery_test.cpp
@@ -107,12 +107,12 @@
   });
   auto opened = Open(files);
   if (!opened.status.ok()) return opened.status.Text();
-  std::string error = FindError(opened.examination, workload.acknowledged, workload.written);
+  std::string error = FindRecoveryError(opened.examination, workload.acknowledged, workload.written);
   if (!error.empty()) return error;
-  const Sequence last = opened.examination.last();
+  const Sequence last = opened.examination.last_sequence();
   Examination second_examination;
   if (!Examine(crashed, kFolder, kOptions.owner, second_examination).ok() ||
-      second_examination.last() != last) {
+      second_examination.last_sequence() != last) {
     error = "a second examination does not find the same last record";
   }
   // Two more records are acknowledged immediately before the next power loss.
@@ -122,7 +122,7 @@
   Examination last_examination;
   if (!Examine(*crashed_again, kFolder, kOptions.owner, last_examination).ok())
     error = "cannot examine the folder";
-  if (error.empty()) error = FindError(last_examination, last + 2, last + 2);
+  if (error.empty()) error = FindRecoveryError(last_examination, last + 2, last + 2);
   return error.empty() ? error : "after the next power loss: " + error;
 }
 
--- a/tests/storage/store_fixture.hpp
+++ b/tests/storage/store_fixture.hpp
@@ -35,15 +35,16 @@
 
 // Checks that the recovered state contains all records up to `acknowledged`, and no record after `written`.
 // Returns an error message, or an empty string if the check passes.
-inline std::string FindError(const Examination& examination, Sequence acknowledged, Sequence written) {
-  if (examination.condition == StoreCondition::kCorrupt || examination.is_foreign())
+inline std::string FindRecoveryError(const Examination& examination, Sequence acknowledged,
+                                     Sequence written) {
+  if (examination.condition == StoreCondition::kCorrupt || examination.must_not_be_modified())
     return "reported as corrupt, or as a store of another owner or format: " + examination.error;
-  if (examination.last() < acknowledged) {
-    return "recovered records up to " + std::to_string(examination.last()) + ", but records up to " +
+  if (examination.last_sequence() < acknowledged) {
+    return "recovered records up to " + std::to_string(examination.last_sequence()) + ", but records up to " +
            std::to_string(acknowledged) + " were acknowledged";
   }
-  if (examination.last() > written) {
-    return "recovered records up to " + std::to_string(examination.last()) +
+  if (examination.last_sequence() > written) {
+    return "recovered records up to " + std::to_string(examination.last_sequence()) +
            ", but wrote records only up to " + std::to_string(written);
   }
   if (examination.snapshot &&
--- a/tests/storage/store_fuzz.cpp
+++ b/tests/storage/store_fuzz.cpp
@@ -23,8 +23,8 @@
   std::string error;
   const Segment segment = ReadSegment(bytes, 1);
   Require(segment.valid_bytes <= size && (segment.complete || !segment.error.empty()));
-  if (segment.first != 0) {
-    Sequence expected = segment.first;
+  if (segment.first_sequence != 0) {
+    Sequence expected = segment.first_sequence;
     for (const Record& record : segment.records) Require(record.sequence == expected++);
   }
   if (const auto snapshot = DecodeSnapshot(bytes, error)) Require(EncodeSnapshot(*snapshot) == bytes);
--- a/tests/storage/store_test.cpp
+++ b/tests/storage/store_test.cpp
@@ -44,12 +44,12 @@
     EXPECT_TRUE(opened.store->read_only());
     EXPECT_EQ(opened.store->Append(7, 1, "x"), 0U);
     EXPECT_FALSE(opened.store->Commit().ok());
-    EXPECT_EQ(opened.store->durable(), 1U);
+    EXPECT_EQ(opened.store->durable_sequence(), 1U);
     opened.store.reset();
     const auto after_power_loss = memory.AfterPowerLoss({});
     auto reopened = Open(*after_power_loss);
     ASSERT_TRUE(reopened.status.ok()) << reopened.status.Text();
-    EXPECT_EQ(reopened.examination.last(), 1U);
+    EXPECT_EQ(reopened.examination.last_sequence(), 1U);
   }
 }
 
@@ -111,8 +111,8 @@
     Examination examination;
     const Status status = Store::Open(*files, folder, kOptions, store, examination);
     ASSERT_TRUE(status.ok()) << status.Text();
-    EXPECT_EQ(examination.last(), round * 20);
-    EXPECT_EQ(FindError(examination, round * 20, round * 20), "");
+    EXPECT_EQ(examination.last_sequence(), round * 20);
+    EXPECT_EQ(FindRecoveryError(examination, round * 20, round * 20), "");
     for (Sequence i = 1; i <= 20; ++i)
       ASSERT_EQ(store->Append(7, 1, PayloadOf(round * 20 + i)), round * 20 + i);
     ASSERT_TRUE(store->Commit().ok());
