--- a/src/registry/agent.hpp
+++ b/src/registry/agent.hpp
@@ -48,7 +48,7 @@
   HealthChecker health_checker_;
   boost::asio::steady_timer action_timer_;
   boost::asio::steady_timer stop_timer_;
-  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null before the first call
+  std::shared_ptr<base::ClientConnection> connection_;  // to the current service; null if not opened yet
   std::size_t service_index_ = 0;                       // index of the current service in the options
   int failed_calls_ = 0;                                // consecutive failed calls to the service
   bool call_pending_ = false;
--- a/src/registry/agent_options.hpp
+++ b/src/registry/agent_options.hpp
@@ -20,7 +20,7 @@
 };
 
 struct AgentOptions {
-  std::vector<boost::asio::ip::tcp::endpoint> services;  // tried in this order
+  std::vector<boost::asio::ip::tcp::endpoint> services;  // registry services, tried in the order of the list
   Member member;                                         // has a positive lease duration
   HealthCheckOptions health_check;
   base::Millis drain_grace = 5000;  // time between drain and removal
--- a/src/registry/byte_codec.hpp
+++ b/src/registry/byte_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes numbers and strings. Numbers are little-endian. A string is preceded by its length,
-// which takes four bytes.
+// Encodes and decodes numbers and strings. Numbers are little-endian. The length of a string precedes the
+// string and has four bytes.
 #ifndef GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 #define GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -130,7 +130,7 @@
   WriteNextBatch();
 }
 
-// Writes one batch at a time. Commands that arrive while a batch is written form the next batch. Therefore
+// Writes one batch at a time. Commands that arrive during the write form the next batch. Therefore
 // all commands of earlier batches are applied when a snapshot is taken.
 void DurableCatalog::WriteNextBatch() {
   if (!batch_in_progress_.empty() || queued_.empty() || !storage_error_.empty()) return;
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -52,7 +52,7 @@
   // `handler` when the command is durable and applied. `handler` may be empty.
   void Propose(Command command, ResultHandler handler);
 
-  // Returns why the storage rejects writes at present, or an empty string if it accepts them.
+  // Returns why the storage currently rejects writes, or an empty string if the storage accepts writes.
   const std::string& storage_error() const { return storage_error_; }
   // Returns the size of the log since the last snapshot.
   std::uint64_t log_bytes() const { return log_bytes_; }
--- a/src/registry/health_checker.hpp
+++ b/src/registry/health_checker.hpp
@@ -24,7 +24,7 @@
 
   // Starts the first check at once.
   void Start() { Check(); }
-  // Cancels the next check. A check in progress still completes and schedules another one.
+  // Cancels the next check. A check that is in progress still completes, and then schedules another check.
   void Stop() { timer_.cancel(); }
 
  private:
--- a/src/registry/list_cache.hpp
+++ b/src/registry/list_cache.hpp
@@ -1,5 +1,5 @@
-// Cache of encoded lists of the newest revision. Each list is encoded once and shared by all clients that
-// need it.
+// Cache of the encoded full list and the encoded deltas at the newest revision. Each response body is encoded
+// once and sent to all clients that request it.
 #ifndef GATEWAY_REGISTRY_LIST_CACHE_HPP_
 #define GATEWAY_REGISTRY_LIST_CACHE_HPP_
 
--- a/src/registry/service_report.hpp
+++ b/src/registry/service_report.hpp
@@ -23,7 +23,7 @@
   std::uint64_t slow_readers_closed = 0;
 };
 
-// The data that the reports show. Valid only until the service handles its next event, because some members
+// The data that the reports show. Valid only until the service handles its next event, because some fields
 // refer to the state of the service.
 struct ServiceView {
   const DurableCatalog& durable_catalog;
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -63,7 +63,7 @@
   return {};
 }
 
-// Writes a manifest if the folder has no usable manifest.
+// Writes a manifest if the folder is empty or has no manifest that fits the recovered records.
 Status Recoverer::WriteManifest(const std::string& owner, const std::string& program) {
   const bool is_empty = examination_.condition == StoreCondition::kEmpty;
   const bool is_unusable = IsCorrupt() && (HasNoState() || !examination_.manifest);
--- a/src/storage/segment.hpp
+++ b/src/storage/segment.hpp
@@ -38,8 +38,8 @@
   std::vector<Record> records;  // contiguous, starting at `first_sequence`
   std::size_t valid_bytes = 0;  // size of the header and the valid records
   bool complete = false;        // no bytes follow the valid records
-  // True if a later record shows that the invalid record at `valid_bytes` had been synced. The record is then
-  // corrupt and not the result of a torn write.
+  // True if a later record shows that the invalid record at `valid_bytes` had been synced. Then the record is
+  // corrupt, not torn by a crash.
   bool corrupt = false;
   std::string error;  // describes the invalid data at `valid_bytes`; empty if complete
 };
