--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -5,9 +5,11 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <cmath>
 #include <cstdio>
 #include <functional>
 #include <memory>
+#include <ostream>
 #include <set>
 
 namespace gateway::membership {
@@ -167,6 +169,16 @@
   int max_false_deaths;
 };
 
+void PrintTo(const GroupCase& group, std::ostream* out) {
+  *out << group.members << " members, loss rate " << group.loss_rate;
+}
+
+// Returns a test name such as "100MembersWith10PercentLoss".
+std::string NameOfGroupCase(const ::testing::TestParamInfo<GroupCase>& info) {
+  return std::to_string(info.param.members) + "MembersWith" +
+         std::to_string(std::lround(100 * info.param.loss_rate)) + "PercentLoss";
+}
+
 class MembershipAtSize : public ::testing::TestWithParam<GroupCase> {};
 
 // In SWIM, a crash is first detected after 1.6 protocol periods on average, and each member sends a constant
@@ -215,7 +227,8 @@
                          ::testing::Values(GroupCase{10, 0, 10000, 60000, 0},
                                            GroupCase{100, 0, 10000, 90000, 0},
                                            GroupCase{300, 0, 10000, 90000, 0},
-                                           GroupCase{100, 0.1, 10000, 200000, 0}));
+                                           GroupCase{100, 0.1, 10000, 200000, 0}),
+                         NameOfGroupCase);
 
 // During a partition, the members of each half declare the members of the other half dead and remove them.
 // Therefore the halves can find each other again only through the seed addresses.
