--- a/src/registry/byte_codec.hpp
+++ b/src/registry/byte_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes and decodes numbers and strings. Numbers are little-endian. A string is preceded by its length,
-// which takes four bytes.
+// Encodes and decodes numbers and strings. Numbers are little-endian. The length of a string precedes the
+// string and has four bytes.
 #ifndef GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 #define GATEWAY_REGISTRY_BYTE_CODEC_HPP_
 
@@ -31,7 +31,7 @@
   std::string bytes_;
 };
 
-// A read past the end returns zero or an empty string and makes ok() return false from then on.
+// A read past the end returns zero or an empty string. After such a read, ok() returns false.
 class ByteReader {
  public:
   // `bytes` must outlive the reader.
--- a/src/registry/health_checker.hpp
+++ b/src/registry/health_checker.hpp
@@ -1,4 +1,5 @@
-// Checks periodically whether a server is healthy, with an HTTP request or a connection.
+// Periodically checks whether a server is healthy: whether it responds to an HTTP request, or accepts a
+// connection.
 #ifndef GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 #define GATEWAY_REGISTRY_HEALTH_CHECKER_HPP_
 
@@ -13,8 +14,8 @@
 
 namespace gateway::registry {
 
-// Must be used in the thread of the io_context. Must outlive its operations, which end when the io_context
-// stops.
+// Must be used in the thread of the io_context. Must not be destroyed before the io_context has stopped,
+// because pending operations refer to the checker.
 class HealthChecker {
  public:
   // `io` must outlive the checker. `on_result` receives the result of each check.
@@ -23,7 +24,7 @@
 
   // Starts the first check at once.
   void Start() { Check(); }
-  // Cancels the next check. A check in progress still completes and schedules another one.
+  // Cancels the next check. A check that is in progress still completes, and then schedules another check.
   void Stop() { timer_.cancel(); }
 
  private:
--- a/src/registry/service_report.cpp
+++ b/src/registry/service_report.cpp
@@ -28,11 +28,11 @@
   return {{"up", up}, {"draining", draining}, {"suspect", suspect}};
 }
 
-json EncodePreservedZones(const ServiceView& view) {
+json EncodeSelfPreservation(const ServiceView& view) {
   json zones = json::array();
-  for (const SelfPreservation::ActiveZone& active : view.leases.preserved_zones()) {
+  for (const SelfPreservation::ActiveZone& active : view.leases.zones_in_self_preservation()) {
     zones.push_back({{"zone", active.zone},
-                     {"lapsed", active.leases.lapsed},
+                     {"lapsed", active.leases.expired},
                      {"of", active.leases.total},
                      {"for_s", (view.now - active.since) / kMillisPerSecond}});
   }
@@ -69,10 +69,11 @@
   metrics.Gauge("oldest_revision", "Oldest revision that a watch can continue from",
                 catalog.oldest_revision());
   metrics.Gauge("members", "Listed members", catalog.members().size());
-  metrics.Gauge("leases_overdue", "Members whose lease has expired", view.leases.CountLapsed(view.now));
+  metrics.Gauge("leases_overdue", "Members whose lease has expired",
+                view.leases.CountExpiredLeases(view.now));
   metrics.Gauge("holds", "Scopes in which removals are suspended; a scope is one zone or all zones together",
-                view.leases.preserved_zones().size());
-  metrics.Counter("absences_total", "Times that this service was suspended or starved of CPU",
+                view.leases.zones_in_self_preservation().size());
+  metrics.Counter("absences_total", "Number of times that this service was suspended or starved of CPU",
                   view.leases.pauses());
   metrics.Gauge("watches", "Pending watches", view.watches);
   metrics.Gauge("connections", "Open connections", view.connections);
@@ -89,14 +90,16 @@
   metrics.Counter("whole_lists_total", "Full lists sent", view.totals.full_lists);
   metrics.Counter("list_calls_total", "Requests for the list, including watches", view.totals.list.requests);
   metrics.Counter("bytes_received_total", "Bytes of requests received", view.totals.all.bytes_received);
-  metrics.Counter("bytes_sent_total", "Bytes of responses, counted when their sending begins",
+  metrics.Counter("bytes_sent_total", "Bytes of responses; each response is counted when its sending begins",
                   view.totals.all.bytes_sent);
   metrics.Counter("list_bytes_received_total", "Bytes of requests for the list",
                   view.totals.list.bytes_received);
-  metrics.Counter("list_bytes_sent_total",
-                  "Bytes of responses to requests for the list, counted when their sending begins",
-                  view.totals.list.bytes_sent);
-  metrics.Counter("encoded_total", "Bodies of lists encoded", view.totals.encoded_bodies);
+  metrics.Counter(
+      "list_bytes_sent_total",
+      "Bytes of responses to requests for the list; each response is counted when its sending begins",
+      view.totals.list.bytes_sent);
+  metrics.Counter("encoded_total", "Encoded response bodies that contain a full list or a delta",
+                  view.totals.encoded_bodies);
   metrics.Counter("turned_away_total", "Requests and connections rejected by admission control",
                   view.totals.rejected);
   metrics.Counter("cut_off_total", "Connections closed because the client read too slowly",
@@ -107,8 +110,8 @@
   const auto seconds = [&](double quantile) {
     return static_cast<double>(times_us.Quantile(quantile)) / kMicrosPerSecond;
   };
-  metrics.Gauge("sync_seconds_p50", "Median duration of writing a batch to the log", seconds(0.5));
-  metrics.Gauge("sync_seconds_p99", "99th percentile of the duration of writing a batch to the log",
+  metrics.Gauge("sync_seconds_p50", "Median time to write a batch to the log, in seconds", seconds(0.5));
+  metrics.Gauge("sync_seconds_p99", "99th percentile of the time to write a batch to the log, in seconds",
                 seconds(0.99));
 }
 
@@ -122,8 +125,8 @@
               {"oldest", catalog.oldest_revision()},
               {"members", CountPhases(catalog)},
               {"leases", view.leases.size()},
-              {"overdue", view.leases.CountLapsed(view.now)},
-              {"holds", EncodePreservedZones(view)},
+              {"overdue", view.leases.CountExpiredLeases(view.now)},
+              {"holds", EncodeSelfPreservation(view)},
               {"watches", view.watches},
               {"connections", view.connections},
               {"storage", storage_error.empty() ? "ok" : storage_error},
--- a/src/storage/examination.cpp
+++ b/src/storage/examination.cpp
@@ -8,6 +8,11 @@
 namespace gateway::storage {
 namespace {
 
+std::string DescribeMismatch(Sequence in_header, Sequence in_name) {
+  return "the sequence " + std::to_string(in_header) + " in the header does not match the sequence " +
+         std::to_string(in_name) + " in the file name";
+}
+
 class Examiner {
  public:
   Examiner(FileSystem& files, const std::string& folder, Examination& result)
@@ -36,7 +41,7 @@
   Examination& result_;
   std::vector<NumberedFile> snapshots_;
   std::vector<NumberedFile> segments_;
-  bool log_intact_ = true;  // false after a segment that is corrupt or missing
+  bool log_intact_ = true;  // false once a corrupt or missing segment was found
 };
 
 Status Examiner::Run(const std::string& owner) {
@@ -48,14 +53,14 @@
     if (name.ends_with(kTemporarySuffix)) result_.obsolete_files.push_back(name);
   }
   if (std::find(names.begin(), names.end(), kManifestName) == names.end()) {
-    // The manifest is durable before any other file is created.
+    // A new store makes its manifest durable before it creates any other file.
     if (snapshots_.empty() && segments_.empty()) return {};
     ExcludeAllFiles();
-    MarkCorrupt("found log or snapshot files but no manifest");
+    MarkCorrupt("the folder contains log or snapshot files but no MANIFEST file");
     return {};
   }
   if (Status status = ExamineManifest(owner); !status.ok()) return status;
-  if (result_.is_foreign()) return {};
+  if (result_.must_not_be_modified()) return {};
   if (result_.condition == StoreCondition::kCorrupt) {
     ExcludeAllFiles();
     return {};
@@ -132,7 +137,7 @@
   std::string error;
   result_.snapshot = DecodeSnapshot(bytes, error);
   if (result_.snapshot && result_.snapshot->sequence != file.sequence) {
-    error = "the sequence in the header does not match the file name";
+    error = DescribeMismatch(result_.snapshot->sequence, file.sequence);
     result_.snapshot.reset();
   }
   result_.files.push_back(
@@ -145,7 +150,7 @@
 }
 
 Status Examiner::ExamineSegments() {
-  const Sequence last_replaced = result_.last();  // last record that the snapshot replaces
+  const Sequence last_replaced = result_.last_sequence();  // last record that the snapshot replaces
   for (std::size_t i = 0; i < segments_.size(); ++i) {
     const bool is_last = i + 1 == segments_.size();
     if (!is_last && segments_[i + 1].sequence <= last_replaced + 1) {
@@ -164,9 +169,9 @@
   Segment segment = ReadSegment(bytes, file.sequence);
   const Sequence last = file.sequence + segment.records.size() - 1;
   result_.highest_sequence = std::max(result_.highest_sequence, last);
-  if (segment.first == 0 && !is_last) segment.corrupt = true;
-  if (segment.first != 0 && segment.first != file.sequence) {
-    segment.error = "the sequence in the header does not match the file name";
+  if (segment.first_sequence == 0 && !is_last) segment.corrupt = true;
+  if (segment.first_sequence != 0 && segment.first_sequence != file.sequence) {
+    segment.error = DescribeMismatch(segment.first_sequence, file.sequence);
     segment.corrupt = true;
     segment.records.clear();
   }
@@ -189,17 +194,18 @@
 
 void Examiner::ApplySegment(const NumberedFile& file, Segment segment, bool is_last) {
   if (!log_intact_) return ExcludeFile(file);
-  if (file.sequence > result_.last() + 1) {
-    MarkCorrupt(file.name + ": records " + std::to_string(result_.last() + 1) + " to " +
+  if (file.sequence > result_.last_sequence() + 1) {
+    MarkCorrupt(file.name + ": records " + std::to_string(result_.last_sequence() + 1) + " to " +
                 std::to_string(file.sequence - 1) + " are missing");
     log_intact_ = false;
     return ExcludeFile(file);
   }
   for (Record& record : segment.records) {
-    if (record.sequence > result_.last()) result_.records.push_back(std::move(record));
+    if (record.sequence > result_.last_sequence()) result_.records.push_back(std::move(record));
   }
   result_.active_segment = file.sequence;
-  // Only the last segment may end with a torn record, because a segment is synced before the next is created.
+  // Only the last segment may end with a torn record, because each segment is synced before the next segment
+  // is created.
   if (!segment.complete && (segment.corrupt || !is_last)) {
     MarkCorrupt(file.name + ": " + segment.error);
     log_intact_ = false;
@@ -207,7 +213,7 @@
   }
 }
 
-// If no record follows the snapshot, no records are appended to the last segment, so it is obsolete.
+// If no record follows the snapshot, the last segment is obsolete: the next commit creates a new segment.
 void Examiner::DropEmptyActiveSegment() {
   if (!result_.active_segment || !result_.records.empty()) return;
   if (result_.condition != StoreCondition::kCorrupt) {
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -35,10 +35,11 @@
 Status Recoverer::Run(const std::string& owner, const std::string& program) {
   if (Status status = QuarantineCorruptFiles(); !status.ok()) return status;
   if (Status status = RemoveObsoleteFiles(); !status.ok()) return status;
-  log_.durable = examination_.last();
-  // No record was recovered, but a sequence must never be reused. The log continues after the highest
-  // sequence.
-  if (IsCorrupt() && HasNoState()) log_.durable = std::max(log_.durable, examination_.highest_sequence);
+  log_.durable_sequence = examination_.last_sequence();
+  // No record was recovered. A sequence must never be reused, so the log continues after the highest sequence
+  // in any file.
+  if (IsCorrupt() && HasNoState())
+    log_.durable_sequence = std::max(log_.durable_sequence, examination_.highest_sequence);
   if (Status status = WriteManifest(owner, program); !status.ok()) return status;
   if (!examination_.records.empty()) {
     if (Status status = RewriteLastSegment(); !status.ok()) return status;
@@ -62,7 +63,7 @@
   return {};
 }
 
-// Writes a manifest if the folder has no usable manifest.
+// Writes a manifest if the folder is empty or has no manifest that fits the recovered records.
 Status Recoverer::WriteManifest(const std::string& owner, const std::string& program) {
   const bool is_empty = examination_.condition == StoreCondition::kEmpty;
   const bool is_unusable = IsCorrupt() && (HasNoState() || !examination_.manifest);
@@ -71,11 +72,11 @@
   manifest.owner = owner;
   manifest.program = program;
   manifest.first_sequence = examination_.first_sequence;
-  if (IsCorrupt() && HasNoState()) manifest.first_sequence = log_.durable + 1;
+  if (IsCorrupt() && HasNoState()) manifest.first_sequence = log_.durable_sequence + 1;
   return ReplaceFile(files_, Path(kManifestName), EncodeManifest(manifest));
 }
 
-// Rewrites only the last segment. Earlier segments are kept unchanged.
+// Rewrites only the last segment. Earlier segments stay unchanged.
 Status Recoverer::RewriteLastSegment() {
   const Sequence active = *examination_.active_segment;
   const Sequence first = std::max(active, examination_.records.front().sequence);
