--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the lab. Schedules, the host model, rules, figures and files are tested without sockets; the mean
-// wait in the host model is compared with the Erlang C formula. The emulated networks and the gatewayctl
-// program are tested with real sockets and processes.
+// Tests of the lab. The schedule, the host model, the rule checker, the figures and the file formats are
+// tested without sockets. The emulated networks and the gatewayctl program are tested with real sockets and
+// processes.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -49,7 +49,7 @@
 repeatable = false
 )";
 
-// Parses the small experiment with further sections appended.
+// Parses kSmallExperiment followed by `sections`.
 Experiment ParseWithSections(const std::string& sections) {
   return ParseExperiment(kSmallExperiment + sections, "test.toml");
 }
@@ -76,28 +76,30 @@
 TEST(Schedule, MatchesConfiguredRateSharesAndBurstiness) {
   struct Case {
     const char* arrivals;
-    double spread;  // variance of the arrivals per second, as a multiple of the variance of a Poisson process
+    double dispersion;  // variance of the arrivals per second over their mean; 1 for a Poisson process
   };
   for (const Case& test_case : {Case{"poisson", 1}, Case{"bursty", 5}}) {
     const Experiment experiment = ParseWithSections(
         std::string("[traffic]\nrate = 500\nseconds = 400\nburst_factor = 3\narrivals = \"") +
         test_case.arrivals + "\"\n");
     Schedule schedule(experiment, 3);
-    std::vector<double> windows(400);
-    double count = 0, pay = 0, work = 0;
+    std::vector<double> arrivals_per_second(400);
+    double count = 0, pay_count = 0, total_work = 0;
     while (const auto arrival = schedule.Next()) {
       ++count;
-      pay += arrival->class_index;
-      work += arrival->work;
-      ++windows[static_cast<std::size_t>(arrival->at / 1000)];
+      pay_count += arrival->class_index;  // the index of class "pay" is 1
+      total_work += arrival->work;
+      ++arrivals_per_second[static_cast<std::size_t>(arrival->at / 1000)];
     }
-    EXPECT_NEAR(count / 400, 500, test_case.spread * 10);
-    EXPECT_NEAR(pay / count, 0.2, 0.01);
-    EXPECT_NEAR(work / count, 24, 0.5);
-    double squares = 0;
-    for (const double window : windows) squares += (window - count / 400) * (window - count / 400) / 400;
-    EXPECT_GT(squares / 500, test_case.spread * 0.8) << test_case.arrivals;
-    EXPECT_LT(squares / 500, test_case.spread == 1 ? 1.25 : 1000);
+    EXPECT_NEAR(count / 400, 500, test_case.dispersion * 10);
+    EXPECT_NEAR(pay_count / count, 0.2, 0.01);
+    EXPECT_NEAR(total_work / count, 24, 0.5);
+    double variance = 0;
+    for (const double arrivals : arrivals_per_second) {
+      variance += (arrivals - count / 400) * (arrivals - count / 400) / 400;
+    }
+    EXPECT_GT(variance / 500, test_case.dispersion * 0.8) << test_case.arrivals;
+    EXPECT_LT(variance / 500, test_case.dispersion == 1 ? 1.25 : 1000);
   }
 }
 
@@ -114,8 +116,8 @@
   EXPECT_NEAR(outside_burst, 20000, 700);
 }
 
-// Returns the mean wait before service in an M/M/c queue at this load, in units of the mean service time. It
-// is computed with the Erlang C formula.
+// Returns the mean wait in an M/M/c queue according to the Erlang C formula, in units of the mean service
+// time. `load`: arrival rate as a share of the capacity of all servers.
 double ErlangWait(int servers, double load) {
   const double offered_load = load * servers;
   double term = 1, sum = 1;
@@ -138,7 +140,7 @@
       std::unordered_map<HostModel::Job, Millis> submitted_at;
       std::vector<HostModel::Event> events;
       double now = 0, total_wait = 0, started_jobs = 0;
-      const auto advance_to = [&](Millis until) {  // stops at the time of each event, as a timer would
+      const auto advance_to = [&](Millis until) {  // advances to the time of each event in turn, like a timer
         while (host.NextEventAt() && *host.NextEventAt() <= until) {
           const Millis at = *host.NextEventAt();
           events.clear();
@@ -186,24 +188,24 @@
                       {1, Kind::kFinished}, {3, Kind::kExpired}, {2, Kind::kFinished}}));
 }
 
-TEST(HostModel, WarmsUpLinearlyAndOverloadsAboveLimit) {
+TEST(HostModel, CapacityRisesLinearlyInWarmUpAndTooMuchWorkOverloadsHost) {
   HostGroup group;
   group.slots = 1000;
-  const HostWarmUp cold{0.2, 10000, 2.5, 3000};
+  const HostWarmUp warm_up{0.2, 10000, 2.5, 3000};
   HostModel host(group, {0.2, 10000, 1e9, 3000}, 0.0);
   std::vector<HostModel::Event> events;
-  host.Submit(0, 1, 6000, 1e9);  // the work in ms that the host can do during its warm-up of 10 s
+  host.Submit(0, 1, 6000, 1e9);  // the work in ms that the host does in its warm-up of 10 s
   host.Advance(0, events);
   EXPECT_NEAR(*host.NextEventAt(), 10000, 0.01);
   struct Case {
-    double share;  // received work, as a share of the work above which a cold host is overloaded
+    double share;  // received work, as a share of the limit for a host that has just started
     bool overloads;
   };
   for (const Case& test_case : {Case{0.9, false}, Case{1.3, true}}) {
-    HostModel cold_host(group, cold, 0.0);
-    const double allowed = 2.5 * 0.2 * 3000;
+    HostModel cold_host(group, warm_up, 0.0);
+    const double work_limit = 2.5 * 0.2 * 3000;
     for (int i = 0; i < 10; ++i)
-      cold_host.Submit(i, static_cast<HostModel::Job>(i), test_case.share * allowed / 10, 1e9);
+      cold_host.Submit(i, static_cast<HostModel::Job>(i), test_case.share * work_limit / 10, 1e9);
     EXPECT_EQ(cold_host.overloaded(), test_case.overloads) << test_case.share;
   }
 }
@@ -289,7 +291,7 @@
   }
 }
 
-TEST(FrontBalancerView, SendsConnectionsUntilDrainOrDetectionDelayEnds) {
+TEST(FrontBalancerView, StopsConnectionsAfterDrainDelayOrDetectionDelay) {
   using Probe = FrontBalancerView::Probe;
   FrontBalancerView view(1500);
   EXPECT_FALSE(view.SendsConnections(0));
@@ -324,7 +326,7 @@
   EXPECT_FALSE(run.figures.contains("p999_ms/pay"));  // no percentiles, because "pay" had no requests
 }
 
-TEST(Histogram, QuantileErrorIsAtMostOneThirtySecond) {
+TEST(Histogram, QuantileDiffersFromExactValueByAtMostOnePartIn32) {
   boost::random::mt19937_64 random(2);
   for (const double mean : {3.0, 4e3, 5e7}) {
     base::Histogram histogram;
@@ -373,7 +375,7 @@
   for (const Case& test_case : cases) {
     try {
       ParseExperiment(test_case.text, "test.toml");
-      ADD_FAILURE() << "accepted; expected error: " << test_case.expected_error;
+      ADD_FAILURE() << "the experiment was accepted; expected error: " << test_case.expected_error;
     } catch (const base::ConfigError& error) {
       EXPECT_NE(std::string(error.what()).find(test_case.expected_error), std::string::npos)
           << error.what() << "\n  does not contain: " << test_case.expected_error;
@@ -404,8 +406,9 @@
     for (const Verdict& verdict : Evaluate(experiment, results)) verdict_kinds.push_back(verdict.kind);
     return verdict_kinds;
   };
-  // No rule is violated. The ratio of the goodputs, 0.9 / 0.8, is above its bound of 1.1. The bound on
-  // latency is inconclusive, because the p99 lateness of the lab, 20 ms, is above its limit of 5 ms.
+  // No rule is violated. The ratio of the goodputs, 0.9 / 0.8, is above its minimum of 1.1. The latency of 9
+  // ms is above its maximum of 5 ms. This violation is inconclusive, because the p99 lateness of the lab, 20
+  // ms, is above its limit of 5 ms.
   EXPECT_EQ(kinds(), (std::vector<Kind>{Kind::kPassed, Kind::kPassed, Kind::kInconclusive}));
   results.runs[0].figures["lost"] = 1;
   results.runs[0].figures["lateness_p99_ms"] = 1;
@@ -416,7 +419,7 @@
 }
 
 // A link without delay delivers messages synchronously. A link with delay and jitter delivers each message
-// after at least the delay. A cut queues only messages in the direction that is cut.
+// after at least the delay. A cut of one direction queues only the messages in that direction.
 TEST(Link, AppliesDelayJitterAndCutsPerDirection) {
   boost::asio::io_context io;
   Link link(io, 3);
@@ -443,24 +446,24 @@
             10);
   link.AddDelay(-20, -30);
   link.Cut(true, false);
-  send(Link::Direction::kFromGateway, "held");
-  send(Link::Direction::kToGateway, "back");
-  EXPECT_EQ(delivered.back(), "back");
+  send(Link::Direction::kFromGateway, "request");
+  send(Link::Direction::kToGateway, "response");
+  EXPECT_EQ(delivered.back(), "response");
   link.Cut(true, true);
   link.Heal(true, true);
-  EXPECT_EQ(delivered.back(), "back");  // the first cut is still active
+  EXPECT_EQ(delivered.back(), "response");  // the first cut is still active
   link.Heal(true, false);
-  EXPECT_EQ(delivered.back(), "held");
+  EXPECT_EQ(delivered.back(), "request");
 }
 
-// Sends datagrams from one gateway to another. On a network without impairments all arrive in order. Loss,
-// duplication and reordering occur at their configured rates. No datagram passes a cut, and none above the
-// size limit arrives.
-TEST(PeerNetwork, AppliesLossDuplicationReorderingCutsAndTheSizeLimit) {
+// Sends datagrams from one gateway to another. On a network without impairments all datagrams arrive in
+// order. Loss, duplication and reordering occur at their configured rates. No datagram passes a cut. No
+// datagram above the size limit arrives.
+TEST(PeerNetwork, AppliesLossDuplicationReorderingCutsAndSizeLimit) {
   namespace asio = boost::asio;
   asio::io_context io;
-  const Addresses addresses(io), other_run(io);  // two concurrent runs
-  EXPECT_NE(addresses.Gateway(0), other_run.Gateway(0));
+  const Addresses addresses(io), addresses_of_other_run(io);  // two concurrent runs
+  EXPECT_NE(addresses.Gateway(0), addresses_of_other_run.Gateway(0));
   PeerNetwork network(io, addresses, 2, 5);
   const auto to_udp = [](const Addresses::Endpoint& endpoint) {
     return asio::ip::udp::endpoint(endpoint.address(), endpoint.port());
@@ -479,7 +482,7 @@
       boost::system::error_code ec;
       while (receiver.receive_from(asio::buffer(text), from, 0, ec) > 0 && !ec) {
         received.push_back(std::atoi(text));
-        // The source is the address at which the receiver reaches the sender.
+        // The source address is the address at which the receiver reaches the sender.
         EXPECT_EQ(from, to_udp(addresses.Peer(1, 0)));
       }
     }
@@ -500,7 +503,7 @@
   network.SetCut(0, 1, true);
   EXPECT_TRUE(exchange(" ").empty());
   network.SetCut(0, 1, false);
-  EXPECT_TRUE(exchange(std::string(256, ' ')).empty());
+  EXPECT_TRUE(exchange(std::string(256, ' ')).empty());  // 256 bytes is the size limit
   EXPECT_EQ(network.counts().too_long, 400U);
 }
 
@@ -531,7 +534,7 @@
   }
 }
 
-TEST(Program, WritesSelfContainedReport) {
+TEST(Program, LabPlotWritesSelfContainedReport) {
   const std::string folder = ::testing::TempDir() + "lab's report",
                     result = ::testing::TempDir() + "result.json";
   Results results{"small", "a <day>", {}};
@@ -568,10 +571,10 @@
   }
 }
 
-// Runs stand-in gateways, each with one built-in defect. The lab must report the rule that the defect breaks.
-// It must not report a broken rule for the gateway without a defect.
-TEST(Program, LabRunReportsTheRuleThatAFaultyGatewayBreaks) {
-  const std::string file = ::testing::TempDir() + "mutant.toml";
+// Runs stand-in gateways, each with one built-in defect. The lab must report the rule that the defect
+// violates. It must report no violation for the stand-in gateway without a defect.
+TEST(Program, LabRunReportsTheRuleThatADefectiveGatewayViolates) {
+  const std::string file = ::testing::TempDir() + "defect.toml";
   std::string text = kSmallExperiment;
   text.replace(text.find("baselines = [\"random\"]\n"), 23, "ends_within_s = 60\n");
   std::ofstream(file) << text + R"([traffic]
@@ -605,23 +608,23 @@
   std::filesystem::remove(file);
 }
 
-TEST(Supervisor, RestartsWithBackoffAndStopsInACrashLoop) {
+TEST(Supervisor, RestartsAfterCrashWithBackoffAndStopsOnCrashLoop) {
   using base::Supervisor;
   using Action = Supervisor::Action;
   struct Step {
-    Millis at, run_time;
+    Millis at, run_time;  // time of the exit, and how long the process had run
     bool expected, with_saved_state;
     Action action;
-    Millis minimum, maximum;  // of the backoff
+    Millis minimum_backoff, maximum_backoff;
   };
   const std::vector<std::vector<Step>> sequences{
-      // A process that ends as expected is not restarted.
+      // A process with an expected exit is not restarted.
       {{1000, 500, true, true, Action::kStop, 0, 0}},
-      // Each crash after a long run counts as the first one, so the backoff does not grow.
+      // A crash after a long run counts as the first crash, so the backoff does not grow.
       {{100000, 90000, false, true, Action::kRestart, 100, 200},
        {300000, 90000, false, true, Action::kRestart, 100, 200}},
-      // After two crashes shortly after a start with saved state, the process is started once without the
-      // state, and then with the state again.
+      // If the process crashes twice shortly after a start with saved state, it is started once without saved
+      // state. The next start uses the saved state again.
       {{1000, 900, false, true, Action::kRestart, 100, 200},
        {3000, 900, false, true, Action::kRestartWithoutState, 200, 400},
        {5000, 900, false, false, Action::kRestart, 400, 800},
@@ -631,7 +634,7 @@
        {26000, 900, false, true, Action::kRestart, 3200, 6400},
        {40000, 900, false, true, Action::kRestartWithoutState, 6400, 12800},
        {60000, 900, false, false, Action::kStopCrashLoop, 0, 0}},
-      // The same crashes spread over more time are not a crash loop.
+      // Even more crashes are not a crash loop if they are spread over a longer time.
       {{0, 900, false, false, Action::kRestart, 100, 200},
        {40000, 900, false, false, Action::kRestart, 200, 400},
        {80000, 900, false, false, Action::kRestart, 400, 800},
@@ -648,14 +651,15 @@
         const auto decision =
             supervisor.OnProcessExit({step.at, step.run_time, step.expected, step.with_saved_state}, draw);
         EXPECT_EQ(decision.action, step.action) << "at " << step.at;
-        EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum : step.maximum) << "at " << step.at;
+        EXPECT_EQ(decision.backoff, draw == 0 ? step.minimum_backoff : step.maximum_backoff)
+            << "at " << step.at;
       }
     }
   }
 }
 
-// Runs the supervisor with real processes. It restarts the command after each crash, the second time without
-// saved state. It stops when the command exits cleanly or when the supervisor itself is terminated.
+// Runs the supervisor with real processes. It restarts the command after each of two crashes, the second time
+// without saved state. It stops when the command exits cleanly or when the supervisor itself is terminated.
 TEST(Program, RestartsCrashedCommandUntilItExitsCleanly) {
   const std::string folder = ::testing::TempDir() + "run-" + std::to_string(getpid());
   std::filesystem::create_directories(folder);
@@ -676,15 +680,16 @@
   std::filesystem::remove_all(folder);
 }
 
-// The lab reports gateways that don't become ready within the time limit. It leaves no gateway process
-// running, even if the lab itself is killed.
-TEST(Program, ReportsUnreadyGatewaysAndLeavesNoProcesses) {
+// The lab reports gateways that don't become ready within the time limit. No gateway process is left running,
+// even if the lab itself is killed.
+TEST(Program, LabRunReportsUnreadyGatewaysAndLeavesNoProcesses) {
   const std::string file = ::testing::TempDir() + "never.toml";
   std::string text = kSmallExperiment;
   text.replace(text.find("baselines"), 31, "[fleet]\nready_within_s = 1\n");
   text += "[traffic]\nrate = 10\nseconds = 30\n";
   std::ofstream(file) << text;
-  const std::string command = "sleep " + std::to_string(86400 + getpid());  // a duration unique to this test
+  const std::string command =
+      "sleep " + std::to_string(86400 + getpid());  // a duration that no other process uses
   const auto [code, out] = RunGatewayctl("lab run " + file + " --gateway '" + command + "'");
   EXPECT_EQ(code, 1) << out;
   EXPECT_NE(out.find("gateway 0 is not ready, gateway 1 is not ready after 1 s"), std::string::npos) << out;
