--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,6 +1,7 @@
 // The socket addresses of one run. Each run reserves a block 127.A.B.0/24, and each gateway has an address of
-// its own in the block. Clients reach the gateway at this address. The gateway reaches hosts, list service
-// and other gateways at ports of this address, so the lab can cut the network between any pair.
+// its own in the block. Clients reach the gateway at this address. The lab listens at other ports of the same
+// address on behalf of each host, the list service and each other gateway. The gateway connects to these
+// ports, so the lab can cut the network between any pair.
 #ifndef GATEWAY_LAB_ADDRESSES_HPP_
 #define GATEWAY_LAB_ADDRESSES_HPP_
 
@@ -18,7 +19,8 @@
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
 
-  // Reserves the first free block until destruction. Throws std::runtime_error if no block is free.
+  // Reserves the first free block until this object is destroyed. Throws std::runtime_error if no block is
+  // free.
   explicit Addresses(boost::asio::io_context& io) : lock_(io) {
     for (unsigned block = 0; block < kBlocks; ++block) {
       base_ = (127U << 24) | ((kFirstSecondOctet + block / 256) << 16) | ((block % 256) << 8);
@@ -29,15 +31,16 @@
       if (!ec) return;
       lock_.close(ec);
     }
-    throw std::runtime_error("no block of loopback addresses is free: too many runs at the same time");
+    throw std::runtime_error(
+        "no block 127.A.B.0/24 of loopback addresses is free: too many runs at the same time");
   }
 
   // Gateways and hosts are numbered from 0.
 
   // The address at which clients reach the gateway.
   Endpoint Gateway(int gateway) const { return At(gateway + 1, 3000); }
-  // The management address of a gateway process. `start` counts the starts of the gateway, so that the old
-  // and the new process of a replacement have different addresses.
+  // The management address of a gateway process. `start` is the number of earlier starts of the gateway. It
+  // gives the old and the new process different addresses while the gateway is replaced.
   Endpoint Management(int gateway, int start) const {
     return At(gateway + 1, static_cast<std::uint16_t>(3001 + start % kManagementPorts));
   }
@@ -48,7 +51,7 @@
     return At(gateway + 1, static_cast<std::uint16_t>(10000 + host));
   }
 
-  // The address of the project's list service, if it runs as a process.
+  // The address of the project's list service, if the experiment runs its process.
   Endpoint Registry() const { return At(kRegistryAddress, 8500); }
 
   // The address at which `gateway` reaches `other`, and from which it receives the datagrams of `other`.
@@ -72,7 +75,7 @@
     return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last_octet)), port};
   }
 
-  boost::asio::ip::tcp::acceptor lock_;  // keeps the block reserved by listening in it
+  boost::asio::ip::tcp::acceptor lock_;  // reserves the block by listening at one of its addresses
   unsigned base_ = 0;                    // the first address of the block
 };
 
--- a/src/lab/client_targets.hpp
+++ b/src/lab/client_targets.hpp
@@ -9,7 +9,7 @@
 namespace gateway::lab {
 
 // The gateways of a run, or its hosts if clients call them directly. Targets are numbered from 0. Times are
-// those of base::MonotonicNow.
+// on the clock of base::MonotonicNow.
 class ClientTargets {
  public:
   virtual ~ClientTargets() = default;
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -16,7 +16,8 @@
 // A response that arrives within this time after the client's timeout counts as failed, but not as lost.
 constexpr Millis kLateAnswerGrace = 500;
 constexpr double kMillisPerSecond = 1000;
-constexpr std::uint64_t kSeedMask = 0x636c69656e7473ULL;  // separates these draws from others of the seed
+// Gives the clients a random sequence that differs from those of other components with the same seed.
+constexpr std::uint64_t kSeedMask = 0x636c69656e7473ULL;
 
 bool IsRejection(const ClientConnection::Result& result) {
   const unsigned status = result.response.result_int();
@@ -54,7 +55,8 @@
   });
 }
 
-// Sends all requests that are due, so that the lab catches up if it runs late, and records its lateness.
+// Sends all requests that are due and records the lateness of each. So the lab catches up with the schedule
+// after a delay.
 void Clients::SendDue() {
   while (next_arrival_ && start_ + next_arrival_->at <= MonotonicNow()) {
     const auto request = std::make_shared<ClientRequest>();
@@ -72,8 +74,9 @@
   return env_.experiment.classes[static_cast<std::size_t>(request.arrival.class_index)];
 }
 
-// Returns a target in the arrival's zone, or -1 if none is available. A target is available if it accepts new
-// connections or has an idle connection. The arrival's `gateway_draw` selects one of the available targets.
+// Returns a target in the arrival's zone, or -1 if no target is available. A target is available if it
+// accepts new connections or if there is an idle connection to it. The arrival's `gateway_draw` selects one
+// of the available targets.
 int Clients::ChooseTarget(const Arrival& arrival, Millis now) const {
   struct Candidate {
     int target;
@@ -193,17 +196,17 @@
       }
       return ReuseLater(attempt.target, connection);
     case Failure::kTimedOut:
-      return OnNoResponse(attempt, "no response within half a second after its timeout", false);
+      return OnNoResponse(attempt, "no response within half a second after the client's timeout", false);
     case Failure::kNoResponse:
     case Failure::kIncompleteResponse:
-      return OnNoResponse(attempt, "its connection closed before a complete response",
+      return OnNoResponse(attempt, "the connection was closed before the response was complete",
                           connection->exchanges() == 1);
     case Failure::kConnectFailed: return;
   }
 }
 
-// If the gateway closes a new connection without forwarding its first request, the request has failed, but
-// does not count as lost (TERMS).
+// If the gateway closes a new connection without forwarding the first request on it, the request has failed,
+// but does not count as lost (TERMS).
 void Clients::OnNoResponse(const Attempt& attempt, const std::string& description, bool first_on_connection) {
   const bool unprocessed = first_on_connection && !env_.rules.HasArrived(attempt.id);
   if (env_.targets.IsExcused(attempt.target, attempt.sent_at)) {
@@ -211,7 +214,7 @@
   } else if (unprocessed) {
     ++closed_unprocessed_;
   } else {
-    env_.rules.OnRequestLost(attempt.id, fmt::format("by gateway {}: {}", attempt.target, description));
+    env_.rules.OnRequestLost(attempt.id, fmt::format("sent to gateway {}: {}", attempt.target, description));
   }
 }
 
@@ -224,7 +227,7 @@
   Finish(request, result, latency);
 }
 
-// A client retries a request that is not idempotent only if it was certainly not executed.
+// A client retries a request that is not idempotent only if the request was certainly not executed.
 void Clients::Retry(const std::shared_ptr<ClientRequest>& request, RequestResult result_if_last,
                     Millis retry_after, bool not_executed) {
   const Traffic& traffic = env_.experiment.traffic;
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -44,11 +44,11 @@
   std::size_t open_requests() const { return open_requests_; }
   std::uint64_t attempts() const { return attempts_; }
 
-  // Attempts for which no target accepted connections.
+  // Attempts for which no target was available.
   std::uint64_t unroutable() const { return unroutable_; }
 
-  // Attempts that the gateway did not forward because it closed their connection. Counts only attempts that
-  // were the first on their connection.
+  // Attempts whose connection the gateway closed without forwarding them. Counts only first attempts on a new
+  // connection.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
   // Attempts that got no response because a fault had killed or stopped the gateway.
@@ -68,7 +68,7 @@
     int target = 0;
     Millis sent_at = 0;
     Millis timeout = 0;
-    bool resent = false;  // sent again on a new connection, because the gateway had closed the reused one
+    bool resent = false;  // sent again on a new connection, because the gateway had closed the idle one
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer disconnect_timer;
   };
@@ -105,7 +105,7 @@
   std::uint64_t excused_ = 0;
   std::uint64_t closed_unprocessed_ = 0;
   std::vector<std::vector<std::shared_ptr<ClientConnection>>>
-      idle_;  // by target, the most recently used one last
+      idle_;  // idle connections by target; the most recently used connection is the last
 };
 
 }  // namespace gateway::lab
--- a/src/lab/estimate.cpp
+++ b/src/lab/estimate.cpp
@@ -8,7 +8,7 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kUpperQuantile = 0.975;  // for a two-sided interval of 95%
+constexpr double kUpperQuantile = 0.975;  // for a two-sided 95% confidence interval
 constexpr double kMaxExactInteger = 1e9;  // smaller integers are printed with all digits
 
 }  // namespace
--- a/src/lab/evaluation.cpp
+++ b/src/lab/evaluation.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kVariantUnderTest = "gateway";  // the variant to which the rules apply
 
-// Whether the experiment has a bound on the figure of the rule. Such a bound replaces the rule.
+// Whether the experiment has a bound of its own on the figure of the rule. Such a bound replaces the rule.
 bool HasOwnBound(const Experiment& experiment, const std::string& rule) {
   return std::any_of(experiment.bounds.begin(), experiment.bounds.end(),
                      [&](const Bound& bound) { return bound.figure == rule && bound.baseline.empty(); });
@@ -24,7 +24,7 @@
     const auto found = run.figures.find(rule);
     if (found == run.figures.end() || found->second == 0 || HasOwnBound(experiment, rule)) continue;
     verdicts.push_back({Verdict::Kind::kViolated,
-                        fmt::format("{}: rule {} broken {} times", run_name, rule, found->second)});
+                        fmt::format("{}: rule {} violated {} times", run_name, rule, found->second)});
   }
 }
 
@@ -41,8 +41,8 @@
 
 std::string BoundText(const Bound& bound, const std::string& name, double value) {
   std::string text = fmt::format("{} = {}", name, FormatFigure(value));
-  if (bound.minimum) text += fmt::format(", at least {:g}", *bound.minimum);
-  if (bound.maximum) text += fmt::format(", at most {:g}", *bound.maximum);
+  if (bound.minimum) text += fmt::format("; minimum {:g}", *bound.minimum);
+  if (bound.maximum) text += fmt::format("; maximum {:g}", *bound.maximum);
   return text;
 }
 
@@ -56,19 +56,21 @@
   double value = estimate.mean;
   if (!bound.baseline.empty()) {
     const Estimate baseline = EstimateMean(FigureValues(results, bound.baseline, bound.figure));
-    name += " over " + bound.baseline + "'s";
+    name += fmt::format(" / {}'s {}", bound.baseline, bound.figure);
     if (baseline.count == 0 || baseline.mean == 0) {
-      return {Verdict::Kind::kInconclusive, name + ": no baseline value to compare with"};
+      return {Verdict::Kind::kInconclusive,
+              fmt::format("{}: '{}' has no value, or the value 0, to compare with", name, bound.baseline)};
     }
     value = estimate.mean / baseline.mean;
   }
-  if (estimate.count == 0) return {Verdict::Kind::kViolated, name + ": not measured"};
+  if (estimate.count == 0) return {Verdict::Kind::kViolated, name + ": not measured in any run"};
   const std::string text = BoundText(bound, name, value);
   if (IsWithin(bound, value)) return {Verdict::Kind::kPassed, text};
   const double lateness = EstimateMean(FigureValues(results, bound.variant, "lateness_p99_ms")).mean;
   if (bound.is_speed && lateness > experiment.max_lateness) {
     return {Verdict::Kind::kInconclusive,
-            text + fmt::format("; the lab itself ran {:.1f} ms late at p99", lateness)};
+            text + fmt::format("; the lab itself ran {:.1f} ms late at p99, the limit is {:g} ms", lateness,
+                               experiment.max_lateness)};
   }
   return {Verdict::Kind::kViolated, text};
 }
@@ -79,7 +81,7 @@
   std::vector<Verdict> verdicts;
   for (const RunResult& run : results.runs) EvaluateRun(experiment, run, verdicts);
   if (verdicts.empty()) {
-    verdicts.push_back({Verdict::Kind::kPassed, "all rules kept in every run of the gateway"});
+    verdicts.push_back({Verdict::Kind::kPassed, "no rule violated in any run of the gateway"});
   }
   for (const Bound& bound : experiment.bounds) {
     verdicts.push_back(EvaluateBound(experiment, results, bound));
--- a/src/lab/evaluation.hpp
+++ b/src/lab/evaluation.hpp
@@ -15,7 +15,9 @@
   enum class Kind {
     kPassed,
     kViolated,
-    kInconclusive,  // no baseline exists to compare with, or the lab itself ran too late to evaluate a speed
+    // A run of another variant failed, the baseline has no value to compare with, or the lab itself was too
+    // late for a figure that depends on speed.
+    kInconclusive,
   };
   Kind kind = Kind::kPassed;
   std::string text;  // describes the rule or the bound with its figure
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -22,7 +22,7 @@
     work += traffic_class.share * traffic_class.work;
     shares += traffic_class.share;
   }
-  double cores = 0;  // of speed 1
+  double cores = 0;  // equivalent number of cores of speed 1
   for (const HostGroup& group : host_groups) cores += group.count * group.cores * group.speed;
   return work > 0 ? cores * kMillisPerSecond * shares / work : 0;
 }
--- a/src/lab/experiment_reader.cpp
+++ b/src/lab/experiment_reader.cpp
@@ -20,7 +20,7 @@
 using base::TomlTable;
 
 constexpr double kMillisPerSecond = 1000;
-constexpr int kMaxGateways = 200;      // each needs an address of its own among the 254 of a run
+constexpr int kMaxGateways = 200;      // each gateway needs an address of its own; a run has 254 addresses
 constexpr int kMaxPeerGateways = 100;  // the peer network has two sockets for each pair
 constexpr int kMaxHosts = 600;
 constexpr int kMaxSlots = 1 << 20;
@@ -54,8 +54,8 @@
   fleet.lease_grace = table.Seconds("lease_grace_s", fleet.lease_grace, kNotNegative);
   fleet.peer_network = table.Flag("peers", fleet.peer_network);
   if (fleet.peer_network && fleet.gateways > kMaxPeerGateways) {
-    table.Fail("peers", fmt::format("needs a socket for each pair of gateways; the limit is {} gateways",
-                                    kMaxPeerGateways));
+    table.Fail("peers", fmt::format("a fleet with a peer network can have at most {} gateways, but has {}",
+                                    kMaxPeerGateways, fleet.gateways));
   }
   fleet.ready_within = table.Seconds("ready_within_s", fleet.ready_within, {0.1, 600});
   table.RejectUnknownKeys();
@@ -87,7 +87,7 @@
   }
   if (experiment.host_groups.empty()) table.Fail("hosts", "at least one [[hosts]] table is needed");
   if (experiment.HostCount() > kMaxHosts)
-    table.Fail("hosts", fmt::format("more than {} hosts in total", kMaxHosts));
+    table.Fail("hosts", fmt::format("{} hosts in total, the limit is {}", experiment.HostCount(), kMaxHosts));
 }
 
 HostWarmUp ReadHostWarmUp(TomlTable& table) {
@@ -108,7 +108,8 @@
   traffic_class.latency_objective = table.Number("aim_ms", traffic_class.latency_objective, kAboveZero);
   traffic_class.deadline = table.Number("deadline_ms", traffic_class.deadline, kAboveZero);
   if (traffic_class.deadline < traffic_class.latency_objective) {
-    table.Fail("deadline_ms", "must not be less than aim_ms");
+    table.Fail("deadline_ms",
+               fmt::format("must not be less than aim_ms, {:g} ms", traffic_class.latency_objective));
   }
   traffic_class.priority_weight = table.Number("worth", traffic_class.priority_weight, kAboveZero);
   traffic_class.late_weight = table.Number("late_worth", traffic_class.late_weight, kFraction);
@@ -117,10 +118,10 @@
   return traffic_class;
 }
 
-// `capacity` is that of all hosts, in requests per second.
+// `capacity`: requests per second that all hosts together can serve.
 Traffic ReadTraffic(TomlTable& table, double capacity) {
   Traffic traffic;
-  if (table.Has("load") == table.Has("rate")) table.Fail("rate", "give one of 'rate' and 'load'");
+  if (table.Has("load") == table.Has("rate")) table.Fail("rate", "give either 'rate' or 'load'");
   traffic.rate =
       table.Has("load") ? table.Number("load", kAboveZero) * capacity : table.Number("rate", kAboveZero);
   traffic.duration = table.Number("seconds", {0.1, 7200}) * kMillisPerSecond;
@@ -174,7 +175,7 @@
   if (table.Has("over")) bound.baseline = table.OneOf("over", "", variants);
   if (table.Has("least")) bound.minimum = table.Number("least");
   if (table.Has("most")) bound.maximum = table.Number("most");
-  if (!bound.minimum && !bound.maximum) table.Fail("figure", "needs 'least' or 'most'");
+  if (!bound.minimum && !bound.maximum) table.Fail("figure", "the bound needs 'least' or 'most'");
   bound.is_speed = table.Flag("speed", bound.is_speed);
   table.RejectUnknownKeys();
   return bound;
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -17,14 +17,16 @@
 
 using boost::system::error_code;
 
-constexpr Millis kTrafficDelay = 300;  // from the gateways' readiness to the first arrival
+constexpr Millis kTrafficDelay = 300;  // time from the gateways' readiness to the start of the traffic
 constexpr Millis kTickPeriod = 50;
 constexpr Millis kProgressPeriod = 1000;
-constexpr Millis kPreTrafficOffset = 1e6;  // subtracted from the times of events before the traffic
+// Subtracted from the times of events before the traffic. It makes these times negative, so that reports can
+// skip the events.
+constexpr Millis kPreTrafficOffset = 1e6;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
-// The protocol allows a gateway to close a new connection without processing its first request. It may do so
-// for this share of all requests. Requests above this share count as lost.
+// The protocol allows a gateway to close a new connection without processing its first request, for at most
+// this share of all requests. Requests above this share count as lost.
 constexpr double kMaxClosedUnprocessed = 1.0 / 200;
 
 std::atomic<bool> interrupted{false};
@@ -43,7 +45,8 @@
 
 std::string HostId(int host) { return fmt::format("s-{:04x}", host); }
 
-// The targets of clients that call the gateways, as distributed by the front balancer.
+// The targets of clients that call the gateways. The front balancer decides which gateways get new
+// connections.
 class GatewayTargets : public ClientTargets {
  public:
   GatewayTargets(const Experiment& experiment, const Addresses& addresses, const GatewayProcesses& gateways,
@@ -205,7 +208,8 @@
   io_.stop();
 }
 
-// Called periodically: starts the traffic when everything is ready, and detects the end of the run.
+// Called periodically. Starts gateways and traffic as soon as their preconditions hold, and detects the end
+// of the run.
 void ExperimentRun::Tick() {
   const Millis now = MonotonicNow();
   if (interrupted) return Fail("interrupted");
@@ -227,15 +231,19 @@
   });
 }
 
-// The hosts must be listed before the gateways start, and the gateways ready before the traffic starts.
+// Starts the traffic once all gateways are ready. If the project's list service runs, the gateways are
+// started once all hosts are registered. The run fails if this takes too long.
 void ExperimentRun::WaitForReadiness(Millis now) {
-  const bool too_late = now > run_started_at_ + experiment_.fleet.ready_within;
+  const bool timed_out = now > run_started_at_ + experiment_.fleet.ready_within;
   if (registry_ && !gateways_started_) {
     if (registry_->ready()) StartGateways();
-    if (too_late) Fail("the list service did not register all hosts in time");
+    if (timed_out) {
+      Fail(fmt::format("the list service did not register all hosts within {:g} s",
+                       experiment_.fleet.ready_within / kMillisPerSecond));
+    }
   } else if (!gateways_ || gateways_->AllReady()) {
     BeginTraffic(now + kTrafficDelay);
-  } else if (too_late) {
+  } else if (timed_out) {
     Fail(gateways_->DescribeNotReady() +
          fmt::format(" after {:g} s", experiment_.fleet.ready_within / kMillisPerSecond));
   }
@@ -269,9 +277,9 @@
   });
 }
 
-// Records the longest time for which any gateway has not had the newest list. The time counts from the change
-// of the list, or from the last begin or end of a fault that can keep changes from the gateways if that is
-// later.
+// Records the longest time for which any gateway did not have the newest list. The time starts at the change
+// of the list. If a fault that can keep changes from the gateways began or ended later, it starts at that
+// moment.
 void ExperimentRun::MeasureListLag(Millis now) {
   if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
   if (!traffic_started() || now < traffic_start_ + experiment_.traffic.warm_up) return;
--- a/src/lab/experiment_run.hpp
+++ b/src/lab/experiment_run.hpp
@@ -1,5 +1,5 @@
-// One run of one variant of an experiment: creates hosts, list service, gateways and clients, waits until the
-// gateways are ready, starts traffic and faults, and collects the figures.
+// One run of one variant of an experiment. The run creates hosts, list service, gateways and clients, waits
+// until the gateways are ready, starts traffic and faults, and collects the figures.
 #ifndef GATEWAY_LAB_EXPERIMENT_RUN_HPP_
 #define GATEWAY_LAB_EXPERIMENT_RUN_HPP_
 
@@ -32,11 +32,11 @@
  public:
   struct Options {
     std::string variant;     // "direct": clients call the hosts, without gateways
-    std::string command;     // starts a gateway
-    std::string gatewayctl;  // starts this program, for the list service
+    std::string command;     // command that starts a gateway
+    std::string gatewayctl;  // command that starts gatewayctl, which can serve as list service
     std::uint64_t seed = 1;
     std::string log_folder;  // empty: logs are dropped
-    bool progress = false;
+    bool progress = false;   // prints the progress on standard error
   };
 
   // `experiment` must outlive the run. Throws std::runtime_error if an address is not available.
@@ -46,7 +46,7 @@
   // the run have ended when it returns.
   RunResult Run();
 
-  // Aborts the current run and all later ones. Async-signal-safe.
+  // Aborts the current run and all later runs. Async-signal-safe.
   static void Interrupt();
   static bool IsInterrupted();
 
@@ -88,10 +88,10 @@
   std::unique_ptr<RegistryProcess> registry_;  // null: the list service is emulated
   std::unique_ptr<ListService> list_;
   std::unique_ptr<HostEmulator> hosts_;
-  std::unique_ptr<GatewayProcesses> gateways_;  // null: direct
+  std::unique_ptr<GatewayProcesses> gateways_;  // null if clients call the hosts directly
   std::unique_ptr<ClientTargets> targets_;
   std::unique_ptr<Clients> clients_;
-  std::optional<FaultInjector> faults_;  // empty: direct
+  std::optional<FaultInjector> faults_;  // empty if clients call the hosts directly
   boost::asio::steady_timer tick_timer_;
   Millis run_started_at_ = 0;
   Millis traffic_start_ = -1;  // negative: traffic has not started
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -13,7 +13,7 @@
 struct Variant {
   std::string name;
   std::string command;    // starts a gateway of this variant
-  Experiment experiment;  // as this variant runs it
+  Experiment experiment;  // with the changes for this variant
 };
 
 Variant MakeBaselineVariant(const std::string& name, const Experiment& experiment,
@@ -36,7 +36,7 @@
   return variants;
 }
 
-// Creates the log folder of a run and returns its path; empty if logs are dropped.
+// Creates the log folder of a run and returns its path. Returns an empty path if logs are dropped.
 std::string MakeLogFolder(const RunOptions& options, const std::string& experiment, std::uint64_t seed,
                           const std::string& variant) {
   if (options.log_folder.empty()) return "";
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -1,9 +1,9 @@
 // Runs experiments: fleets of gateway processes on loopback sockets, with emulated hosts, clients, front
 // balancer and list service, and with faults.
 //
-// The decision logic of the lab (schedule, host model, rules, the balancer's view) uses neither sockets nor a
-// clock and gets the time as an argument; thin adapters do the I/O. The lab interacts with gateways only over
-// their sockets and by signals.
+// The decision logic of the lab (schedule, host model, rule checker, the balancer's view) uses neither
+// sockets nor a clock and gets the time as an argument. Thin adapters do the I/O. The lab interacts with
+// gateways only over their sockets and by signals.
 #ifndef GATEWAY_LAB_EXPERIMENT_RUNNER_HPP_
 #define GATEWAY_LAB_EXPERIMENT_RUNNER_HPP_
 
@@ -19,7 +19,7 @@
   std::uint64_t seed = 1;
   int repeats = 1;         // number of runs of each variant, with the seeds seed, seed + 1, ...
   std::string gateway;     // command that starts the gateway under test
-  std::string earlier;     // command of another build, run as the variant "earlier"; empty: none
+  std::string earlier;     // command that starts the variant "earlier", another build; empty: not run
   std::string gatewayctl;  // command that starts this program, as list service or as baseline gateway
   std::string log_folder;  // for the logs of the processes; empty: logs are dropped
   bool progress = false;   // prints the progress on standard error once per second
--- a/src/lab/fault_injector.cpp
+++ b/src/lab/fault_injector.cpp
@@ -100,14 +100,14 @@
       return components_.list.Change(host, "removed", 0);
     case FaultKind::kKillHost: return StartHost(host);
     case FaultKind::kVanishHost:
-      components_.hosts.Kill(host);  // drops the messages in transit to it
+      components_.hosts.Kill(host);  // drops the messages in transit to the host
       SetVanished(host, false);
       return StartHost(host);
     default: return;
   }
 }
 
-// Begins or ends a fault of the list service process or of the network to it.
+// Begins or ends a fault of the list service process or of its network. Ignores all other faults.
 void FaultInjector::SetRegistryFault(const Fault& fault, bool on) {
   switch (fault.kind) {
     case FaultKind::kListKill:
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -15,7 +15,7 @@
 
 namespace gateway::lab {
 
-// The caller calls Begin and End at the times of each fault, in the thread of the io_context.
+// The caller must call Begin and End at the start and the end of each fault, in the thread of the io_context.
 class FaultInjector {
  public:
   // All components must outlive the injector. A pointer is null if the experiment doesn't use the component.
@@ -35,7 +35,7 @@
   // Only for faults with a duration.
   void End(const Fault& fault);
 
-  // Whether a fault is active that can keep list changes from the gateways.
+  // Whether a fault that can keep list changes from the gateways is active.
   bool list_disturbed() const { return list_faults_ > 0; }
 
   // When a fault that can keep list changes from the gateways last began or ended; 0 if there was none.
--- a/src/lab/fault_reader.cpp
+++ b/src/lab/fault_reader.cpp
@@ -73,7 +73,7 @@
   const int parsed = std::sscanf(text.c_str(), "%d-%d%n", &first, &last, &length);
   if (parsed == 1 && std::sscanf(text.c_str(), "%d%n", &first, &length) == 1) last = first;
   if (parsed < 1 || length != static_cast<int>(text.size())) {
-    table.Fail(key, "'" + text + "' is not N or N-M");
+    table.Fail(key, "'" + text + "' is neither a number N nor a range N-M");
   }
   if (first < 0 || last < first || last >= count) {
     table.Fail(key, fmt::format("'{}' is not within 0 to {}", text, count - 1));
@@ -169,17 +169,20 @@
 
 void CheckAgainstFleet(const TomlTable& table, const Fleet& fleet, const Fault& fault) {
   if (NeedsRegistryProcess(fault.kind) && !fleet.uses_registry_process) {
-    table.Fail("what", "needs registry = true in [fleet]");
+    table.Fail("what", "this fault needs registry = true in [fleet]");
   }
   if (fault.kind == FaultKind::kListDown && fleet.uses_registry_process) {
-    table.Fail("what", "applies only to the emulated list service; use list_kill with registry = true");
+    table.Fail("what",
+               "list_down applies only to the emulated list service; use list_kill with registry = true");
   }
   if (fault.kind == FaultKind::kListKill && fault.duration <= 0) {
     table.Fail("for_s", "missing: list_kill needs the time until the restart");
   }
   const bool uses_peer_network =
       fault.kind == FaultKind::kPeerConditions || fault.kind == FaultKind::kPeerCut;
-  if (uses_peer_network && !fleet.peer_network) table.Fail("what", "needs peers = true in [fleet]");
+  if (uses_peer_network && !fleet.peer_network) {
+    table.Fail("what", "this fault needs peers = true in [fleet]");
+  }
 }
 
 }  // namespace
--- a/src/lab/figures.hpp
+++ b/src/lab/figures.hpp
@@ -11,7 +11,7 @@
 // Counts of rule violations: each must be 0 for the gateway unless the experiment has a bound on it.
 const std::vector<std::string>& RuleFigureNames();
 
-// All names in the order of reports, the rules first.
+// All names in the order in which reports list the figures. The names of the rules come first.
 const std::vector<std::string>& FigureNames();
 
 // The name without the suffix for a class or fault.
--- a/src/lab/first_answers.hpp
+++ b/src/lab/first_answers.hpp
@@ -1,4 +1,5 @@
-// Measures the time from a fault of a gateway to its first response to a request sent after the fault.
+// Measures the time from a fault at gateways to the first response to a request that was sent to one of these
+// gateways after the fault.
 #ifndef GATEWAY_LAB_FIRST_ANSWERS_HPP_
 #define GATEWAY_LAB_FIRST_ANSWERS_HPP_
 
@@ -43,7 +44,7 @@
  private:
   const Experiment& experiment_;
   Millis start_ = 0;
-  std::vector<Millis> waits_;  // by fault; negative: no response yet
+  std::vector<Millis> waits_;  // time to the first response, by fault; negative: no response yet
 };
 
 }  // namespace gateway::lab
--- a/src/lab/front_balancer.cpp
+++ b/src/lab/front_balancer.cpp
@@ -3,7 +3,7 @@
 namespace gateway::lab {
 namespace {
 
-constexpr Millis kDrainDelay = 200;  // from "not ready" until the balancer sends no new connections
+constexpr Millis kDrainDelay = 200;  // from a "not ready" answer until the balancer sends no new connections
 
 }  // namespace
 
--- a/src/lab/front_balancer.hpp
+++ b/src/lab/front_balancer.hpp
@@ -1,4 +1,4 @@
-// The load balancer in front of the gateways, which distributes clients' connections over the ready ones.
+// The load balancer in front of the gateways. It distributes clients' connections over the ready gateways.
 #ifndef GATEWAY_LAB_FRONT_BALANCER_HPP_
 #define GATEWAY_LAB_FRONT_BALANCER_HPP_
 
@@ -18,8 +18,8 @@
 
   void OnProbe(Millis now, Probe probe);
 
-  // Whether new connections go to the gateway. They do from its first "ready" answer on. They stop shortly
-  // after a "not ready" answer, and when the gateway has not answered for the detection delay.
+  // Whether the balancer sends new connections to the gateway. It starts with the first "ready" answer. It
+  // stops shortly after a "not ready" answer, and when the gateway has not answered for the detection delay.
   bool SendsConnections(Millis now) const;
 
  private:
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kSeedsPerGateway = 1000;
-constexpr int kSeedShift = 20;  // keeps the seeds of different runs apart
+constexpr int kSeedShift = 20;  // the lower bits of a process's seed number the processes of a run
 
 json Classes(const Experiment& experiment) {
   json classes = json::array();
@@ -62,7 +62,8 @@
             {"fallMultiple", warm_up.overload_factor}}}};
 }
 
-// The addresses at which the gateway reaches each other one; its own entry is its own listen address.
+// Returns the addresses at which the gateway reaches each other gateway. The entry for the gateway itself is
+// the address at which it listens.
 json Peers(const Experiment& experiment, const Addresses& addresses, int gateway) {
   json peers = json::array();
   if (!experiment.fleet.peer_network) return peers;
--- a/src/lab/gateway_config.hpp
+++ b/src/lab/gateway_config.hpp
@@ -12,8 +12,8 @@
 
 // The parameters of one start of a gateway process.
 struct GatewayStart {
-  int gateway = 0;  // from 0
-  int number = 0;   // of the start, from 0
+  int gateway = 0;  // number of the gateway, from 0
+  int number = 0;   // number of earlier starts of this gateway
   std::uint64_t seed = 0;
   std::string known_list;    // the hosts at the start of the run, as JSON
   std::string state_folder;  // empty: the gateway saves no state
--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -22,7 +22,7 @@
 
 constexpr Millis kProbePeriod = 100;  // of the front balancer
 constexpr Millis kProbeTimeout = 1000;
-constexpr Millis kKillDelay = 3700;  // after SIGTERM: the longest deadline, 3 s, plus a margin
+constexpr Millis kKillDelay = 3700;  // from SIGTERM to SIGKILL: the longest deadline, 3 s, plus a margin
 constexpr Millis kSuccessorReadyWithin = 6000;
 constexpr Millis kSuccessorCheckPeriod = 50;
 // The time after SIGCONT, or after a restarted process is ready, in which the fault may still affect
@@ -30,9 +30,10 @@
 constexpr Millis kExcuseAfterFault = 1000;
 constexpr Millis kForever = std::numeric_limits<double>::infinity();
 constexpr std::uint64_t kBytesPerKb = 1024;
+constexpr double kMillisPerSecond = 1000;
 
 Millis ToMillis(const timeval& time) {
-  return 1000 * static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1000;
+  return kMillisPerSecond * static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1000;
 }
 
 }  // namespace
@@ -183,7 +184,8 @@
   processes_.Signal(gateway.pid, SIGTERM);
   KillAfterGrace(gateway, [this, index, pid = gateway.pid] {
     if (At(index).pid != pid) return;
-    env_.add_event(fmt::format("gateway {} did not exit after SIGTERM and is killed", index));
+    env_.add_event(fmt::format("gateway {} did not exit within {:.1f} s after SIGTERM and is killed", index,
+                               kKillDelay / kMillisPerSecond));
     processes_.Signal(pid, SIGKILL);
   });
 }
@@ -199,7 +201,8 @@
                     [this, gateway, until](bool success) { OnSuccessorCheck(gateway, until, success); });
 }
 
-// The old process gets SIGTERM when the new one is ready.
+// Sends SIGTERM to the old process if the new process is ready. Otherwise checks the new process again later,
+// until the time limit.
 void GatewayProcesses::OnSuccessorCheck(int index, Millis until, bool success) {
   Gateway& gateway = At(index);
   if (success && gateway.successor != 0) {
@@ -209,7 +212,8 @@
     return KillAfterGrace(gateway, [this, old] { processes_.Signal(old, SIGKILL); });
   }
   if (MonotonicNow() > until) {
-    env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} was not ready in time", index));
+    env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} was not ready within {:g} s",
+                                            index, kSuccessorReadyWithin / kMillisPerSecond));
     return;
   }
   gateway.process_timer.expires_after(TimerDuration(kSuccessorCheckPeriod));
@@ -227,7 +231,7 @@
     if (gateway.successor == end.pid) {
       gateway.successor = 0;
       env_.rules.OnGatewayCrashed(
-          fmt::format("the replacement of gateway {} ended with {}", index, end.StatusText()));
+          fmt::format("the replacement of gateway {} ended unexpectedly with {}", index, end.StatusText()));
     }
     if (gateway.pid == end.pid) return OnGatewayEnd(index, end);
   }
@@ -238,7 +242,8 @@
   gateway.pid = 0;
   gateway.ready = false;
   if (!std::exchange(gateway.end_expected, false)) {
-    env_.rules.OnGatewayCrashed(fmt::format("gateway {} ended with {}", index, end.StatusText()));
+    env_.rules.OnGatewayCrashed(
+        fmt::format("gateway {} ended unexpectedly with {}", index, end.StatusText()));
     return;
   }
   env_.add_event(fmt::format("gateway {} has ended with {}", index, end.StatusText()));
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -22,8 +22,8 @@
 
 namespace gateway::lab {
 
-// Gateways are numbered from 0. Must be used in the thread of the io_context. If a process ends although no
-// fault has ended it, this counts as a violation.
+// Gateways are numbered from 0. Must be used in the thread of the io_context. A process that ends without a
+// fault that ends it counts as a violation.
 class GatewayProcesses {
  public:
   // The referenced objects must outlive this object.
@@ -50,7 +50,8 @@
 
   bool AllReady() const;
 
-  // Returns a text that lists the gateways that are not ready.
+  // Returns a text with the gateways that are not ready, such as "gateway 0 is not ready, gateway 2 is not
+  // ready".
   std::string DescribeNotReady() const;
 
   // Whether the front balancer sends new connections to the gateway.
@@ -66,10 +67,11 @@
   void Terminate(int index, Millis restart_delay);
   void Replace(int gateway);
 
-  // Kills all processes and waits until they have ended. The figures include their resource usage.
+  // Kills all processes and waits until they have ended. cpu_time() and max_memory_mb() then include all of
+  // them.
   void KillAll();
 
-  // Total CPU time and largest resident memory of the processes that have ended.
+  // Total CPU time, and largest resident memory of one process, of the processes that have ended.
   Millis cpu_time() const { return cpu_time_; }
   double max_memory_mb() const { return max_memory_mb_; }
 
@@ -78,7 +80,7 @@
     Gateway(boost::asio::io_context& io, Millis detection_delay)
         : balancer_view(detection_delay), probe_timer(io), process_timer(io) {}
     pid_t pid = 0;        // 0: no process
-    pid_t successor = 0;  // while the process is being replaced
+    pid_t successor = 0;  // the new process during a replacement; 0: none
     int start_count = 0;
     bool ready = false;  // the current process has answered a probe with success
     FrontBalancerView balancer_view;
--- a/src/lab/gnuplot.cpp
+++ b/src/lab/gnuplot.cpp
@@ -41,8 +41,8 @@
 void RunGnuplot(const std::filesystem::path& folder, const std::string& name) {
   const std::string quoted_folder = ShellQuoted(std::filesystem::absolute(folder).string());
   if (std::system(("cd " + quoted_folder + " && gnuplot " + ShellQuoted(name)).c_str()) == 0) return;
-  throw std::runtime_error("gnuplot can't be run (Debian: gnuplot-nox), or failed on " +
-                           (folder / name).string());
+  throw std::runtime_error("gnuplot failed on '" + (folder / name).string() +
+                           "', or is not installed (Debian package gnuplot-nox)");
 }
 
 }  // namespace gateway::lab
--- a/src/lab/host_emulator.cpp
+++ b/src/lab/host_emulator.cpp
@@ -15,11 +15,12 @@
 
 constexpr Millis kIdleCheckPeriod = 500;
 constexpr Millis kDefaultDeadline = 60000;  // of a request without Req-Deadline
-constexpr Millis kTimerTolerance = 0.001;
+constexpr Millis kTimerTolerance = 0.001;   // smaller changes of the next event's time do not reset the timer
 constexpr double kMicrosPerMilli = 1000;
-constexpr std::uint64_t kSeedMask = 0x686f737473ULL;  // separates these draws from others of the seed
+// Gives the hosts a random sequence that differs from those of other components with the same seed.
+constexpr std::uint64_t kSeedMask = 0x686f737473ULL;
 
-// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns it in ms.
+// Parses a deadline such as "480m" (milliseconds) or "480000u" (microseconds). Returns the deadline in ms.
 Millis ParseDeadline(std::string_view text) {
   double value = 0;
   const char* const last = text.data() + text.size();
--- a/src/lab/host_emulator.hpp
+++ b/src/lab/host_emulator.hpp
@@ -1,5 +1,5 @@
-// The emulated hosts on their sockets, hundreds in one process. HostModel decides what a host does with each
-// request; the emulator does the network I/O.
+// The emulated hosts and their sockets. One process emulates hundreds of hosts. HostModel decides whether and
+// when a host executes a request; the emulator does the network I/O.
 #ifndef GATEWAY_LAB_HOST_EMULATOR_HPP_
 #define GATEWAY_LAB_HOST_EMULATOR_HPP_
 
@@ -49,17 +49,21 @@
   // Faults.
   void SetSpeed(int host, double factor);
   void SetErrorRate(int host, double rate) { At(host).error_rate = rate; }
+  // A mute host never answers a request.
   void SetMute(int host, bool mute) { At(host).mute = mute; }
-  void Kill(int host);                           // resets its connections and refuses new ones
-  void Start(int host);                          // after Kill; the host warms up again
-  void ResetConnections(int host, int gateway);  // between the host and the gateway
+  // Resets the connections of the host and refuses new connections.
+  void Kill(int host);
+  // Starts a killed host, which then warms up again.
+  void Start(int host);
+  // Resets the connections between the host and the gateway.
+  void ResetConnections(int host, int gateway);
   // A draining host rejects requests.
   void SetDraining(int host, bool draining) { At(host).draining = draining; }
 
   struct Counts {
-    std::uint64_t attempts = 0;
-    std::uint64_t rejected = 0;
-    std::uint64_t connections = 0;
+    std::uint64_t attempts = 0;     // requests that arrived at hosts
+    std::uint64_t rejected = 0;     // requests that hosts rejected without executing them
+    std::uint64_t connections = 0;  // connections that hosts accepted
   };
   const Counts& counts() const { return counts_; }
 
@@ -78,7 +82,7 @@
     std::unordered_set<std::shared_ptr<ServerConnection>> connections;
     std::unordered_map<HostModel::Job, OpenRequest> requests;
     boost::asio::steady_timer timer;  // for the next event of the model
-    Millis timer_at = -1;             // negative: not set
+    Millis timer_at = -1;             // time for which the timer is set; negative: not set
     double error_rate = 0;
     bool mute = false;
     bool draining = false;
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -6,22 +6,23 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kOverloadTolerance = 1.1;  // for random variation of the work
-constexpr double kThrashFreeJobsPerCore = 2;
+constexpr double kOverloadTolerance = 1.1;    // raises the limit, since the work varies at random
+constexpr double kThrashFreeJobsPerCore = 2;  // more jobs reduce the capacity
 
 }  // namespace
 
 HostModel::HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at)
     : group_(group), warm_up_(warm_up), started_at_(started_at), now_(started_at.value_or(0)) {}
 
-// The capacity at this time as a share of the full capacity.
+// Returns the capacity at this time as a share of the full capacity.
 double HostModel::WarmUpFraction(Millis time) const {
   if (!started_at_ || time >= *started_at_ + warm_up_.duration) return 1;
   const double elapsed_share = std::max(0.0, time - *started_at_) / warm_up_.duration;
   return warm_up_.initial_fraction + (1 - warm_up_.initial_fraction) * elapsed_share;
 }
 
-// The integral of the fraction: the time in which a host of full capacity does the same work.
+// Returns the time in which a host at full capacity does the work that this host does between `from` and
+// `to`. This is the integral of WarmUpFraction.
 Millis HostModel::FullCapacityTime(Millis from, Millis to) const {
   if (!started_at_) return to - from;
   const Millis warm_up_end = *started_at_ + warm_up_.duration;
@@ -29,7 +30,8 @@
   return (ramp_end - from) * (WarmUpFraction(from) + WarmUpFraction(ramp_end)) / 2 + (to - ramp_end);
 }
 
-// The inverse of FullCapacityTime: the time at which the host has done that much work since `from`.
+// Returns the time at which the host has done as much work since `from` as a host at full capacity does in
+// `full_capacity_time`. This is the inverse of FullCapacityTime.
 Millis HostModel::TimeAfter(Millis from, Millis full_capacity_time) const {
   if (!started_at_ || from >= *started_at_ + warm_up_.duration) return from + full_capacity_time;
   const Millis warm_up_end = *started_at_ + warm_up_.duration;
@@ -41,7 +43,7 @@
   return from + (std::sqrt(fraction * fraction + 2 * slope * full_capacity_time) - fraction) / slope;
 }
 
-// Work done per ms for each executing job at full capacity.
+// Returns the work done per ms for each executing job, for a host that has warmed up.
 double HostModel::RatePerJob() const {
   if (executing_.empty()) return 0;
   const double excess_jobs =
@@ -50,7 +52,7 @@
   return cores_per_job * group_.speed * speed_factor_ / (1 + group_.thrash_factor * excess_jobs);
 }
 
-// When the next executing job finishes. At least one job must be executing.
+// Returns the time at which the next executing job finishes. At least one job must be executing.
 Millis HostModel::NextFinishAt() const {
   return TimeAfter(now_, std::max(0.0, executing_.begin()->first - service_) / RatePerJob());
 }
@@ -151,7 +153,7 @@
     AdvanceService(std::min(finish, expiry));
     const bool finishes = finish <= expiry;
     const Job job = finishes ? executing_.begin()->second : expiries_.begin()->second;
-    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // avoids a decrease by rounding
+    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // rounding must not decrease it
     events.push_back({finishes ? EventKind::kFinished : EventKind::kExpired, job, jobs_[job].executing});
     Remove(job);
     FillSlots();
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -1,5 +1,5 @@
-// The model of an emulated host: executes, queues, rejects or expires the requests that it receives. A state
-// machine without I/O and clock.
+// The model of an emulated host, which executes, queues, rejects or expires the requests that it receives.
+// The model is a state machine without I/O and clock.
 #ifndef GATEWAY_LAB_HOST_MODEL_HPP_
 #define GATEWAY_LAB_HOST_MODEL_HPP_
 
@@ -16,10 +16,11 @@
 
 namespace gateway::lab {
 
-// A request occupies a slot or waits in a FIFO queue. Requests in slots share the cores evenly, each using at
-// most one core; with as many slots as cores this is an M/M/c queue. A host that has just started has a
-// fraction of its capacity, which rises linearly, and is overloaded if it receives too much work during that
-// time. Times are in ms of the caller's clock and must not decrease.
+// A request occupies a slot or waits in a FIFO queue. Requests in slots share the cores evenly, and each
+// request uses at most one core. With as many slots as cores, Poisson arrivals and exponentially distributed
+// work, the host is an M/M/c queue. A host that has just started warms up: its capacity rises linearly from a
+// fraction of the full capacity. It is overloaded if it receives too much work during its warm-up. Times are
+// in ms of the caller's clock and must not decrease.
 class HostModel {
  public:
   using Job = std::uint64_t;  // a request at this host
@@ -34,8 +35,8 @@
   // `started_at`: when the host started; empty: it has already warmed up.
   HostModel(const HostGroup& group, const HostWarmUp& warm_up, std::optional<Millis> started_at);
 
-  // Submits a complete request. It expires if it has not finished at `expires_at`. The next Advance reports
-  // the events of other jobs up to `now`.
+  // Submits a request, which expires if it has not finished at `expires_at`. The next Advance reports the
+  // events of other jobs up to `now`.
   Admission Submit(Millis now, Job job, Millis work, Millis expires_at);
 
   // Ends a job without an event. Does nothing if the job has ended.
@@ -43,7 +44,7 @@
 
   void SetSpeed(Millis now, double factor);
 
-  // The time of the next event if no other call comes before it; empty if no event is due.
+  // The time of the next event if the model is not changed before; empty if no event is due.
   std::optional<Millis> NextEventAt() const;
 
   // Appends all events up to `now`, in order of time.
@@ -52,7 +53,7 @@
   // Number of executing and queued jobs.
   std::size_t active_jobs() const { return jobs_.size(); }
 
-  // Whether the host received more work during its warm-up than its limit.
+  // Whether the host received more work during its warm-up than the limit allows.
   bool overloaded() const { return overloaded_; }
 
  private:
@@ -81,9 +82,9 @@
   const std::optional<Millis> started_at_;
   double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_ = 0;  // work in ms that a job would have received if it had executed since the start
+  double service_ = 0;  // work in ms that has been done for a job that executes since the start of the model
   std::unordered_map<Job, JobState> jobs_;
-  std::set<std::pair<double, Job>> executing_;  // by finish_service
+  std::set<std::pair<double, Job>> executing_;  // ordered by finish_service
   std::deque<Job> queue_;                       // ended jobs are skipped when they reach the front
   std::set<std::pair<Millis, Job>> expiries_;
   std::vector<Event> pending_events_;  // reported by the next Advance
--- a/src/lab/http_server.cpp
+++ b/src/lab/http_server.cpp
@@ -64,7 +64,7 @@
   });
 }
 
-// Detects that the client closes the connection while its request is being answered, which cancels the
+// Detects that the client closes the connection before its request is answered. The close cancels the
 // request.
 void ServerConnection::WatchForClose() {
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
--- a/src/lab/http_server.hpp
+++ b/src/lab/http_server.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server on Boost.Beast whose messages pass the emulated links of the lab. The client is in
+// An HTTP/1.1 server on Boost.Beast. Its messages pass the emulated links of the lab. The HTTP client is in
 // base/http_client.
 #ifndef GATEWAY_LAB_HTTP_SERVER_HPP_
 #define GATEWAY_LAB_HTTP_SERVER_HPP_
@@ -26,8 +26,8 @@
 
 HttpResponse MakeResponse(unsigned status, std::string body = {});
 
-// A connection from a client, which handles one request at a time. Pending operations hold shared pointers
-// that keep it alive. Must be used in the thread that runs the io_context.
+// A connection from a client. It handles one request at a time. Pending operations hold shared pointers that
+// keep the connection alive. Must be used in the thread that runs the io_context.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   struct Handlers {
@@ -44,7 +44,7 @@
   void Begin() { Read(); }
 
   // Sends the response. Does nothing on a closed connection. Calls `on_write`, if given, when the response
-  // has passed the link, just before it is written.
+  // has passed the link, just before it is written to the socket.
   void Answer(HttpResponse response, std::function<void()> on_write = {});
 
   // `reset`: closes with a TCP reset rather than an orderly shutdown.
@@ -105,7 +105,7 @@
   bool unreachable_ = false;
   std::vector<tcp::socket> backlog_fillers_;
   std::shared_ptr<bool> alive_ =
-      std::make_shared<bool>(true);  // false once the listener is destroyed, for pending handlers
+      std::make_shared<bool>(true);  // false once the listener is destroyed; pending handlers then return
 };
 
 }  // namespace gateway::lab
--- a/src/lab/link.cpp
+++ b/src/lab/link.cpp
@@ -36,7 +36,8 @@
   cuts_to_gateway_ -= to_gateway ? 1 : 0;
   healed_at_ = MonotonicNow();
   if (observer_) observer_();
-  // A delivery may cut the link again, so the deliverable messages are removed from the queue first.
+  // A delivery may cut the link again, so all deliverable messages are removed from the queue before any
+  // delivery.
   std::vector<Message> arriving;
   for (Message& message : std::exchange(queued_messages_, {})) {
     (IsCut(message.direction) ? queued_messages_ : arriving).push_back(std::move(message));
--- a/src/lab/link.hpp
+++ b/src/lab/link.hpp
@@ -1,5 +1,5 @@
-// The emulated network link between a gateway and a host or the list service: delays messages and can be cut
-// in each direction.
+// The emulated network link between a gateway and a host or the list service. It delays messages and can be
+// cut in each direction.
 #ifndef GATEWAY_LAB_LINK_HPP_
 #define GATEWAY_LAB_LINK_HPP_
 
@@ -19,10 +19,10 @@
 using base::MonotonicNow;
 using base::TimerDuration;
 
-// Transmits complete messages. A message that arrives at a cut is queued until the cut is healed, since TCP
-// would retransmit it. Any other message is delayed by the delay of the link. Messages of one connection keep
-// their order, since each request is sent only after the response to the previous request. Must be used in
-// the thread of the io_context.
+// Transmits complete messages and delays each message by the delay of the link. While a direction is cut, its
+// messages are queued and are delivered when the cut is healed, since TCP would retransmit them. Messages of
+// one connection keep their order, since each request is sent only after the response to the previous
+// request. Must be used in the thread of the io_context.
 class Link {
  public:
   enum class Direction { kFromGateway, kToGateway };
@@ -51,7 +51,7 @@
   // Whether either direction is cut.
   bool IsCut() const { return cuts_from_gateway_ > 0 || cuts_to_gateway_ > 0; }
 
-  // When the last cut was healed; 0 if there was none.
+  // When a cut was last healed; 0 if none was healed yet.
   Millis healed_at() const { return healed_at_; }
 
   // Sets a callback that is called after every Cut and Heal; empty: none. A listener uses it to refuse new
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -11,12 +11,12 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kMaxWatchTimeout = 60000;  // limit of PROTOCOL
-// The time after which a gateway that could poll counts as notified: 5 s for a long poll, plus 2 s (PROTOCOL,
-// "Figures").
+constexpr Millis kMaxWatchTimeout = 60000;  // the limit that PROTOCOL sets
+// A gateway that could poll the list for this time after a change counts as notified: 5 s for a long poll,
+// plus 2 s (PROTOCOL, "Figures").
 constexpr Millis kNotificationTimeout = 7000;
 
-// The value of a key in the query string; `fallback` if the key is absent.
+// Returns the value of a key in the query string, or `fallback` if the key is absent.
 std::int64_t QueryValue(const std::string& target, const std::string& key, std::int64_t fallback) {
   for (const char separator : {'?', '&'}) {
     const std::string prefix = separator + key + "=";
@@ -200,7 +200,7 @@
 }
 
 // Replaces the hosts' addresses in a list by the addresses at which this gateway reaches the hosts. Returns
-// the readiness of each host.
+// the readiness of each host according to the list.
 std::vector<ListService::Readiness> ListService::TranslateAddresses(int gateway, json& list) const {
   const bool complete = list.value("complete", true);
   std::vector<Readiness> readiness(hosts_.size(), complete ? Readiness::kNotUp : Readiness::kNotListed);
@@ -219,7 +219,7 @@
   return ++forwarded_ % std::max(1, static_cast<int>(1 / truncated_share_)) == 0;
 }
 
-// Sends half of the body and closes the connection before the announced Content-Length is complete.
+// Sends half of the body and then closes the connection, so that the body is shorter than its Content-Length.
 void ListService::AnswerTruncated(const std::shared_ptr<ServerConnection>& connection,
                                   HttpResponse response) {
   response.body().resize(response.body().size() / 2);
--- a/src/lab/list_service.hpp
+++ b/src/lab/list_service.hpp
@@ -1,6 +1,6 @@
-// The list service that each gateway reaches over a link of its own: an emulation according to PROTOCOL, or a
-// proxy in front of the project's list service. In both cases the list that a gateway gets contains the
-// addresses at which that gateway reaches the hosts.
+// The list service that each gateway reaches over a link of its own. It is an emulation according to
+// PROTOCOL, or a proxy in front of the project's list service. In both cases each gateway gets a list with
+// the addresses at which this gateway reaches the hosts.
 #ifndef GATEWAY_LAB_LIST_SERVICE_HPP_
 #define GATEWAY_LAB_LIST_SERVICE_HPP_
 
@@ -25,10 +25,10 @@
   std::string id;
   std::string zone;
   std::string machine_type;
-  std::string phase = "up";  // one of up, draining, removed, as on the wire
+  std::string phase = "up";  // "up", "draining" or "removed", as in the JSON list
   double weight = 1;
   double started_at = 0;      // Unix time in ms
-  std::int64_t revision = 1;  // of its last change
+  std::int64_t revision = 1;  // revision of the last change of this host
   Millis changed_at = 0;      // when the last change was published
 };
 
@@ -41,17 +41,18 @@
     const Addresses& addresses;
     LinkTable& links;
     int gateways;
-    Millis delay;                         // emulation only: from a change to its publication
+    Millis delay;                         // emulation only: time from a change to its publication
     RegistryProcess* registry = nullptr;  // null: the service is emulated
   };
   // Throws std::runtime_error if an address is not available.
   ListService(Environment environment, std::vector<ListedHost> hosts);
 
-  // Changes the phase of a host. The emulation publishes the change after the delay; the project's list
-  // service when it detects it. `started_at` is the start time of the host's process, for the phase "up".
+  // Changes the phase of a host. The emulation publishes the change after Environment::delay. The project's
+  // list service publishes it when it detects the change. `started_at` is the start time of the host's
+  // process; it is used for the phase "up" only.
   void Change(int host, const std::string& phase, double started_at);
 
-  // The emulation refuses connections while it is down.
+  // Stops or restarts the emulation, which refuses connections while it is down.
   void SetDown(bool down);
 
   // Sets the share of the responses of the project's list service that are truncated.
@@ -65,7 +66,7 @@
   // publication (PROTOCOL, "Figures").
   Millis NotifiedAt(int gateway, int host) const;
 
-  // Called when the gateway's process restarts, since the new process knows only its configuration.
+  // Called when the gateway's process restarts, since the new process has only the list in its configuration.
   void ForgetNotifications(int gateway);
 
   std::uint64_t calls() const { return calls_; }
@@ -76,7 +77,7 @@
   }
 
  private:
-  // A long poll that waits for the next change.
+  // A long poll that waits for a revision after `after`.
   struct Watch {
     explicit Watch(boost::asio::io_context& io) : timer(io) {}
     int gateway = 0;
@@ -84,7 +85,7 @@
     std::shared_ptr<ServerConnection> connection;
     boost::asio::steady_timer timer;
   };
-  enum class Readiness { kNotListed, kUp, kNotUp };
+  enum class Readiness { kNotListed, kUp, kNotUp };  // of a host, according to a list
 
   void Open();
   void OnAccept(int gateway, tcp::socket socket);
@@ -111,16 +112,17 @@
   std::vector<ListedHost> hosts_;
   std::int64_t revision_ = 1;
   bool down_ = false;
-  Millis restored_at_ = 0;
+  Millis restored_at_ = 0;                            // when the emulation was last up again
   std::vector<std::unique_ptr<Listener>> listeners_;  // by gateway
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
   std::vector<std::shared_ptr<Watch>> watches_;
   std::vector<std::vector<Millis>> notified_at_;  // by gateway and host; negative: not notified
   std::uint64_t calls_ = 0;
   std::vector<std::int64_t> delivered_revisions_;  // by gateway
-  std::map<std::shared_ptr<ServerConnection>, std::shared_ptr<ClientConnection>> upstreams_;
+  std::map<std::shared_ptr<ServerConnection>, std::shared_ptr<ClientConnection>>
+      upstreams_;  // connections to the project's list service, by connection of a gateway
   double truncated_share_ = 0;
-  int forwarded_ = 0;  // number of responses forwarded while some are truncated
+  int forwarded_ = 0;  // number of responses that were forwarded while truncated_share_ was above 0
 };
 
 }  // namespace gateway::lab
--- a/src/lab/management_check.hpp
+++ b/src/lab/management_check.hpp
@@ -8,8 +8,8 @@
 
 namespace gateway::lab {
 
-// Calls `done` once, in the thread of the io_context: with true if the gateway answers SUCCESS, with false
-// for any other answer and if the gateway can't be reached.
+// Calls `done` once, in the thread of the io_context. `success` is true if the gateway answers SUCCESS. It is
+// false if the gateway gives any other answer or can't be reached.
 void CheckGateway(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& management,
                   std::function<void(bool success)> done);
 
--- a/src/lab/peer_network.cpp
+++ b/src/lab/peer_network.cpp
@@ -14,8 +14,9 @@
 using boost::system::error_code;
 using udp = boost::asio::ip::udp;
 
-constexpr Millis kMaxReorderingDelay = 20;
-constexpr std::uint64_t kSeedMask = 0x7065657273ULL;  // separates these draws from others of the seed
+constexpr Millis kMaxReorderingDelay = 20;  // limit on the additional random delay of a reordered datagram
+// Gives the network a random sequence that differs from those of other components with the same seed.
+constexpr std::uint64_t kSeedMask = 0x7065657273ULL;
 
 udp::endpoint ToUdp(const Addresses::Endpoint& endpoint) { return {endpoint.address(), endpoint.port()}; }
 
@@ -47,7 +48,10 @@
   peer_socket->socket.open(address.protocol(), ec);
   if (!ec) peer_socket->socket.bind(address, ec);
   if (!ec) peer_socket->socket.non_blocking(true, ec);
-  if (ec) throw std::runtime_error("can't open a socket between gateways: " + ec.message());
+  if (ec) {
+    throw std::runtime_error("can't open a UDP socket for datagrams between gateways at " +
+                             Addresses::Text(addresses_.Peer(owner, other)) + ": " + ec.message());
+  }
   Receive(*peer_socket);
 }
 
--- a/src/lab/peer_network.hpp
+++ b/src/lab/peer_network.hpp
@@ -17,9 +17,9 @@
 
 namespace gateway::lab {
 
-// Each gateway has, at its own address, one port for each other gateway. It sends datagrams for the other
-// gateway to this port and receives the other's datagrams from it. So the lab has two sockets for each pair
-// of gateways. Gateways are numbered from 0. Must be used in the thread of the io_context.
+// For each ordered pair of gateways A and B, the lab opens a socket at the address of A, at a port that
+// stands for B. Gateway A sends its datagrams for B to this socket, and receives the datagrams of B from this
+// socket. Gateways are numbered from 0. Must be used in the thread of the io_context.
 class PeerNetwork {
  public:
   // `addresses` must outlive the network. Throws std::runtime_error if a socket can't be opened.
@@ -34,11 +34,12 @@
   // Cuts or heals one direction of a pair. Cuts are counted, so that several faults can cut the same pair.
   void SetCut(int from, int to, bool cut) { cuts_[PairIndex(from, to)] += cut ? 1 : -1; }
 
+  // Numbers of datagrams.
   struct Counts {
-    std::uint64_t sent = 0;
-    std::uint64_t delivered = 0;
-    std::uint64_t lost = 0;
-    std::uint64_t too_long = 0;  // above the protocol's limit; not delivered
+    std::uint64_t sent = 0;       // by gateways
+    std::uint64_t delivered = 0;  // to gateways, including duplicates
+    std::uint64_t lost = 0;       // dropped because of the conditions or a cut
+    std::uint64_t too_long = 0;   // dropped because they are above the protocol's size limit
   };
   const Counts& counts() const { return counts_; }
 
@@ -46,7 +47,7 @@
   static constexpr std::size_t kMaxDatagramBytes = 256;  // PROTOCOL, "Between gateways"
   static constexpr std::size_t kBufferBytes = 2048;
 
-  // The socket at the owner's address that stands for the other gateway.
+  // The socket at the owner's address to which the owner sends datagrams for the other gateway.
   struct PeerSocket {
     explicit PeerSocket(boost::asio::io_context& io) : socket(io) {}
     int owner = 0;
@@ -72,7 +73,7 @@
   boost::random::mt19937_64 random_;
   std::vector<NetworkConditions> conditions_;         // by gateway
   std::vector<int> cuts_;                             // by PairIndex()
-  std::vector<std::unique_ptr<PeerSocket>> sockets_;  // by PairIndex(); null for a gateway and itself
+  std::vector<std::unique_ptr<PeerSocket>> sockets_;  // by PairIndex(); null if owner and other are equal
   Counts counts_;
 };
 
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -1,5 +1,5 @@
-// Starts and reaps the child processes of the lab. They have resource limits of their own, and the kernel
-// kills them if the lab dies.
+// Starts and reaps the child processes of the lab. A child process can have resource limits of its own. The
+// kernel kills the child processes if the lab dies.
 #ifndef GATEWAY_LAB_PROCESSES_HPP_
 #define GATEWAY_LAB_PROCESSES_HPP_
 
@@ -26,7 +26,7 @@
   std::vector<std::pair<std::string, std::string>> variables;  // added to the lab's environment
   std::string log;                    // file to which standard output and error are appended
   std::uint64_t max_descriptors = 0;  // 0: same limit as the lab
-  std::uint64_t max_file_bytes = 0;   // 0: same limit as the lab
+  std::uint64_t max_file_bytes = 0;  // size limit of a file that the process writes; 0: same limit as the lab
 };
 
 struct ProcessEnd {
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -10,11 +10,11 @@
 
 constexpr Millis kFineWindow = 100;
 constexpr Millis kMinCoarseWindow = 500;
-constexpr double kMaxCoarseWindows = 400;   // each has a histogram; 4 MB in total
-constexpr Millis kBaselineLength = 5000;    // time before a fault that gives the baseline for its recovery
-constexpr Millis kRecoveryWindow = 1000;    // window in which the recovered share is measured
-constexpr double kRecoveredShare = 0.95;    // of the baseline
-constexpr std::uint64_t kMinArrivals = 20;  // below which no share is computed
+constexpr double kMaxCoarseWindows = 400;   // each window has a histogram; 4 MB in total
+constexpr Millis kBaselineLength = 5000;    // the baseline is measured in this time before a fault
+constexpr Millis kRecoveryWindow = 1000;    // length of each window that is compared with the baseline
+constexpr double kRecoveredShare = 0.95;    // a window below this share of the baseline has not recovered
+constexpr std::uint64_t kMinArrivals = 20;  // no share is computed of fewer arrivals
 constexpr double kMicrosPerMilli = 1000;
 
 std::uint64_t ToMicros(Millis time) {
@@ -27,7 +27,7 @@
   return static_cast<double>(part) / static_cast<double>(total);
 }
 
-// Writes the mean and those percentiles for which there are enough values.
+// Writes the mean, and the percentiles for which there are enough values.
 void WriteLatency(const base::Histogram& latency, const std::string& suffix, RunResult& run) {
   if (latency.count() == 0) return;
   run.figures["mean_ms" + suffix] = latency.mean() / kMicrosPerMilli;
@@ -115,9 +115,10 @@
   });
 }
 
-// Returns the time after which the share stays high enough. It searches for the last window with too low a
-// share, not the first window with a sufficient one, since the share may drop only some time after the fault.
-// The search stops at the next fault, which has a recovery figure of its own.
+// Returns the time of the recovery. After it, the share of requests within the objective is never below
+// kRecoveredShare times `share_before`. The function searches for the last window below this limit, not for
+// the first window above it, since the share may drop only some time after the fault. The search stops at the
+// next fault, which has a recovery figure of its own.
 Millis Recorder::RecoveredAt(const Fault& fault, Millis start, double share_before) const {
   Millis recovered = start;
   for (Millis at = start; at + kRecoveryWindow <= experiment_.traffic.duration; at += kFineWindow) {
@@ -128,7 +129,7 @@
   return recovered;
 }
 
-// Returns how many more requests would have met their objective if the share had stayed as before the fault.
+// Returns how many more requests would have met their objective with the share before the fault.
 double Recorder::MissedInObjective(Millis start, Millis end, double share_before) const {
   double missed = 0;
   for (auto i = static_cast<std::size_t>(start / kFineWindow); i < fine_windows_.size(); ++i) {
@@ -161,7 +162,8 @@
   }
 }
 
-// Writes the figures over all classes. Goodput is the earned weight as a share of the weight of all requests.
+// Writes the figures over all classes. Goodput is the weight of the served requests as a share of the weight
+// of all requests. A late response counts with a part of its weight.
 void Recorder::WriteTotals(RunResult& run) const {
   base::Histogram latency;
   Counts sum;
--- a/src/lab/recorder.hpp
+++ b/src/lab/recorder.hpp
@@ -1,5 +1,5 @@
-// Records the results of the requests of one run, in memory that doesn't grow with their number. Has no I/O
-// and no clock.
+// Records the results of the requests of one run. Its memory does not grow with the number of requests. Has
+// no I/O and no clock.
 #ifndef GATEWAY_LAB_RECORDER_HPP_
 #define GATEWAY_LAB_RECORDER_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace gateway::lab {
 
-// The final result of a client's request, after its retries.
+// The final result of a client's request, after its retries. kLate: after the objective, within the deadline.
 enum class RequestResult { kInObjective, kLate, kRejected, kFailed };
 
 class Recorder {
@@ -30,7 +30,8 @@
 
   std::uint64_t arrived() const { return arrived_; }
 
-  // Adds the figures of the run without its warm-up, the figures of each fault, and the time series.
+  // Adds to `run` its figures, the figures of each fault, and the time series. The figures of the run exclude
+  // its warm-up.
   void WriteTo(RunResult& run) const;
 
  private:
@@ -62,9 +63,9 @@
   void WriteWindows(RunResult& run) const;
 
   const Experiment& experiment_;
-  std::vector<CountsWithLatency> classes_;  // excluding the warm-up
+  std::vector<CountsWithLatency> classes_;  // by class, without the warm-up
   std::vector<Counts> fine_windows_;
-  Millis coarse_window_;  // length of each
+  Millis coarse_window_;  // length of each coarse window
   std::vector<std::unique_ptr<CountsWithLatency>> coarse_windows_;
   base::Histogram lateness_;  // of the lab itself, in microseconds
   std::uint64_t arrived_ = 0;
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -29,13 +29,13 @@
 
 constexpr Millis kCallTimeout = 20000;
 constexpr Millis kChangePeriod = 100;
-constexpr Millis kStepTimeout = 120000;  // for each step of the measurement
+constexpr Millis kStepTimeout = 120000;  // limit on the time of each step of the measurement
 constexpr Millis kWatchTimeout = 60000;
 constexpr Millis kWatchGrace = 10000;
 constexpr Millis kRenewalTick = 2;
 constexpr Millis kSyncMeasurementTime = 1000;
-constexpr std::size_t kRecordBytes = 160;  // size of the service's records
-constexpr std::size_t kRenewers = 64;      // connections that renew leases
+constexpr std::size_t kRecordBytes = 160;  // size of the records that the list service writes
+constexpr std::size_t kRenewers = 64;      // number of connections that renew leases
 constexpr int kRenewalsPerTerm = 3;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
@@ -85,7 +85,7 @@
     watchers_.clear();
   }
 
-  // Writes while leases are renewed, without watchers.
+  // Measures writes without watchers, while leases are renewed.
   void MeasureWrites() {
     const double syncs_before = Metric("syncs_total");
     const double writes_before = Metric("writes_total");
@@ -142,7 +142,8 @@
     const Millis started_at = MonotonicNow();
     for (; MonotonicNow() < started_at + kSyncMeasurementTime; ++syncs) {
       if (!file->Append(record).ok() || !file->Sync().ok()) {
-        throw std::runtime_error("can't write or sync a file on the disk");
+        throw std::runtime_error("can't write or sync the file '" + (folder_.path() / "syncs").string() +
+                                 "'");
       }
     }
     return syncs / ((MonotonicNow() - started_at) / kMillisPerSecond);
@@ -171,14 +172,22 @@
                            });
       RunUntil([&] { return done; });
     }
-    if (!up) throw std::runtime_error("the list service does not respond");
+    if (!up) {
+      throw std::runtime_error(
+          fmt::format("the list service does not respond within {:g} s", kStepTimeout / kMillisPerSecond));
+    }
   }
 
   template <typename Done>
   void RunUntil(Done done) {
     const Millis until = MonotonicNow() + kStepTimeout;
     while (!done()) {
-      if (MonotonicNow() > until) throw std::runtime_error("the list service is too slow for this load");
+      if (MonotonicNow() > until) {
+        throw std::runtime_error(
+            fmt::format("a step of the measurement did not finish within {:g} s: the list service is too "
+                        "slow for this load",
+                        kStepTimeout / kMillisPerSecond));
+      }
       io_.run_one_for(std::chrono::milliseconds(10));
     }
   }
@@ -210,8 +219,8 @@
     return 0;
   }
 
-  // Sends `count` commands over the writers' connections, each of which sends its next command when the
-  // previous one is answered. `make_command` returns the i-th command.
+  // Sends `count` commands over the connections of the writers. Each connection sends its next command when
+  // the previous command has been answered. `make_command` returns the i-th command.
   template <typename MakeCommand>
   void SendCommands(int count, MakeCommand make_command) {
     int next = 0;
@@ -231,7 +240,10 @@
       write(std::make_shared<ClientConnection>(io_, addresses_.Registry()));
     }
     RunUntil([&] { return done >= count || failed > 0; });
-    if (failed > 0) throw std::runtime_error("a write to the list service failed");
+    if (failed > 0) {
+      throw std::runtime_error(
+          fmt::format("{} of the first {} writes to the list service failed", failed, done));
+    }
   }
 
   // Renews the leases of the members in turn, evenly distributed over time.
@@ -249,7 +261,7 @@
     });
   }
 
-  // Skips a renewal if the previous one on its connection has not been answered.
+  // Skips a renewal if the previous renewal on its connection has not been answered.
   void RenewNextLease() {
     Renewer& renewer = renewers_[static_cast<std::size_t>(next_renewal_) % kRenewers];
     if (std::exchange(renewer.busy, true)) {
@@ -277,7 +289,8 @@
     RunUntil([this] { return Metric("watches") >= load_.watchers; });
   }
 
-  // Reads the revision from the start of a list, which is {"revision":N; the rest is not needed here.
+  // Returns the revision N of a list. The list must start with {"revision":N; the rest of the list is not
+  // parsed.
   static std::int64_t ParseRevision(const std::string& list) {
     constexpr std::string_view kPrefix = "{\"revision\":";
     return std::atoll(list.c_str() + kPrefix.size());
@@ -308,7 +321,8 @@
       early_events_.clear();
       writer->Exchange(EncodeRequest(MakeChange(registry::Action::kDrain, i)), kCallTimeout,
                        [this](ClientConnection::Result) {
-                         change_answered_at_ = MonotonicNow();  // the service answers when it has synced
+                         // The service answers after it has synced the change to disk.
+                         change_answered_at_ = MonotonicNow();
                          for (const Millis at : early_events_) {
                            notification_delays_.Add(ToMicros(at - change_answered_at_));
                          }
@@ -343,9 +357,9 @@
   std::vector<std::shared_ptr<ClientConnection>> watchers_;
   std::map<std::string, double> figures_;
   base::Histogram notification_delays_;  // from the response to a change to its watch event, in microseconds
-  std::vector<Millis> early_events_;     // watch events that arrived before the response to the change
-  Millis renewed_at_ = 0;                // when the latest renewal was due
-  Millis change_answered_at_ = 0;        // when the current change was answered; 0: not yet
+  std::vector<Millis> early_events_;  // times of watch events that arrived before the response to the change
+  Millis renewed_at_ = 0;             // when the latest renewal was due; 0: no renewal yet
+  Millis change_answered_at_ = 0;     // when the current change was answered; 0: not answered yet
   int next_renewal_ = 0;
   int renewals_failed_ = 0;
   int notified_ = 0;  // watchers that have received the current change
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -1,6 +1,6 @@
-// Measures the capacity of the project's list service: renewals of many members, many watchers, changes, and
-// a crash of its process. It runs a real process on this machine's loopback interface and disk, and measures
-// the sync rate of the disk in the same run.
+// Measures the capacity of the project's list service under the renewals of many members, with many watchers
+// and with changes, and its restart after a crash. It runs the service as a process on this machine's
+// loopback interface and disk. It measures the sync rate of the disk in the same run.
 #ifndef GATEWAY_LAB_REGISTRY_LOAD_HPP_
 #define GATEWAY_LAB_REGISTRY_LOAD_HPP_
 
@@ -16,9 +16,9 @@
   int members = 2000;   // each member renews its lease three times per term
   base::Millis term = 10000;
   int watchers = 1000;
-  int changes = 50;      // changes, ten per second; their propagation to all watchers is measured
-  int history = 100000;  // number of changes before the crash
-  int writers = 256;     // number of concurrent connections that write
+  int changes = 50;      // number of changes, ten per second, whose propagation to all watchers is measured
+  int history = 100000;  // number of writes before the crash
+  int writers = 256;     // number of concurrent connections that send the writes
 };
 
 // Returns the figures by name; names end with the unit. Blocks; handles SIGCHLD. Throws std::runtime_error if
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -23,7 +23,7 @@
 constexpr int kRenewalsPerTerm = 3;
 constexpr double kMillisPerSecond = 1000;
 
-// Returns the error kUnreadable if there was no response.
+// Parses the response of the list service. Returns the error kUnreadable if there was no response.
 registry::CommandResult ParseCommandResult(const ClientConnection::Result& result) {
   if (result.failure != ClientConnection::Failure::kNone) {
     return registry::CommandResult::Failed({registry::ErrorCode::kUnreadable, "", "no response"});
@@ -31,7 +31,7 @@
   return registry::ParseResult(result.response.result_int(), result.response.body());
 }
 
-// Whether the result is unknown or the service is temporarily unavailable.
+// Whether the command must be sent again: its result is unknown or the service is temporarily unavailable.
 bool ShouldRetry(const registry::CommandResult& result) {
   constexpr unsigned kServiceUnavailable = 503;
   return result.code() == registry::ErrorCode::kUnreadable ||
@@ -152,8 +152,8 @@
   const registry::CommandResult outcome = ParseCommandResult(result);
   OnRevision(outcome.revision);
   if (!ShouldRetry(outcome)) {
-    env_.add_event(fmt::format("{} of {} answered{}", CallName(command.action), command.member.id,
-                               outcome.error ? ": " + ErrorCodeName(*outcome.error) : ""));
+    env_.add_event(fmt::format("the list service answered the {} of {}{}", CallName(command.action),
+                               command.member.id, outcome.error ? ": " + ErrorCodeName(*outcome.error) : ""));
     return;
   }
   const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(kRetryDelay));
@@ -215,7 +215,8 @@
   if (end.pid != pid_ || shutting_down_) return;
   pid_ = 0;
   env_.add_event("the list service has ended with " + end.StatusText());
-  // After an unexpected end the service is not restarted, so the end shows in the gateways' lists.
+  // After an unexpected end the service is not restarted, so that the gateways' outdated lists show the
+  // failure.
   if (!std::exchange(end_expected_, false)) return;
   const auto timer = std::make_shared<boost::asio::steady_timer>(env_.io, TimerDuration(restart_delay_));
   timer->async_wait([this, timer](error_code ec) {
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -1,5 +1,5 @@
-// The project's list service in a run: its process, and the agents of the emulated hosts, which register with
-// it and renew their leases.
+// The project's list service in a run: its process, and the emulated agents of the hosts. The agents register
+// the hosts and renew their leases.
 #ifndef GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 #define GATEWAY_LAB_REGISTRY_PROCESS_HPP_
 
@@ -25,8 +25,8 @@
     boost::asio::io_context& io;
     tcp::endpoint address;
     std::string program;           // command that starts gatewayctl
-    std::filesystem::path folder;  // for its configuration and state
-    std::string log;
+    std::filesystem::path folder;  // for the configuration and the state of the service
+    std::string log;               // file for the output of the service
     Millis lease_term;
     Millis lease_grace;
     std::function<void(const std::string&)> add_event;  // adds to the events of the run
@@ -47,21 +47,23 @@
   void Stop();
   void Continue();
   void SetDiskFull(bool full);            // the service's files can't grow
-  void SetMemberCut(int host, bool cut);  // the host serves, but can't reach the service
+  void SetMemberCut(int host, bool cut);  // the host serves requests, but can't reach the service
 
   // Changes of a host.
-  void StopRenewing(int host);  // its process has ended, so its lease expires
+  void StopRenewing(int host);  // the host's process has ended, so its lease expires
   void Restart(int host, std::int64_t incarnation);
-  void Drain(int host);   // by an operator's request, retried until the service answers it
-  void Remove(int host);  // by an operator's request, also retried
+  // Both send an operator's request and retry it until the service answers it.
+  void Drain(int host);
+  void Remove(int host);
 
   // Records a revision of the list that a gateway, an agent or an operator has received from the service.
   void OnRevision(std::int64_t revision);
 
-  // The newest recorded revision, and when it was first received.
+  // The newest recorded revision, and the time at which it was first received.
   std::int64_t newest_revision() const { return newest_revision_; }
   Millis newest_revision_at() const { return newest_revision_at_; }
 
+  // Whether the process runs and is not stopped by a fault.
   bool up() const { return pid_ != 0 && !stopped_; }
 
   // Kills the process and waits until it has ended.
@@ -76,8 +78,8 @@
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer timer;
     bool host_up = true;
-    bool cut = false;
-    bool calling = false;
+    bool cut = false;      // can't reach the service
+    bool calling = false;  // a call has not been answered yet
   };
   Agent& At(int host) { return *agents_[static_cast<std::size_t>(host)]; }
   void WriteConfig(const std::filesystem::path& path) const;
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -11,13 +11,13 @@
 // Returns a table of the figures with a column for each variant.
 std::string Summary(const Results& results);
 
-// Returns tables of the figures of two results with 95% confidence intervals over their runs, and the ratios
-// of the means.
+// Returns a table for each variant. It has the figures of both results with 95% confidence intervals over
+// their runs, and the ratios of the means.
 std::string Compare(const Results& a, const Results& b);
 
-// Writes FOLDER/report.html with the figures, the events and plots over time of goodput, latency and
-// rejections (means over the seeds). The page loads nothing over the network. The plots are also written as
-// SVG files. Throws std::runtime_error if the folder can't be written or gnuplot can't be run.
+// Writes FOLDER/report.html with the figures, the events, and plots of goodput, latency and rejections over
+// time. The plots show means over the seeds. The page loads nothing over the network. The plots are also
+// written as SVG files. Throws std::runtime_error if the folder can't be written or gnuplot can't be run.
 void WriteReport(const Results& results, const std::string& folder);
 
 }  // namespace gateway::lab
--- a/src/lab/report_page.cpp
+++ b/src/lab/report_page.cpp
@@ -23,15 +23,20 @@
   const char* axis;
   bool logarithmic;
   std::vector<std::pair<int, const char*>>
-      columns;  // column number in the data file and suffix in the legend
+      columns;  // column number in the data file, and suffix of the variant's name in the legend
 };
 
 const std::vector<Chart> kCharts{
-    {"goodput", "Answered in time", "share of arrivals", false, {{3, ""}}},
-    {"latency", "Latency of what was served", "ms", true, {{6, " p50"}, {7, " p99"}}},
-    {"lost-chances", "Refused and failed", "share of arrivals", false, {{4, " refused"}, {5, " failed"}}}};
-
-// Returns rows of time in s, arrivals, shares and percentiles, each averaged over the runs of the variant.
+    {"goodput", "Requests answered within their objective", "share of arrivals", false, {{3, ""}}},
+    {"latency", "Latency of served requests", "ms", true, {{6, " p50"}, {7, " p99"}}},
+    {"lost-chances",
+     "Rejected and failed requests",
+     "share of arrivals",
+     false,
+     {{4, " rejected"}, {5, " failed"}}}};
+
+// Returns rows of time in s, arrivals, shares and percentiles. Arrivals, shares and percentiles are means
+// over the runs of the variant.
 std::string PlotData(const Results& results, const std::string& variant) {
   std::map<double, std::pair<int, std::array<double, 6>>> rows;
   for (const RunResult& run : results.runs) {
--- a/src/lab/report_tables.cpp
+++ b/src/lab/report_tables.cpp
@@ -16,7 +16,7 @@
 using Row = std::vector<std::string>;
 
 // Returns the names of the figures of all runs in the order of FigureNames(). The figures of a class or
-// fault, such as "p99_ms/pay", are at the position of their base name.
+// fault, such as "p99_ms/pay", are at the position of their base name, "p99_ms".
 std::vector<std::string> PresentFigures(const Results& results) {
   std::set<std::string> present;
   for (const RunResult& run : results.runs) {
@@ -31,13 +31,13 @@
   return ordered;
 }
 
-// The number of characters; continuation bytes of UTF-8 do not count.
+// Returns the number of characters of a UTF-8 text. Continuation bytes do not count.
 std::size_t DisplayWidth(const std::string& text) {
   return static_cast<std::size_t>(std::count_if(
       text.begin(), text.end(), [](char c) { return (static_cast<unsigned char>(c) & 0xc0) != 0x80; }));
 }
 
-// Aligns the first column to the left and the others to the right.
+// Aligns the first column to the left and all other columns to the right.
 std::string FormatTable(const std::vector<Row>& rows) {
   std::vector<std::size_t> widths;
   for (const Row& row : rows) {
@@ -84,8 +84,8 @@
 
 std::string Compare(const Results& a, const Results& b) {
   std::string text = fmt::format(
-      "A: {}, B: {}; mean ± half of the 95% interval over the runs; B/A with '*' if the intervals do not "
-      "overlap\n",
+      "A: {}, B: {}; mean ± half width of the 95% confidence interval over the runs; B/A with '*' if the "
+      "intervals do not overlap\n",
       a.experiment, b.experiment);
   for (const std::string& variant : Variants(a)) {
     std::vector<Row> rows{{variant, "A", "B", "B/A"}};
--- a/src/lab/results.cpp
+++ b/src/lab/results.cpp
@@ -81,7 +81,8 @@
   try {
     const json object = json::parse(text);
     if (object.at("format").get<int>() != kFormatVersion) {
-      throw std::runtime_error(name + ": unsupported format version");
+      throw std::runtime_error(name + ": unsupported format version " + object.at("format").dump() +
+                               ", expected " + std::to_string(kFormatVersion));
     }
     Results results;
     results.experiment = object.at("experiment").get<std::string>();
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -16,14 +16,14 @@
 
 // A time window of a run. A request counts in the window of its arrival.
 struct Window {
-  Millis at = 0;  // start of the window, from the start of the traffic
+  Millis at = 0;  // start of the window; counts from the start of the traffic
   std::uint64_t arrived = 0;
   std::uint64_t in_objective = 0;
   std::uint64_t late = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  double p50 = 0;  // latency of served requests, in ms
-  double p99 = 0;
+  double p50 = 0;  // median latency of served requests, in ms
+  double p99 = 0;  // 99th percentile of the latency, in ms
 };
 
 // One run of one variant.
@@ -33,7 +33,7 @@
   std::map<std::string, double> figures;
   std::vector<Window> windows;
   std::vector<std::pair<Millis, std::string>> events;  // time from the start of the traffic, and text
-  std::vector<std::string> violations;                 // descriptions of the first violations
+  std::vector<std::string> violations;                 // descriptions of the first rule violations
   std::string failure;                                 // reason why the run failed; empty if it completed
 };
 
--- a/src/lab/rule_checker.cpp
+++ b/src/lab/rule_checker.cpp
@@ -61,12 +61,14 @@
   RequestRecord& request = found->second;
   if (++request.attempts > max_attempts_) {
     AddViolation(violations_.attempts_over,
-                 fmt::format("attempts_over: {} was attempted {} times", id, request.attempts));
+                 fmt::format("attempts_over: {} was attempted {} times, the limit is {}", id,
+                             request.attempts, max_attempts_));
   }
   if (notified_at >= 0 && now > notified_at + drain_grace_ + kSocketTolerance) {
-    AddViolation(
-        violations_.late_sends,
-        fmt::format("late_sends: {} reached a host {:.0f} ms after the notification", id, now - notified_at));
+    AddViolation(violations_.late_sends, fmt::format("late_sends: {} reached a host {:.0f} ms after the "
+                                                     "notification of its drain or removal, the limit is "
+                                                     "{:g} ms",
+                                                     id, now - notified_at, drain_grace_ + kSocketTolerance));
   }
 }
 
@@ -80,7 +82,7 @@
   }
 }
 
-// FNV-1a over the id, with the seed in its offset basis.
+// The mark has an FNV-1a hash of the id. The seed is part of the offset basis of the hash.
 std::string RuleChecker::ResponseMark(const std::string& id, std::uint64_t seed) {
   constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
--- a/src/lab/rule_checker.hpp
+++ b/src/lab/rule_checker.hpp
@@ -1,5 +1,5 @@
-// Checks the rules that no gateway may violate, based on the observations of hosts and clients. A state
-// machine without I/O and clock.
+// Checks the rules that no gateway may violate. Hosts and clients report what they observe. The checker is a
+// state machine without I/O and clock.
 #ifndef GATEWAY_LAB_RULE_CHECKER_HPP_
 #define GATEWAY_LAB_RULE_CHECKER_HPP_
 
@@ -21,21 +21,22 @@
 // Number of violations by rule.
 struct ViolationCounts {
   std::uint64_t ran_twice = 0;      // a request that is not idempotent was executed again
-  std::uint64_t attempts_over = 0;  // more attempts than the settings allow
+  std::uint64_t attempts_over = 0;  // a request was attempted more often than the settings allow
   std::uint64_t unknown = 0;        // an attempt of a request that no client sent
   std::uint64_t late_sends = 0;     // an attempt to a draining or removed host after the grace period
   std::uint64_t cold_falls = 0;     // a host was overloaded while it warmed up
   std::uint64_t forged = 0;         // a response that no host produced for the request
   std::uint64_t lost = 0;           // a request without a final response
-  std::uint64_t crashed = 0;        // a gateway process ended without a fault that ends it
+  std::uint64_t crashed =
+      0;  // a gateway process ended without a fault that ends it, or was not ready in time
 
   // The counts by the names of their figures.
   std::map<std::string, std::uint64_t> ByName() const;
 };
 
-// Checks that the gateways break no rule, and counts the violations. The record of a request is removed some
-// time after the request was sent, so that memory grows with the request rate and not with the length of the
-// run. Times must not decrease. Must be used in one thread at a time.
+// Counts the rule violations of the gateways. The record of a request is removed some time after the request
+// was sent, so that memory grows with the request rate and not with the length of the run. Times must not
+// decrease. Must be used by one thread at a time.
 class RuleChecker {
  public:
   // `drain_grace`: how long a gateway may still send to a draining host after it was notified of the drain.
@@ -45,7 +46,7 @@
   // Sets the seed of the marks in responses. Must be called before the first response.
   void SetSeed(std::uint64_t seed) { seed_ = seed; }
 
-  // Called when a client has sent a request. `work` is its cost for a host, in ms.
+  // Called when a client has sent a request. `work` is the CPU time in ms that it costs a host.
   void OnRequestSent(Millis now, const std::string& id, bool idempotent, Millis work);
 
   // Called when an attempt has arrived at a host. `notified_at` is when its gateway was notified that the
@@ -62,7 +63,7 @@
   void OnHostOverloaded(const std::string& host);
   void OnGatewayCrashed(const std::string& description);
 
-  // The cost of a request for a host; empty if no client sent it.
+  // Returns the work of a request; empty if no client sent the request.
   std::optional<Millis> FindWork(const std::string& id) const;
 
   // Whether any attempt of the request has arrived at a host.
@@ -73,7 +74,7 @@
 
   const ViolationCounts& violations() const { return violations_; }
 
-  // Descriptions of the first violations.
+  // Descriptions of the first few violations.
   const std::vector<std::string>& examples() const { return examples_; }
 
  private:
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -21,11 +21,11 @@
   return static_cast<int>(shares.size()) - 1;
 }
 
-constexpr double kLowRateShare = 0.5;  // low rate of bursty traffic relative to its mean rate
-constexpr double kMinLowToHighRatio = 0.01;
+constexpr double kLowRateShare = 0.5;        // low rate of bursty traffic as a share of its mean rate
+constexpr double kMinLowToHighRatio = 0.01;  // keeps the mean time at the low rate above 0
 constexpr double kMillisPerSecond = 1000;
-constexpr std::uint64_t kDetailSeedMask =
-    0x9e3779b97f4a7c15ULL;  // separates these draws from those of the times
+// Gives the details of the arrivals a random sequence that differs from that of the arrival times.
+constexpr std::uint64_t kDetailSeedMask = 0x9e3779b97f4a7c15ULL;
 
 }  // namespace
 
@@ -71,7 +71,8 @@
   return rate;
 }
 
-// The time of the next change of the rate, or the end of the schedule.
+// Returns the time of the next change of the rate, or the end of the schedule if the rate does not change
+// again.
 Millis Schedule::NextRateChange() const {
   Millis next = experiment_.traffic.duration;
   if (experiment_.traffic.bursty) next = std::min(next, burst_changes_at_);
@@ -84,18 +85,19 @@
   return next;
 }
 
-// Advances the time to the next arrival; returns false if the schedule ends before it. Draws an exponential
-// number of expected arrivals and consumes it at the current rate, interval by interval.
+// Advances the time to the next arrival; returns false if the schedule ends before the next arrival. Between
+// two arrivals, the integral of the rate is exponentially distributed with mean 1. The function draws this
+// integral and subtracts the share of each interval of constant rate.
 bool Schedule::AdvanceToNextArrival() {
-  double expected = boost::random::exponential_distribution<double>(1)(arrival_random_);
+  double remaining = boost::random::exponential_distribution<double>(1)(arrival_random_);
   for (;;) {
     const Millis change = NextRateChange();
     const double rate = RateAt(now_);
-    if (now_ + expected / rate < change) {
-      now_ += expected / rate;
+    if (now_ + remaining / rate < change) {
+      now_ += remaining / rate;
       return true;
     }
-    expected -= (change - now_) * rate;
+    remaining -= (change - now_) * rate;
     now_ = change;
     if (now_ >= experiment_.traffic.duration) return false;
     if (experiment_.traffic.bursty && now_ >= burst_changes_at_) {
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -12,27 +12,27 @@
 
 namespace gateway::lab {
 
-// One request.
+// The arrival of one request, before any retries.
 struct Arrival {
   std::uint64_t number = 0;  // from 0
   Millis at = 0;             // from the start of the traffic
-  int class_index = 0;
-  int tenant = 0;
-  int zone = 0;
-  double gateway_draw = 0;  // uniform from 0 to 1; selects the gateway in the zone
-  Millis work = 0;          // CPU time on a core of speed 1
+  int class_index = 0;       // in Experiment::classes
+  int tenant = 0;            // index in Schedule::tenants()
+  int zone = 0;              // index in Fleet::zones
+  double gateway_draw = 0;   // uniform from 0 to 1; selects the gateway in the zone
+  Millis work = 0;           // CPU time on a core of speed 1
 
   std::string ToText() const;
 };
 
-// An open-loop schedule in constant memory. It uses the random engine and distributions of Boost, because
-// they give the same numbers with every compiler. The distributions of the standard library do not.
+// An open-loop schedule that needs constant memory. It uses the random engine and distributions of Boost,
+// because they give the same numbers with every compiler. The distributions of the standard library do not.
 class Schedule {
  public:
   // `experiment` must outlive the schedule.
   Schedule(const Experiment& experiment, std::uint64_t seed);
 
-  // Returns the next arrival in order of time; empty after the last one.
+  // Returns the next arrival in order of time; empty after the last arrival.
   std::optional<Arrival> Next();
 
   const std::vector<std::string>& tenants() const { return tenants_; }
@@ -57,7 +57,8 @@
   Millis burst_changes_at_ = 0;
 };
 
-// Returns one line for the start and one for the end of each fault, in order of time.
+// Returns one line for the start of each fault and one line for its end, in order of time. A fault without a
+// duration has no line for its end.
 std::vector<std::string> FaultTimeline(const Experiment& experiment);
 
 }  // namespace gateway::lab
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -25,15 +25,16 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kDeadlineMargin = 20;  // for the response to reach the client before its timeout
+constexpr Millis kDeadlineMargin =
+    20;  // time for the response to reach the client before the client's timeout
 constexpr int kMaxAttempts = 3;
 constexpr Millis kWatchTimeout = 5000;
-constexpr Millis kWatchGrace = 2000;
+constexpr Millis kWatchGrace = 2000;  // time that a watch may take beyond its timeout
 constexpr Millis kPollBackoff = 300;
-constexpr std::uint64_t kRequestsPerDefect = 50;
-constexpr std::uint64_t kRequestsBeforeExit = 200;
+constexpr std::uint64_t kRequestsPerDefect = 50;    // every 50th request triggers "loses" or "forges"
+constexpr std::uint64_t kRequestsBeforeExit = 200;  // for "dies"
 constexpr int kDefectExitCode = 3;
-constexpr Millis kDrainTime = 3500;
+constexpr Millis kDrainTime = 3500;  // from SIGTERM to the exit
 
 tcp::endpoint ParseAddress(const std::string& text) {
   const auto address = base::ParseSocketAddress(text);
@@ -62,7 +63,7 @@
     Poll();
   }
 
-  // Reports that the gateway is not ready, and stops accepting connections.
+  // Reports on open connections that the gateway is not ready, and accepts no new connections.
   void Drain() {
     draining_ = true;
     listener_.reset();
@@ -116,7 +117,7 @@
         });
   }
 
-  // Selects an endpoint by the policy; null if no endpoint is up.
+  // Selects an endpoint that is up according to the policy; null if no endpoint is up.
   Endpoint* Pick() {
     std::vector<Endpoint*> up;
     for (auto& [id, endpoint] : endpoints_) {
@@ -234,7 +235,7 @@
 
 int ServeStandIn(const StandInOptions& options) {
   const char* const path = std::getenv("NODE_CONFIG");
-  if (path == nullptr) throw std::runtime_error("NODE_CONFIG: not set");
+  if (path == nullptr) throw std::runtime_error("the environment variable NODE_CONFIG is not set");
   std::ifstream stream(path);
   const json config = json::parse(stream, nullptr, /*allow_exceptions=*/false);
   if (!config.is_object()) {
--- a/src/lab/temporary_folder.hpp
+++ b/src/lab/temporary_folder.hpp
@@ -17,7 +17,7 @@
   TemporaryFolder() {
     std::string path = (std::filesystem::temp_directory_path() / "elderhead-lab-XXXXXX").string();
     if (mkdtemp(path.data()) == nullptr)
-      throw std::runtime_error("can't create a folder with the template " + path);
+      throw std::runtime_error("can't create a temporary folder with the template " + path);
     path_ = path;
   }
   ~TemporaryFolder() {
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -359,15 +359,16 @@
       {kSmallExperiment + "[traffic]\nrate = \"many\"\nseconds = 5\n",
        "test.toml:18:8: rate: must be a number"},
       {kSmallExperiment + "[traffic]\nrate = -1\nseconds = 5\n", "is out of range"},
-      {kSmallExperiment + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give one of 'rate' and 'load'"},
+      {kSmallExperiment + "[traffic]\nrate = 1\nload = 0.5\nseconds = 5\n", "give either 'rate' or 'load'"},
       {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kil\"\nat_s = 1\n", "did you mean 'kill'?"},
       {kSmallExperiment + traffic + "[[faults]]\nwhat = \"kill\"\nat_s = 1\ngateway = \"2\"\n",
        "'2' is not within 0 to 1"},
       {kSmallExperiment + traffic + "[[faults]]\nwhat = \"slow_host\"\nat_s = 1\nhost = \"x\"\n",
-       "'x' is not N or N-M"},
+       "'x' is neither a number N nor a range N-M"},
       {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"godput\"\nleast = 1\n",
        "did you mean 'goodput'?"},
-      {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\n", "needs 'least' or 'most'"},
+      {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\n",
+       "the bound needs 'least' or 'most'"},
       {kSmallExperiment + traffic + "[[bounds]]\nfigure = \"goodput\"\nleast = 1\nover = \"direct\"\n",
        "is not one of"},
       {"name = \n", "test.toml:1:"},
@@ -600,7 +601,7 @@
       EXPECT_EQ(code, 0) << out;
     } else {
       EXPECT_EQ(code, 1) << test_case.fault << "\n" << out;
-      EXPECT_NE(out.find(std::string("rule ") + test_case.rule + " broken"), std::string::npos)
+      EXPECT_NE(out.find(std::string("rule ") + test_case.rule + " violated"), std::string::npos)
           << test_case.fault << "\n"
           << out;
     }
