--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -26,7 +26,7 @@
       base_ = (127U << 24) | ((kFirstSecondOctet + block / 256) << 16) | ((block % 256) << 8);
       boost::system::error_code ec;
       lock_.open(boost::asio::ip::tcp::v4(), ec);
-      if (!ec) lock_.bind(At(kLockAddress, kLockPort), ec);
+      if (!ec) lock_.bind(MakeEndpoint(kLockAddress, kLockPort), ec);
       if (!ec) lock_.listen(1, ec);
       if (!ec) return;
       lock_.close(ec);
@@ -38,28 +38,28 @@
   // Gateways and hosts are numbered from 0.
 
   // The address at which clients reach the gateway.
-  Endpoint Gateway(int gateway) const { return At(gateway + 1, 3000); }
+  Endpoint Gateway(int gateway) const { return MakeEndpoint(gateway + 1, 3000); }
   // The management address of a gateway process. `start` is the number of earlier starts of the gateway. It
   // gives the old and the new process different addresses while the gateway is replaced.
   Endpoint Management(int gateway, int start) const {
-    return At(gateway + 1, static_cast<std::uint16_t>(3001 + start % kManagementPorts));
+    return MakeEndpoint(gateway + 1, static_cast<std::uint16_t>(3001 + start % kManagementPorts));
   }
   // The address at which the gateway reaches the list service.
-  Endpoint List(int gateway) const { return At(gateway + 1, 8500); }
+  Endpoint List(int gateway) const { return MakeEndpoint(gateway + 1, 8500); }
   // The address at which the gateway reaches the host.
   Endpoint Host(int gateway, int host) const {
-    return At(gateway + 1, static_cast<std::uint16_t>(10000 + host));
+    return MakeEndpoint(gateway + 1, static_cast<std::uint16_t>(10000 + host));
   }
 
   // The address of the project's list service, if the experiment runs its process.
-  Endpoint Registry() const { return At(kRegistryAddress, 8500); }
+  Endpoint Registry() const { return MakeEndpoint(kRegistryAddress, 8500); }
 
   // The address at which `gateway` reaches `other`, and from which it receives the datagrams of `other`.
   Endpoint Peer(int gateway, int other) const {
-    return At(gateway + 1, static_cast<std::uint16_t>(20000 + other));
+    return MakeEndpoint(gateway + 1, static_cast<std::uint16_t>(20000 + other));
   }
   // The address at which the gateway listens for datagrams of all other gateways.
-  Endpoint PeerListen(int gateway) const { return At(gateway + 1, 7946); }
+  Endpoint PeerListen(int gateway) const { return MakeEndpoint(gateway + 1, 7946); }
 
   static std::string Text(const Endpoint& endpoint) { return base::FormatSocketAddress(endpoint); }
 
@@ -71,7 +71,7 @@
   static constexpr int kRegistryAddress = 253;
   static constexpr int kManagementPorts = 900;
 
-  Endpoint At(int last_octet, std::uint16_t port) const {
+  Endpoint MakeEndpoint(int last_octet, std::uint16_t port) const {
     return {boost::asio::ip::address_v4(base_ | static_cast<unsigned>(last_octet)), port};
   }
 
--- a/src/lab/client_targets.hpp
+++ b/src/lab/client_targets.hpp
@@ -21,8 +21,9 @@
   // Whether the front balancer sends new connections to the target.
   virtual bool AcceptsConnections(int target, base::Millis now) const = 0;
 
-  // Whether a fault killed or stopped the target at any time since `since`. Such a target may lose requests.
-  virtual bool IsExcused(int target, base::Millis since) const = 0;
+  // Whether the target was killed or stopped by a fault at any time since `since`. Such a target may lose
+  // requests.
+  virtual bool WasDisruptedSince(int target, base::Millis since) const = 0;
 
   // Called when the target has served a request that was sent to it at `sent_at`.
   virtual void OnServed(int target, base::Millis sent_at) = 0;
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -36,7 +36,7 @@
       schedule_(env_.experiment, env_.seed),
       random_(env_.seed ^ kSeedMask),
       arrival_timer_(env_.io),
-      idle_(static_cast<std::size_t>(env_.targets.count())) {}
+      idle_connections_(static_cast<std::size_t>(env_.targets.count())) {}
 
 void Clients::Begin(Millis start) {
   start_ = start;
@@ -89,7 +89,7 @@
     if (env_.targets.Zone(target) != arrival.zone) continue;
     const double weight = first_of_zone ? 1 + env_.experiment.traffic.skew : 1;
     first_of_zone = false;
-    const bool has_idle = !idle_[static_cast<std::size_t>(target)].empty();
+    const bool has_idle = !idle_connections_[static_cast<std::size_t>(target)].empty();
     if (!env_.targets.AcceptsConnections(target, now) && !has_idle) continue;
     candidates.push_back({target, weight});
     total_weight += weight;
@@ -145,7 +145,7 @@
 }
 
 void Clients::Exchange(const std::shared_ptr<Attempt>& attempt) {
-  auto& idle = idle_[static_cast<std::size_t>(attempt->target)];
+  auto& idle = idle_connections_[static_cast<std::size_t>(attempt->target)];
   if (!attempt->resent && !idle.empty()) {
     attempt->connection = std::move(idle.back());
     idle.pop_back();
@@ -159,7 +159,7 @@
 
 void Clients::ReuseLater(int target, std::shared_ptr<ClientConnection> connection) {
   if (!connection->usable()) return;
-  auto& idle = idle_[static_cast<std::size_t>(target)];
+  auto& idle = idle_connections_[static_cast<std::size_t>(target)];
   connection->NotifyOnIdleClose([&idle, closed = connection.get()] {
     std::erase_if(idle, [closed](const auto& other) { return other.get() == closed; });
   });
@@ -171,7 +171,7 @@
   // The gateway closed the idle connection while this request was in transit.
   const bool closed_while_idle = result.failure == Failure::kNoResponse && connection->exchanges() > 1;
   if (closed_while_idle && !attempt->resent && attempt->request &&
-      !env_.targets.IsExcused(attempt->target, attempt->sent_at)) {
+      !env_.targets.WasDisruptedSince(attempt->target, attempt->sent_at)) {
     attempt->resent = true;
     return Exchange(attempt);
   }
@@ -209,8 +209,8 @@
 // but does not count as lost (TERMS).
 void Clients::OnNoResponse(const Attempt& attempt, const std::string& description, bool first_on_connection) {
   const bool unprocessed = first_on_connection && !env_.rules.HasArrived(attempt.id);
-  if (env_.targets.IsExcused(attempt.target, attempt.sent_at)) {
-    ++excused_;
+  if (env_.targets.WasDisruptedSince(attempt.target, attempt.sent_at)) {
+    ++lost_to_faults_;
   } else if (unprocessed) {
     ++closed_unprocessed_;
   } else {
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -51,8 +51,9 @@
   // connection.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
-  // Attempts that got no response because a fault had killed or stopped the gateway.
-  std::uint64_t excused() const { return excused_; }
+  // Attempts without a response to a gateway that was killed or stopped by a fault. They do not count as
+  // lost.
+  std::uint64_t lost_to_faults() const { return lost_to_faults_; }
 
  private:
   // A request of the schedule, with its retries.
@@ -102,10 +103,10 @@
   std::size_t open_attempts_ = 0;
   std::uint64_t attempts_ = 0;
   std::uint64_t unroutable_ = 0;
-  std::uint64_t excused_ = 0;
+  std::uint64_t lost_to_faults_ = 0;
   std::uint64_t closed_unprocessed_ = 0;
   std::vector<std::vector<std::shared_ptr<ClientConnection>>>
-      idle_;  // idle connections by target; the most recently used connection is the last
+      idle_connections_;  // idle connections by target; the most recently used connection is the last
 };
 
 }  // namespace gateway::lab
--- a/src/lab/evaluation.cpp
+++ b/src/lab/evaluation.cpp
@@ -67,7 +67,7 @@
   const std::string text = BoundText(bound, name, value);
   if (IsWithin(bound, value)) return {Verdict::Kind::kPassed, text};
   const double lateness = EstimateMean(FigureValues(results, bound.variant, "lateness_p99_ms")).mean;
-  if (bound.is_speed && lateness > experiment.max_lateness) {
+  if (bound.depends_on_speed && lateness > experiment.max_lateness) {
     return {Verdict::Kind::kInconclusive,
             text + fmt::format("; the lab itself ran {:.1f} ms late at p99, the limit is {:g} ms", lateness,
                                experiment.max_lateness)};
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -71,12 +71,12 @@
   std::vector<std::string> zones{"a"};
   Millis list_delay = 500;              // time from a change of the list to its watch event
   Millis front_detection_delay = 1500;  // time until the front balancer detects an unresponsive gateway
-  Millis drain_grace = 500;  // after its notification, a gateway may send to a draining host for this time
-  int max_attempts = 3;      // limit on the attempts for one request
-  int sockets = 1024;        // limit on the file descriptors of a gateway
-  int memory_mb = 192;       // memory limit in the configuration of a gateway
-  bool retry_after = true;   // gateways may send Retry-After with a rejection
-  int file_kb = 0;  // size limit of each file that a gateway writes, to emulate a full disk; 0: no limit
+  Millis drain_grace = 500;    // after its notification, a gateway may send to a draining host for this time
+  int max_attempts = 3;        // limit on the attempts for one request
+  int max_descriptors = 1024;  // limit on the file descriptors of a gateway
+  int memory_mb = 192;         // memory limit in the configuration of a gateway
+  bool retry_after = true;     // gateways may send Retry-After with a rejection
+  int max_file_kb = 0;  // size limit of each file that a gateway writes, to emulate a full disk; 0: no limit
   bool saves_state = false;            // each gateway has a state folder that is kept over restarts
   Millis sync_delay = 0;               // additional duration of each sync of a gateway's state
   bool uses_registry_process = false;  // run the project's list service instead of emulating one
@@ -147,7 +147,7 @@
   std::optional<double> maximum;
   // Whether the figure depends on the machine's speed. A violation is inconclusive if the lab itself was too
   // late.
-  bool is_speed = false;
+  bool depends_on_speed = false;
 };
 
 struct Experiment {
--- a/src/lab/experiment_reader.cpp
+++ b/src/lab/experiment_reader.cpp
@@ -43,10 +43,10 @@
   fleet.front_detection_delay = table.Number("front_notices_ms", fleet.front_detection_delay, kNotNegative);
   fleet.drain_grace = table.Number("drain_grace_ms", fleet.drain_grace, kAboveZero);
   fleet.max_attempts = table.Integer("max_attempts", fleet.max_attempts, 1, 10);
-  fleet.sockets = table.Integer("sockets", fleet.sockets, 64, 1 << 20);
+  fleet.max_descriptors = table.Integer("sockets", fleet.max_descriptors, 64, 1 << 20);
   fleet.memory_mb = table.Integer("memory_mb", fleet.memory_mb, 16, 1 << 20);
   fleet.retry_after = table.Flag("retry_after", fleet.retry_after);
-  fleet.file_kb = table.Integer("file_kb", fleet.file_kb, 0, 1 << 30);
+  fleet.max_file_kb = table.Integer("file_kb", fleet.max_file_kb, 0, 1 << 30);
   fleet.sync_delay = table.Number("slow_sync_ms", fleet.sync_delay, {0, 60000});
   fleet.saves_state = table.Flag("state", fleet.saves_state);
   fleet.uses_registry_process = table.Flag("registry", fleet.uses_registry_process);
@@ -176,7 +176,7 @@
   if (table.Has("least")) bound.minimum = table.Number("least");
   if (table.Has("most")) bound.maximum = table.Number("most");
   if (!bound.minimum && !bound.maximum) table.Fail("figure", "the bound needs 'least' or 'most'");
-  bound.is_speed = table.Flag("speed", bound.is_speed);
+  bound.depends_on_speed = table.Flag("speed", bound.depends_on_speed);
   table.RejectUnknownKeys();
   return bound;
 }
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -59,7 +59,9 @@
   bool AcceptsConnections(int target, Millis now) const override {
     return gateways_.AcceptsConnections(target, now);
   }
-  bool IsExcused(int target, Millis since) const override { return gateways_.IsExcused(target, since); }
+  bool WasDisruptedSince(int target, Millis since) const override {
+    return gateways_.WasDisruptedSince(target, since);
+  }
   void OnServed(int target, Millis sent_at) override {
     first_answers_.OnServed(MonotonicNow(), target, sent_at);
   }
@@ -81,7 +83,7 @@
   tcp::endpoint Address(int target) const override { return addresses_.Host(0, target); }
   int Zone(int target) const override { return target % static_cast<int>(experiment_.fleet.zones.size()); }
   bool AcceptsConnections(int, Millis) const override { return true; }
-  bool IsExcused(int, Millis) const override { return false; }
+  bool WasDisruptedSince(int, Millis) const override { return false; }
   void OnServed(int target, Millis sent_at) override {
     first_answers_.OnServed(MonotonicNow(), target, sent_at);
   }
@@ -97,9 +99,9 @@
 ExperimentRun::ExperimentRun(const Experiment& experiment, Options options)
     : experiment_(experiment),
       options_(std::move(options)),
-      direct_(options_.variant == "direct"),
+      without_gateways_(options_.variant == "direct"),
       addresses_(io_),
-      links_(io_, direct_ ? 1 : experiment.fleet.gateways, experiment.HostCount(), options_.seed),
+      links_(io_, without_gateways_ ? 1 : experiment.fleet.gateways, experiment.HostCount(), options_.seed),
       rules_(experiment.fleet.max_attempts, experiment.fleet.drain_grace),
       recorder_(experiment),
       first_answers_(experiment),
@@ -109,10 +111,10 @@
   rules_.SetSeed(options_.seed);
   hosts_ = std::make_unique<HostEmulator>(HostEmulator::Environment{
       io_, experiment_, addresses_, links_, rules_,
-      [this](int gateway, int host) { return direct_ ? -1 : list_->NotifiedAt(gateway, host); },
-      options_.seed, direct_ ? 1 : experiment_.fleet.gateways});
+      [this](int gateway, int host) { return without_gateways_ ? -1 : list_->NotifiedAt(gateway, host); },
+      options_.seed, without_gateways_ ? 1 : experiment_.fleet.gateways});
   MakeListService();
-  if (!direct_) MakeGateways();
+  if (!without_gateways_) MakeGateways();
   MakeClients();
 }
 
@@ -131,7 +133,7 @@
     member.machine_type = listed.machine_type;
     member.cell = "0";
   }
-  if (!direct_ && experiment_.fleet.uses_registry_process) {
+  if (!without_gateways_ && experiment_.fleet.uses_registry_process) {
     const std::string log = options_.log_folder.empty() ? "/dev/null" : options_.log_folder + "/registry.log";
     registry_ = std::make_unique<RegistryProcess>(
         RegistryProcess::Environment{io_, addresses_.Registry(), options_.gatewayctl, folder_.path(), log,
@@ -140,7 +142,7 @@
         std::move(members));
   }
   list_ = std::make_unique<ListService>(
-      ListService::Environment{io_, addresses_, links_, direct_ ? 0 : experiment_.fleet.gateways,
+      ListService::Environment{io_, addresses_, links_, without_gateways_ ? 0 : experiment_.fleet.gateways,
                                experiment_.fleet.list_delay, registry_.get()},
       std::move(hosts));
 }
@@ -163,7 +165,7 @@
 }
 
 void ExperimentRun::MakeClients() {
-  if (direct_) {
+  if (without_gateways_) {
     targets_ = std::make_unique<HostTargets>(experiment_, addresses_, first_answers_);
   } else {
     targets_ = std::make_unique<GatewayTargets>(experiment_, addresses_, *gateways_, first_answers_);
@@ -281,13 +283,13 @@
 // of the list. If a fault that can keep changes from the gateways began or ended later, it starts at that
 // moment.
 void ExperimentRun::MeasureListLag(Millis now) {
-  if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
+  if (!registry_ || !registry_->up() || faults_->list_fault_active()) return;
   if (!traffic_started() || now < traffic_start_ + experiment_.traffic.warm_up) return;
   for (int gateway = 0; gateway < gateways_->count(); ++gateway) {
     const bool is_current = list_->DeliveredRevision(gateway) >= registry_->newest_revision();
-    if (is_current || gateways_->IsExcused(gateway, now)) continue;
-    list_lag_ =
-        std::max(list_lag_, now - std::max(registry_->newest_revision_at(), faults_->list_disturbed_at()));
+    if (is_current || gateways_->WasDisruptedSince(gateway, now)) continue;
+    list_lag_ = std::max(list_lag_,
+                         now - std::max(registry_->newest_revision_at(), faults_->list_fault_changed_at()));
   }
 }
 
@@ -323,7 +325,7 @@
 void ExperimentRun::WriteClientFigures() {
   auto& figures = result_.figures;
   figures["unheard"] = static_cast<double>(clients_->closed_unprocessed());
-  figures["excused"] = static_cast<double>(clients_->excused());
+  figures["excused"] = static_cast<double>(clients_->lost_to_faults());
   figures["unplaced"] = static_cast<double>(clients_->unroutable());
   figures["client_tries"] = static_cast<double>(clients_->attempts());
 }
--- a/src/lab/experiment_run.hpp
+++ b/src/lab/experiment_run.hpp
@@ -75,7 +75,7 @@
 
   const Experiment& experiment_;
   const Options options_;
-  const bool direct_;
+  const bool without_gateways_;
   boost::asio::io_context io_{1};
   RunResult result_;
   TemporaryFolder folder_;
--- a/src/lab/fault_injector.cpp
+++ b/src/lab/fault_injector.cpp
@@ -50,7 +50,7 @@
     case FaultKind::kPeerCut: return SetPeerCut(gateway, fault.peers, true);
     case FaultKind::kCut:
       for (const int host : fault.hosts) {
-        components_.links.ToHost(gateway, host).Cut(fault.cuts_from_gateway, fault.cuts_to_gateway);
+        components_.links.LinkToHost(gateway, host).Cut(fault.cuts_from_gateway, fault.cuts_to_gateway);
       }
       return;
     case FaultKind::kReset:
@@ -68,7 +68,7 @@
     case FaultKind::kPeerCut: return SetPeerCut(gateway, fault.peers, false);
     case FaultKind::kCut:
       for (const int host : fault.hosts) {
-        components_.links.ToHost(gateway, host).Heal(fault.cuts_from_gateway, fault.cuts_to_gateway);
+        components_.links.LinkToHost(gateway, host).Heal(fault.cuts_from_gateway, fault.cuts_to_gateway);
       }
       return;
     default: return;
@@ -117,20 +117,20 @@
     case FaultKind::kListDiskFull: components_.registry->SetDiskFull(on); break;
     case FaultKind::kListTruncate: components_.list.SetTruncatedShare(on ? fault.magnitude : 0); break;
     case FaultKind::kListCut:
-      for (const int gateway : fault.gateways) SetCut(components_.links.ToList(gateway), on);
+      for (const int gateway : fault.gateways) SetCut(components_.links.LinkToListService(gateway), on);
       break;
     case FaultKind::kMemberCut:  // gateways still get every change of the list
       for (const int host : fault.hosts) components_.registry->SetMemberCut(host, on);
       return;
     default: return;
   }
-  list_faults_ += on ? 1 : -1;
-  list_disturbed_at_ = base::MonotonicNow();
+  active_list_faults_ += on ? 1 : -1;
+  list_fault_changed_at_ = base::MonotonicNow();
 }
 
 void FaultInjector::SetVanished(int host, bool vanished) {
   for (int gateway = 0; gateway < components_.gateways.count(); ++gateway) {
-    SetCut(components_.links.ToHost(gateway, host), vanished);
+    SetCut(components_.links.LinkToHost(gateway, host), vanished);
   }
 }
 
@@ -141,9 +141,9 @@
 
 void FaultInjector::AddDelay(int gateway, Millis delay, Millis jitter) {
   for (int host = 0; host < components_.hosts.count(); ++host) {
-    components_.links.ToHost(gateway, host).AddDelay(delay, jitter);
+    components_.links.LinkToHost(gateway, host).AddDelay(delay, jitter);
   }
-  components_.links.ToList(gateway).AddDelay(delay, jitter);
+  components_.links.LinkToListService(gateway).AddDelay(delay, jitter);
 }
 
 void FaultInjector::SetPeerCut(int gateway, const std::vector<int>& others, bool cut) {
@@ -169,10 +169,10 @@
     const bool inside = GatewayZone(gateway) == zone;
     for (int host = 0; host < components_.hosts.count(); ++host) {
       const bool host_inside = components_.hosts.zone(host) == zone;
-      if (inside != host_inside) SetCut(components_.links.ToHost(gateway, host), cut);
+      if (inside != host_inside) SetCut(components_.links.LinkToHost(gateway, host), cut);
     }
     if (components_.peers != nullptr && inside) SetPeerCut(gateway, gateways_outside, cut);
-    if (inside != list_inside) SetCut(components_.links.ToList(gateway), cut);
+    if (inside != list_inside) SetCut(components_.links.LinkToListService(gateway), cut);
   }
 }
 
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -36,10 +36,10 @@
   void End(const Fault& fault);
 
   // Whether a fault that can keep list changes from the gateways is active.
-  bool list_disturbed() const { return list_faults_ > 0; }
+  bool list_fault_active() const { return active_list_faults_ > 0; }
 
   // When a fault that can keep list changes from the gateways last began or ended; 0 if there was none.
-  Millis list_disturbed_at() const { return list_disturbed_at_; }
+  Millis list_fault_changed_at() const { return list_fault_changed_at_; }
 
  private:
   void BeginAtGateway(const Fault& fault, int gateway);
@@ -56,8 +56,8 @@
 
   const Experiment& experiment_;
   const Components components_;
-  int list_faults_ = 0;
-  Millis list_disturbed_at_ = 0;
+  int active_list_faults_ = 0;
+  Millis list_fault_changed_at_ = 0;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/first_answers.hpp
+++ b/src/lab/first_answers.hpp
@@ -22,29 +22,30 @@
   // Sets the start of the traffic, from which the times of faults count.
   void Begin(Millis start) {
     start_ = start;
-    waits_.assign(experiment_.faults.size(), -1);
+    first_response_delays_.assign(experiment_.faults.size(), -1);
   }
 
   // Called when a gateway has served a request that was sent at `sent_at`.
   void OnServed(Millis now, int gateway, Millis sent_at) {
-    for (std::size_t i = 0; i < waits_.size(); ++i) {
+    for (std::size_t i = 0; i < first_response_delays_.size(); ++i) {
       const Fault& fault = experiment_.faults[i];
       const bool affects_gateway = std::ranges::find(fault.gateways, gateway) != fault.gateways.end();
-      if (waits_[i] >= 0 || !affects_gateway || sent_at < start_ + fault.at) continue;
-      waits_[i] = now - start_ - fault.at;
+      if (first_response_delays_[i] >= 0 || !affects_gateway || sent_at < start_ + fault.at) continue;
+      first_response_delays_[i] = now - start_ - fault.at;
     }
   }
 
   void WriteTo(RunResult& run) const {
-    for (std::size_t i = 0; i < waits_.size(); ++i) {
-      if (waits_[i] >= 0) run.figures[fmt::format("first_answer_ms/{}", i + 1)] = waits_[i];
+    for (std::size_t i = 0; i < first_response_delays_.size(); ++i) {
+      const Millis delay = first_response_delays_[i];
+      if (delay >= 0) run.figures[fmt::format("first_answer_ms/{}", i + 1)] = delay;
     }
   }
 
  private:
   const Experiment& experiment_;
   Millis start_ = 0;
-  std::vector<Millis> waits_;  // time to the first response, by fault; negative: no response yet
+  std::vector<Millis> first_response_delays_;  // by fault; negative: no response yet
 };
 
 }  // namespace gateway::lab
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -87,16 +87,17 @@
   const int process_number = gateway * kSeedsPerGateway + start.number;
   const auto process = static_cast<std::uint64_t>(process_number);
   const std::string list = Addresses::Text(addresses.List(gateway));
-  json config{{"name", fmt::format("n{}", gateway)},
-              {"peer_listen", Addresses::Text(addresses.PeerListen(gateway))},
-              {"peers", Peers(experiment, addresses, gateway)},
-              {"listen", Addresses::Text(addresses.Gateway(gateway))},
-              {"discovery", list},
-              {"mgmt", Addresses::Text(addresses.Management(gateway, start.number))},
-              {"seed", fmt::format("{:x}", (start.seed << kSeedShift) + process)},
-              {"limits", {{"cores", 1.0}, {"memory_mb", fleet.memory_mb}, {"sockets", fleet.sockets}}},
-              {"known", json::parse(start.known_list)},
-              {"settings", Settings(experiment, gateway)}};
+  json config{
+      {"name", fmt::format("n{}", gateway)},
+      {"peer_listen", Addresses::Text(addresses.PeerListen(gateway))},
+      {"peers", Peers(experiment, addresses, gateway)},
+      {"listen", Addresses::Text(addresses.Gateway(gateway))},
+      {"discovery", list},
+      {"mgmt", Addresses::Text(addresses.Management(gateway, start.number))},
+      {"seed", fmt::format("{:x}", (start.seed << kSeedShift) + process)},
+      {"limits", {{"cores", 1.0}, {"memory_mb", fleet.memory_mb}, {"sockets", fleet.max_descriptors}}},
+      {"known", json::parse(start.known_list)},
+      {"settings", Settings(experiment, gateway)}};
   if (fleet.uses_registry_process) config["discovery_endpoints"] = {list};
   if (!start.state_folder.empty()) config["state_dir"] = start.state_folder;
   return config.dump();
--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -27,7 +27,7 @@
 constexpr Millis kSuccessorCheckPeriod = 50;
 // The time after SIGCONT, or after a restarted process is ready, in which the fault may still affect
 // requests. A request that is sent to the gateway in this time and gets no response does not count as lost.
-constexpr Millis kExcuseAfterFault = 1000;
+constexpr Millis kDisruptionAfterFault = 1000;
 constexpr Millis kForever = std::numeric_limits<double>::infinity();
 constexpr std::uint64_t kBytesPerKb = 1024;
 constexpr double kMillisPerSecond = 1000;
@@ -53,7 +53,7 @@
 
 pid_t GatewayProcesses::Start(int gateway) {
   const Fleet& fleet = env_.experiment.fleet;
-  const int start_number = At(gateway).start_count++;
+  const int start_number = GatewayAt(gateway).start_count++;
   const std::filesystem::path folder = env_.folder / fmt::format("g{}", gateway);
   const std::filesystem::path temporary = folder / "tmp";
   std::filesystem::create_directories(temporary);
@@ -76,8 +76,8 @@
   spec.command = env_.command;
   spec.log =
       env_.log_folder.empty() ? "/dev/null" : fmt::format("{}/gateway-{}.log", env_.log_folder, gateway);
-  spec.max_file_bytes = static_cast<std::uint64_t>(fleet.file_kb) * kBytesPerKb;
-  spec.max_descriptors = static_cast<std::uint64_t>(fleet.sockets);
+  spec.max_file_bytes = static_cast<std::uint64_t>(fleet.max_file_kb) * kBytesPerKb;
+  spec.max_descriptors = static_cast<std::uint64_t>(fleet.max_descriptors);
   spec.variables = {{"NODE_NAME", fmt::format("n{}", gateway)},
                     {"NODE_LISTEN", Addresses::Text(env_.addresses.Gateway(gateway))},
                     {"NODE_DISCOVERY", Addresses::Text(env_.addresses.List(gateway))},
@@ -92,7 +92,7 @@
 
 void GatewayProcesses::StartAll() {
   for (int gateway = 0; gateway < count(); ++gateway) {
-    At(gateway).pid = Start(gateway);
+    GatewayAt(gateway).pid = Start(gateway);
     Probe(gateway);
   }
 }
@@ -104,29 +104,29 @@
 std::string GatewayProcesses::DescribeNotReady() const {
   std::string text;
   for (int gateway = 0; gateway < count(); ++gateway) {
-    if (At(gateway).ready) continue;
+    if (GatewayAt(gateway).ready) continue;
     text += fmt::format("{}gateway {} is not ready", text.empty() ? "" : ", ", gateway);
   }
   return text;
 }
 
 bool GatewayProcesses::AcceptsConnections(int gateway, Millis now) const {
-  return At(gateway).balancer_view.SendsConnections(now);
+  return GatewayAt(gateway).balancer_view.SendsConnections(now);
 }
 
-bool GatewayProcesses::IsExcused(int gateway, Millis since) const {
-  return At(gateway).excused_from >= 0 && At(gateway).excused_until >= since;
+bool GatewayProcesses::WasDisruptedSince(int gateway, Millis since) const {
+  return GatewayAt(gateway).disrupted_from >= 0 && GatewayAt(gateway).disrupted_until >= since;
 }
 
 void GatewayProcesses::Probe(int gateway) {
-  auto& connection = At(gateway).probe_connection;
+  auto& connection = GatewayAt(gateway).probe_connection;
   if (!connection || !connection->usable()) {
     connection = std::make_shared<ClientConnection>(env_.io, env_.addresses.Gateway(gateway));
   }
   connection->Exchange(base::FormatGetRequest("/up", "backend.local"), kProbeTimeout,
                        [this, gateway, sent_at = MonotonicNow()](const ClientConnection::Result& result) {
                          OnProbeResult(gateway, result);
-                         auto& timer = At(gateway).probe_timer;
+                         auto& timer = GatewayAt(gateway).probe_timer;
                          timer.expires_after(TimerDuration(kProbePeriod - (MonotonicNow() - sent_at)));
                          timer.async_wait([this, gateway](error_code ec) {
                            if (!ec) Probe(gateway);
@@ -135,24 +135,24 @@
 }
 
 void GatewayProcesses::OnProbeResult(int index, const ClientConnection::Result& result) {
-  Gateway& gateway = At(index);
+  Gateway& gateway = GatewayAt(index);
   const bool answered = result.failure == ClientConnection::Failure::kNone;
   gateway.balancer_view.OnProbe(MonotonicNow(), !answered     ? FrontBalancerView::Probe::kNoAnswer
                                                 : result.ok() ? FrontBalancerView::Probe::kReady
                                                               : FrontBalancerView::Probe::kNotReady);
   if (!result.ok() || gateway.pid == 0 || std::exchange(gateway.ready, true)) return;
   env_.add_event(fmt::format("gateway {} is ready", index));
-  if (gateway.excused_until == kForever) gateway.excused_until = MonotonicNow() + kExcuseAfterFault;
+  if (gateway.disrupted_until == kForever) gateway.disrupted_until = MonotonicNow() + kDisruptionAfterFault;
 }
 
-void GatewayProcesses::BeginExcuse(Gateway& gateway) {
-  if (gateway.excused_until != kForever) gateway.excused_from = MonotonicNow();
-  gateway.excused_until = kForever;
+void GatewayProcesses::BeginDisruption(Gateway& gateway) {
+  if (gateway.disrupted_until != kForever) gateway.disrupted_from = MonotonicNow();
+  gateway.disrupted_until = kForever;
 }
 
 void GatewayProcesses::Kill(int index, Millis restart_delay) {
-  Gateway& gateway = At(index);
-  BeginExcuse(gateway);
+  Gateway& gateway = GatewayAt(index);
+  BeginDisruption(gateway);
   gateway.end_expected = true;
   gateway.restart_delay = restart_delay;
   gateway.ready = false;
@@ -160,16 +160,16 @@
 }
 
 void GatewayProcesses::Stop(int gateway) {
-  BeginExcuse(At(gateway));
-  processes_.Signal(At(gateway).pid, SIGSTOP);
+  BeginDisruption(GatewayAt(gateway));
+  processes_.Signal(GatewayAt(gateway).pid, SIGSTOP);
 }
 
 void GatewayProcesses::Continue(int gateway) {
-  processes_.Signal(At(gateway).pid, SIGCONT);
-  At(gateway).excused_until = MonotonicNow() + kExcuseAfterFault;
+  processes_.Signal(GatewayAt(gateway).pid, SIGCONT);
+  GatewayAt(gateway).disrupted_until = MonotonicNow() + kDisruptionAfterFault;
 }
 
-void GatewayProcesses::KillAfterGrace(Gateway& gateway, std::function<void()> kill) {
+void GatewayProcesses::KillLater(Gateway& gateway, std::function<void()> kill) {
   gateway.process_timer.expires_after(TimerDuration(kKillDelay));
   gateway.process_timer.async_wait([kill = std::move(kill)](error_code ec) {
     if (!ec) kill();
@@ -177,13 +177,13 @@
 }
 
 void GatewayProcesses::Terminate(int index, Millis restart_delay) {
-  Gateway& gateway = At(index);
+  Gateway& gateway = GatewayAt(index);
   gateway.end_expected = true;
   gateway.restart_delay = restart_delay;
   gateway.ready = false;
   processes_.Signal(gateway.pid, SIGTERM);
-  KillAfterGrace(gateway, [this, index, pid = gateway.pid] {
-    if (At(index).pid != pid) return;
+  KillLater(gateway, [this, index, pid = gateway.pid] {
+    if (GatewayAt(index).pid != pid) return;
     env_.add_event(fmt::format("gateway {} did not exit within {:.1f} s after SIGTERM and is killed", index,
                                kKillDelay / kMillisPerSecond));
     processes_.Signal(pid, SIGKILL);
@@ -191,25 +191,25 @@
 }
 
 void GatewayProcesses::Replace(int gateway) {
-  At(gateway).successor = Start(gateway);
+  GatewayAt(gateway).successor = Start(gateway);
   CheckSuccessor(gateway, MonotonicNow() + kSuccessorReadyWithin);
 }
 
 // Asks the new process at its management address whether it is ready.
 void GatewayProcesses::CheckSuccessor(int gateway, Millis until) {
-  lab::CheckGateway(env_.io, env_.addresses.Management(gateway, At(gateway).start_count - 1),
+  lab::CheckGateway(env_.io, env_.addresses.Management(gateway, GatewayAt(gateway).start_count - 1),
                     [this, gateway, until](bool success) { OnSuccessorCheck(gateway, until, success); });
 }
 
 // Sends SIGTERM to the old process if the new process is ready. Otherwise checks the new process again later,
 // until the time limit.
 void GatewayProcesses::OnSuccessorCheck(int index, Millis until, bool success) {
-  Gateway& gateway = At(index);
+  Gateway& gateway = GatewayAt(index);
   if (success && gateway.successor != 0) {
     env_.add_event(fmt::format("the replacement of gateway {} is ready", index));
     const pid_t old = std::exchange(gateway.pid, std::exchange(gateway.successor, 0));
     processes_.Signal(old, SIGTERM);
-    return KillAfterGrace(gateway, [this, old] { processes_.Signal(old, SIGKILL); });
+    return KillLater(gateway, [this, old] { processes_.Signal(old, SIGKILL); });
   }
   if (MonotonicNow() > until) {
     env_.rules.OnGatewayCrashed(fmt::format("the replacement of gateway {} was not ready within {:g} s",
@@ -227,7 +227,7 @@
   max_memory_mb_ = std::max(max_memory_mb_, static_cast<double>(end.usage.ru_maxrss) / kBytesPerKb);
   if (shutting_down_) return;
   for (int index = 0; index < count(); ++index) {
-    Gateway& gateway = At(index);
+    Gateway& gateway = GatewayAt(index);
     if (gateway.successor == end.pid) {
       gateway.successor = 0;
       env_.rules.OnGatewayCrashed(
@@ -238,7 +238,7 @@
 }
 
 void GatewayProcesses::OnGatewayEnd(int index, const ProcessEnd& end) {
-  Gateway& gateway = At(index);
+  Gateway& gateway = GatewayAt(index);
   gateway.pid = 0;
   gateway.ready = false;
   if (!std::exchange(gateway.end_expected, false)) {
@@ -251,11 +251,11 @@
 }
 
 void GatewayProcesses::RestartLater(int index) {
-  Gateway& gateway = At(index);
+  Gateway& gateway = GatewayAt(index);
   gateway.process_timer.expires_after(TimerDuration(gateway.restart_delay));
   gateway.process_timer.async_wait([this, index](error_code ec) {
     if (ec) return;
-    At(index).pid = Start(index);
+    GatewayAt(index).pid = Start(index);
     env_.add_event(fmt::format("gateway {} has been restarted", index));
   });
 }
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -57,8 +57,9 @@
   // Whether the front balancer sends new connections to the gateway.
   bool AcceptsConnections(int gateway, Millis now) const;
 
-  // Whether a fault had killed or stopped the gateway at any time since `since`.
-  bool IsExcused(int gateway, Millis since) const;
+  // Whether the gateway was killed or stopped by a fault at any time since `since`. Includes a short time
+  // after the fault.
+  bool WasDisruptedSince(int gateway, Millis since) const;
 
   // Faults. A gateway that is killed or terminated is restarted `restart_delay` after its process has ended.
   void Kill(int index, Millis restart_delay);
@@ -89,19 +90,19 @@
     boost::asio::steady_timer process_timer;  // for a restart, a kill or a check of the successor
     bool end_expected = false;
     Millis restart_delay = 0;
-    Millis excused_from = -1;   // negative: never
-    Millis excused_until = -1;  // infinite while the fault is active
+    Millis disrupted_from = -1;   // negative: never
+    Millis disrupted_until = -1;  // infinite while the fault is active
   };
 
-  Gateway& At(int gateway) { return *gateways_[static_cast<std::size_t>(gateway)]; }
-  const Gateway& At(int gateway) const { return *gateways_[static_cast<std::size_t>(gateway)]; }
+  Gateway& GatewayAt(int gateway) { return *gateways_[static_cast<std::size_t>(gateway)]; }
+  const Gateway& GatewayAt(int gateway) const { return *gateways_[static_cast<std::size_t>(gateway)]; }
   pid_t Start(int gateway);
   ProcessSpec MakeProcessSpec(int gateway, int start, const std::filesystem::path& config,
                               const std::filesystem::path& temporary) const;
   void Probe(int gateway);
   void OnProbeResult(int index, const base::ClientConnection::Result& result);
-  void BeginExcuse(Gateway& gateway);
-  void KillAfterGrace(Gateway& gateway, std::function<void()> kill);
+  void BeginDisruption(Gateway& gateway);
+  void KillLater(Gateway& gateway, std::function<void()> kill);
   void CheckSuccessor(int gateway, Millis until);
   void OnSuccessorCheck(int index, Millis until, bool success);
   void OnProcessEnd(const ProcessEnd& end);
--- a/src/lab/host_emulator.cpp
+++ b/src/lab/host_emulator.cpp
@@ -68,13 +68,13 @@
   host.mute = false;
   for (int gateway = 0; gateway < env_.gateways; ++gateway) {
     host.listeners.push_back(std::make_unique<Listener>(
-        env_.io, env_.addresses.Host(gateway, host.number), &env_.links.ToHost(gateway, host.number),
+        env_.io, env_.addresses.Host(gateway, host.number), &env_.links.LinkToHost(gateway, host.number),
         [this, &host, gateway](tcp::socket socket) { OnAccept(host, gateway, std::move(socket)); }));
   }
 }
 
 void HostEmulator::Kill(int host) {
-  EmulatedHost& killed = At(host);
+  EmulatedHost& killed = HostAt(host);
   killed.up = false;
   killed.listeners.clear();
   killed.timer.cancel();
@@ -84,20 +84,20 @@
 }
 
 void HostEmulator::Start(int host) {
-  if (!At(host).up) Open(At(host), MonotonicNow());
+  if (!HostAt(host).up) Open(HostAt(host), MonotonicNow());
 }
 
 void HostEmulator::ResetConnections(int host, int gateway) {
   // The loop uses a copy of the set, because closing a connection removes it from the host's set.
   std::vector<std::shared_ptr<ServerConnection>> gateway_connections;
-  for (const auto& connection : At(host).connections) {
+  for (const auto& connection : HostAt(host).connections) {
     if (connection->peer == gateway) gateway_connections.push_back(connection);
   }
   for (const auto& connection : gateway_connections) connection->Close(/*reset=*/true);
 }
 
 void HostEmulator::SetSpeed(int host, double factor) {
-  EmulatedHost& changed = At(host);
+  EmulatedHost& changed = HostAt(host);
   changed.model->SetSpeed(MonotonicNow(), factor);
   Advance(changed);
 }
@@ -110,7 +110,7 @@
   };
   handlers.closed = [this, &host](const auto& connection) { OnClose(host, connection); };
   const auto connection = std::make_shared<ServerConnection>(
-      std::move(socket), &env_.links.ToHost(gateway, host.number),
+      std::move(socket), &env_.links.LinkToHost(gateway, host.number),
       std::make_shared<const ServerConnection::Handlers>(std::move(handlers)));
   connection->peer = gateway;
   host.connections.insert(connection);
--- a/src/lab/host_emulator.hpp
+++ b/src/lab/host_emulator.hpp
@@ -48,9 +48,9 @@
 
   // Faults.
   void SetSpeed(int host, double factor);
-  void SetErrorRate(int host, double rate) { At(host).error_rate = rate; }
+  void SetErrorRate(int host, double rate) { HostAt(host).error_rate = rate; }
   // A mute host never answers a request.
-  void SetMute(int host, bool mute) { At(host).mute = mute; }
+  void SetMute(int host, bool mute) { HostAt(host).mute = mute; }
   // Resets the connections of the host and refuses new connections.
   void Kill(int host);
   // Starts a killed host, which then warms up again.
@@ -58,7 +58,7 @@
   // Resets the connections between the host and the gateway.
   void ResetConnections(int host, int gateway);
   // A draining host rejects requests.
-  void SetDraining(int host, bool draining) { At(host).draining = draining; }
+  void SetDraining(int host, bool draining) { HostAt(host).draining = draining; }
 
   struct Counts {
     std::uint64_t attempts = 0;     // requests that arrived at hosts
@@ -89,7 +89,7 @@
     bool up = false;
   };
 
-  EmulatedHost& At(int host) { return *hosts_[static_cast<std::size_t>(host)]; }
+  EmulatedHost& HostAt(int host) { return *hosts_[static_cast<std::size_t>(host)]; }
   void AddHost(const HostGroup& group);
   void Open(EmulatedHost& host, std::optional<Millis> started_at);
   void OnAccept(EmulatedHost& host, int gateway, tcp::socket socket);
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -54,18 +54,18 @@
 
 // Returns the time at which the next executing job finishes. At least one job must be executing.
 Millis HostModel::NextFinishAt() const {
-  return TimeAfter(now_, std::max(0.0, executing_.begin()->first - service_) / RatePerJob());
+  return TimeAfter(now_, std::max(0.0, executing_.begin()->first - service_per_job_) / RatePerJob());
 }
 
 void HostModel::AdvanceService(Millis now) {
   now = std::max(now, now_);
-  if (!executing_.empty()) service_ += FullCapacityTime(now_, now) * RatePerJob();
+  if (!executing_.empty()) service_per_job_ += FullCapacityTime(now_, now) * RatePerJob();
   now_ = now;
 }
 
 void HostModel::Start(Job job, JobState& state) {
   state.executing = true;
-  state.finish_service = service_ + state.work;
+  state.finish_service = service_per_job_ + state.work;
   executing_.emplace(state.finish_service, job);
   pending_events_.push_back({EventKind::kStarted, job, true});
 }
@@ -153,7 +153,8 @@
     AdvanceService(std::min(finish, expiry));
     const bool finishes = finish <= expiry;
     const Job job = finishes ? executing_.begin()->second : expiries_.begin()->second;
-    if (finishes) service_ = std::max(service_, executing_.begin()->first);  // rounding must not decrease it
+    // Rounding must not decrease the value.
+    if (finishes) service_per_job_ = std::max(service_per_job_, executing_.begin()->first);
     events.push_back({finishes ? EventKind::kFinished : EventKind::kExpired, job, jobs_[job].executing});
     Remove(job);
     FillSlots();
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -60,7 +60,7 @@
   struct JobState {
     Millis work = 0;
     Millis expires_at = 0;
-    double finish_service = 0;  // value of service_ at which the job finishes
+    double finish_service = 0;  // value of service_per_job_ at which the job finishes
     bool executing = false;
   };
 
@@ -82,7 +82,7 @@
   const std::optional<Millis> started_at_;
   double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_ = 0;  // work in ms that has been done for a job that executes since the start of the model
+  double service_per_job_ = 0;  // work in ms that is done for a job that executes from the start of the model
   std::unordered_map<Job, JobState> jobs_;
   std::set<std::pair<double, Job>> executing_;  // ordered by finish_service
   std::deque<Job> queue_;                       // ended jobs are skipped when they reach the front
--- a/src/lab/link_table.hpp
+++ b/src/lab/link_table.hpp
@@ -18,25 +18,25 @@
   LinkTable(boost::asio::io_context& io, int gateways, int hosts, std::uint64_t seed)
       : hosts_(static_cast<std::size_t>(hosts)) {
     for (int gateway = 0; gateway < gateways; ++gateway) {
-      to_list_.push_back(std::make_unique<Link>(io));
+      list_service_links_.push_back(std::make_unique<Link>(io));
       for (int host = 0; host < hosts; ++host) {
         const int number = gateway * kSeedsPerGateway + host;
-        to_hosts_.push_back(std::make_unique<Link>(io, seed + static_cast<std::uint64_t>(number)));
+        host_links_.push_back(std::make_unique<Link>(io, seed + static_cast<std::uint64_t>(number)));
       }
     }
   }
 
-  Link& ToHost(int gateway, int host) {
-    return *to_hosts_[static_cast<std::size_t>(gateway) * hosts_ + static_cast<std::size_t>(host)];
+  Link& LinkToHost(int gateway, int host) {
+    return *host_links_[static_cast<std::size_t>(gateway) * hosts_ + static_cast<std::size_t>(host)];
   }
-  Link& ToList(int gateway) { return *to_list_[static_cast<std::size_t>(gateway)]; }
+  Link& LinkToListService(int gateway) { return *list_service_links_[static_cast<std::size_t>(gateway)]; }
 
  private:
   static constexpr int kSeedsPerGateway = 1000;
 
   const std::size_t hosts_;
-  std::vector<std::unique_ptr<Link>> to_hosts_;  // links to the hosts, by gateway, then host
-  std::vector<std::unique_ptr<Link>> to_list_;   // links to the list service, by gateway
+  std::vector<std::unique_ptr<Link>> host_links_;          // links to the hosts, by gateway, then host
+  std::vector<std::unique_ptr<Link>> list_service_links_;  // links to the list service, by gateway
 };
 
 }  // namespace gateway::lab
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -39,7 +39,7 @@
 void ListService::Open() {
   for (int gateway = 0; gateway < env_.gateways; ++gateway) {
     listeners_.push_back(std::make_unique<Listener>(
-        env_.io, env_.addresses.List(gateway), &env_.links.ToList(gateway),
+        env_.io, env_.addresses.List(gateway), &env_.links.LinkToListService(gateway),
         [this, gateway](tcp::socket socket) { OnAccept(gateway, std::move(socket)); }));
   }
 }
@@ -51,7 +51,7 @@
   };
   handlers.closed = [this](const auto& connection) { OnClose(connection); };
   const auto connection = std::make_shared<ServerConnection>(
-      std::move(socket), &env_.links.ToList(gateway),
+      std::move(socket), &env_.links.LinkToListService(gateway),
       std::make_shared<const ServerConnection::Handlers>(std::move(handlers)));
   connections_.insert(connection);
   connection->Begin();
@@ -112,7 +112,7 @@
 Millis ListService::NotifiedAt(int gateway, int host) const {
   const Millis notified_at = notified_at_[static_cast<std::size_t>(gateway)][static_cast<std::size_t>(host)];
   const ListedHost& listed = hosts_[static_cast<std::size_t>(host)];
-  const Link& link = env_.links.ToList(gateway);
+  const Link& link = env_.links.LinkToListService(gateway);
   if (notified_at >= 0 || listed.phase == "up" || env_.registry != nullptr) return notified_at;
   if (down_ || link.IsCut()) return notified_at;
   const Millis due = std::max({listed.changed_at, restored_at_, link.healed_at()}) + kNotificationTimeout;
--- a/src/lab/management_check.cpp
+++ b/src/lab/management_check.cpp
@@ -13,7 +13,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr char kCall[] = "check\n";
+constexpr char kCheckCommand[] = "check\n";
 
 class ManagementCheck : public std::enable_shared_from_this<ManagementCheck> {
  public:
@@ -28,7 +28,7 @@
  private:
   void Write() {
     boost::asio::async_write(
-        socket_, boost::asio::buffer(kCall, sizeof kCall - 1),
+        socket_, boost::asio::buffer(kCheckCommand, sizeof kCheckCommand - 1),
         [self = shared_from_this()](error_code ec, std::size_t) { ec ? self->done_(false) : self->Read(); });
   }
 
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -109,6 +109,7 @@
   return sum.arrived < kMinArrivals ? -1 : Ratio(sum.in_objective, sum.arrived);
 }
 
+// Whether another fault begins after the recovery window of `fault` and at the latest at `by`.
 bool Recorder::NextFaultBegins(const Fault& fault, Millis by) const {
   return std::any_of(experiment_.faults.begin(), experiment_.faults.end(), [&](const Fault& next) {
     return next.at > fault.at + kRecoveryWindow && next.at <= by;
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -250,9 +250,9 @@
   void RenewDueLeases() {
     if (!renewing_) return;
     const Millis now = MonotonicNow();
-    if (renewed_at_ == 0) renewed_at_ = now;
-    while (renewed_at_ < now) {
-      renewed_at_ += load_.term / kRenewalsPerTerm / load_.members;
+    if (last_renewal_due_at_ == 0) last_renewal_due_at_ = now;
+    while (last_renewal_due_at_ < now) {
+      last_renewal_due_at_ += load_.term / kRenewalsPerTerm / load_.members;
       RenewNextLease();
     }
     renewal_timer_.expires_after(TimerDuration(kRenewalTick));
@@ -358,7 +358,7 @@
   std::map<std::string, double> figures_;
   base::Histogram notification_delays_;  // from the response to a change to its watch event, in microseconds
   std::vector<Millis> early_events_;  // times of watch events that arrived before the response to the change
-  Millis renewed_at_ = 0;             // when the latest renewal was due; 0: no renewal yet
+  Millis last_renewal_due_at_ = 0;    // when the latest renewal was due; 0: no renewal yet
   Millis change_answered_at_ = 0;     // when the current change was answered; 0: not answered yet
   int next_renewal_ = 0;
   int renewals_failed_ = 0;
--- a/src/lab/registry_process.cpp
+++ b/src/lab/registry_process.cpp
@@ -89,8 +89,8 @@
 }
 
 void RegistryProcess::CallLater(int host, Millis delay) {
-  At(host).timer.expires_after(TimerDuration(delay));
-  At(host).timer.async_wait([this, host](error_code ec) {
+  AgentAt(host).timer.expires_after(TimerDuration(delay));
+  AgentAt(host).timer.async_wait([this, host](error_code ec) {
     if (!ec) Call(host);
   });
 }
@@ -98,7 +98,7 @@
 // Registers the host or renews its lease, whichever is due.
 void RegistryProcess::Call(int host) {
   using registry::AgentAction;
-  Agent& agent = At(host);
+  Agent& agent = AgentAt(host);
   if (!agent.host_up || agent.cut || agent.calling) return;
   const AgentAction call = agent.state.next_action();
   if (call != AgentAction::kRegister && call != AgentAction::kRenew) return;
@@ -119,7 +119,7 @@
 
 void RegistryProcess::OnResult(int host, registry::AgentAction call, std::int64_t incarnation,
                                const ClientConnection::Result& result) {
-  Agent& agent = At(host);
+  Agent& agent = AgentAt(host);
   agent.calling = false;
   const registry::CommandResult outcome = ParseCommandResult(result);
   OnRevision(outcome.revision);
@@ -133,7 +133,7 @@
 void RegistryProcess::SendOperatorCall(registry::Action action, int host) {
   registry::Command command;
   command.action = action;
-  command.member.id = At(host).member.id;
+  command.member.id = AgentAt(host).member.id;
   command.idempotency_key = fmt::format("lab-{}", ++operator_calls_);
   command.by_operator = true;
   SendUntilAnswered(command);
@@ -163,12 +163,12 @@
 }
 
 void RegistryProcess::StopRenewing(int host) {
-  At(host).host_up = false;
-  At(host).connection.reset();
+  AgentAt(host).host_up = false;
+  AgentAt(host).connection.reset();
 }
 
 void RegistryProcess::Restart(int host, std::int64_t incarnation) {
-  Agent& agent = At(host);
+  Agent& agent = AgentAt(host);
   agent.host_up = true;
   agent.member.incarnation = incarnation;
   agent.state = {};
@@ -184,7 +184,7 @@
 }
 
 void RegistryProcess::SetMemberCut(int host, bool cut) {
-  At(host).cut = cut;
+  AgentAt(host).cut = cut;
   if (!cut) CallLater(host, 0);
 }
 
@@ -204,10 +204,10 @@
   processes_.Signal(pid_, SIGCONT);
 }
 
-void RegistryProcess::SetDiskFull(bool full) {
+void RegistryProcess::SetDiskFull(bool disk_full) {
   rlimit limit{};
   if (prlimit(pid_, RLIMIT_FSIZE, nullptr, &limit) != 0) return;
-  limit.rlim_cur = full ? 0 : limit.rlim_max;
+  limit.rlim_cur = disk_full ? 0 : limit.rlim_max;
   prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr);
 }
 
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -46,7 +46,7 @@
   void Kill(Millis restart_delay);
   void Stop();
   void Continue();
-  void SetDiskFull(bool full);            // the service's files can't grow
+  void SetDiskFull(bool disk_full);       // the service's files can't grow
   void SetMemberCut(int host, bool cut);  // the host serves requests, but can't reach the service
 
   // Changes of a host.
@@ -81,7 +81,7 @@
     bool cut = false;      // can't reach the service
     bool calling = false;  // a call has not been answered yet
   };
-  Agent& At(int host) { return *agents_[static_cast<std::size_t>(host)]; }
+  Agent& AgentAt(int host) { return *agents_[static_cast<std::size_t>(host)]; }
   void WriteConfig(const std::filesystem::path& path) const;
   void Call(int host);
   void CallLater(int host, Millis delay);
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -45,25 +45,25 @@
     tenants_.push_back("all");
     tenant_shares_.push_back(1);
   }
-  if (experiment.traffic.bursty) DrawBurstChange();
+  if (experiment.traffic.bursty) DrawNextRateSwitch();
 }
 
 double Schedule::Uniform() { return boost::random::uniform_01<double>()(detail_random_); }
 
 // Draws the time of the next switch between the high and the low rate. The low rate lasts longer on average,
 // so that the mean rate is the configured one.
-void Schedule::DrawBurstChange() {
+void Schedule::DrawNextRateSwitch() {
   const Traffic& traffic = experiment_.traffic;
   const double low_to_high_ratio = (traffic.burst_factor - 1) / (1 - kLowRateShare);
-  const Millis mean = burst_on_ ? traffic.burst_length
-                                : traffic.burst_length * std::max(kMinLowToHighRatio, low_to_high_ratio);
-  burst_changes_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
+  const Millis mean = at_high_rate_ ? traffic.burst_length
+                                    : traffic.burst_length * std::max(kMinLowToHighRatio, low_to_high_ratio);
+  next_rate_switch_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
 }
 
 double Schedule::RateAt(Millis time) const {
   const Traffic& traffic = experiment_.traffic;
   double rate = traffic.rate / kMillisPerSecond;
-  if (traffic.bursty) rate *= burst_on_ ? traffic.burst_factor : kLowRateShare;
+  if (traffic.bursty) rate *= at_high_rate_ ? traffic.burst_factor : kLowRateShare;
   for (const Fault& fault : experiment_.faults) {
     if (fault.kind != FaultKind::kBurst || time < fault.at) continue;
     if (fault.duration == 0 || time < fault.at + fault.duration) rate *= fault.magnitude;
@@ -75,7 +75,7 @@
 // again.
 Millis Schedule::NextRateChange() const {
   Millis next = experiment_.traffic.duration;
-  if (experiment_.traffic.bursty) next = std::min(next, burst_changes_at_);
+  if (experiment_.traffic.bursty) next = std::min(next, next_rate_switch_at_);
   for (const Fault& fault : experiment_.faults) {
     if (fault.kind != FaultKind::kBurst) continue;
     if (fault.at > now_) next = std::min(next, fault.at);
@@ -100,9 +100,9 @@
     remaining -= (change - now_) * rate;
     now_ = change;
     if (now_ >= experiment_.traffic.duration) return false;
-    if (experiment_.traffic.bursty && now_ >= burst_changes_at_) {
-      burst_on_ = !burst_on_;
-      DrawBurstChange();
+    if (experiment_.traffic.bursty && now_ >= next_rate_switch_at_) {
+      at_high_rate_ = !at_high_rate_;
+      DrawNextRateSwitch();
     }
   }
 }
--- a/src/lab/schedule.hpp
+++ b/src/lab/schedule.hpp
@@ -42,7 +42,7 @@
   Millis NextRateChange() const;
   bool AdvanceToNextArrival();
   Arrival DrawArrival();
-  void DrawBurstChange();
+  void DrawNextRateSwitch();
   double Uniform();
 
   const Experiment& experiment_;
@@ -53,8 +53,8 @@
   std::vector<double> class_shares_;
   std::uint64_t next_number_ = 0;
   Millis now_ = 0;
-  bool burst_on_ = false;
-  Millis burst_changes_at_ = 0;
+  bool at_high_rate_ = false;
+  Millis next_rate_switch_at_ = 0;
 };
 
 // Returns one line for the start of each fault and one line for its end, in order of time. A fault without a
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -74,7 +74,7 @@
     tcp::endpoint address;
     bool up = true;
     int in_flight = 0;
-    std::vector<std::shared_ptr<ClientConnection>> idle;
+    std::vector<std::shared_ptr<ClientConnection>> idle_connections;
   };
   struct ActiveRequest {
     std::shared_ptr<ServerConnection> client;
@@ -93,7 +93,7 @@
       Endpoint& endpoint = endpoints_[member.at("id").get<std::string>()];
       endpoint.address = ParseAddress(member.at("host_port").get<std::string>());
       endpoint.up = member.at("phase").get<std::string>() == "up";
-      if (!endpoint.up) endpoint.idle.clear();
+      if (!endpoint.up) endpoint.idle_connections.clear();
     }
     revision_ = list.at("revision").get<std::int64_t>();
   }
@@ -118,7 +118,7 @@
   }
 
   // Selects an endpoint that is up according to the policy; null if no endpoint is up.
-  Endpoint* Pick() {
+  Endpoint* PickEndpoint() {
     std::vector<Endpoint*> up;
     for (auto& [id, endpoint] : endpoints_) {
       if (endpoint.up) up.push_back(&endpoint);
@@ -153,11 +153,11 @@
     if (!std::exchange(request->answered, true)) request->client->Answer(std::move(response));
   }
 
-  // Returns an idle connection to the endpoint, or a new one.
+  // Returns an idle connection to the endpoint, or a new connection.
   std::shared_ptr<ClientConnection> AcquireConnection(Endpoint& endpoint) {
-    while (!endpoint.idle.empty()) {
-      auto connection = endpoint.idle.back();
-      endpoint.idle.pop_back();
+    while (!endpoint.idle_connections.empty()) {
+      auto connection = endpoint.idle_connections.back();
+      endpoint.idle_connections.pop_back();
       if (connection->usable()) return connection;
     }
     return std::make_shared<ClientConnection>(io_, endpoint.address);
@@ -166,9 +166,9 @@
   void ReuseLater(Endpoint& endpoint, const std::shared_ptr<ClientConnection>& connection) {
     if (!connection->usable()) return;
     connection->NotifyOnIdleClose([&endpoint, closed = connection.get()] {
-      std::erase_if(endpoint.idle, [closed](const auto& other) { return other.get() == closed; });
+      std::erase_if(endpoint.idle_connections, [closed](const auto& other) { return other.get() == closed; });
     });
-    endpoint.idle.push_back(connection);
+    endpoint.idle_connections.push_back(connection);
   }
 
   static std::string RequestText(const HttpRequest& message, Millis time_left) {
@@ -183,7 +183,7 @@
 
   void Send(const std::shared_ptr<ActiveRequest>& request) {
     if (request->answered) return;
-    Endpoint* const endpoint = Pick();
+    Endpoint* const endpoint = PickEndpoint();
     const Millis time_left = request->deadline - MonotonicNow();
     if (endpoint == nullptr || request->attempts == kMaxAttempts || time_left <= 0) {
       return Answer(request, MakeResponse(502));
