--- a/src/lab/addresses.hpp
+++ b/src/lab/addresses.hpp
@@ -1,7 +1,7 @@
 // The socket addresses of one run. Each run reserves a block 127.A.B.0/24, and each gateway has an address of
 // its own in the block. Clients reach the gateway at this address. The lab listens at other ports of the same
 // address on behalf of each host, the list service and each other gateway. The gateway connects to these
-// ports, so the lab can cut the network between any pair.
+// ports, so the lab can cut the network between the gateway and each of them.
 #ifndef GATEWAY_LAB_ADDRESSES_HPP_
 #define GATEWAY_LAB_ADDRESSES_HPP_
 
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -69,7 +69,7 @@
     int target = 0;
     Millis sent_at = 0;
     Millis timeout = 0;
-    bool resent = false;  // sent again on a new connection, because the gateway had closed the idle one
+    bool resent = false;  // sent again on a new connection; the gateway had closed the idle connection
     std::shared_ptr<ClientConnection> connection;
     boost::asio::steady_timer disconnect_timer;
   };
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -36,7 +36,7 @@
 struct HostWarmUp {
   double initial_fraction = 0.2;  // capacity at the start, as a share of the full capacity
   Millis duration = 10000;        // time until the host has its full capacity
-  double overload_factor = 2.5;   // the host crashes if it receives this multiple of its capacity as work
+  double overload_factor = 2.5;   // the host crashes if it receives more work than this times its capacity
   Millis overload_window = 3000;  // length of the window in which received work and capacity are compared
 };
 
@@ -60,8 +60,8 @@
   double burst_factor = 2;  // ratio of the high rate to the mean rate
   Millis burst_length = 500;  // mean time at the high rate; the time at the low rate follows from `rate`
   std::map<std::string, double> tenants;  // traffic share by name; empty: one tenant
-  double skew = 0;      // the first gateway of a zone gets 1 + skew times the traffic of each other one in it
-  int max_retries = 2;  // limit on the client's retries of one request
+  double skew = 0;       // in each zone, the first gateway gets 1 + skew times the traffic of any other
+  int max_retries = 2;   // limit on the client's retries of one request
   Millis backoff = 100;  // delay of the first retry; doubles with each retry; Retry-After can lengthen it
   double client_timeout_share = 1;  // share of the deadline after which a client disconnects
 };
@@ -99,7 +99,7 @@
   kKillGateway,       // SIGKILL; started again after the duration
   kStopGateway,       // SIGSTOP, then SIGCONT after the duration
   kTerminateGateway,  // SIGTERM; started again once the process has ended and the duration has passed
-  kReplaceGateway,    // starts a second process; SIGTERM to the old one when the new one is ready
+  kReplaceGateway,    // starts a new process; SIGTERM to the old process when the new process is ready
   kListDown,          // the emulated list service refuses connections
   kListKill,          // registry: SIGKILL; started again after the duration
   kListStop,          // registry: SIGSTOP, then SIGCONT after the duration
@@ -116,7 +116,7 @@
   kKillHost,          // the host resets its connections, refuses new ones and restarts after the duration
   kVanishHost,        // the host's machine drops all packets; the host restarts after the duration
   kDrainHost,         // the host drains for the duration and is then removed from the list
-  kDelay,             // adds `magnitude` ms and up to `jitter` ms per direction to all links of a gateway
+  kDelay,             // all links of a gateway delay messages by `magnitude` ms and up to `jitter` ms more
   kPeerConditions,    // impairs datagrams from and to a gateway
   kPeerCut,           // drops datagrams between a gateway and `peers`
   kBurst,             // multiplies the traffic by `magnitude`
--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -36,7 +36,7 @@
          static_cast<double>(time.tv_usec) / kMicrosPerMilli;
 }
 
-// CPU time used by the lab itself.
+// Returns the CPU time that the lab itself has used.
 Millis OwnCpuTime() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -210,8 +210,8 @@
   io_.stop();
 }
 
-// Called periodically. Starts gateways and traffic as soon as their preconditions hold, and detects the end
-// of the run.
+// Called every kTickPeriod. Starts the gateways and the traffic when these can start, and detects the end of
+// the run.
 void ExperimentRun::Tick() {
   const Millis now = MonotonicNow();
   if (interrupted) return Fail("interrupted");
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -12,7 +12,7 @@
 
 struct Variant {
   std::string name;
-  std::string command;    // starts a gateway of this variant
+  std::string command;    // command that starts a gateway of this variant
   Experiment experiment;  // with the changes for this variant
 };
 
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -20,7 +20,7 @@
   int repeats = 1;         // number of runs of each variant, with the seeds seed, seed + 1, ...
   std::string gateway;     // command that starts the gateway under test
   std::string earlier;     // command that starts the variant "earlier", another build; empty: not run
-  std::string gatewayctl;  // command that starts this program, as list service or as baseline gateway
+  std::string gatewayctl;  // command that starts gatewayctl, which serves as list service or baseline gateway
   std::string log_folder;  // for the logs of the processes; empty: logs are dropped
   bool progress = false;   // prints the progress on standard error once per second
 };
--- a/src/lab/first_answers.hpp
+++ b/src/lab/first_answers.hpp
@@ -19,7 +19,7 @@
  public:
   explicit FirstAnswers(const Experiment& experiment) : experiment_(experiment) {}
 
-  // Sets the start of the traffic, from which the times of faults count.
+  // Sets the start of the traffic. The times of faults count from this start.
   void Begin(Millis start) {
     start_ = start;
     first_response_delays_.assign(experiment_.faults.size(), -1);
--- a/src/lab/gateway_config.hpp
+++ b/src/lab/gateway_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file of a gateway of an experiment, to which NODE_CONFIG points.
+// The configuration file of a gateway in an experiment. NODE_CONFIG holds the path of the file.
 #ifndef GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 #define GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 
@@ -22,7 +22,7 @@
 // The zone of a gateway, as an index into Fleet::zones.
 int GatewayZoneIndex(const Experiment& experiment, int gateway);
 
-// Returns the content of the file, a JSON object.
+// Returns the content of the configuration file, a JSON object.
 std::string GatewayConfigText(const Experiment& experiment, const Addresses& addresses,
                               const GatewayStart& start);
 
--- a/src/lab/gateway_processes.cpp
+++ b/src/lab/gateway_processes.cpp
@@ -20,7 +20,7 @@
 using base::TimerDuration;
 using boost::system::error_code;
 
-constexpr Millis kProbePeriod = 100;  // of the front balancer
+constexpr Millis kProbePeriod = 100;  // time between two probes of the front balancer
 constexpr Millis kProbeTimeout = 1000;
 constexpr Millis kKillDelay = 3700;  // from SIGTERM to SIGKILL: the longest deadline, 3 s, plus a margin
 constexpr Millis kSuccessorReadyWithin = 6000;
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -1,4 +1,4 @@
-// The gateway processes of one run: starts, stops, replaces and probes them.
+// Starts, stops, replaces and probes the gateway processes of one run.
 #ifndef GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 #define GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 
@@ -32,7 +32,7 @@
     const Experiment& experiment;
     const Addresses& addresses;
     RuleChecker& rules;
-    std::string command;  // for /bin/sh
+    std::string command;  // command that starts a gateway, run by /bin/sh
     std::uint64_t seed;
     std::filesystem::path folder;                       // for configurations, saved states and TMPDIRs
     std::string log_folder;                             // empty: logs are dropped
@@ -72,7 +72,8 @@
   // them.
   void KillAll();
 
-  // Total CPU time, and largest resident memory of one process, of the processes that have ended.
+  // The total CPU time of the processes that have ended, and the largest resident memory that one of them
+  // used.
   Millis cpu_time() const { return cpu_time_; }
   double max_memory_mb() const { return max_memory_mb_; }
 
--- a/src/lab/http_server.hpp
+++ b/src/lab/http_server.hpp
@@ -31,7 +31,7 @@
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   struct Handlers {
-    // Called with each complete request. The handler must answer it once with Answer.
+    // Called with each complete request. The handler responds with one call of Answer.
     std::function<void(const std::shared_ptr<ServerConnection>&, HttpRequest)> request;
     // Called once, when the connection is closed by the client or by Close.
     std::function<void(const std::shared_ptr<ServerConnection>&)> closed;
--- a/src/lab/processes.hpp
+++ b/src/lab/processes.hpp
@@ -25,7 +25,7 @@
   std::string command;                                         // run by /bin/sh
   std::vector<std::pair<std::string, std::string>> variables;  // added to the lab's environment
   std::string log;                    // file to which standard output and error are appended
-  std::uint64_t max_descriptors = 0;  // 0: same limit as the lab
+  std::uint64_t max_descriptors = 0;  // limit on open file descriptors; 0: same limit as the lab
   std::uint64_t max_file_bytes = 0;  // size limit of a file that the process writes; 0: same limit as the lab
 };
 
--- a/src/lab/registry_load.cpp
+++ b/src/lab/registry_load.cpp
@@ -130,7 +130,7 @@
     return command;
   }
 
-  // Returns the syncs per second of records of the same size as the service's.
+  // Returns the number of syncs per second of a file to which records of the service's size are appended.
   double MeasureSyncRate() {
     const auto files = storage::MakePosixFileSystem();
     std::unique_ptr<storage::File> file;
--- a/src/lab/registry_load.hpp
+++ b/src/lab/registry_load.hpp
@@ -21,8 +21,8 @@
   int writers = 256;     // number of concurrent connections that send the writes
 };
 
-// Returns the figures by name; names end with the unit. Blocks; handles SIGCHLD. Throws std::runtime_error if
-// the service can't be started or is too slow for the load.
+// Returns the figures by name. A name ends with the unit of its figure, except for counts. Blocks; handles
+// SIGCHLD. Throws std::runtime_error if the service can't be started or is too slow for the load.
 std::map<std::string, double> MeasureRegistry(const RegistryLoad& load);
 
 }  // namespace gateway::lab
--- a/src/lab/results.hpp
+++ b/src/lab/results.hpp
@@ -32,9 +32,10 @@
   std::uint64_t seed = 0;
   std::map<std::string, double> figures;
   std::vector<Window> windows;
-  std::vector<std::pair<Millis, std::string>> events;  // time from the start of the traffic, and text
-  std::vector<std::string> violations;                 // descriptions of the first rule violations
-  std::string failure;                                 // reason why the run failed; empty if it completed
+  // Time and text of each event. The time counts from the start of the traffic.
+  std::vector<std::pair<Millis, std::string>> events;
+  std::vector<std::string> violations;  // descriptions of the first rule violations
+  std::string failure;                  // reason why the run failed; empty if it completed
 };
 
 struct Results {
--- a/src/lab/rule_checker.cpp
+++ b/src/lab/rule_checker.cpp
@@ -82,7 +82,8 @@
   }
 }
 
-// The mark has an FNV-1a hash of the id. The seed is part of the offset basis of the hash.
+// The mark is the id followed by an FNV-1a hash of the id. The seed is XORed into the offset basis of the
+// hash.
 std::string RuleChecker::ResponseMark(const std::string& id, std::uint64_t seed) {
   constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
--- a/src/lab/rule_checker.hpp
+++ b/src/lab/rule_checker.hpp
@@ -27,10 +27,9 @@
   std::uint64_t cold_falls = 0;     // a host was overloaded while it warmed up
   std::uint64_t forged = 0;         // a response that no host produced for the request
   std::uint64_t lost = 0;           // a request without a final response
-  std::uint64_t crashed =
-      0;  // a gateway process ended without a fault that ends it, or was not ready in time
+  std::uint64_t crashed = 0;        // a gateway process ended unexpectedly or was not ready in time
 
-  // The counts by the names of their figures.
+  // Returns the counts by the names of their figures.
   std::map<std::string, std::uint64_t> ByName() const;
 };
 
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -50,8 +50,8 @@
 
 double Schedule::Uniform() { return boost::random::uniform_01<double>()(detail_random_); }
 
-// Draws the time of the next switch between the high and the low rate. The low rate lasts longer on average,
-// so that the mean rate is the configured one.
+// Draws the time of the next switch between the high and the low rate. The mean times at both rates are such
+// that the mean rate is the configured rate.
 void Schedule::DrawNextRateSwitch() {
   const Traffic& traffic = experiment_.traffic;
   const double low_to_high_ratio = (traffic.burst_factor - 1) / (1 - kLowRateShare);
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -25,8 +25,7 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kDeadlineMargin =
-    20;  // time for the response to reach the client before the client's timeout
+constexpr Millis kDeadlineMargin = 20;  // so that the response reaches the client before the client's timeout
 constexpr int kMaxAttempts = 3;
 constexpr Millis kWatchTimeout = 5000;
 constexpr Millis kWatchGrace = 2000;  // time that a watch may take beyond its timeout
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -508,7 +508,7 @@
   EXPECT_EQ(network.counts().too_long, 400U);
 }
 
-// Runs gatewayctl; returns its exit code (-1 if a signal ended it) and its output.
+// Runs gatewayctl. Returns its exit code, or -1 if a signal ended it, and its output.
 std::pair<int, std::string> RunGatewayctl(const std::string& arguments) {
   std::FILE* const pipe = popen((std::string(GATEWAYCTL_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   std::string text;
