--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -51,8 +51,7 @@
   // connection.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
-  // Attempts without a response to a gateway that was killed or stopped by a fault. They do not count as
-  // lost.
+  // Attempts that got no response because a fault killed or stopped the gateway. They do not count as lost.
   std::uint64_t lost_to_faults() const { return lost_to_faults_; }
 
  private:
--- a/src/lab/peer_network.hpp
+++ b/src/lab/peer_network.hpp
@@ -17,8 +17,8 @@
 
 namespace gateway::lab {
 
-// For each ordered pair of gateways A and B, the lab opens a socket at the address of A, at a port that
-// stands for B. Gateway A sends its datagrams for B to this socket, and receives the datagrams of B from this
+// For each ordered pair of gateways A and B, the lab opens a socket at the address of A, at a port for
+// B. Gateway A sends its datagrams for B to this socket, and receives the datagrams of B from this
 // socket. Gateways are numbered from 0. Must be used in the thread of the io_context.
 class PeerNetwork {
  public:
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -291,7 +291,7 @@
   }
 }
 
-TEST(FrontBalancerView, StopsConnectionsAfterDrainDelayOrDetectionDelay) {
+TEST(FrontBalancerView, SendsNoNewConnectionsAfterDrainDelayOrDetectionDelay) {
   using Probe = FrontBalancerView::Probe;
   FrontBalancerView view(1500);
   EXPECT_FALSE(view.SendsConnections(0));
@@ -347,7 +347,7 @@
   EXPECT_FALSE(base::Histogram().SupportsQuantile(0.5));
 }
 
-TEST(ExperimentFile, RejectsInvalidContentWithItsPosition) {
+TEST(ExperimentFile, RejectsInvalidContentAndNamesKeyAndProblem) {
   const std::string traffic = "[traffic]\nrate = 10\nseconds = 5\n";
   struct Case {
     std::string text, expected_error;
