--- a/src/lab/experiment_run.cpp
+++ b/src/lab/experiment_run.cpp
@@ -17,14 +17,16 @@
 
 using boost::system::error_code;
 
-constexpr Millis kTrafficDelay = 300;  // from the gateways' readiness to the first arrival
+constexpr Millis kTrafficDelay = 300;  // time from the gateways' readiness to the start of the traffic
 constexpr Millis kTickPeriod = 50;
 constexpr Millis kProgressPeriod = 1000;
-constexpr Millis kPreTrafficOffset = 1e6;  // subtracted from the times of events before the traffic
+// Subtracted from the times of events before the traffic. It makes these times negative, so that reports can
+// skip the events.
+constexpr Millis kPreTrafficOffset = 1e6;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kMicrosPerMilli = 1000;
-// The protocol allows a gateway to close a new connection without processing its first request. It may do so
-// for this share of all requests. Requests above this share count as lost.
+// The protocol allows a gateway to close a new connection without processing its first request, for at most
+// this share of all requests. Requests above this share count as lost.
 constexpr double kMaxClosedUnprocessed = 1.0 / 200;
 
 std::atomic<bool> interrupted{false};
@@ -34,7 +36,7 @@
          static_cast<double>(time.tv_usec) / kMicrosPerMilli;
 }
 
-// CPU time used by the lab itself.
+// Returns the CPU time that the lab itself has used.
 Millis OwnCpuTime() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -43,7 +45,8 @@
 
 std::string HostId(int host) { return fmt::format("s-{:04x}", host); }
 
-// The targets of clients that call the gateways, as distributed by the front balancer.
+// The targets of clients that call the gateways. The front balancer decides which gateways get new
+// connections.
 class GatewayTargets : public ClientTargets {
  public:
   GatewayTargets(const Experiment& experiment, const Addresses& addresses, const GatewayProcesses& gateways,
@@ -56,7 +59,9 @@
   bool AcceptsConnections(int target, Millis now) const override {
     return gateways_.AcceptsConnections(target, now);
   }
-  bool IsExcused(int target, Millis since) const override { return gateways_.IsExcused(target, since); }
+  bool WasDisruptedSince(int target, Millis since) const override {
+    return gateways_.WasDisruptedSince(target, since);
+  }
   void OnServed(int target, Millis sent_at) override {
     first_answers_.OnServed(MonotonicNow(), target, sent_at);
   }
@@ -78,7 +83,7 @@
   tcp::endpoint Address(int target) const override { return addresses_.Host(0, target); }
   int Zone(int target) const override { return target % static_cast<int>(experiment_.fleet.zones.size()); }
   bool AcceptsConnections(int, Millis) const override { return true; }
-  bool IsExcused(int, Millis) const override { return false; }
+  bool WasDisruptedSince(int, Millis) const override { return false; }
   void OnServed(int target, Millis sent_at) override {
     first_answers_.OnServed(MonotonicNow(), target, sent_at);
   }
@@ -94,9 +99,9 @@
 ExperimentRun::ExperimentRun(const Experiment& experiment, Options options)
     : experiment_(experiment),
       options_(std::move(options)),
-      direct_(options_.variant == "direct"),
+      without_gateways_(options_.variant == "direct"),
       addresses_(io_),
-      links_(io_, direct_ ? 1 : experiment.fleet.gateways, experiment.HostCount(), options_.seed),
+      links_(io_, without_gateways_ ? 1 : experiment.fleet.gateways, experiment.HostCount(), options_.seed),
       rules_(experiment.fleet.max_attempts, experiment.fleet.drain_grace),
       recorder_(experiment),
       first_answers_(experiment),
@@ -106,10 +111,10 @@
   rules_.SetSeed(options_.seed);
   hosts_ = std::make_unique<HostEmulator>(HostEmulator::Environment{
       io_, experiment_, addresses_, links_, rules_,
-      [this](int gateway, int host) { return direct_ ? -1 : list_->NotifiedAt(gateway, host); },
-      options_.seed, direct_ ? 1 : experiment_.fleet.gateways});
+      [this](int gateway, int host) { return without_gateways_ ? -1 : list_->NotifiedAt(gateway, host); },
+      options_.seed, without_gateways_ ? 1 : experiment_.fleet.gateways});
   MakeListService();
-  if (!direct_) MakeGateways();
+  if (!without_gateways_) MakeGateways();
   MakeClients();
 }
 
@@ -128,7 +133,7 @@
     member.machine_type = listed.machine_type;
     member.cell = "0";
   }
-  if (!direct_ && experiment_.fleet.uses_registry_process) {
+  if (!without_gateways_ && experiment_.fleet.uses_registry_process) {
     const std::string log = options_.log_folder.empty() ? "/dev/null" : options_.log_folder + "/registry.log";
     registry_ = std::make_unique<RegistryProcess>(
         RegistryProcess::Environment{io_, addresses_.Registry(), options_.gatewayctl, folder_.path(), log,
@@ -137,7 +142,7 @@
         std::move(members));
   }
   list_ = std::make_unique<ListService>(
-      ListService::Environment{io_, addresses_, links_, direct_ ? 0 : experiment_.fleet.gateways,
+      ListService::Environment{io_, addresses_, links_, without_gateways_ ? 0 : experiment_.fleet.gateways,
                                experiment_.fleet.list_delay, registry_.get()},
       std::move(hosts));
 }
@@ -160,7 +165,7 @@
 }
 
 void ExperimentRun::MakeClients() {
-  if (direct_) {
+  if (without_gateways_) {
     targets_ = std::make_unique<HostTargets>(experiment_, addresses_, first_answers_);
   } else {
     targets_ = std::make_unique<GatewayTargets>(experiment_, addresses_, *gateways_, first_answers_);
@@ -205,7 +210,8 @@
   io_.stop();
 }
 
-// Called periodically: starts the traffic when everything is ready, and detects the end of the run.
+// Called every kTickPeriod. Starts the gateways and the traffic when these can start, and detects the end of
+// the run.
 void ExperimentRun::Tick() {
   const Millis now = MonotonicNow();
   if (interrupted) return Fail("interrupted");
@@ -227,15 +233,19 @@
   });
 }
 
-// The hosts must be listed before the gateways start, and the gateways ready before the traffic starts.
+// Starts the traffic once all gateways are ready. If the project's list service runs, the gateways are
+// started once all hosts are registered. The run fails if this takes too long.
 void ExperimentRun::WaitForReadiness(Millis now) {
-  const bool too_late = now > run_started_at_ + experiment_.fleet.ready_within;
+  const bool timed_out = now > run_started_at_ + experiment_.fleet.ready_within;
   if (registry_ && !gateways_started_) {
     if (registry_->ready()) StartGateways();
-    if (too_late) Fail("the list service did not register all hosts in time");
+    if (timed_out) {
+      Fail(fmt::format("the list service did not register all hosts within {:g} s",
+                       experiment_.fleet.ready_within / kMillisPerSecond));
+    }
   } else if (!gateways_ || gateways_->AllReady()) {
     BeginTraffic(now + kTrafficDelay);
-  } else if (too_late) {
+  } else if (timed_out) {
     Fail(gateways_->DescribeNotReady() +
          fmt::format(" after {:g} s", experiment_.fleet.ready_within / kMillisPerSecond));
   }
@@ -269,17 +279,17 @@
   });
 }
 
-// Records the longest time for which any gateway has not had the newest list. The time counts from the change
-// of the list, or from the last begin or end of a fault that can keep changes from the gateways if that is
-// later.
+// Records the longest time for which any gateway did not have the newest list. The time starts at the change
+// of the list. If a fault that can keep changes from the gateways began or ended later, it starts at that
+// moment.
 void ExperimentRun::MeasureListLag(Millis now) {
-  if (!registry_ || !registry_->up() || faults_->list_disturbed()) return;
+  if (!registry_ || !registry_->up() || faults_->list_fault_active()) return;
   if (!traffic_started() || now < traffic_start_ + experiment_.traffic.warm_up) return;
   for (int gateway = 0; gateway < gateways_->count(); ++gateway) {
     const bool is_current = list_->DeliveredRevision(gateway) >= registry_->newest_revision();
-    if (is_current || gateways_->IsExcused(gateway, now)) continue;
-    list_lag_ =
-        std::max(list_lag_, now - std::max(registry_->newest_revision_at(), faults_->list_disturbed_at()));
+    if (is_current || gateways_->WasDisruptedSince(gateway, now)) continue;
+    list_lag_ = std::max(list_lag_,
+                         now - std::max(registry_->newest_revision_at(), faults_->list_fault_changed_at()));
   }
 }
 
@@ -315,7 +325,7 @@
 void ExperimentRun::WriteClientFigures() {
   auto& figures = result_.figures;
   figures["unheard"] = static_cast<double>(clients_->closed_unprocessed());
-  figures["excused"] = static_cast<double>(clients_->excused());
+  figures["excused"] = static_cast<double>(clients_->lost_to_faults());
   figures["unplaced"] = static_cast<double>(clients_->unroutable());
   figures["client_tries"] = static_cast<double>(clients_->attempts());
 }
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -15,7 +15,7 @@
 
 namespace gateway::lab {
 
-// The caller calls Begin and End at the times of each fault, in the thread of the io_context.
+// The caller must call Begin and End at the start and the end of each fault, in the thread of the io_context.
 class FaultInjector {
  public:
   // All components must outlive the injector. A pointer is null if the experiment doesn't use the component.
@@ -35,11 +35,11 @@
   // Only for faults with a duration.
   void End(const Fault& fault);
 
-  // Whether a fault is active that can keep list changes from the gateways.
-  bool list_disturbed() const { return list_faults_ > 0; }
+  // Whether a fault that can keep list changes from the gateways is active.
+  bool list_fault_active() const { return active_list_faults_ > 0; }
 
   // When a fault that can keep list changes from the gateways last began or ended; 0 if there was none.
-  Millis list_disturbed_at() const { return list_disturbed_at_; }
+  Millis list_fault_changed_at() const { return list_fault_changed_at_; }
 
  private:
   void BeginAtGateway(const Fault& fault, int gateway);
@@ -56,8 +56,8 @@
 
   const Experiment& experiment_;
   const Components components_;
-  int list_faults_ = 0;
-  Millis list_disturbed_at_ = 0;
+  int active_list_faults_ = 0;
+  Millis list_fault_changed_at_ = 0;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/gateway_config.hpp
+++ b/src/lab/gateway_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file of a gateway of an experiment, to which NODE_CONFIG points.
+// The configuration file of a gateway in an experiment. NODE_CONFIG holds the path of the file.
 #ifndef GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 #define GATEWAY_LAB_GATEWAY_CONFIG_HPP_
 
@@ -12,8 +12,8 @@
 
 // The parameters of one start of a gateway process.
 struct GatewayStart {
-  int gateway = 0;  // from 0
-  int number = 0;   // of the start, from 0
+  int gateway = 0;  // number of the gateway, from 0
+  int number = 0;   // number of earlier starts of this gateway
   std::uint64_t seed = 0;
   std::string known_list;    // the hosts at the start of the run, as JSON
   std::string state_folder;  // empty: the gateway saves no state
@@ -22,7 +22,7 @@
 // The zone of a gateway, as an index into Fleet::zones.
 int GatewayZoneIndex(const Experiment& experiment, int gateway);
 
-// Returns the content of the file, a JSON object.
+// Returns the content of the configuration file, a JSON object.
 std::string GatewayConfigText(const Experiment& experiment, const Addresses& addresses,
                               const GatewayStart& start);
 
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -1,4 +1,4 @@
-// The gateway processes of one run: starts, stops, replaces and probes them.
+// Starts, stops, replaces and probes the gateway processes of one run.
 #ifndef GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 #define GATEWAY_LAB_GATEWAY_PROCESSES_HPP_
 
@@ -22,8 +22,8 @@
 
 namespace gateway::lab {
 
-// Gateways are numbered from 0. Must be used in the thread of the io_context. If a process ends although no
-// fault has ended it, this counts as a violation.
+// Gateways are numbered from 0. Must be used in the thread of the io_context. A process that ends without a
+// fault that ends it counts as a violation.
 class GatewayProcesses {
  public:
   // The referenced objects must outlive this object.
@@ -32,7 +32,7 @@
     const Experiment& experiment;
     const Addresses& addresses;
     RuleChecker& rules;
-    std::string command;  // for /bin/sh
+    std::string command;  // command that starts a gateway, run by /bin/sh
     std::uint64_t seed;
     std::filesystem::path folder;                       // for configurations, saved states and TMPDIRs
     std::string log_folder;                             // empty: logs are dropped
@@ -50,14 +50,16 @@
 
   bool AllReady() const;
 
-  // Returns a text that lists the gateways that are not ready.
+  // Returns a text with the gateways that are not ready, such as "gateway 0 is not ready, gateway 2 is not
+  // ready".
   std::string DescribeNotReady() const;
 
   // Whether the front balancer sends new connections to the gateway.
   bool AcceptsConnections(int gateway, Millis now) const;
 
-  // Whether a fault had killed or stopped the gateway at any time since `since`.
-  bool IsExcused(int gateway, Millis since) const;
+  // Whether the gateway was killed or stopped by a fault at any time since `since`. Includes a short time
+  // after the fault.
+  bool WasDisruptedSince(int gateway, Millis since) const;
 
   // Faults. A gateway that is killed or terminated is restarted `restart_delay` after its process has ended.
   void Kill(int index, Millis restart_delay);
@@ -66,10 +68,12 @@
   void Terminate(int index, Millis restart_delay);
   void Replace(int gateway);
 
-  // Kills all processes and waits until they have ended. The figures include their resource usage.
+  // Kills all processes and waits until they have ended. cpu_time() and max_memory_mb() then include all of
+  // them.
   void KillAll();
 
-  // Total CPU time and largest resident memory of the processes that have ended.
+  // The total CPU time of the processes that have ended, and the largest resident memory that one of them
+  // used.
   Millis cpu_time() const { return cpu_time_; }
   double max_memory_mb() const { return max_memory_mb_; }
 
@@ -78,7 +82,7 @@
     Gateway(boost::asio::io_context& io, Millis detection_delay)
         : balancer_view(detection_delay), probe_timer(io), process_timer(io) {}
     pid_t pid = 0;        // 0: no process
-    pid_t successor = 0;  // while the process is being replaced
+    pid_t successor = 0;  // the new process during a replacement; 0: none
     int start_count = 0;
     bool ready = false;  // the current process has answered a probe with success
     FrontBalancerView balancer_view;
@@ -87,19 +91,19 @@
     boost::asio::steady_timer process_timer;  // for a restart, a kill or a check of the successor
     bool end_expected = false;
     Millis restart_delay = 0;
-    Millis excused_from = -1;   // negative: never
-    Millis excused_until = -1;  // infinite while the fault is active
+    Millis disrupted_from = -1;   // negative: never
+    Millis disrupted_until = -1;  // infinite while the fault is active
   };
 
-  Gateway& At(int gateway) { return *gateways_[static_cast<std::size_t>(gateway)]; }
-  const Gateway& At(int gateway) const { return *gateways_[static_cast<std::size_t>(gateway)]; }
+  Gateway& GatewayAt(int gateway) { return *gateways_[static_cast<std::size_t>(gateway)]; }
+  const Gateway& GatewayAt(int gateway) const { return *gateways_[static_cast<std::size_t>(gateway)]; }
   pid_t Start(int gateway);
   ProcessSpec MakeProcessSpec(int gateway, int start, const std::filesystem::path& config,
                               const std::filesystem::path& temporary) const;
   void Probe(int gateway);
   void OnProbeResult(int index, const base::ClientConnection::Result& result);
-  void BeginExcuse(Gateway& gateway);
-  void KillAfterGrace(Gateway& gateway, std::function<void()> kill);
+  void BeginDisruption(Gateway& gateway);
+  void KillLater(Gateway& gateway, std::function<void()> kill);
   void CheckSuccessor(int gateway, Millis until);
   void OnSuccessorCheck(int index, Millis until, bool success);
   void OnProcessEnd(const ProcessEnd& end);
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -11,12 +11,12 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kMaxWatchTimeout = 60000;  // limit of PROTOCOL
-// The time after which a gateway that could poll counts as notified: 5 s for a long poll, plus 2 s (PROTOCOL,
-// "Figures").
+constexpr Millis kMaxWatchTimeout = 60000;  // the limit that PROTOCOL sets
+// A gateway that could poll the list for this time after a change counts as notified: 5 s for a long poll,
+// plus 2 s (PROTOCOL, "Figures").
 constexpr Millis kNotificationTimeout = 7000;
 
-// The value of a key in the query string; `fallback` if the key is absent.
+// Returns the value of a key in the query string, or `fallback` if the key is absent.
 std::int64_t QueryValue(const std::string& target, const std::string& key, std::int64_t fallback) {
   for (const char separator : {'?', '&'}) {
     const std::string prefix = separator + key + "=";
@@ -39,7 +39,7 @@
 void ListService::Open() {
   for (int gateway = 0; gateway < env_.gateways; ++gateway) {
     listeners_.push_back(std::make_unique<Listener>(
-        env_.io, env_.addresses.List(gateway), &env_.links.ToList(gateway),
+        env_.io, env_.addresses.List(gateway), &env_.links.LinkToListService(gateway),
         [this, gateway](tcp::socket socket) { OnAccept(gateway, std::move(socket)); }));
   }
 }
@@ -51,7 +51,7 @@
   };
   handlers.closed = [this](const auto& connection) { OnClose(connection); };
   const auto connection = std::make_shared<ServerConnection>(
-      std::move(socket), &env_.links.ToList(gateway),
+      std::move(socket), &env_.links.LinkToListService(gateway),
       std::make_shared<const ServerConnection::Handlers>(std::move(handlers)));
   connections_.insert(connection);
   connection->Begin();
@@ -112,7 +112,7 @@
 Millis ListService::NotifiedAt(int gateway, int host) const {
   const Millis notified_at = notified_at_[static_cast<std::size_t>(gateway)][static_cast<std::size_t>(host)];
   const ListedHost& listed = hosts_[static_cast<std::size_t>(host)];
-  const Link& link = env_.links.ToList(gateway);
+  const Link& link = env_.links.LinkToListService(gateway);
   if (notified_at >= 0 || listed.phase == "up" || env_.registry != nullptr) return notified_at;
   if (down_ || link.IsCut()) return notified_at;
   const Millis due = std::max({listed.changed_at, restored_at_, link.healed_at()}) + kNotificationTimeout;
@@ -200,7 +200,7 @@
 }
 
 // Replaces the hosts' addresses in a list by the addresses at which this gateway reaches the hosts. Returns
-// the readiness of each host.
+// the readiness of each host according to the list.
 std::vector<ListService::Readiness> ListService::TranslateAddresses(int gateway, json& list) const {
   const bool complete = list.value("complete", true);
   std::vector<Readiness> readiness(hosts_.size(), complete ? Readiness::kNotUp : Readiness::kNotListed);
@@ -219,7 +219,7 @@
   return ++forwarded_ % std::max(1, static_cast<int>(1 / truncated_share_)) == 0;
 }
 
-// Sends half of the body and closes the connection before the announced Content-Length is complete.
+// Sends half of the body and then closes the connection, so that the body is shorter than its Content-Length.
 void ListService::AnswerTruncated(const std::shared_ptr<ServerConnection>& connection,
                                   HttpResponse response) {
   response.body().resize(response.body().size() / 2);
--- a/src/lab/schedule.cpp
+++ b/src/lab/schedule.cpp
@@ -21,11 +21,11 @@
   return static_cast<int>(shares.size()) - 1;
 }
 
-constexpr double kLowRateShare = 0.5;  // low rate of bursty traffic relative to its mean rate
-constexpr double kMinLowToHighRatio = 0.01;
+constexpr double kLowRateShare = 0.5;        // low rate of bursty traffic as a share of its mean rate
+constexpr double kMinLowToHighRatio = 0.01;  // keeps the mean time at the low rate above 0
 constexpr double kMillisPerSecond = 1000;
-constexpr std::uint64_t kDetailSeedMask =
-    0x9e3779b97f4a7c15ULL;  // separates these draws from those of the times
+// Gives the details of the arrivals a random sequence that differs from that of the arrival times.
+constexpr std::uint64_t kDetailSeedMask = 0x9e3779b97f4a7c15ULL;
 
 }  // namespace
 
@@ -45,25 +45,25 @@
     tenants_.push_back("all");
     tenant_shares_.push_back(1);
   }
-  if (experiment.traffic.bursty) DrawBurstChange();
+  if (experiment.traffic.bursty) DrawNextRateSwitch();
 }
 
 double Schedule::Uniform() { return boost::random::uniform_01<double>()(detail_random_); }
 
-// Draws the time of the next switch between the high and the low rate. The low rate lasts longer on average,
-// so that the mean rate is the configured one.
-void Schedule::DrawBurstChange() {
+// Draws the time of the next switch between the high and the low rate. The mean times at both rates are such
+// that the mean rate is the configured rate.
+void Schedule::DrawNextRateSwitch() {
   const Traffic& traffic = experiment_.traffic;
   const double low_to_high_ratio = (traffic.burst_factor - 1) / (1 - kLowRateShare);
-  const Millis mean = burst_on_ ? traffic.burst_length
-                                : traffic.burst_length * std::max(kMinLowToHighRatio, low_to_high_ratio);
-  burst_changes_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
+  const Millis mean = at_high_rate_ ? traffic.burst_length
+                                    : traffic.burst_length * std::max(kMinLowToHighRatio, low_to_high_ratio);
+  next_rate_switch_at_ += boost::random::exponential_distribution<double>(1 / mean)(arrival_random_);
 }
 
 double Schedule::RateAt(Millis time) const {
   const Traffic& traffic = experiment_.traffic;
   double rate = traffic.rate / kMillisPerSecond;
-  if (traffic.bursty) rate *= burst_on_ ? traffic.burst_factor : kLowRateShare;
+  if (traffic.bursty) rate *= at_high_rate_ ? traffic.burst_factor : kLowRateShare;
   for (const Fault& fault : experiment_.faults) {
     if (fault.kind != FaultKind::kBurst || time < fault.at) continue;
     if (fault.duration == 0 || time < fault.at + fault.duration) rate *= fault.magnitude;
@@ -71,10 +71,11 @@
   return rate;
 }
 
-// The time of the next change of the rate, or the end of the schedule.
+// Returns the time of the next change of the rate, or the end of the schedule if the rate does not change
+// again.
 Millis Schedule::NextRateChange() const {
   Millis next = experiment_.traffic.duration;
-  if (experiment_.traffic.bursty) next = std::min(next, burst_changes_at_);
+  if (experiment_.traffic.bursty) next = std::min(next, next_rate_switch_at_);
   for (const Fault& fault : experiment_.faults) {
     if (fault.kind != FaultKind::kBurst) continue;
     if (fault.at > now_) next = std::min(next, fault.at);
@@ -84,23 +85,24 @@
   return next;
 }
 
-// Advances the time to the next arrival; returns false if the schedule ends before it. Draws an exponential
-// number of expected arrivals and consumes it at the current rate, interval by interval.
+// Advances the time to the next arrival; returns false if the schedule ends before the next arrival. Between
+// two arrivals, the integral of the rate is exponentially distributed with mean 1. The function draws this
+// integral and subtracts the share of each interval of constant rate.
 bool Schedule::AdvanceToNextArrival() {
-  double expected = boost::random::exponential_distribution<double>(1)(arrival_random_);
+  double remaining = boost::random::exponential_distribution<double>(1)(arrival_random_);
   for (;;) {
     const Millis change = NextRateChange();
     const double rate = RateAt(now_);
-    if (now_ + expected / rate < change) {
-      now_ += expected / rate;
+    if (now_ + remaining / rate < change) {
+      now_ += remaining / rate;
       return true;
     }
-    expected -= (change - now_) * rate;
+    remaining -= (change - now_) * rate;
     now_ = change;
     if (now_ >= experiment_.traffic.duration) return false;
-    if (experiment_.traffic.bursty && now_ >= burst_changes_at_) {
-      burst_on_ = !burst_on_;
-      DrawBurstChange();
+    if (experiment_.traffic.bursty && now_ >= next_rate_switch_at_) {
+      at_high_rate_ = !at_high_rate_;
+      DrawNextRateSwitch();
     }
   }
 }
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -25,15 +25,15 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr Millis kDeadlineMargin = 20;  // for the response to reach the client before its timeout
+constexpr Millis kDeadlineMargin = 20;  // so that the response reaches the client before the client's timeout
 constexpr int kMaxAttempts = 3;
 constexpr Millis kWatchTimeout = 5000;
-constexpr Millis kWatchGrace = 2000;
+constexpr Millis kWatchGrace = 2000;  // time that a watch may take beyond its timeout
 constexpr Millis kPollBackoff = 300;
-constexpr std::uint64_t kRequestsPerDefect = 50;
-constexpr std::uint64_t kRequestsBeforeExit = 200;
+constexpr std::uint64_t kRequestsPerDefect = 50;    // every 50th request triggers "loses" or "forges"
+constexpr std::uint64_t kRequestsBeforeExit = 200;  // for "dies"
 constexpr int kDefectExitCode = 3;
-constexpr Millis kDrainTime = 3500;
+constexpr Millis kDrainTime = 3500;  // from SIGTERM to the exit
 
 tcp::endpoint ParseAddress(const std::string& text) {
   const auto address = base::ParseSocketAddress(text);
@@ -62,7 +62,7 @@
     Poll();
   }
 
-  // Reports that the gateway is not ready, and stops accepting connections.
+  // Reports on open connections that the gateway is not ready, and accepts no new connections.
   void Drain() {
     draining_ = true;
     listener_.reset();
@@ -73,7 +73,7 @@
     tcp::endpoint address;
     bool up = true;
     int in_flight = 0;
-    std::vector<std::shared_ptr<ClientConnection>> idle;
+    std::vector<std::shared_ptr<ClientConnection>> idle_connections;
   };
   struct ActiveRequest {
     std::shared_ptr<ServerConnection> client;
@@ -92,7 +92,7 @@
       Endpoint& endpoint = endpoints_[member.at("id").get<std::string>()];
       endpoint.address = ParseAddress(member.at("host_port").get<std::string>());
       endpoint.up = member.at("phase").get<std::string>() == "up";
-      if (!endpoint.up) endpoint.idle.clear();
+      if (!endpoint.up) endpoint.idle_connections.clear();
     }
     revision_ = list.at("revision").get<std::int64_t>();
   }
@@ -116,8 +116,8 @@
         });
   }
 
-  // Selects an endpoint by the policy; null if no endpoint is up.
-  Endpoint* Pick() {
+  // Selects an endpoint that is up according to the policy; null if no endpoint is up.
+  Endpoint* PickEndpoint() {
     std::vector<Endpoint*> up;
     for (auto& [id, endpoint] : endpoints_) {
       if (endpoint.up) up.push_back(&endpoint);
@@ -152,11 +152,11 @@
     if (!std::exchange(request->answered, true)) request->client->Answer(std::move(response));
   }
 
-  // Returns an idle connection to the endpoint, or a new one.
+  // Returns an idle connection to the endpoint, or a new connection.
   std::shared_ptr<ClientConnection> AcquireConnection(Endpoint& endpoint) {
-    while (!endpoint.idle.empty()) {
-      auto connection = endpoint.idle.back();
-      endpoint.idle.pop_back();
+    while (!endpoint.idle_connections.empty()) {
+      auto connection = endpoint.idle_connections.back();
+      endpoint.idle_connections.pop_back();
       if (connection->usable()) return connection;
     }
     return std::make_shared<ClientConnection>(io_, endpoint.address);
@@ -165,9 +165,9 @@
   void ReuseLater(Endpoint& endpoint, const std::shared_ptr<ClientConnection>& connection) {
     if (!connection->usable()) return;
     connection->NotifyOnIdleClose([&endpoint, closed = connection.get()] {
-      std::erase_if(endpoint.idle, [closed](const auto& other) { return other.get() == closed; });
+      std::erase_if(endpoint.idle_connections, [closed](const auto& other) { return other.get() == closed; });
     });
-    endpoint.idle.push_back(connection);
+    endpoint.idle_connections.push_back(connection);
   }
 
   static std::string RequestText(const HttpRequest& message, Millis time_left) {
@@ -182,7 +182,7 @@
 
   void Send(const std::shared_ptr<ActiveRequest>& request) {
     if (request->answered) return;
-    Endpoint* const endpoint = Pick();
+    Endpoint* const endpoint = PickEndpoint();
     const Millis time_left = request->deadline - MonotonicNow();
     if (endpoint == nullptr || request->attempts == kMaxAttempts || time_left <= 0) {
       return Answer(request, MakeResponse(502));
@@ -234,7 +234,7 @@
 
 int ServeStandIn(const StandInOptions& options) {
   const char* const path = std::getenv("NODE_CONFIG");
-  if (path == nullptr) throw std::runtime_error("NODE_CONFIG: not set");
+  if (path == nullptr) throw std::runtime_error("the environment variable NODE_CONFIG is not set");
   std::ifstream stream(path);
   const json config = json::parse(stream, nullptr, /*allow_exceptions=*/false);
   if (!config.is_object()) {
