--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -71,8 +71,8 @@
   }
   for (const lab::ScaleFit& fit : result.fits) {
     fmt::print("  {:14} {:28} {:8} {:.4g} + {:.4g} x, r2 {:.3f}; at {:g}: {:.4g} ({:.4g} to {:.4g}{})\n",
-               fit.role, fit.figure, lab::FitFormName(fit.form), fit.offset, fit.slope, fit.r2, fit.at_full.x,
-               fit.at_full.value, fit.at_full.low, fit.at_full.high,
+               fit.role, fit.figure, lab::GrowthModelName(fit.model), fit.offset, fit.slope, fit.r2,
+               fit.at_full.x, fit.at_full.value, fit.at_full.low, fit.at_full.high,
                fit.at_full.extrapolated ? ", extrapolated" : "");
   }
 }
@@ -104,7 +104,7 @@
     fmt::print(
         "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests queued; all up to date after "
         "{:.0f} ms\n",
-        storm.storm, storm.peak_bytes_per_s, storm.peak_cpu_percent, storm.peak_queue, storm.all_current_ms);
+        storm.storm, storm.peak_bytes_per_s, storm.peak_cpu_percent, storm.peak_queue, storm.convergence_ms);
   }
   return kSuccess;
 }
@@ -120,7 +120,7 @@
             lab::ToJson(comparison).dump(1) + "\n");
   fmt::print("{} hollow gateways compared with as many real gateways, measured at the list service:\n",
              comparison.gateways);
-  for (const lab::UseRatio& ratio : comparison.ratios) {
+  for (const lab::LoadRatio& ratio : comparison.ratios) {
     fmt::print("  {:18} real {:10.6g} hollow {:10.6g} ratio {:.3f}\n", ratio.figure, ratio.real, ratio.hollow,
                ratio.ratio());
   }
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -81,7 +81,7 @@
     MeasureListServiceAlone();
     StartIsolatedGateways();
     StartGateways();
-    MeasureRest();
+    MeasureUnloadedFleet();
     MeasureChanges();
     MeasureRequests();
     MeasureChangeDelays();
@@ -105,7 +105,7 @@
     snapshot.list_service = CpuTimeOf(fleet_.list_service());
     snapshot.tool = CpuTimeOf(getpid());
     for (const RealGateway& gateway : fleet_.real()) snapshot.real += CpuTimeOf(gateway.pid);
-    for (const HollowGroup& group : fleet_.hollow()) snapshot.hollow.push_back(CpuTimeOf(group.pid));
+    for (const HollowProcess& process : fleet_.hollow()) snapshot.hollow.push_back(CpuTimeOf(process.pid));
     if (isolated_gateway_pid_ != 0) snapshot.isolated = CpuTimeOf(isolated_gateway_pid_);
     if (has_real() && !fleet_.real().empty()) snapshot.requests = fleet_.requests().counts();
     return snapshot;
@@ -186,30 +186,30 @@
     HollowGatewayFigures()["ready_ms"] = fleet_.WaitForHollowReady(kHollowReadyTimeoutMs);
   }
 
-  void MeasureRest() {
+  void MeasureUnloadedFleet() {
     if (gateways() == 0) return;
     fleet_.loop().RunFor(windows_.settle);
-    const auto [from, to] = MeasureWindow(windows_.rest);
+    const auto [from, to] = MeasureWindow(windows_.unloaded);
     const Window window{from, to};
-    list_service_rest_percent_ = ListServiceFigures()["cpu_rest_percent"] =
+    list_service_unloaded_percent_ = ListServiceFigures()["cpu_rest_percent"] =
         window.Percent(&Snapshot::list_service);
     // A shorter window may contain no completed watch call, so its rates would be random.
-    const bool measures_traffic = windows_.rest >= kMaxWatchCallMs;
+    const bool measures_traffic = windows_.unloaded >= kMaxWatchCallMs;
     if (measures_traffic) {
       ListServiceFigures()["bytes_in_per_s"] = window.Rate(&ListServiceCounts::bytes_in);
       ListServiceFigures()["bytes_out_per_s"] = window.Rate(&ListServiceCounts::bytes_out);
       ListServiceFigures()["messages_in_per_s"] = ListServiceFigures()["messages_out_per_s"] =
           window.Rate(&ListServiceCounts::calls);
     }
-    rest_list_bytes_per_s_ = window.Rate(&ListServiceCounts::list_bytes_out);
+    unloaded_list_bytes_per_s_ = window.Rate(&ListServiceCounts::list_bytes_out);
     if (has_real()) {
-      real_rest_percent_ = RealGatewayFigures()["cpu_rest_percent"] =
+      real_unloaded_percent_ = RealGatewayFigures()["cpu_rest_percent"] =
           window.Percent(&Snapshot::real) / size_.gateways_real;
       RealGatewayFigures()["cpu_idle_percent"] = window.Percent(&Snapshot::isolated);
       if (measures_traffic) RecordTraffic(RealGatewayFigures(), window);
     }
     if (has_hollow()) {
-      hollow_rest_percent_ = HollowGatewayFigures()["cpu_rest_percent"] =
+      hollow_unloaded_percent_ = HollowGatewayFigures()["cpu_rest_percent"] =
           window.HollowPercent() / size_.gateways_hollow;
       if (measures_traffic) RecordTraffic(HollowGatewayFigures(), window);
     }
@@ -265,21 +265,22 @@
     const double service = window.Percent(&Snapshot::list_service);
     ListServiceFigures()["cpu_busy_percent"] = service;
     ListServiceFigures()["cpu_per_change_us"] =
-        CostPerOperationUs(service - list_service_rest_percent_, per_second);
+        CostPerOperationUs(service - list_service_unloaded_percent_, per_second);
     const double bytes =
-        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - rest_list_bytes_per_s_) / per_second;
+        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - unloaded_list_bytes_per_s_) /
+        per_second;
     ListServiceFigures()["bytes_per_change"] = bytes;
     if (has_real()) {
       real_changing_percent_ = window.Percent(&Snapshot::real) / size_.gateways_real;
       RealGatewayFigures()["cpu_per_change_us"] =
-          CostPerOperationUs(real_changing_percent_ - real_rest_percent_, per_second);
+          CostPerOperationUs(real_changing_percent_ - real_unloaded_percent_, per_second);
       RealGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
     if (has_hollow()) {
       const double busy = window.HollowPercent() / size_.gateways_hollow;
       HollowGatewayFigures()["cpu_busy_percent"] = busy;
       HollowGatewayFigures()["cpu_per_change_us"] =
-          CostPerOperationUs(busy - hollow_rest_percent_, per_second);
+          CostPerOperationUs(busy - hollow_unloaded_percent_, per_second);
       HollowGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
   }
@@ -321,7 +322,7 @@
     }
     if (has_hollow()) {
       double memory = 0;
-      for (const HollowGroup& group : fleet_.hollow()) memory += ResidentMemoryOf(group.pid);
+      for (const HollowProcess& process : fleet_.hollow()) memory += ResidentMemoryOf(process.pid);
       HollowGatewayFigures()["memory_mb"] = memory / size_.gateways_hollow;
     }
     roles_["load"]["renewals_late"] = fleet_.members().renewals_skipped();
@@ -336,8 +337,8 @@
   std::string complete_list_;       // as it was before the gateways started
   pid_t isolated_gateway_pid_ = 0;  // has the list but no reachable list service
   Millis start_cost_ms_ = 0;
-  double list_service_rest_percent_ = 0, real_rest_percent_ = 0, hollow_rest_percent_ = 0,
-         rest_list_bytes_per_s_ = 0, real_changing_percent_ = 0;
+  double list_service_unloaded_percent_ = 0, real_unloaded_percent_ = 0, hollow_unloaded_percent_ = 0,
+         unloaded_list_bytes_per_s_ = 0, real_changing_percent_ = 0;
 };
 
 }  // namespace
--- a/src/lab/scale/gateway_configuration.cpp
+++ b/src/lab/scale/gateway_configuration.cpp
@@ -43,7 +43,7 @@
 
 json GatewayConfiguration(const FleetSize& size, const GatewayConfigInput& input) {
   const int gateways =
-      size.gateways_stated > 0 ? size.gateways_stated : size.gateways_real + size.gateways_hollow;
+      size.gateways_in_settings > 0 ? size.gateways_in_settings : size.gateways_real + size.gateways_hollow;
   const std::string zone(1, static_cast<char>('a' + input.index % size.zones));
   const std::string list_service = Addresses::Text(input.list_service);
   json config{{"name", fmt::format("n{}", input.index)},
--- a/src/lab/scale/hollow_comparison.hpp
+++ b/src/lab/scale/hollow_comparison.hpp
@@ -13,8 +13,9 @@
 namespace gateway::lab {
 
 // The load that gateways of one kind caused at the list service, summed over all runs.
-struct ListServiceUse {
-  double rest_calls = 0, rest_bytes_in = 0, rest_bytes_out = 0;  // from the gateways' start, without changes
+struct ListServiceLoad {
+  double unloaded_calls = 0, unloaded_bytes_in = 0,
+         unloaded_bytes_out = 0;  // from the gateways' start, without changes
   double change_calls = 0, change_bytes_in = 0, change_bytes_out = 0;  // during changes
   // The lowest CPU time of any run, counted over the complete run. The lowest value is used, since other load
   // on the machine can only increase the CPU time.
@@ -22,7 +23,7 @@
 };
 
 // One figure of the list service's load under real and under hollow gateways.
-struct UseRatio {
+struct LoadRatio {
   std::string figure;
   double real = 0, hollow = 0;
   bool machine_dependent = false;  // depends on the machine and its load, not on the messages sent
@@ -33,7 +34,7 @@
 struct HollowComparison {
   int gateways = 0;
   double tolerance = 0.1;  // largest accepted distance of a ratio from 1
-  std::vector<UseRatio> ratios;
+  std::vector<LoadRatio> ratios;
   // Whether there are ratios and all are within the tolerance. Without `include_machine_dependent`, CPU time
   // is not checked.
   bool IsWithinTolerance(bool include_machine_dependent) const;
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -96,22 +96,23 @@
           {"all_ready_at", state.all_ready_at}};
 }
 
-HollowState HollowStateFromJson(const json& form) {
-  return {form.at("gateways"), form.at("ready"), form.at("oldest_revision"), form.at("all_ready_at")};
+HollowState HollowStateFromJson(const json& json_value) {
+  return {json_value.at("gateways"), json_value.at("ready"), json_value.at("oldest_revision"),
+          json_value.at("all_ready_at")};
 }
 
 json ToJson(const RevisionArrivals& arrivals) {
-  json form = json::array();
+  json json_value = json::array();
   for (const auto& gateway_arrivals : arrivals) {
-    json& list = form.emplace_back(json::array());
+    json& list = json_value.emplace_back(json::array());
     for (const RevisionArrival& arrival : gateway_arrivals) list.push_back({arrival.revision, arrival.at});
   }
-  return form;
+  return json_value;
 }
 
-RevisionArrivals RevisionArrivalsFromJson(const json& form) {
+RevisionArrivals RevisionArrivalsFromJson(const json& json_value) {
   RevisionArrivals arrivals;
-  for (const json& list : form) {
+  for (const json& list : json_value) {
     auto& gateway_arrivals = arrivals.emplace_back();
     for (const json& arrival : list) gateway_arrivals.push_back({arrival.at(0), arrival.at(1)});
   }
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -31,7 +31,7 @@
   base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all are ready yet
 };
 nlohmann::json ToJson(const HollowState& state);
-HollowState HollowStateFromJson(const nlohmann::json& form);
+HollowState HollowStateFromJson(const nlohmann::json& json);
 
 // The time at which a gateway received a revision of the list; base::MonotonicNow.
 struct RevisionArrival {
@@ -42,7 +42,7 @@
 // order.
 using RevisionArrivals = std::vector<std::vector<RevisionArrival>>;
 nlohmann::json ToJson(const RevisionArrivals& arrivals);
-RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& form);
+RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& json);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -63,7 +63,7 @@
   read_count("hosts", size.hosts, 1);
   size.gateways_real = table.Integer("gateways_real", size.gateways_real, 0, kMaxRealGateways);
   read_count("gateways_hollow", size.gateways_hollow, 0);
-  read_count("gateways_stated", size.gateways_stated, 0);
+  read_count("gateways_stated", size.gateways_in_settings, 0);
   read_count("services", size.services, 1);
   read_count("classes", size.classes, 1);
   read_count("tenants", size.tenants, 0);
@@ -71,7 +71,7 @@
   size.changes_per_s = table.Number("changes_per_s", size.changes_per_s, {0, 10000});
   size.requests_per_s = table.Number("requests_per_s", size.requests_per_s, {0, 100000});
   size.lease_term = table.Number("lease_term_s", size.lease_term / kMsPerSecond, {0.5, 3600}) * kMsPerSecond;
-  size.whole_lists_per_s = table.Number("whole_lists_per_s", size.whole_lists_per_s, kAboveZero);
+  size.complete_lists_per_s = table.Number("whole_lists_per_s", size.complete_lists_per_s, kAboveZero);
   table.RejectUnknownKeys();
   return size;
 }
@@ -79,7 +79,7 @@
 ScaleWindows ReadWindows(TomlTable& table, ScaleWindows windows) {
   windows.settle = table.Number("settle_ms", windows.settle, kNotNegative);
   windows.window = table.Number("window_ms", windows.window, {50, 60000});
-  windows.rest = table.Number("rest_ms", windows.rest, {50, 60000});
+  windows.unloaded = table.Number("rest_ms", windows.unloaded, {50, 60000});
   table.RejectUnknownKeys();
   return windows;
 }
@@ -203,11 +203,11 @@
   return size;
 }
 
-std::map<std::string, double> FixedFigures(const FleetSize& size) {
+std::map<std::string, double> FixedSizes(const FleetSize& size) {
   return {{"hosts", size.hosts},
           {"gateways_real", size.gateways_real},
           {"gateways_hollow", size.gateways_hollow},
-          {"gateways_stated", size.gateways_stated},
+          {"gateways_stated", size.gateways_in_settings},
           {"services", size.services},
           {"classes", size.classes},
           {"tenants", size.tenants},
@@ -215,11 +215,11 @@
           {"changes_per_s", size.changes_per_s},
           {"requests_per_s", size.requests_per_s},
           {"lease_term_s", size.lease_term / kMsPerSecond},
-          {"whole_lists_per_s", size.whole_lists_per_s}};
+          {"whole_lists_per_s", size.complete_lists_per_s}};
 }
 
-std::map<std::string, double> FixedFigures(const ScaleExperiment& experiment) {
-  std::map<std::string, double> figures = FixedFigures(experiment.fixed);
+std::map<std::string, double> FixedSizes(const ScaleExperiment& experiment) {
+  std::map<std::string, double> figures = FixedSizes(experiment.fixed);
   const std::map<ScaleAxis, const char*> named_differently{{ScaleAxis::kGateways, "gateways_hollow"},
                                                            {ScaleAxis::kChanges, "changes_per_s"},
                                                            {ScaleAxis::kRequests, "requests_per_s"}};
@@ -239,7 +239,7 @@
   return limits;
 }
 
-int HollowProcesses(int gateways_hollow) {
+int HollowProcessCount(int gateways_hollow) {
   return (gateways_hollow + kHollowGatewaysPerProcess - 1) / kHollowGatewaysPerProcess;
 }
 
@@ -255,8 +255,8 @@
       kToolMemoryMb + kToolMemoryPerHostMb * size.hosts + kServiceMemoryMb +
       kServiceMemoryPerHostMb * size.hosts +
       kServiceMemoryPerClientMb * (size.gateways_hollow + size.gateways_real) + gateways * gateway_mb +
-      kHollowProcessMemoryMb * HollowProcesses(size.gateways_hollow) + size.gateways_hollow * hollow_mb;
-  estimate.processes = kBaseProcesses + size.gateways_real + HollowProcesses(size.gateways_hollow);
+      kHollowProcessMemoryMb * HollowProcessCount(size.gateways_hollow) + size.gateways_hollow * hollow_mb;
+  estimate.processes = kBaseProcesses + size.gateways_real + HollowProcessCount(size.gateways_hollow);
   estimate.descriptors = kBaseDescriptors + size.gateways_real + size.gateways_hollow;
   return estimate;
 }
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -18,18 +18,18 @@
 
 // The size of the fleet at one point and the load on it.
 struct FleetSize {
-  int hosts = 100;           // with leases
-  int gateways_real = 1;     // processes of the gateway program
-  int gateways_hollow = 10;  // gateways that forward no requests; several per process
-  int gateways_stated = 0;   // number of gateways in the gateways' settings; 0: the actual number
-  int services = 3;          // the hosts are divided among them
+  int hosts = 100;               // with leases
+  int gateways_real = 1;         // processes of the gateway program
+  int gateways_hollow = 10;      // gateways that forward no requests; several per process
+  int gateways_in_settings = 0;  // number of gateways in the gateways' settings; 0: the actual number
+  int services = 3;              // the hosts are divided among them
   int classes = 3;
   int tenants = 1;
   int zones = 3;
   double changes_per_s = 20;
   double requests_per_s = 152;  // to each real gateway
   Millis lease_term = 10000;
-  double whole_lists_per_s = 500;  // complete lists that the list service admits
+  double complete_lists_per_s = 500;  // complete lists that the list service admits
 };
 
 // The size that a sweep varies.
@@ -37,9 +37,9 @@
 
 // The durations of the phases at one point.
 struct ScaleWindows {
-  Millis settle = 300;   // waiting time after each change of load, before the next window
-  Millis window = 1000;  // each window except the one at rest
-  Millis rest = 1000;    // the window at rest; a watch call waits up to 2500
+  Millis settle = 300;     // waiting time after each change of load, before the next window
+  Millis window = 1000;    // each window except the one at rest
+  Millis unloaded = 1000;  // the window at rest; a watch call waits up to 2500
 };
 
 enum class ScaleKind {
@@ -72,9 +72,9 @@
 // Returns the fixed sizes with the size of the sweep's axis set to `value`.
 FleetSize SizeAt(const ScaleExperiment& experiment, double value);
 // Returns the sizes by their names in files.
-std::map<std::string, double> FixedFigures(const FleetSize& size);
+std::map<std::string, double> FixedSizes(const FleetSize& size);
 // Returns the fixed sizes of a sweep, without the size of its axis.
-std::map<std::string, double> FixedFigures(const ScaleExperiment& experiment);
+std::map<std::string, double> FixedSizes(const ScaleExperiment& experiment);
 
 // The resources of the machine that one run may use.
 struct ScaleLimits {
@@ -94,7 +94,7 @@
 ResourceEstimate EstimateResources(const FleetSize& size);
 
 // Returns the number of processes that run this number of hollow gateways.
-int HollowProcesses(int gateways_hollow);
+int HollowProcessCount(int gateways_hollow);
 
 // Returns the experiment that --compare runs.
 ScaleExperiment StandardComparison();
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -26,18 +26,18 @@
 enum class FittedParameters { kOffset, kSlope, kBoth };
 
 struct Curve {
-  FitForm form = FitForm::kLinear;
+  GrowthModel model = GrowthModel::kLinear;
   FittedParameters fitted = FittedParameters::kBoth;
   double offset = 0, slope = 0;
   double squared_residuals = 0;  // weighted sum of the squared residuals of the means
 };
 
-double Basis(FitForm form, double x) {
-  switch (form) {
-    case FitForm::kConstant: return 0;
-    case FitForm::kLinear: return x;
-    case FitForm::kNLogN: return x > 1 ? x * std::log(x) : 0;
-    case FitForm::kSquare: return x * x;
+double Basis(GrowthModel model, double x) {
+  switch (model) {
+    case GrowthModel::kConstant: return 0;
+    case GrowthModel::kLinear: return x;
+    case GrowthModel::kNLogN: return x > 1 ? x * std::log(x) : 0;
+    case GrowthModel::kQuadratic: return x * x;
   }
   return 0;
 }
@@ -80,27 +80,27 @@
   return squared_residuals;
 }
 
-std::vector<Observation> MeanObservations(FitForm form, const std::vector<double>& sizes,
+std::vector<Observation> MeanObservations(GrowthModel model, const std::vector<double>& sizes,
                                           const std::vector<RunValues>& runs) {
   std::vector<Observation> observations;
   for (std::size_t i = 0; i < sizes.size(); ++i) {
     double sum = 0;
     for (const double value : runs[i]) sum += value;
     const auto count = static_cast<double>(runs[i].size());
-    observations.push_back({Basis(form, sizes[i]), sum / count, count});
+    observations.push_back({Basis(model, sizes[i]), sum / count, count});
   }
   return observations;
 }
 
 // Least squares under the constraints offset >= 0 and slope >= 0. With two parameters, the one that violates
 // its constraint can be set to zero and the other one fitted alone.
-Curve FitCurve(FitForm form, const std::vector<Observation>& observations) {
+Curve FitCurve(GrowthModel model, const std::vector<Observation>& observations) {
   const Sums sums = WeightedSums(observations);
   Curve curve;
-  curve.form = form;
+  curve.model = model;
   curve.slope = sums.basis_squares > 0 ? sums.products / sums.basis_squares : 0;
   curve.offset = sums.value_mean - curve.slope * sums.basis_mean;
-  if (form == FitForm::kConstant || curve.slope <= 0) {
+  if (model == GrowthModel::kConstant || curve.slope <= 0) {
     curve.fitted = FittedParameters::kOffset;
     curve.slope = 0;
     curve.offset = std::max(0.0, sums.value_mean);
@@ -135,20 +135,20 @@
   return std::sqrt(growing.squared_residuals) < kMaxResidualRatio * std::sqrt(constant.squared_residuals);
 }
 
-const Curve& ChooseCurve(const std::vector<Curve>& curves, const std::map<FitForm, double>& residuals,
+const Curve& ChooseCurve(const std::vector<Curve>& curves, const std::map<GrowthModel, double>& residuals,
                          std::size_t points) {
-  const auto curve_of = [&](FitForm form) -> const Curve& {
+  const auto curve_of = [&](GrowthModel model) -> const Curve& {
     return *std::find_if(curves.begin(), curves.end(),
-                         [&](const Curve& curve) { return curve.form == form; });
+                         [&](const Curve& curve) { return curve.model == model; });
   };
-  const Curve& constant = curve_of(FitForm::kConstant);
-  const Curve& linear = curve_of(FitForm::kLinear);
-  const bool n_log_n = residuals.at(FitForm::kNLogN) <= residuals.at(FitForm::kSquare);
-  const Curve& curved = curve_of(n_log_n ? FitForm::kNLogN : FitForm::kSquare);
-  if (residuals.at(FitForm::kConstant) < kRoundingResidual) return constant;
-  const double line_residual = residuals.at(FitForm::kLinear);
+  const Curve& constant = curve_of(GrowthModel::kConstant);
+  const Curve& linear = curve_of(GrowthModel::kLinear);
+  const bool n_log_n = residuals.at(GrowthModel::kNLogN) <= residuals.at(GrowthModel::kQuadratic);
+  const Curve& curved = curve_of(n_log_n ? GrowthModel::kNLogN : GrowthModel::kQuadratic);
+  if (residuals.at(GrowthModel::kConstant) < kRoundingResidual) return constant;
+  const double line_residual = residuals.at(GrowthModel::kLinear);
   const bool use_curve =
-      line_residual > kMaxLinearResidual && residuals.at(curved.form) < kMaxResidualRatio * line_residual;
+      line_residual > kMaxLinearResidual && residuals.at(curved.model) < kMaxResidualRatio * line_residual;
   const Curve& growing = use_curve ? curved : linear;
   return HasSignificantGrowth(constant, growing, points) ? growing : constant;
 }
@@ -204,7 +204,7 @@
 FitEstimate Estimate(const Curve& curve, const std::vector<Observation>& means,
                      const std::vector<RunValues>& runs, double largest, double full) {
   const Sums sums = WeightedSums(means);
-  const double basis = Basis(curve.form, full);
+  const double basis = Basis(curve.model, full);
   FitEstimate estimate;
   estimate.x = full;
   estimate.extrapolated = full > largest;
@@ -222,23 +222,24 @@
 
 void CheckInput(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full) {
   if (sizes.size() != runs.size()) {
-    throw FitError(FitProblem::kLengthsDiffer, "the number of run lists should equal the number of sizes");
+    throw FitError(FitProblem::kListLengthsDiffer,
+                   "the number of run lists should equal the number of sizes");
   }
   if (sizes.size() < kMinPoints) {
     throw FitError(FitProblem::kTooFewPoints, "a fit needs at least three points");
   }
   const auto is_invalid = [](double x) { return !std::isfinite(x) || x < 0; };
   if (is_invalid(full) || std::any_of(sizes.begin(), sizes.end(), is_invalid)) {
-    throw FitError(FitProblem::kNotFinite, "sizes should be finite and not negative");
+    throw FitError(FitProblem::kInvalidNumber, "sizes should be finite and not negative");
   }
   for (const RunValues& values : runs) {
     if (values.empty()) throw FitError(FitProblem::kNoRuns, "a point has no values of any run");
     if (!std::all_of(values.begin(), values.end(), [](double y) { return std::isfinite(y); })) {
-      throw FitError(FitProblem::kNotFinite, "values should be finite");
+      throw FitError(FitProblem::kInvalidNumber, "values should be finite");
     }
   }
   if (std::all_of(sizes.begin(), sizes.end(), [&](double x) { return x == sizes.front(); })) {
-    throw FitError(FitProblem::kSameSize, "the points should have different sizes");
+    throw FitError(FitProblem::kEqualSizes, "the points should have different sizes");
   }
 }
 
@@ -274,17 +275,17 @@
   CheckInput(sizes, runs, full);
   std::vector<Curve> curves;
   ScaleFit fit;
-  for (const FitForm form : kAllFitForms) {
-    const auto observations = MeanObservations(form, sizes, runs);
-    curves.push_back(FitCurve(form, observations));
-    fit.residuals[form] = RelativeResidual(curves.back(), WeightedSums(observations));
+  for (const GrowthModel model : kAllGrowthModels) {
+    const auto observations = MeanObservations(model, sizes, runs);
+    curves.push_back(FitCurve(model, observations));
+    fit.residuals[model] = RelativeResidual(curves.back(), WeightedSums(observations));
   }
   const Curve& chosen = ChooseCurve(curves, fit.residuals, sizes.size());
-  const auto means = MeanObservations(chosen.form, sizes, runs);
-  fit.form = chosen.form;
+  const auto means = MeanObservations(chosen.model, sizes, runs);
+  fit.model = chosen.model;
   fit.offset = chosen.offset;
   fit.slope = chosen.slope;
-  fit.residual = fit.residuals.at(chosen.form);
+  fit.residual = fit.residuals.at(chosen.model);
   fit.r2 = CoefficientOfDetermination(chosen, WeightedSums(means));
   const double largest = *std::max_element(sizes.begin(), sizes.end());
   fit.at_full = Estimate(chosen, means, runs, largest, full);
@@ -306,6 +307,6 @@
   return fits;
 }
 
-double ValueAt(const ScaleFit& fit, double x) { return fit.offset + fit.slope * Basis(fit.form, x); }
+double ValueAt(const ScaleFit& fit, double x) { return fit.offset + fit.slope * Basis(fit.model, x); }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -13,11 +13,11 @@
 
 // The reason why values can't be fitted.
 enum class FitProblem {
-  kTooFewPoints,   // fewer than three
-  kSameSize,       // all points have the same x
-  kLengthsDiffer,  // the number of lists of runs differs from the number of sizes
-  kNoRuns,         // a point has no values
-  kNotFinite       // an infinity or NaN, or a negative x
+  kTooFewPoints,       // fewer than three
+  kEqualSizes,         // all points have the same x
+  kListLengthsDiffer,  // the number of lists of runs differs from the number of sizes
+  kNoRuns,             // a point has no values
+  kInvalidNumber       // an infinity or NaN, or a negative x
 };
 
 class FitError : public std::runtime_error {
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -45,9 +45,9 @@
   ListServiceCounts counts;
   counts.calls = counter("calls_total");
   counts.list_calls = counter("list_calls_total");
-  counts.whole_lists = counter("whole_lists_total");
+  counts.complete_lists = counter("whole_lists_total");
   counts.writes = counter("writes_total");
-  counts.turned_away = counter("turned_away_total");
+  counts.rejected = counter("turned_away_total");
   counts.bytes_in = counter("bytes_received_total");
   counts.bytes_out = counter("bytes_sent_total");
   counts.list_bytes_in = counter("list_bytes_received_total");
@@ -118,7 +118,7 @@
                                 "whole_lists_per_s = {}\n[leases]\nterm_s = {}\n",
                                 Addresses::Text(addresses_.Registry()), PathOf("registry-state").string(),
                                 size_.gateways_real + size_.gateways_hollow + kSpareWatchSlots,
-                                size_.whole_lists_per_s, size_.lease_term / 1000));
+                                size_.complete_lists_per_s, size_.lease_term / 1000));
   ProcessSpec spec;
   spec.command = fmt::format("{} registry serve {}", programs_.gatewayctl, config.string());
   spec.log = PathOf("registry.log").string();
@@ -235,15 +235,15 @@
 }
 
 void ScaleFleet::StartHollowGateways(int first, int count, const json& initial_list) {
-  const int processes = HollowProcesses(count);
+  const int processes = HollowProcessCount(count);
   for (int p = 0, started_count = 0; p < processes; ++p) {
     const int number = static_cast<int>(hollow_.size());
-    HollowGroup& group = hollow_.emplace_back();
-    group.gateways = (count - started_count) / (processes - p);
-    group.control = AddressInBlock(kHollowAddressBase + number, kControlPort);
+    HollowProcess& process = hollow_.emplace_back();
+    process.gateways = (count - started_count) / (processes - p);
+    process.control = AddressInBlock(kHollowAddressBase + number, kControlPort);
     GatewayConfigInput input;
     input.index = size_.gateways_real + first + started_count;
-    input.listen = group.control;
+    input.listen = process.control;
     input.list_service = addresses_.Registry();
     input.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(input.index);
     input.initial_list = initial_list;
@@ -253,18 +253,18 @@
     ProcessSpec spec;
     spec.command =
         fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
-                    config.string(), group.gateways, input.index, Addresses::Text(group.control));
+                    config.string(), process.gateways, input.index, Addresses::Text(process.control));
     spec.log = PathOf(name + ".log").string();
-    group.started_at = base::MonotonicNow();
-    group.pid = processes_.Start(spec);
-    logs_[group.pid] = spec.log;
-    started_count += group.gateways;
+    process.started_at = base::MonotonicNow();
+    process.pid = processes_.Start(spec);
+    logs_[process.pid] = spec.log;
+    started_count += process.gateways;
   }
 }
 
-HollowState ScaleFleet::StateOf(const HollowGroup& group) {
+HollowState ScaleFleet::StateOf(const HollowProcess& process) {
   const json body =
-      json::parse(FetchBody(group.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
+      json::parse(FetchBody(process.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
   return body.is_object() ? HollowStateFromJson(body) : HollowState{};
 }
 
@@ -288,8 +288,8 @@
 
 void ScaleFleet::WaitForHollowRevision(std::int64_t revision, Millis timeout) {
   const Millis until = base::MonotonicNow() + timeout;
-  for (const HollowGroup& group : hollow_) {
-    while (StateOf(group).oldest_revision < revision) {
+  for (const HollowProcess& process : hollow_) {
+    while (StateOf(process).oldest_revision < revision) {
       if (base::MonotonicNow() > until)
         throw ScaleTimeout("timed out waiting for the latest revision at all hollow gateways");
       loop_.RunFor(kPollPeriodMs);
@@ -299,9 +299,9 @@
 
 RevisionArrivals ScaleFleet::TakeRevisionArrivals() {
   RevisionArrivals all_arrivals;
-  for (const HollowGroup& group : hollow_) {
+  for (const HollowProcess& process : hollow_) {
     const json body =
-        json::parse(FetchBody(group.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
+        json::parse(FetchBody(process.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
     if (!body.is_array()) throw std::runtime_error("a process of hollow gateways did not answer");
     std::ranges::move(RevisionArrivalsFromJson(body), std::back_inserter(all_arrivals));
   }
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -42,7 +42,7 @@
 
 // Counters of the list service.
 struct ListServiceCounts {
-  double calls = 0, list_calls = 0, whole_lists = 0, writes = 0, turned_away = 0;
+  double calls = 0, list_calls = 0, complete_lists = 0, writes = 0, rejected = 0;
   double bytes_in = 0, bytes_out = 0, list_bytes_in = 0, list_bytes_out = 0;
   double watches = 0, revision = 0;
 };
@@ -58,7 +58,7 @@
 };
 
 // A process of hollow gateways.
-struct HollowGroup {
+struct HollowProcess {
   pid_t pid = 0;
   tcp::endpoint control;
   int gateways = 0;
@@ -110,7 +110,7 @@
   Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
   // Waits until no hollow gateway has an older revision. Throws ScaleTimeout.
   void WaitForHollowRevision(std::int64_t revision, Millis timeout);
-  const std::vector<HollowGroup>& hollow() const { return hollow_; }
+  const std::vector<HollowProcess>& hollow() const { return hollow_; }
   // Returns the revisions that the hollow gateways received since the previous call.
   RevisionArrivals TakeRevisionArrivals();
 
@@ -121,7 +121,7 @@
   std::string LastLine(const std::string& log) const;
   // Returns the body of a successful response; nullopt for another or no response.
   std::optional<std::string> FetchBody(const tcp::endpoint& from, const std::string& target);
-  HollowState StateOf(const HollowGroup& group);
+  HollowState StateOf(const HollowProcess& process);
   tcp::endpoint AddressInBlock(int last, std::uint16_t port) const;
 
   const ScalePrograms programs_;
@@ -135,7 +135,7 @@
   std::unique_ptr<FleetMembers> members_;
   std::unique_ptr<RequestLoad> requests_;
   std::vector<RealGateway> real_;
-  std::vector<HollowGroup> hollow_;
+  std::vector<HollowProcess> hollow_;
   std::map<tcp::endpoint, std::shared_ptr<base::ClientConnection>> connections_;  // for FetchBody
   std::map<pid_t, std::string> logs_;              // log files of processes that should be running
   std::map<pid_t, std::string> unexpected_exits_;  // exit status by process
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -76,18 +76,18 @@
 
 // The fitted curve as a gnuplot expression in x.
 std::string Expression(const ScaleFit& fit) {
-  switch (fit.form) {
-    case FitForm::kConstant: return fmt::format("{:.9g}", fit.offset);
-    case FitForm::kLinear: return fmt::format("{:.9g}+{:.9g}*x", fit.offset, fit.slope);
-    case FitForm::kNLogN: return fmt::format("{:.9g}+{:.9g}*x*log(x)", fit.offset, fit.slope);
-    case FitForm::kSquare: return fmt::format("{:.9g}+{:.9g}*x*x", fit.offset, fit.slope);
+  switch (fit.model) {
+    case GrowthModel::kConstant: return fmt::format("{:.9g}", fit.offset);
+    case GrowthModel::kLinear: return fmt::format("{:.9g}+{:.9g}*x", fit.offset, fit.slope);
+    case GrowthModel::kNLogN: return fmt::format("{:.9g}+{:.9g}*x*log(x)", fit.offset, fit.slope);
+    case GrowthModel::kQuadratic: return fmt::format("{:.9g}+{:.9g}*x*x", fit.offset, fit.slope);
   }
   return "0";
 }
 
 std::string Title(const Line& line) {
   std::string title = line.role + " " + line.figure;
-  if (line.fit != nullptr) title += fmt::format(" ({})", FitFormName(line.fit->form));
+  if (line.fit != nullptr) title += fmt::format(" ({})", GrowthModelName(line.fit->model));
   return title;
 }
 
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -10,10 +10,11 @@
 
 using nlohmann::json;
 
-constexpr std::pair<FitForm, std::string_view> kFormNames[] = {{FitForm::kConstant, "constant"},
-                                                               {FitForm::kLinear, "linear"},
-                                                               {FitForm::kNLogN, "n log n"},
-                                                               {FitForm::kSquare, "square"}};
+constexpr std::pair<GrowthModel, std::string_view> kGrowthModelNames[] = {
+    {GrowthModel::kConstant, "constant"},
+    {GrowthModel::kLinear, "linear"},
+    {GrowthModel::kNLogN, "n log n"},
+    {GrowthModel::kQuadratic, "square"}};
 
 // A JSON value with its path in the file, for errors that name the field.
 class Field {
@@ -56,10 +57,10 @@
     return value_.get<std::string>();
   }
 
-  FitForm Form() const {
-    const auto form = FitFormFromName(Text());
-    if (!form) throw ScaleFormatError(path_, "should be constant, linear, n log n or square");
-    return *form;
+  GrowthModel ReadGrowthModel() const {
+    const auto model = GrowthModelFromName(Text());
+    if (!model) throw ScaleFormatError(path_, "should be constant, linear, n log n or square");
+    return *model;
   }
 
   // Reads every element of an array.
@@ -124,12 +125,12 @@
   return estimate;
 }
 
-std::map<FitForm, double> ReadResiduals(const Field& field) {
-  std::map<FitForm, double> residuals;
+std::map<GrowthModel, double> ReadResiduals(const Field& field) {
+  std::map<GrowthModel, double> residuals;
   for (const auto& [name, value] : field.Map(ReadNumber)) {
-    const auto form = FitFormFromName(name);
-    if (!form) throw ScaleFormatError(field.path() + "." + name, "is not a form of a fit");
-    residuals.emplace(*form, value);
+    const auto model = GrowthModelFromName(name);
+    if (!model) throw ScaleFormatError(field.path() + "." + name, "is not a form of a fit");
+    residuals.emplace(*model, value);
   }
   return residuals;
 }
@@ -138,7 +139,7 @@
   ScaleFit fit;
   fit.role = field.Member("role").Text();
   fit.figure = field.Member("figure").Text();
-  fit.form = field.Member("form").Form();
+  fit.model = field.Member("form").ReadGrowthModel();
   fit.offset = field.Member("offset").Number();
   fit.slope = field.Member("slope").Number();
   fit.residual = field.Member("residual").Number();
@@ -165,7 +166,7 @@
   storm.peak_bytes_per_s = field.Member("peak_bytes_per_s").Number();
   storm.peak_cpu_percent = field.Member("peak_cpu_percent").Number();
   storm.peak_queue = field.Member("peak_queue").Number();
-  storm.all_current_ms = field.Member("all_current_ms").Number();
+  storm.convergence_ms = field.Member("all_current_ms").Number();
   return storm;
 }
 
@@ -185,8 +186,9 @@
 
 json FitToJson(const ScaleFit& fit) {
   json residuals = json::object();
-  for (const auto& [form, residual] : fit.residuals) residuals[std::string(FitFormName(form))] = residual;
-  return {{"role", fit.role},     {"figure", fit.figure},   {"form", FitFormName(fit.form)},
+  for (const auto& [model, residual] : fit.residuals)
+    residuals[std::string(GrowthModelName(model))] = residual;
+  return {{"role", fit.role},     {"figure", fit.figure},   {"form", GrowthModelName(fit.model)},
           {"offset", fit.offset}, {"slope", fit.slope},     {"residual", fit.residual},
           {"r2", fit.r2},         {"residuals", residuals}, {"at_full", EstimateToJson(fit.at_full)}};
 }
@@ -200,7 +202,7 @@
           {"peak_bytes_per_s", storm.peak_bytes_per_s},
           {"peak_cpu_percent", storm.peak_cpu_percent},
           {"peak_queue", storm.peak_queue},
-          {"all_current_ms", storm.all_current_ms}};
+          {"all_current_ms", storm.convergence_ms}};
 }
 
 template <typename Item>
@@ -212,16 +214,16 @@
 
 }  // namespace
 
-std::string_view FitFormName(FitForm form) {
-  for (const auto& [known, name] : kFormNames) {
-    if (known == form) return name;
+std::string_view GrowthModelName(GrowthModel model) {
+  for (const auto& [known, name] : kGrowthModelNames) {
+    if (known == model) return name;
   }
   return "";
 }
 
-std::optional<FitForm> FitFormFromName(std::string_view name) {
-  for (const auto& [form, known] : kFormNames) {
-    if (known == name) return form;
+std::optional<GrowthModel> GrowthModelFromName(std::string_view name) {
+  for (const auto& [model, known] : kGrowthModelNames) {
+    if (known == name) return model;
   }
   return std::nullopt;
 }
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -15,20 +15,20 @@
 namespace gateway::lab {
 
 // How a cost y grows with the size x.
-enum class FitForm {
+enum class GrowthModel {
   kConstant,  // y = offset
   kLinear,    // y = offset + slope * x
   kNLogN,     // y = offset + slope * x * ln(x)
   kSquare     // y = offset + slope * x * x
 };
 
-inline constexpr FitForm kAllFitForms[] = {FitForm::kConstant, FitForm::kLinear, FitForm::kNLogN,
-                                           FitForm::kSquare};
+inline constexpr GrowthModel kAllGrowthModels[] = {GrowthModel::kConstant, GrowthModel::kLinear,
+                                                   GrowthModel::kNLogN, GrowthModel::kQuadratic};
 
 // The name in files: "constant", "linear", "n log n" or "square".
-std::string_view FitFormName(FitForm form);
+std::string_view GrowthModelName(GrowthModel model);
 // Returns nullopt for an unknown name.
-std::optional<FitForm> FitFormFromName(std::string_view name);
+std::optional<GrowthModel> GrowthModelFromName(std::string_view name);
 
 // The fitted value at one size and its 95% prediction interval, in the figure's unit.
 struct FitEstimate {
@@ -41,11 +41,11 @@
 // The fit of one figure of one role over the axis.
 struct ScaleFit {
   std::string role, figure;
-  FitForm form = FitForm::kLinear;
-  double offset = 0, slope = 0;         // never negative
-  double residual = 0;                  // root mean square divided by the mean of the figure
-  double r2 = 0;                        // share of the variance that the form explains
-  std::map<FitForm, double> residuals;  // of all forms
+  GrowthModel model = GrowthModel::kLinear;
+  double offset = 0, slope = 0;             // never negative
+  double residual = 0;                      // root mean square divided by the mean of the figure
+  double r2 = 0;                            // share of the variance that the form explains
+  std::map<GrowthModel, double> residuals;  // of all forms
   FitEstimate at_full;
 };
 
@@ -98,7 +98,7 @@
   double peak_bytes_per_s = 0;
   double peak_cpu_percent = 0;  // of one core
   double peak_queue = 0;
-  double all_current_ms = 0;  // time until all gateways had the newest state
+  double convergence_ms = 0;  // time until all gateways had the newest state
 };
 
 // A file that is not a valid result. what() names the field, as in "points[2].roles: should be an object".
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -43,7 +43,7 @@
         seed_(options.seed > 0 ? options.seed : experiment.seed) {}
 
   ScaleResult Run() {
-    Describe();
+    FillDescription();
     for (const double value : options_.quick ? experiment_.quick_points : experiment_.points) {
       if (options_.deadline > 0 && base::MonotonicNow() > options_.deadline) {
         RecordRefusedPoint(value, "the deadline of the sweep had passed");
@@ -65,7 +65,7 @@
   }
 
  private:
-  void Describe() {
+  void FillDescription() {
     result_.experiment = experiment_.file;
     result_.name = experiment_.name;
     result_.about = experiment_.about;
@@ -74,7 +74,7 @@
     result_.full = experiment_.full;
     result_.seed = seed_;
     result_.runs = static_cast<unsigned>(runs_);
-    result_.fixed = FixedFigures(experiment_);
+    result_.fixed = FixedSizes(experiment_);
     result_.machine = ThisMachine();
   }
 
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -111,7 +111,7 @@
 
 struct StormMeasures {
   Peaks peaks;
-  Millis all_current = 0;
+  Millis convergence = 0;
 };
 
 // Starts a fleet whose hosts are registered and renew their leases.
@@ -140,7 +140,7 @@
   sampler.Start();
   fleet.StartHollowGateways(all_gateways - zone_gateways, zone_gateways, nullptr);
   StormMeasures measures;
-  measures.all_current = fleet.WaitForHollowReady(kConvergenceTimeoutMs, processes_before);
+  measures.convergence = fleet.WaitForHollowReady(kConvergenceTimeoutMs, processes_before);
   measures.peaks = sampler.Stop();
   return measures;
 }
@@ -165,16 +165,16 @@
   if (committed.empty()) throw std::runtime_error("the list service refused a change after its restart");
   fleet.WaitForHollowRevision(committed.back().revision, kConvergenceTimeoutMs);
   StormMeasures measures;
-  measures.all_current = base::MonotonicNow() - restarted_at;
+  measures.convergence = base::MonotonicNow() - restarted_at;
   measures.peaks = sampler.Stop();
   return measures;
 }
 
-void KeepWorst(StormResult& result, const StormMeasures& measures) {
+void KeepLargest(StormResult& result, const StormMeasures& measures) {
   result.peak_bytes_per_s = std::max(result.peak_bytes_per_s, measures.peaks.bytes_per_s);
   result.peak_cpu_percent = std::max(result.peak_cpu_percent, measures.peaks.cpu_percent);
   result.peak_queue = std::max(result.peak_queue, measures.peaks.queue);
-  result.all_current_ms = std::max(result.all_current_ms, measures.all_current);
+  result.convergence_ms = std::max(result.convergence_ms, measures.convergence);
 }
 
 }  // namespace
@@ -189,7 +189,7 @@
   unmeasured.experiment = experiment.file;
   unmeasured.seed = seed;
   unmeasured.runs = static_cast<unsigned>(runs);
-  unmeasured.fixed = FixedFigures(size);
+  unmeasured.fixed = FixedSizes(size);
   unmeasured.fixed["outage_s"] = outage / 1000;
   StormResult zone_start = unmeasured, restart = unmeasured;
   zone_start.storm = "zone_starts";
@@ -197,14 +197,14 @@
   const auto report_progress = [&](const StormResult& result, int run) {
     if (!options.on_progress) return;
     options.on_progress(fmt::format("{}: {}, run {} of {}: all gateways current after at most {:.0f} ms",
-                                    experiment.name, result.storm, run + 1, runs, result.all_current_ms));
+                                    experiment.name, result.storm, run + 1, runs, result.convergence_ms));
   };
   for (int run = 0; run < runs; ++run) {
     const std::uint64_t run_seed = seed + static_cast<std::uint64_t>(run);
-    KeepWorst(zone_start, RunZoneStart(*StartRegisteredFleet(programs, size, run_seed, options.deadline)));
+    KeepLargest(zone_start, RunZoneStart(*StartRegisteredFleet(programs, size, run_seed, options.deadline)));
     report_progress(zone_start, run);
-    KeepWorst(restart, RunListServiceRestart(
-                           *StartRegisteredFleet(programs, size, run_seed, options.deadline), outage));
+    KeepLargest(restart, RunListServiceRestart(
+                             *StartRegisteredFleet(programs, size, run_seed, options.deadline), outage));
     report_progress(restart, run);
   }
   return {std::move(zone_start), std::move(restart)};
--- a/tests/lab/scale_fit_test.cpp
+++ b/tests/lab/scale_fit_test.cpp
@@ -26,12 +26,12 @@
 
 // A cost function with known parameters, which a fit should recover.
 struct TrueCost {
-  FitForm form = FitForm::kLinear;
+  GrowthModel model = GrowthModel::kLinear;
   double offset = 0, slope = 0;
 
   double At(double x) const {
     ScaleFit fit;
-    fit.form = form;
+    fit.model = model;
     fit.offset = offset;
     fit.slope = slope;
     return ValueAt(fit, x);
@@ -65,8 +65,8 @@
 }
 
 TEST(ScaleFit, RecoversOffsetAndSlopeOfALinearCost) {
-  const ScaleFit fit = FitFigure(kSizes, ExactRuns({FitForm::kLinear, 0.8, 0.0007}), kFull);
-  EXPECT_EQ(fit.form, FitForm::kLinear);
+  const ScaleFit fit = FitFigure(kSizes, ExactRuns({GrowthModel::kLinear, 0.8, 0.0007}), kFull);
+  EXPECT_EQ(fit.model, GrowthModel::kLinear);
   EXPECT_NEAR(fit.offset, 0.8, 1e-9);
   EXPECT_NEAR(fit.slope, 0.0007, 1e-12);
   EXPECT_NEAR(fit.residual, 0, 1e-9);
@@ -74,39 +74,39 @@
   EXPECT_NEAR(fit.at_full.value, 18.3, 1e-6);
   EXPECT_NEAR(fit.at_full.low, fit.at_full.high, 1e-6);
   EXPECT_TRUE(fit.at_full.extrapolated);
-  EXPECT_FALSE(FitFigure(kSizes, ExactRuns({FitForm::kLinear, 0.8, 0.0007}), 10000).at_full.extrapolated);
+  EXPECT_FALSE(FitFigure(kSizes, ExactRuns({GrowthModel::kLinear, 0.8, 0.0007}), 10000).at_full.extrapolated);
 }
 
 TEST(ScaleFit, RecoversAQuadraticCostFromNoisyRuns) {
   std::printf("seed %llu\n", static_cast<unsigned long long>(kSeed));
   std::mt19937_64 random(kSeed);
-  const TrueCost true_cost{FitForm::kSquare, 3, 2e-6};
+  const TrueCost true_cost{GrowthModel::kQuadratic, 3, 2e-6};
   const ScaleFit fit = FitFigure(kSizes, NoisyRuns(true_cost, 0.05, 3, random), kFull);
-  EXPECT_EQ(fit.form, FitForm::kSquare);
+  EXPECT_EQ(fit.model, GrowthModel::kQuadratic);
   EXPECT_NEAR(fit.slope, 2e-6, 2e-7);
-  EXPECT_GT(fit.residuals.at(FitForm::kLinear), 2 * fit.residual);
-  EXPECT_EQ(fit.residuals.size(), std::size(kAllFitForms));
+  EXPECT_GT(fit.residuals.at(GrowthModel::kLinear), 2 * fit.residual);
+  EXPECT_EQ(fit.residuals.size(), std::size(kAllGrowthModels));
 }
 
 TEST(ScaleFit, ChoosesTheConstantFormIfTheCostDoesNotGrow) {
   std::mt19937_64 random(kSeed);
-  const ScaleFit fit = FitFigure(kSizes, NoisyRuns({FitForm::kConstant, 5, 0}, 0.02, 3, random), kFull);
-  EXPECT_EQ(fit.form, FitForm::kConstant);
+  const ScaleFit fit = FitFigure(kSizes, NoisyRuns({GrowthModel::kConstant, 5, 0}, 0.02, 3, random), kFull);
+  EXPECT_EQ(fit.model, GrowthModel::kConstant);
   EXPECT_NEAR(fit.at_full.value, 5, 0.1);
-  EXPECT_EQ(FitFigure(kSizes, ExactRuns({FitForm::kConstant, 0, 0}), kFull).at_full.value, 0);
+  EXPECT_EQ(FitFigure(kSizes, ExactRuns({GrowthModel::kConstant, 0, 0}), kFull).at_full.value, 0);
 }
 
 TEST(ScaleFit, KeepsAnInsignificantSlopeThatFitsClearlyBetter) {
   // The values rise, but the slope is within two standard errors of zero. A constant fit would ignore the
   // growth: its estimate at the full size would be the mean of the measured values.
   const ScaleFit fit = FitFigure({10, 100, 1000, 5000}, {{1.2}, {1.0}, {2.9}, {3.3}}, kFull);
-  EXPECT_EQ(fit.form, FitForm::kLinear);
+  EXPECT_EQ(fit.model, GrowthModel::kLinear);
   EXPECT_GT(fit.at_full.value, 6);
 }
 
 TEST(ScaleFit, ChoosesALineForAQuadraticCostIfItsResidualIsSmall) {
-  const ScaleFit fit = FitFigure(kSizes, ExactRuns({FitForm::kSquare, 1000, 1e-7}), kFull);
-  EXPECT_EQ(fit.form, FitForm::kLinear);
+  const ScaleFit fit = FitFigure(kSizes, ExactRuns({GrowthModel::kQuadratic, 1000, 1e-7}), kFull);
+  EXPECT_EQ(fit.model, GrowthModel::kLinear);
   EXPECT_LT(fit.residual, 0.005);
 }
 
@@ -117,7 +117,7 @@
   EXPECT_GE(rising.offset, 0);
   EXPECT_GE(rising.slope, 0);
   const ScaleFit falling = FitFigure({10, 1000, 2000}, {{9}, {6}, {3}}, kFull);
-  EXPECT_EQ(falling.form, FitForm::kConstant);
+  EXPECT_EQ(falling.model, GrowthModel::kConstant);
   EXPECT_NEAR(falling.at_full.value, 6, 1e-9);
   EXPECT_GE(falling.at_full.low, 0);
 }
@@ -127,24 +127,24 @@
 TEST(ScaleFit, IntervalContainsTheTrueValueInMostSweeps) {
   std::printf("seed %llu\n", static_cast<unsigned long long>(kSeed));
   std::mt19937_64 random(kSeed);
-  const TrueCost true_cost{FitForm::kLinear, 400, 0.02};
+  const TrueCost true_cost{GrowthModel::kLinear, 400, 0.02};
   constexpr int kSweeps = 1000;
-  int containing_sweeps = 0, true_form_sweeps = 0;
+  int containing_sweeps = 0, true_model_sweeps = 0;
   for (int i = 0; i < kSweeps; ++i) {
     const ScaleFit fit = FitFigure(kSizes, NoisyRuns(true_cost, 0.05, 3, random), kFull);
-    true_form_sweeps += fit.form == FitForm::kLinear ? 1 : 0;
+    true_model_sweeps += fit.model == GrowthModel::kLinear ? 1 : 0;
     containing_sweeps +=
         fit.at_full.low <= true_cost.At(kFull) && true_cost.At(kFull) <= fit.at_full.high ? 1 : 0;
   }
   std::printf("%d of %d within the interval, %d of the true form\n", containing_sweeps, kSweeps,
-              true_form_sweeps);
+              true_model_sweeps);
   EXPECT_GE(containing_sweeps, kSweeps * 95 / 100);
-  EXPECT_GE(true_form_sweeps, kSweeps * 95 / 100);
+  EXPECT_GE(true_model_sweeps, kSweeps * 95 / 100);
 }
 
 TEST(ScaleFit, IntervalIsWiderForNoisierRuns) {
   std::mt19937_64 random(kSeed);
-  const TrueCost true_cost{FitForm::kLinear, 400, 0.02};
+  const TrueCost true_cost{GrowthModel::kLinear, 400, 0.02};
   const ScaleFit quiet = FitFigure(kSizes, NoisyRuns(true_cost, 0.01, 3, random), kFull);
   const ScaleFit noisy = FitFigure(kSizes, NoisyRuns(true_cost, 0.10, 3, random), kFull);
   EXPECT_GT(noisy.at_full.high - noisy.at_full.low, 3 * (quiet.at_full.high - quiet.at_full.low));
@@ -152,22 +152,22 @@
 
 TEST(ScaleFit, ReportsWhyInvalidInputCannotBeFitted) {
   EXPECT_EQ(ProblemOf({1, 2}, {{1}, {2}}), FitProblem::kTooFewPoints);
-  EXPECT_EQ(ProblemOf({7, 7, 7}, {{1}, {2}, {3}}), FitProblem::kSameSize);
-  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {2}}), FitProblem::kLengthsDiffer);
+  EXPECT_EQ(ProblemOf({7, 7, 7}, {{1}, {2}, {3}}), FitProblem::kEqualSizes);
+  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {2}}), FitProblem::kListLengthsDiffer);
   EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {}, {2}}), FitProblem::kNoRuns);
-  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {std::nan("")}, {2}}), FitProblem::kNotFinite);
-  EXPECT_EQ(ProblemOf({-1, 2, 3}, {{1}, {1}, {2}}), FitProblem::kNotFinite);
+  EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {std::nan("")}, {2}}), FitProblem::kInvalidNumber);
+  EXPECT_EQ(ProblemOf({-1, 2, 3}, {{1}, {1}, {2}}), FitProblem::kInvalidNumber);
 }
 
 TrueCost DrawTrueCost() {
   TrueCost true_cost;
-  true_cost.form =
-      *rc::gen::elementOf(std::vector<FitForm>(std::begin(kAllFitForms), std::end(kAllFitForms)));
-  true_cost.slope = true_cost.form == FitForm::kConstant ? 0 : *rc::gen::inRange(1, 1000) * 1e-3;
+  true_cost.model =
+      *rc::gen::elementOf(std::vector<GrowthModel>(std::begin(kAllGrowthModels), std::end(kAllGrowthModels)));
+  true_cost.slope = true_cost.model == GrowthModel::kConstant ? 0 : *rc::gen::inRange(1, 1000) * 1e-3;
   // The offset is smaller than the part of the cost that grows, taken at the largest measured point.
-  const double growth = true_cost.form == FitForm::kConstant ? 100 : true_cost.At(kSizes.back());
+  const double growth = true_cost.model == GrowthModel::kConstant ? 100 : true_cost.At(kSizes.back());
   true_cost.offset =
-      growth * *rc::gen::inRange(0, 100) / 100 + (true_cost.form == FitForm::kConstant ? 1 : 0);
+      growth * *rc::gen::inRange(0, 100) / 100 + (true_cost.model == GrowthModel::kConstant ? 1 : 0);
   return true_cost;
 }
 
@@ -176,11 +176,11 @@
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
   const ScaleFit fit = FitFigure(kSizes, NoisyRuns(true_cost, 0.002, 3, random), kFull);
   // The significance test for the slope occasionally chooses a line for a constant cost.
-  if (true_cost.form == FitForm::kConstant && fit.form != FitForm::kConstant) {
+  if (true_cost.model == GrowthModel::kConstant && fit.model != GrowthModel::kConstant) {
     RC_ASSERT(std::abs(fit.at_full.value - true_cost.offset) < 0.05 * true_cost.offset);
     return;
   }
-  RC_ASSERT(fit.form == true_cost.form);
+  RC_ASSERT(fit.model == true_cost.model);
   RC_ASSERT(std::abs(fit.slope - true_cost.slope) <= 0.02 * true_cost.slope);
 }
 
@@ -196,7 +196,7 @@
   const ScaleFit original = FitFigure(kSizes, runs, kFull);
   const ScaleFit rescaled = FitFigure(kSizes, scaled, kFull);
   const auto is_near = [](double a, double b) { return std::abs(a - b) <= 1e-9 * (1e-9 + std::abs(a)); };
-  RC_ASSERT(original.form == rescaled.form);
+  RC_ASSERT(original.model == rescaled.model);
   RC_ASSERT(is_near(original.slope * factor, rescaled.slope));
   RC_ASSERT(is_near(original.at_full.value * factor, rescaled.at_full.value));
   RC_ASSERT(is_near(original.at_full.high * factor, rescaled.at_full.high));
@@ -227,7 +227,7 @@
   result.runs = 2;
   result.machine = {8, 24000};
   result.fixed = {{"gateways_real", 1}};
-  const auto runs = ExactRuns({FitForm::kLinear, 0.8, 0.0007});
+  const auto runs = ExactRuns({GrowthModel::kLinear, 0.8, 0.0007});
   for (std::size_t i = 0; i < kSizes.size(); ++i) {
     result.points.push_back(
         {kSizes[i], {{"gateway", {{"cpu_idle_percent", runs[i]}, {"memory_mb", {5, 6}}}}}});
@@ -275,7 +275,7 @@
       ErrorAfter([](json& result) { result["points"][1]["roles"]["gateway"]["memory_mb"][1] = nullptr; }),
       "points[1].roles.gateway.memory_mb[1]: should be a number");
   EXPECT_EQ(ErrorAfter([](json& result) { result["fits"][0]["form"] = "cubic"; }),
-            "fits[0].form: should be constant, linear, n log n or square");
+            "fits[0].model: should be constant, linear, n log n or square");
   EXPECT_EQ(ErrorAfter([](json& result) { result["fits"][0]["residuals"]["cubic"] = 1; }),
             "fits[0].residuals.cubic: is not a form of a fit");
   EXPECT_EQ(ErrorAfter([](json& result) { result = json::array(); }), "file: should be an object");
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -152,8 +152,8 @@
     measured.emplace_back(value, seed);
     if (refused_from > 0 && value >= refused_from) throw PointRefusedError("refused at the start: too many");
     const double noise = 1 + (seed % 2 == 0 ? 0.01 : -0.01);
-    return {{"planted", {{"cpu_rest_percent", (0.5 + 0.001 * value * value) * noise}}},
-            {"even", {{"cpu_rest_percent", (2 + 0.05 * value) * noise}}},
+    return {{"quadratic", {{"cpu_rest_percent", (0.5 + 0.001 * value * value) * noise}}},
+            {"linear", {{"cpu_rest_percent", (2 + 0.05 * value) * noise}}},
             {"load", {{"saturated", value > 50 ? 1.0 : 0.0}}}};
   }
   std::vector<std::pair<double, std::uint64_t>> measured;
@@ -172,11 +172,11 @@
   experiment.full = 1000;
   SyntheticCosts costs;
   const ScaleResult result = RunSweep(experiment, costs, {});
-  EXPECT_EQ(FitOf(result, "planted").form, FitForm::kSquare);
-  EXPECT_NEAR(FitOf(result, "planted").at_full.value, 0.5 + 0.001 * 1000 * 1000, 50);
-  EXPECT_TRUE(FitOf(result, "planted").at_full.extrapolated);
-  EXPECT_EQ(FitOf(result, "even").form, FitForm::kLinear);
-  EXPECT_NEAR(FitOf(result, "even").at_full.value, 2 + 0.05 * 1000, 3);
+  EXPECT_EQ(FitOf(result, "quadratic").model, GrowthModel::kQuadratic);
+  EXPECT_NEAR(FitOf(result, "quadratic").at_full.value, 0.5 + 0.001 * 1000 * 1000, 50);
+  EXPECT_TRUE(FitOf(result, "quadratic").at_full.extrapolated);
+  EXPECT_EQ(FitOf(result, "linear").model, GrowthModel::kLinear);
+  EXPECT_NEAR(FitOf(result, "linear").at_full.value, 2 + 0.05 * 1000, 3);
 }
 
 TEST(ScaleSweep, MeasuresAllRunsOfEachPointInOrder) {
@@ -193,7 +193,7 @@
   EXPECT_EQ(costs.measured, expected);
   ASSERT_EQ(result.points.size(), 4U);
   for (const ScalePoint& point : result.points) {
-    EXPECT_EQ(point.roles.at("planted").at("cpu_rest_percent").size(), 2U);
+    EXPECT_EQ(point.roles.at("quadratic").at("cpu_rest_percent").size(), 2U);
   }
   EXPECT_EQ(result.largest, 100);
   EXPECT_EQ(result.limited_by, "");
@@ -272,7 +272,7 @@
     return candidate.role == "list_service" && candidate.figure == "bytes_per_whole_list";
   });
   ASSERT_NE(fit, parsed.fits.end());
-  EXPECT_EQ(fit->form, FitForm::kLinear);
+  EXPECT_EQ(fit->model, GrowthModel::kLinear);
   EXPECT_TRUE(fit->slope > 100 && fit->slope < 400) << fit->slope;
 }
 
@@ -300,7 +300,7 @@
       CompareHollowGateways(kPrograms, size, {50, 2000, 3000}, 1, 1, base::MonotonicNow() + kTestTimeoutMs);
   EXPECT_TRUE(comparison.IsWithinTolerance(/*include_machine_dependent=*/false))
       << ToJson(comparison).dump(1);
-  for (const UseRatio& ratio : comparison.ratios) EXPECT_GT(ratio.real, 0) << ratio.figure;
+  for (const LoadRatio& ratio : comparison.ratios) EXPECT_GT(ratio.real, 0) << ratio.figure;
 }
 
 TEST(HollowGateways, ComparisonFailsIfARatioIsOutsideTheTolerance) {
@@ -387,7 +387,7 @@
   EXPECT_EQ(storms[1].storm, "list_service_returns");
   for (const StormResult& storm : storms) {
     EXPECT_GT(storm.peak_bytes_per_s, 0) << storm.storm;
-    EXPECT_GT(storm.all_current_ms, 0) << storm.storm;
+    EXPECT_GT(storm.convergence_ms, 0) << storm.storm;
     EXPECT_EQ(storm.fixed.at("gateways_hollow"), 30);
   }
 }
--- a/tools/capacity_model/page.py
+++ b/tools/capacity_model/page.py
@@ -11,7 +11,7 @@
 from capacity_model.model import Model
 from capacity_model.results import Storm, Sweep
 from capacity_model.role_table import role_table
-from capacity_model.sources import plays_text
+from capacity_model.sources import seed_and_runs_text
 from capacity_model.text import NOT_MEASURED, format_number, format_quantity, markdown_table
 
 _PLACEHOLDER = re.compile(r"\{\{\s*([^}]*?)\s*\}\}")
@@ -59,7 +59,7 @@
                 sweep.limited_by,
                 ", ".join(f"{name} {format_number(value)}" for name, value in sorted(sweep.fixed.items())),
                 str(sweep.seed),
-                str(sweep.plays),
+                str(sweep.runs),
                 f"{sweep.cores} cores, {format_number(sweep.memory_mb)} MB",
             ]
         )
@@ -72,9 +72,9 @@
 def refused_points(model: Model) -> str:
     """The list of sizes at which the program did not run."""
     lines = [
-        f"- {sweep.name}: {format_number(value)} {sweep.unit}: {why}"
+        f"- {sweep.name}: {format_number(value)} {sweep.unit}: {reason}"
         for sweep in model.results.sweeps.values()
-        for value, why in sorted(sweep.refused.items())
+        for value, reason in sorted(sweep.refused.items())
     ]
     return "\n".join(lines) if lines else "No sweep has a point that was refused."
 
@@ -151,5 +151,5 @@
         format_number(storm.peak_cpu_percent),
         format_number(storm.peak_queue),
         format_number(storm.all_current_ms),
-        f"[`{storm.experiment}`](results/scale/storms.json), {plays_text(storm.seed, storm.plays)}",
+        f"[`{storm.experiment}`](results/scale/storms.json), {seed_and_runs_text(storm.seed, storm.runs)}",
     ]
--- a/tools/capacity_model/results.py
+++ b/tools/capacity_model/results.py
@@ -28,7 +28,7 @@
 
     role: str
     figure: str
-    form: str
+    growth_model: str
     offset: float
     slope: float
     residual: float
@@ -38,7 +38,7 @@
 
     def value_at(self, size: float) -> float:
         """Returns the fitted value at a size of the axis."""
-        return self.offset + self.slope * _BASIS_FUNCTIONS[self.form](size)
+        return self.offset + self.slope * _BASIS_FUNCTIONS[self.growth_model](size)
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     largest: float
     limited_by: str
     seed: int
-    plays: int
+    runs: int
     revision: str
     cores: int
     memory_mb: float
@@ -78,7 +78,7 @@
     name: str
     experiment: str
     seed: int
-    plays: int
+    runs: int
     fixed: dict[str, float]
     peak_bytes_per_s: float
     peak_cpu_percent: float
@@ -120,12 +120,12 @@
 
 def _fit(fit: dict[str, Any]) -> Fit:
     if fit["form"] not in _BASIS_FUNCTIONS:
-        raise CapacityError(f"fit of {fit['role']} {fit['figure']}: unknown form '{fit['form']}'")
+        raise CapacityError(f"fit of {fit['role']} {fit['figure']}: unknown growth model '{fit['form']}'")
     at_full = fit["at_full"]
     return Fit(
         role=fit["role"],
         figure=fit["figure"],
-        form=fit["form"],
+        growth_model=fit["form"],
         offset=fit["offset"],
         slope=fit["slope"],
         residual=fit["residual"],
@@ -149,7 +149,7 @@
         largest=content["largest"],
         limited_by=content["limited_by"],
         seed=content["seed"],
-        plays=content["plays"],
+        runs=content["plays"],
         revision=content["revision"],
         cores=content["machine"]["cores"],
         memory_mb=content["machine"]["memory_mb"],
@@ -165,7 +165,7 @@
         name=content["storm"],
         experiment=content["experiment"],
         seed=content["seed"],
-        plays=content["plays"],
+        runs=content["plays"],
         fixed=content["fixed"],
         peak_bytes_per_s=content["peak_bytes_per_s"],
         peak_cpu_percent=content["peak_cpu_percent"],
--- a/tools/capacity_model/sources.py
+++ b/tools/capacity_model/sources.py
@@ -38,9 +38,9 @@
     return f"{figure}, sweep {measured.sweep}"
 
 
-def plays_text(seed: int, plays: int) -> str:
+def seed_and_runs_text(seed: int, runs: int) -> str:
     """Describes seed and number of plays (runs)."""
-    return f"seed {seed}, {plays} play" + ("s" if plays != 1 else "")
+    return f"seed {seed}, {runs} play" + ("s" if runs != 1 else "")
 
 
 def _largest_accepted_text(sweep: Sweep) -> str:
@@ -51,10 +51,10 @@
 
 def _fit_text(measured: Measured, sweep: Sweep, fit: Fit) -> str:
     figure = f"{measured.role} {measured.figure}"
-    if fit.form == "constant":
+    if fit.growth_model == "constant":
         return f"{figure}: {format_number(fit.offset)}, constant over {sweep.axis}"
     size = {"linear": sweep.axis, "n log n": f"{sweep.axis} · ln({sweep.axis})", "square": f"{sweep.axis}²"}[
-        fit.form
+        fit.growth_model
     ]
     start = "" if fit.offset == 0 else f"{format_number(fit.offset)} + "
     return f"{figure}: {start}{format_number(fit.slope)} · {size}, residual {fit.residual:.1%}"
@@ -66,7 +66,7 @@
 
 def _sweep_source_text(model: Model, name: str) -> str:
     sweep = model.results.sweeps[name]
-    text = f"[`{sweep.experiment}`](results/scale/{name}.json), {plays_text(sweep.seed, sweep.plays)}"
+    text = f"[`{sweep.experiment}`](results/scale/{name}.json), {seed_and_runs_text(sweep.seed, sweep.runs)}"
     return (
         text + f", extrapolated from {format_number(sweep.largest)}" if sweep.largest < sweep.full else text
     )
