--- a/src/lab/scale/event_loop.hpp
+++ b/src/lab/scale/event_loop.hpp
@@ -1,5 +1,5 @@
-// The event loop of a scale run. The measuring tool does all of its own work in this loop, and every wait
-// ends at the deadline of the run at the latest. Single-threaded.
+// The event loop of a scale run, in which the measuring tool does all its work. No wait continues after the
+// deadline of the run. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
 #define GATEWAY_LAB_SCALE_EVENT_LOOP_HPP_
 
@@ -23,13 +23,13 @@
 
 class EventLoop {
  public:
-  // `deadline` (base::MonotonicNow) bounds every wait.
+  // No wait continues after `deadline` (base::MonotonicNow).
   explicit EventLoop(Millis deadline) : deadline_(deadline) {}
 
   boost::asio::io_context& io() { return io_; }
 
   // Runs the loop until `done()` returns true. Throws ScaleTimeout, which names `awaited_event`, after
-  // `timeout`.
+  // `timeout` or at the deadline.
   template <typename Done>
   void RunUntil(const std::string& awaited_event, Millis timeout, Done done) {
     const Millis until = std::min(deadline_, base::MonotonicNow() + timeout);
@@ -39,7 +39,7 @@
     }
   }
 
-  // Runs the loop for `duration`. Throws ScaleTimeout if that would exceed the deadline.
+  // Runs the loop for `duration`. Throws ScaleTimeout at once if `duration` ends after the deadline.
   void RunFor(Millis duration) {
     const Millis until = base::MonotonicNow() + duration;
     if (until > deadline_)
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -15,14 +15,14 @@
 
 using nlohmann::json;
 
-constexpr int kCompleteListRequests = 8;  // sent in a row; the cost of one list is the mean
+constexpr int kCompleteListRequests = 8;  // sent one after the other; the cost of one list is their mean
 constexpr Millis kMaxWatchCallMs = 2500;  // longest duration of a watch call without changes
-constexpr Millis kStartCostDelayMs = 50;  // from readiness to reading the CPU time of the start
-constexpr Millis kIsolatedStartMs = 400;  // from start to reading, for a gateway that never becomes ready
-// The time in which all hollow gateways, which call the list service but forward no requests, must have
-// received a list.
+constexpr Millis kStartCostDelayMs = 50;  // from the readiness of a gateway until its CPU time is read
+constexpr Millis kIsolatedStartMs = 400;  // from the start of an isolated gateway until its CPU time is read
+// Timeout for the first list of every hollow gateway. Hollow gateways call the list service but forward no
+// requests.
 constexpr Millis kHollowReadyTimeoutMs = 60000;
-constexpr Millis kChangeTimeoutMs = 20000;  // until all gateways have the last change
+constexpr Millis kChangeTimeoutMs = 20000;  // timeout until all gateways have the last change
 
 constexpr double kUsPerMs = 1000;
 constexpr double kUsPerSecond = 1e6;
@@ -30,8 +30,8 @@
 // CPU times and counters at one time.
 struct Snapshot {
   Millis at = 0;
-  // CPU times: `tool` is this process, `real` the sum over all real gateways, `isolated` the gateway without
-  // a reachable list service, `hollow` by process.
+  // CPU times. `tool` is this process. `real` is the sum over all real gateways. `isolated` is the gateway
+  // without a reachable list service. `hollow` has one value for each process.
   Millis list_service = 0, tool = 0, real = 0, isolated = 0;
   std::vector<Millis> hollow;
   ListServiceCounts counts;
@@ -63,7 +63,7 @@
   }
 };
 
-// CPU time of one operation in us, from the share of a core and the rate of operations.
+// Returns the CPU time of one operation in us. `percent` is the share of a core that the operations use.
 double CostPerOperationUs(double percent, double per_second) {
   return per_second > 0 ? std::max(0.0, percent / 100 * kUsPerSecond / per_second) : 0;
 }
@@ -119,7 +119,7 @@
     return {std::move(from), std::move(to)};
   }
 
-  // Records the CPU load of the measuring tool, to detect that the tool is the bottleneck.
+  // Records the CPU load of the measuring tool, so that the result shows whether the tool was the bottleneck.
   void RecordToolLoad(const Window& window) {
     Figures& load = roles_["load"];
     double& tool = load["cpu_busiest_percent"];
@@ -134,16 +134,16 @@
     fleet_.members().RegisterAll();
   }
 
-  // Runs before the first renewal, so that no other work uses CPU.
+  // Runs before the first lease renewal, so that the list service does no other work.
   void MeasureCompleteLists() {
     complete_list_ =
-        fleet_.FetchCompleteList();  // the first request includes the encoding, so it is not measured
+        fleet_.FetchCompleteList();  // not measured: the service encodes the list at the first request
     const Millis before = CpuTimeOf(fleet_.list_service());
     const double bytes = fleet_.FetchCounts().bytes_out;
     for (int i = 0; i < kCompleteListRequests; ++i) fleet_.FetchCompleteList();
     ListServiceFigures()["cpu_per_whole_list_us"] =
         kUsPerMs * (CpuTimeOf(fleet_.list_service()) - before) / kCompleteListRequests;
-    // Includes the bytes of the first /metrics response.
+    // Includes the bytes of the first FetchCounts response, which `bytes` does not contain yet.
     ListServiceFigures()["bytes_per_whole_list"] =
         (fleet_.FetchCounts().bytes_out - bytes) / kCompleteListRequests;
   }
@@ -154,8 +154,8 @@
     ListServiceFigures()["cpu_idle_percent"] = Window{from, to}.Percent(&Snapshot::list_service);
   }
 
-  // Starts two gateways whose list service never answers. The one without a list gives the CPU time of a
-  // start; the one with the list keeps running and gives the CPU load of an idle gateway.
+  // Starts two gateways whose list service never answers. The gateway without a list gives the CPU time of a
+  // start. The gateway with the list continues to run and gives the CPU load of an idle gateway.
   void StartIsolatedGateways() {
     if (!has_real()) return;
     const pid_t gateway_without_list = fleet_.StartIsolatedGateway(nullptr);
@@ -193,7 +193,7 @@
     const Window window{from, to};
     list_service_unloaded_percent_ = ListServiceFigures()["cpu_rest_percent"] =
         window.Percent(&Snapshot::list_service);
-    // A shorter window may contain no completed watch call, so its rates would be random.
+    // A window shorter than a watch call may contain no complete call, so its rates would be random.
     const bool measures_traffic = windows_.unloaded >= kMaxWatchCallMs;
     if (measures_traffic) {
       ListServiceFigures()["bytes_in_per_s"] = window.Rate(&ListServiceCounts::bytes_in);
@@ -215,7 +215,8 @@
     }
   }
 
-  // Records the traffic between one gateway and the list service. All gateways have an equal share.
+  // Records the traffic between one gateway and the list service: the total divided by the number of
+  // gateways.
   void RecordTraffic(Figures& figures, const Window& window) {
     figures["bytes_out_per_s"] = window.Rate(&ListServiceCounts::list_bytes_in) / gateways();
     figures["bytes_in_per_s"] = window.Rate(&ListServiceCounts::list_bytes_out) / gateways();
@@ -223,7 +224,7 @@
         window.Rate(&ListServiceCounts::list_calls) / gateways();
   }
 
-  // Starts the changes, which continue until MeasureChangeDelays.
+  // Starts the changes. MeasureChangeDelays stops them.
   void MeasureChanges() {
     if (gateways() == 0 || size_.changes_per_s <= 0) return;
     FleetMembers& members = fleet_.members();
@@ -237,7 +238,7 @@
     RecordChangeCosts(window, committed / window.seconds());
   }
 
-  // Runs while changes continue.
+  // Runs while changes are sent.
   void MeasureRequests() {
     if (!has_real() || size_.requests_per_s <= 0) return;
     fleet_.requests().Start();
@@ -285,7 +286,8 @@
     }
   }
 
-  // Measures the delay from the request of each change to the first list with it at each hollow gateway.
+  // Measures, for each change and each hollow gateway, the delay from the operator's request until the
+  // gateway receives a list that contains the change.
   void MeasureChangeDelays() {
     FleetMembers& members = fleet_.members();
     members.StopChanging();
@@ -334,7 +336,7 @@
   const ScaleWindows windows_;
   ScaleFleet fleet_;
   RoleMeasures roles_;
-  std::string complete_list_;       // as it was before the gateways started
+  std::string complete_list_;       // fetched before the gateways start
   pid_t isolated_gateway_pid_ = 0;  // has the list but no reachable list service
   Millis start_cost_ms_ = 0;
   double list_service_unloaded_percent_ = 0, real_unloaded_percent_ = 0, hollow_unloaded_percent_ = 0,
--- a/src/lab/scale/fleet_measurer.hpp
+++ b/src/lab/scale/fleet_measurer.hpp
@@ -1,5 +1,6 @@
-// Measures one point of a sweep with real processes: starts a fleet, measures it in successive windows (list
-// service alone, idle gateways with watches, changes, changes and requests), and stops it.
+// Measures one point of a sweep with real processes. Starts a fleet, measures it in successive windows and
+// stops it. The windows are: the list service without gateways, gateways that only watch the list, changes of
+// the list, and changes with requests.
 #ifndef GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
 #define GATEWAY_LAB_SCALE_FLEET_MEASURER_HPP_
 
--- a/src/lab/scale/fleet_members.cpp
+++ b/src/lab/scale/fleet_members.cpp
@@ -17,7 +17,7 @@
 
 constexpr Millis kRequestTimeoutMs = 20000;
 constexpr Millis kRegistrationTimeoutMs = 60000;
-constexpr int kMaxRegistrationConnections = 256;  // that register hosts concurrently
+constexpr int kMaxRegistrationConnections = 256;  // concurrent connections that register hosts
 constexpr std::size_t kRenewalConnections = 128;
 constexpr Millis kMinTimerDelayMs = 1;
 constexpr double kRenewalsPerTerm = 3;
@@ -72,7 +72,7 @@
   loop_.RunUntil("the registration of all hosts", kRegistrationTimeoutMs,
                  [&] { return failed > 0 || registered >= size_.hosts; });
   for (const Connection& connection : connections) connection->Close();
-  if (failed > 0) throw std::runtime_error("the list service refused a registration");
+  if (failed > 0) throw std::runtime_error("the registration of a host at the list service failed");
 }
 
 void FleetMembers::StartSchedule(RequestSchedule& schedule, double per_second, std::function<void()> send) {
@@ -128,8 +128,8 @@
   command.action = registry::Action::kSetSize;
   command.by_operator = true;
   command.member.id = MemberId(std::uniform_int_distribution<int>(0, size_.hosts - 1)(random_));
-  // Consecutive requests set different relative capacities, so that a request hardly ever sets the value that
-  // the host already has, which would not change the list.
+  // Consecutive requests set different sizes. A request that sets the size that the host already has would
+  // not change the list.
   command.member.size = 1 + static_cast<double>(++changes_sent_ % kDistinctSizes) / kDistinctSizes;
   if (!operator_connection_ || !operator_connection_->usable()) {
     operator_connection_ = std::make_shared<ClientConnection>(loop_.io(), list_service_);
@@ -142,7 +142,7 @@
        sent_at = base::MonotonicNow()](ClientConnection::Result result) {
         --changes_pending_;
         operator_connection_ =
-            weak.lock();  // a strong reference would keep the connection alive in its own handler
+            weak.lock();  // a strong reference in its own handler would keep the connection alive
         if (!result.ok()) return void(++changes_failed_);
         ++changes_committed_;
         const auto outcome = registry::ParseResult(200, result.response.body());
--- a/src/lab/scale/fleet_members.hpp
+++ b/src/lab/scale/fleet_members.hpp
@@ -1,5 +1,5 @@
-// The hosts of a fleet as clients of the list service: they register, hold leases and renew them, and
-// operators change their attributes. Many hosts share one connection. Single-threaded.
+// Emulates the hosts of a fleet as clients of the list service: they register and renew their leases. Also
+// emulates operators, who change the size of hosts. Many hosts share one connection. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
 #define GATEWAY_LAB_SCALE_FLEET_MEMBERS_HPP_
 
@@ -32,13 +32,13 @@
   FleetMembers(EventLoop& loop, tcp::endpoint list_service, const FleetSize& size, std::uint16_t host_port,
                std::uint64_t seed);
 
-  // Registers all hosts concurrently and returns when all are registered. Throws ScaleTimeout, or
-  // std::runtime_error if a registration is refused.
+  // Registers all hosts concurrently and returns when all are registered. Throws ScaleTimeout. Throws
+  // std::runtime_error if a registration fails.
   void RegisterAll();
   // Renews each host's lease three times per lease term. Renewals are spread evenly over time.
   void StartRenewing();
-  // Starts to send changes at this rate. Each changes the size of a randomly drawn host. Changes are spread
-  // evenly over time.
+  // Starts to send changes at this rate, spread evenly over time. Each change sets the size (the relative
+  // capacity) of a randomly drawn host.
   void StartChanging(double per_second);
   void StopChanging();
   // Sends one change immediately.
@@ -50,12 +50,12 @@
   int changes_failed() const { return changes_failed_; }
   int changes_committed() const { return changes_committed_; }
   int renewals_failed() const { return renewals_failed_; }
-  // Renewals that were skipped because an earlier one on the same connection was still pending.
+  // The number of renewals not sent, because an earlier renewal on the same connection was still pending.
   int renewals_skipped() const { return renewals_skipped_; }
 
  private:
-  // A periodic request. If the event loop is late, all requests that are due are sent, so the mean rate is
-  // kept.
+  // Sends requests at a fixed interval. If the event loop is late, sends all requests that are due, so that
+  // the mean rate stays the same.
   struct RequestSchedule {
     explicit RequestSchedule(EventLoop& loop) : timer(loop.io()) {}
     boost::asio::steady_timer timer;
--- a/src/lab/scale/gateway_configuration.hpp
+++ b/src/lab/scale/gateway_configuration.hpp
@@ -14,15 +14,15 @@
 
 // The settings that differ between the gateways of a run.
 struct GatewayConfigInput {
-  int index = 0;  // of the gateway in the fleet
+  int index = 0;  // index of the gateway in the fleet
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint list_service;
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // listener for operators; nullopt: none
+  std::optional<boost::asio::ip::tcp::endpoint> management;  // for management commands; nullopt: none
   std::uint64_t seed = 0;
-  nlohmann::json initial_list;  // endpoint list at the start, in the published form; null: none
+  nlohmann::json initial_list;  // endpoint list at the start, as the list service returns it; null: none
 };
 
-// Builds the configuration. Class i is named "class-i" and tenant i is named "tenant-i".
+// Builds the configuration. Traffic class i is named "class-i" and tenant i is named "tenant-i".
 nlohmann::json GatewayConfiguration(const FleetSize& size, const GatewayConfigInput& input);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/hollow_comparison.cpp
+++ b/src/lab/scale/hollow_comparison.cpp
@@ -25,7 +25,7 @@
   fleet.StartListService();
   fleet.members().RegisterAll();
   fleet.members().StartRenewing();
-  fleet.FetchCompleteList();  // the service encodes the list before the counted requests
+  fleet.FetchCompleteList();  // the service encodes the list now, not during the measurement
   const UsageReading before = ReadUsage(fleet);
   const Millis unloaded_until = base::MonotonicNow() + windows.unloaded;
   fleet.StartRealGateways();
--- a/src/lab/scale/hollow_gateway.cpp
+++ b/src/lab/scale/hollow_gateway.cpp
@@ -51,7 +51,7 @@
 }
 
 void HollowGateway::HandleEvent(const gateway::policy::Event& event) {
-  // No action reports an event synchronously, so this function is not reentered.
+  // No action calls this function synchronously, so it is never reentered.
   actions_.clear();
   policy_.Handle(base::UnixAlignedNow(), event, actions_);
   for (const gateway::policy::Action& action : std::exchange(actions_, {})) {
@@ -68,7 +68,7 @@
   list_watcher_.Watch();
 }
 
-// The policy has one timer and rearms it after each expiry, so one timer is sufficient.
+// The policy uses a single timer ("sweep") and sets it again after each expiry.
 void HollowGateway::ScheduleCheck(Millis delay) {
   check_timer_.expires_after(base::TimerDuration(delay));
   check_timer_.async_wait([this](error_code ec) {
--- a/src/lab/scale/hollow_gateway.hpp
+++ b/src/lab/scale/hollow_gateway.hpp
@@ -1,11 +1,11 @@
-// A hollow gateway (named after the hollow nodes of Kubernetes' kubemark) talks to the list service like a
-// real gateway but forwards no requests. It uses the real EndpointListWatcher and Policy. Thousands fit in
-// one process. Must be used in the thread of the io_context.
+// A hollow gateway (named after the hollow nodes of Kubernetes' kubemark) calls the list service like a real
+// gateway but forwards no requests. It uses the real EndpointListWatcher and Policy. One process can run
+// thousands of hollow gateways. Must be used in the thread of the io_context.
 //
-// While a watch call is pending, the policy's periodic check, which serves queued requests, runs four times a
-// second instead of every 10 ms. Before the first call and after a failed one it runs at the policy's own
-// period, so that a hollow gateway sends its calls at the same times as a real one. HollowComparison verifies
-// that the load on the list service is the same.
+// While a watch call is pending, the policy's periodic check runs four times a second instead of every 10 ms,
+// because the check serves queued requests and a hollow gateway has none. Before the first call and after a
+// failed call, the check runs every 10 ms as in a real gateway, so that a hollow gateway sends its calls at
+// the same times as a real one. HollowComparison verifies that the load on the list service is the same.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_GATEWAY_HPP_
 
@@ -24,7 +24,7 @@
 
 class HollowGateway {
  public:
-  // Called after each list that the service returned, with the revision now in use.
+  // Called after each list that the service returns. `revision` is the revision that the gateway now uses.
   using ListCallback = std::function<void(std::int64_t revision)>;
 
   // Starts like a real gateway with this configuration. Throws std::exception if the settings are invalid.
@@ -39,11 +39,11 @@
   void HandleEvent(const gateway::policy::Event& event);
   void Execute(const gateway::policy::SetTimer& timer);
   void Execute(const gateway::policy::WatchEndpointList&);
-  void Execute(const auto&) {}  // log records; actions on requests never occur
+  void Execute(const auto&) {}  // ignores log records; actions for requests never occur
   void ScheduleCheck(base::Millis delay);
 
   gateway::policy::Policy policy_;
-  const bool polls_;  // false: the list is watched from the start
+  const bool polls_;  // false: the constructor starts the watch; true: the policy requests each watch call
   const ListCallback on_list_;
   bool answered_ = false;
   bool watching_ = false;
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -1,4 +1,4 @@
-// A process that runs many hollow gateways, and the JSON forms of its reports to the measuring tool.
+// A process that runs many hollow gateways, and its reports to the measuring tool as JSON.
 #ifndef GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 #define GATEWAY_LAB_SCALE_HOLLOW_PROCESS_HPP_
 
@@ -14,11 +14,12 @@
 
 // Options of `gatewayctl lab hollow-gateways`.
 struct HollowProcessOptions {
-  // File in the form of NODE_CONFIG. Its `seed` and `selfIndex` are those of the first gateway.
+  // Configuration file in the format of NODE_CONFIG. Its `seed` and `selfIndex` apply to the first gateway;
+  // each further gateway has the next seed and the next index.
   std::string config;
   int count = 1;
   int first_index = 0;                     // index of the first gateway
-  boost::asio::ip::tcp::endpoint control;  // listener for requests of the measuring tool
+  boost::asio::ip::tcp::endpoint control;  // address on which the process serves the measuring tool
 };
 
 // Serves until SIGTERM. Returns the exit code. Throws base::ConfigError.
@@ -26,9 +27,9 @@
 
 // The response to GET /state.
 struct HollowState {
-  int gateways = 0, ready = 0;       // ready: the list service has answered and hosts are known
-  std::int64_t oldest_revision = 0;  // over all gateways
-  base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all are ready yet
+  int gateways = 0, ready = 0;       // a gateway is ready if it has received a list with hosts
+  std::int64_t oldest_revision = 0;  // the lowest revision in use at any gateway
+  base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all gateways are ready
 };
 nlohmann::json ToJson(const HollowState& state);
 HollowState HollowStateFromJson(const nlohmann::json& json);
@@ -38,7 +39,7 @@
   std::int64_t revision = 0;
   base::Millis at = 0;
 };
-// The response to GET /news: the arrivals since the previous such request, by gateway, in chronological
+// The response to GET /news: for each gateway, the arrivals since the previous GET /news in chronological
 // order.
 using RevisionArrivals = std::vector<std::vector<RevisionArrival>>;
 nlohmann::json ToJson(const RevisionArrivals& arrivals);
--- a/src/lab/scale/process_usage.hpp
+++ b/src/lab/scale/process_usage.hpp
@@ -1,4 +1,4 @@
-// Resource usage of a process as accounted by the kernel. Thread-safe.
+// CPU time and memory of a process, as the kernel reports them. Thread-safe.
 #ifndef GATEWAY_LAB_SCALE_PROCESS_USAGE_HPP_
 #define GATEWAY_LAB_SCALE_PROCESS_USAGE_HPP_
 
@@ -8,12 +8,12 @@
 
 namespace gateway::lab {
 
-// User and system CPU time of all threads since the start of the process, in ms. Reads the same clock that
-// /proc/PID/stat shows in ticks of 10 ms, but with nanosecond resolution. Throws std::system_error if there
-// is no such process.
+// Returns the user and system CPU time of all threads since the start of the process, in ms. The resolution
+// is nanoseconds; /proc/PID/stat shows the same time in ticks of 10 ms only. Throws std::system_error if the
+// process does not exist.
 base::Millis CpuTimeOf(pid_t pid);
 
-// Resident memory in MB; 0 if there is no such process.
+// Returns the resident memory in MB; 0 if the process does not exist.
 double ResidentMemoryOf(pid_t pid);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/request_load.cpp
+++ b/src/lab/scale/request_load.cpp
@@ -14,13 +14,13 @@
 using base::ClientConnection;
 using boost::system::error_code;
 
-constexpr Millis kHostLatencyMs = 20;  // time until a host answers
+constexpr Millis kHostLatencyMs = 20;  // time after which a host answers a request
 constexpr Millis kRequestDeadlineMs = 1000;
 constexpr Millis kResponseTimeoutMs = 3000;
 constexpr int kListenBacklog = 4096;
 constexpr std::size_t kResponseBytes = 200;
 
-// Makes the listener reachable only over the loopback device, although it is bound to all addresses.
+// Accepts only connections over the loopback device. The listener itself is bound to all addresses.
 void BindToLoopbackDevice(tcp::acceptor& acceptor) {
   constexpr std::array<char, 3> kLoopback{'l', 'o', '\0'};
   if (setsockopt(acceptor.native_handle(), SOL_SOCKET, SO_BINDTODEVICE, kLoopback.data(), kLoopback.size()) !=
@@ -130,8 +130,8 @@
   const std::string id = fmt::format("{:016x}", ++next_id_);
   ++counts_.sent;
   connection->Exchange(RequestText(id), kResponseTimeoutMs,
-                       // A strong reference would form a cycle, as the connection owns this handler, and leak
-                       // the connection if the load is destroyed before the response.
+                       // The connection owns this handler. A strong reference to the connection would form a
+                       // cycle and leak the connection if the load is destroyed before the response.
                        [this, &target, weak = std::weak_ptr(connection), id,
                         sent_at = base::MonotonicNow()](ClientConnection::Result result) {
                          const Millis host_latency = host_latencies_.Remove(id);
--- a/src/lab/scale/request_load.hpp
+++ b/src/lab/scale/request_load.hpp
@@ -1,6 +1,6 @@
-// The request load on the real gateways, and the emulated hosts that answer the requests. Requests are sent
-// at a given mean rate with random gaps, independent of the responses (open loop). One listener serves all
-// hosts of the fleet. Single-threaded.
+// The request load on the real gateways, and the emulated hosts that answer the requests. The load is
+// open-loop: it sends requests at a given mean rate with random gaps and does not wait for responses. One
+// listener serves all hosts of the fleet. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 #define GATEWAY_LAB_SCALE_REQUEST_LOAD_HPP_
 
@@ -21,7 +21,7 @@
 
 namespace gateway::lab {
 
-// The time that each request spent at its host, by request id.
+// The time that each request spends at its host, by request id.
 class HostLatencies {
  public:
   void Add(const std::string& id, Millis latency) { host_latencies_[id] = latency; }
@@ -32,8 +32,8 @@
   std::unordered_map<std::string, Millis> host_latencies_;
 };
 
-// All hosts of the fleet: one listener on every loopback address and an ephemeral port. Answers each request
-// after a fixed time.
+// All hosts of the fleet: one listener on all loopback addresses, with an ephemeral port. Answers each
+// request after a fixed time.
 class EmulatedHosts {
  public:
   EmulatedHosts(EventLoop& loop, HostLatencies& host_latencies);
@@ -51,12 +51,12 @@
   std::shared_ptr<const ServerConnection::Handlers> handlers_;
 };
 
-// Requests since the start of the load.
+// The numbers of requests since the start of the load. `not_served` counts errors and timeouts.
 struct RequestCounts {
   std::uint64_t sent = 0, served = 0, not_served = 0;
 };
 
-// Sends requests to the gateways in turn.
+// Sends requests to the gateways in round-robin order.
 class RequestLoad {
  public:
   RequestLoad(EventLoop& loop, HostLatencies& host_latencies, std::vector<tcp::endpoint> gateways,
@@ -64,11 +64,11 @@
 
   void Start();
   void Stop();
-  // Returns, for the requests answered since the previous call, the latency in us that the gateways added to
-  // the time at the host.
+  // Returns the latency in us that the gateways added to the time at the host, for the requests that were
+  // served since the previous call.
   base::Histogram TakeAddedLatency();
-  // Returns the delay of each send after its scheduled time, in us, for the requests sent since the previous
-  // call.
+  // Returns the time in us from the scheduled to the actual start of each request, for the requests that were
+  // sent since the previous call.
   base::Histogram TakeLateness();
   const RequestCounts& counts() const { return counts_; }
 
--- a/src/lab/scale/request_queue.cpp
+++ b/src/lab/scale/request_queue.cpp
@@ -37,7 +37,8 @@
   return request;
 }
 
-// The number of requests that wait in one socket at the listener's address.
+// Returns the number of waiting requests of one socket at the listener's address: the length of the accept
+// queue of the listening socket, or 1 for a connection with unread bytes.
 int PendingRequestsIn(const inet_diag_msg& socket) {
   if (socket.idiag_state == TCP_LISTEN) return static_cast<int>(socket.idiag_rqueue);
   return socket.idiag_rqueue > 0 ? 1 : 0;
@@ -58,7 +59,7 @@
     ThrowErrno("can't send the sock_diag request to the kernel");
   const in_addr_t address = htonl(listener_.address().to_v4().to_uint());
   const in_port_t port = htons(listener_.port());
-  std::vector<char> buffer(kReceiveBufferBytes);  // allocated storage is aligned for any type
+  std::vector<char> buffer(kReceiveBufferBytes);  // memory from the allocator is aligned for any type
   int pending = 0;
   for (;;) {
     const ssize_t received_bytes = recv(socket_, buffer.data(), buffer.size(), 0);
--- a/src/lab/scale/request_queue.hpp
+++ b/src/lab/scale/request_queue.hpp
@@ -1,5 +1,5 @@
-// The number of requests that wait at a listening process, read from the kernel's socket tables (sock_diag).
-// Neither inspects packets nor contacts the process.
+// Counts the requests that wait to be read by a listening process. Reads the kernel's socket tables
+// (sock_diag), so it neither inspects packets nor contacts the process.
 #ifndef GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
 #define GATEWAY_LAB_SCALE_REQUEST_QUEUE_HPP_
 
@@ -14,8 +14,8 @@
   ~RequestQueue();
   RequestQueue(const RequestQueue&) = delete;
 
-  // Counts the connections not accepted yet, and the accepted ones with unread bytes. Throws
-  // std::system_error.
+  // Returns the number of connections that the process has not accepted, plus the number of accepted
+  // connections with unread bytes. Throws std::system_error.
   int PendingRequests();
 
  private:
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -21,17 +21,17 @@
 constexpr int kMaxRealGateways = 180;  // each needs its own address in the address block of the run
 constexpr int kHollowGatewaysPerProcess = 400;
 constexpr std::size_t kMinPoints = 4;
-constexpr double kMinSpanFactor = 100;  // two decades
+constexpr double kMinSpanFactor = 100;  // two decades, from the first point to the last one
 
-// Upper bounds for the memory estimate (docs/design/scale.md).
+// Upper bounds of the memory of each process, for EstimateResources (docs/design/scale.md).
 constexpr double kToolMemoryMb = 60, kToolMemoryPerHostMb = 0.004;
 constexpr double kServiceMemoryMb = 40, kServiceMemoryPerHostMb = 0.006, kServiceMemoryPerClientMb = 0.1;
 constexpr double kGatewayMemoryMb = 12, kGatewayMemoryPerHostMb = 0.004;
 constexpr double kGatewayMemoryPerTenantMb = 0.001, kHollowMemoryPerTenantMb = 0.0005;
 constexpr double kGatewayMemoryPerClassMb = 0.05, kHollowMemoryPerClassMb = 0.01;
-constexpr int kMaxClasses = 64;  // a gateway with more refuses to start
+constexpr int kMaxClasses = 64;  // a gateway with more traffic classes refuses to start
 constexpr double kHollowProcessMemoryMb = 15, kHollowMemoryMb = 0.06, kHollowMemoryPerHostMb = 0.0015;
-constexpr int kBaseDescriptors = 600;  // per process, including the connections of members and clients
+constexpr int kBaseDescriptors = 600;  // per process, including the connections of hosts and clients
 constexpr int kBaseProcesses = 4;      // this process, the list service and two isolated gateways
 
 const std::vector<std::pair<std::string, ScaleAxis>> kAxes{
@@ -55,7 +55,7 @@
   return std::ranges::find(values_by_name, name, &std::pair<std::string, Value>::first)->second;
 }
 
-// Reads the sizes of the table. Keys that it does not have keep their values in `size`.
+// Returns the sizes of the table. Sizes that the table does not contain have the values of `size`.
 FleetSize ReadSize(TomlTable& table, FleetSize size) {
   const auto read_count = [&](const char* key, int& value, int min) {
     value = table.Integer(key, value, min, kMaxCount);
@@ -86,19 +86,24 @@
 
 std::vector<double> ReadPoints(TomlTable& table, const std::string& key) {
   std::vector<double> points = table.NumberList(key, kNotNegative);
-  if (points.size() < kMinPoints) table.Fail(key, fmt::format("needs at least {} points", kMinPoints));
+  if (points.size() < kMinPoints)
+    table.Fail(key, fmt::format("needs at least {} points, but has {}", kMinPoints, points.size()));
   for (std::size_t i = 1; i < points.size(); ++i) {
-    if (points[i] <= points[i - 1]) table.Fail(key, "must rise from point to point");
+    if (points[i] <= points[i - 1]) {
+      table.Fail(key,
+                 fmt::format("must be in ascending order, but {:g} follows {:g}", points[i], points[i - 1]));
+    }
   }
-  // The step from 0 to any size spans more than two decades.
+  // A range that starts at 0 spans any number of decades.
   const double first = points.front() > 0 ? points.front() : points[1];
   if (points.back() < kMinSpanFactor * first && points.front() > 0) {
-    table.Fail(key, fmt::format("must span two decades, not {:g} to {:g}", first, points.back()));
+    table.Fail(key, fmt::format("must span two decades (a factor of {:g}), but the range is {:g} to {:g}",
+                                kMinSpanFactor, first, points.back()));
   }
   return points;
 }
 
-// Rejects a fleet that exceeds the limits of the machine, before any process is started.
+// Throws base::ConfigError for `field` if a fleet of this size would exceed the limits. Starts no process.
 void CheckResources(const TomlTable& table, const std::string& field, const std::string& subject,
                     const FleetSize& size, const ScaleLimits& limits) {
   const ResourceEstimate estimate = EstimateResources(size);
@@ -142,7 +147,8 @@
   experiment.name = table.Text("name");
   if (experiment.name.empty() ||
       experiment.name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-_") != std::string::npos) {
-    table.Fail("name", "must consist of the characters a-z, 0-9, '-' and '_'");
+    table.Fail("name", fmt::format("must consist of the characters a-z, 0-9, '-' and '_', but is '{}'",
+                                   experiment.name));
   }
   experiment.about = table.Text("about", "");
   experiment.kind = ValueOf(kKinds, table.OneOf("kind", "sweep", Names(kKinds)));
@@ -220,11 +226,11 @@
 
 std::map<std::string, double> FixedSizes(const ScaleExperiment& experiment) {
   std::map<std::string, double> figures = FixedSizes(experiment.fixed);
-  const std::map<ScaleAxis, const char*> named_differently{{ScaleAxis::kGateways, "gateways_hollow"},
-                                                           {ScaleAxis::kChanges, "changes_per_s"},
-                                                           {ScaleAxis::kRequests, "requests_per_s"}};
-  const auto found = named_differently.find(experiment.axis);
-  figures.erase(found == named_differently.end() ? NameOf(experiment.axis) : found->second);
+  const std::map<ScaleAxis, const char*> size_names{{ScaleAxis::kGateways, "gateways_hollow"},
+                                                    {ScaleAxis::kChanges, "changes_per_s"},
+                                                    {ScaleAxis::kRequests, "requests_per_s"}};
+  const auto found = size_names.find(experiment.axis);
+  figures.erase(found == size_names.end() ? NameOf(experiment.axis) : found->second);
   return figures;
 }
 
@@ -265,7 +271,7 @@
   ScaleExperiment experiment;
   experiment.file = "--compare";
   experiment.name = "hollow-against-real";
-  experiment.about = "Ten hollow gateways ask and cost the list service what ten real ones do.";
+  experiment.about = "Ten hollow gateways cause the same load on the list service as ten real gateways.";
   experiment.kind = ScaleKind::kComparison;
   experiment.runs = 3;
   experiment.time_limit = 100000;
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -1,5 +1,6 @@
-// An experiment of `gatewayctl lab scale` as read from its file: the size that is varied and its points, the
-// fixed sizes, and the duration of each measurement. docs/design/scale.md describes the files.
+// An experiment of `gatewayctl lab scale`, as read from its file: the size that the experiment varies and the
+// values that it measures, the fixed sizes, and the duration of each measurement. docs/design/scale.md
+// describes the files.
 #ifndef GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_EXPERIMENT_HPP_
 
@@ -18,51 +19,52 @@
 
 // The size of the fleet at one point and the load on it.
 struct FleetSize {
-  int hosts = 100;               // with leases
+  int hosts = 100;               // registered at the list service, with leases
   int gateways_real = 1;         // processes of the gateway program
-  int gateways_hollow = 10;      // gateways that forward no requests; several per process
-  int gateways_in_settings = 0;  // number of gateways in the gateways' settings; 0: the actual number
-  int services = 3;              // the hosts are divided among them
-  int classes = 3;
-  int tenants = 1;
+  int gateways_hollow = 10;      // gateways that forward no requests; many run in one process
+  int gateways_in_settings = 0;  // number of gateways that each gateway's settings give; 0: the actual number
+  int services = 3;              // the hosts are divided evenly among the services
+  int classes = 3;               // traffic classes in each gateway's settings
+  int tenants = 1;               // tenants in each gateway's settings
   int zones = 3;
   double changes_per_s = 20;
   double requests_per_s = 152;  // to each real gateway
   Millis lease_term = 10000;
-  double complete_lists_per_s = 500;  // complete lists that the list service admits
+  double complete_lists_per_s = 500;  // limit of the list service on responses with the complete list
 };
 
-// The size that a sweep varies.
+// The size of the fleet that a sweep varies.
 enum class ScaleAxis { kHosts, kGateways, kServices, kClasses, kTenants, kChanges, kRequests };
 
 // The durations of the phases at one point.
 struct ScaleWindows {
-  Millis settle = 300;     // waiting time after each change of load, before the next window
-  Millis window = 1000;    // each window except the one at rest
-  Millis unloaded = 1000;  // the window at rest; a watch call waits up to 2500
+  Millis settle = 300;     // waiting time between a change of the load and the next window
+  Millis window = 1000;    // duration of each window except `unloaded`
+  Millis unloaded = 1000;  // the window without changes and requests; a watch call takes up to 2500 ms
 };
 
 enum class ScaleKind {
-  kSweep,      // one size over several points
+  kSweep,      // varies one size
   kStorms,     // all gateways call the list service at once
-  kComparison  // hollow gateways compared with real ones
+  kComparison  // compares hollow gateways with real gateways
 };
 
-// The content of an experiment file. The points and `full` are in the unit of the axis.
+// The content of an experiment file. Points (the values of the varied size) and `full` are in the unit of the
+// axis.
 struct ScaleExperiment {
   std::string file, name, about;
   ScaleKind kind = ScaleKind::kSweep;
   ScaleAxis axis = ScaleAxis::kHosts;
   std::vector<double> points;        // ascending
-  std::vector<double> quick_points;  // points of a quick run, ascending
+  std::vector<double> quick_points;  // the points if the run is quick, ascending
   double full = 0;                   // the size expected in two years
-  std::string limited_by;            // reason why the largest point is below `full`
+  std::string limited_by;            // the reason why the largest point is below `full`
   int runs = 3;
   std::uint64_t seed = 1;
-  Millis time_limit = 120000;    // for the complete experiment
-  FleetSize fixed, quick_fixed;  // quick_fixed: only of kStorms and kComparison
+  Millis time_limit = 120000;    // for all points and runs together
+  FleetSize fixed, quick_fixed;  // quick_fixed: the sizes of a quick run; kStorms and kComparison only
   ScaleWindows windows, quick_windows{100, 500, 500};
-  Millis outage = 30000, quick_outage = 3000;  // of kStorms: time for which the list service is down
+  Millis outage = 30000, quick_outage = 3000;  // kStorms only: the time for which the list service is down
 };
 
 // The name of the axis in files: "hosts", "gateways", ...
@@ -82,14 +84,14 @@
   int processes = 300;
   int descriptors = 20000;  // per process
 };
-// Returns half of this machine's memory and its descriptor limit.
+// Returns half of this machine's memory, its descriptor limit and the default limit on processes.
 ScaleLimits LimitsOfThisMachine();
 
-// An upper estimate of the resources that a fleet uses.
+// An upper bound of the resources that a fleet uses.
 struct ResourceEstimate {
   double memory_mb = 0;
   int processes = 0;
-  int descriptors = 0;  // of the process with the most descriptors
+  int descriptors = 0;  // in the process with the most descriptors
 };
 ResourceEstimate EstimateResources(const FleetSize& size);
 
@@ -99,7 +101,8 @@
 // Returns the experiment that --compare runs.
 ScaleExperiment StandardComparison();
 
-// Throws base::ConfigError, which names the field, if the file is invalid or exceeds the limits.
+// Both throw base::ConfigError, which names the field, if the file is invalid or its fleet exceeds the
+// limits. `name` stands for the file name in errors.
 ScaleExperiment ReadScaleExperiment(const std::string& path, const ScaleLimits& limits);
 ScaleExperiment ParseScaleExperiment(std::string_view text, const std::string& name,
                                      const ScaleLimits& limits);
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -1,5 +1,7 @@
 #include "lab/scale/scale_fit.hpp"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
@@ -9,20 +11,23 @@
 namespace {
 
 constexpr std::size_t kMinPoints = 3;
-constexpr double kMaxResidualRatio = 0.75;    // a residual below this share of another one is clearly better
-constexpr double kMaxLinearResidual = 0.005;  // a line with a smaller residual is not replaced by a curve
-constexpr double kSlopeStandardErrors = 2;    // a slope above this many standard errors counts as growth
-constexpr double kRoundingResidual = 1e-9;    // a smaller residual is a rounding error
+// A curve fits clearly better than another one if its residual is below this share of the other residual.
+constexpr double kMaxResidualRatio = 0.75;
+constexpr double kMaxLinearResidual = 0.005;  // a line with a smaller residual is always good enough
+constexpr double kSlopeStandardErrors = 2;    // a slope of more standard errors is significant
+constexpr double kRoundingResidual = 1e-9;    // a smaller residual is only a rounding error
 constexpr double kConfidenceLevel = 0.95;
 
-// The observation at one size: the size transformed by a fit form, and the mean of the runs.
+// The observation at one size: the value of the model's basis function at this size, and the mean of the
+// runs.
 struct Observation {
   double basis = 0;
   double mean = 0;
   double weight = 0;  // number of runs
 };
 
-// The parameters that are not fixed at 0 by the constraints offset >= 0 and slope >= 0.
+// The parameters that are fitted. The constraints offset >= 0 and slope >= 0 may fix the other parameter at
+// 0.
 enum class FittedParameters { kOffset, kSlope, kBoth };
 
 struct Curve {
@@ -32,6 +37,7 @@
   double squared_residuals = 0;  // weighted sum of the squared residuals of the means
 };
 
+// The basis function of the model: the fitted value is offset + slope * Basis(model, x).
 double Basis(GrowthModel model, double x) {
   switch (model) {
     case GrowthModel::kConstant: return 0;
@@ -92,8 +98,8 @@
   return observations;
 }
 
-// Least squares under the constraints offset >= 0 and slope >= 0. With two parameters, the one that violates
-// its constraint can be set to zero and the other one fitted alone.
+// Least squares under the constraints offset >= 0 and slope >= 0. If one parameter would be negative, sets it
+// to zero and fits the other parameter alone.
 Curve FitCurve(GrowthModel model, const std::vector<Observation>& observations) {
   const Sums sums = WeightedSums(observations);
   Curve curve;
@@ -115,7 +121,7 @@
 
 double FittedParameterCount(const Curve& curve) { return curve.fitted == FittedParameters::kBoth ? 2 : 1; }
 
-// Root mean square of the residuals divided by the mean of the figure.
+// Returns the root mean square of the residuals divided by the mean of the figure.
 double RelativeResidual(const Curve& curve, const Sums& sums) {
   if (curve.squared_residuals <= 0) return 0;
   const double scale = std::abs(sums.value_mean);
@@ -123,9 +129,9 @@
   return std::sqrt(curve.squared_residuals / sums.weight) / scale;
 }
 
-// Whether the growth is significant: by an F test against the constant, or by a clearly smaller residual. The
-// F test rarely detects growth with few points. The second criterion is added because omitting a real slope
-// is a worse error here than reporting a spurious one.
+// Returns true if the growing curve is significantly better than the constant. One of two criteria is enough:
+// an F test, or a clearly smaller residual. The second criterion exists because the F test rarely detects
+// growth with few points, and omitting a real slope is a worse error here than reporting a spurious one.
 bool HasSignificantGrowth(const Curve& constant, const Curve& growing, std::size_t points) {
   if (growing.slope <= 0) return false;
   const double degrees = static_cast<double>(points) - FittedParameterCount(growing);
@@ -159,10 +165,10 @@
   double degrees = 1;
 };
 
-// Returns the variance of the runs about the mean of their point. Noise may be proportional to the figure and
-// is then larger at the full size than at the measured points. So the variance is computed twice: from the
-// deviations as they are, and from the deviations scaled by the ratio of `value` to the mean of their point.
-// The larger one is returned.
+// Returns the variance of the runs about the mean of their point, for an estimate of `value`. If noise is
+// proportional to the figure, it is larger at the full size than at the measured points. So the function
+// computes two variances, one from absolute deviations and one from deviations scaled by the ratio of `value`
+// to the mean of their point, and returns the larger one.
 Variance VarianceAboutPoints(const std::vector<RunValues>& runs, const std::vector<Observation>& means,
                              double value) {
   double absolute = 0, relative = 0, degrees = 0;
@@ -183,7 +189,7 @@
   return {curve.squared_residuals / degrees, degrees};
 }
 
-// The variance of the fitted curve at `basis`, in units of the variance of one run.
+// Returns the variance of the fitted curve at `basis`, divided by the variance of one run.
 double Leverage(const Curve& curve, const Sums& sums, double basis) {
   switch (curve.fitted) {
     case FittedParameters::kOffset: return 1 / sums.weight;
@@ -222,11 +228,15 @@
 
 void CheckInput(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full) {
   if (sizes.size() != runs.size()) {
-    throw FitError(FitProblem::kListLengthsDiffer,
-                   "the number of run lists should equal the number of sizes");
+    throw FitError(
+        FitProblem::kListLengthsDiffer,
+        fmt::format(
+            "the number of run lists should equal the number of sizes, but there are {} lists and {} sizes",
+            runs.size(), sizes.size()));
   }
   if (sizes.size() < kMinPoints) {
-    throw FitError(FitProblem::kTooFewPoints, "a fit needs at least three points");
+    throw FitError(FitProblem::kTooFewPoints,
+                   fmt::format("a fit needs at least three points, but has {}", sizes.size()));
   }
   const auto is_invalid = [](double x) { return !std::isfinite(x) || x < 0; };
   if (is_invalid(full) || std::any_of(sizes.begin(), sizes.end(), is_invalid)) {
@@ -239,12 +249,14 @@
     }
   }
   if (std::all_of(sizes.begin(), sizes.end(), [&](double x) { return x == sizes.front(); })) {
-    throw FitError(FitProblem::kEqualSizes, "the points should have different sizes");
+    throw FitError(
+        FitProblem::kEqualSizes,
+        fmt::format("the points should have different sizes, but all have the size {:g}", sizes.front()));
   }
 }
 
 double CoefficientOfDetermination(const Curve& curve, const Sums& sums) {
-  if (sums.value_squares <= 0) return 1;  // nothing to explain
+  if (sums.value_squares <= 0) return 1;  // all means are equal: there is no variance to explain
   return std::max(0.0, 1 - curve.squared_residuals / sums.value_squares);
 }
 
@@ -301,7 +313,7 @@
       fit.figure = key.second;
       fits.push_back(std::move(fit));
     } catch (const FitError&) {
-      // Too few points have this figure: the result contains them without a fit.
+      // For example, too few points have this figure. The result then contains the points without a fit.
     }
   }
   return fits;
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -1,5 +1,5 @@
-// Least-squares fit of a cost over a size: how a figure grows, and its estimate at the full size.
-// Pure functions without I/O; thread-safe.
+// Least-squares fit of a figure (such as a CPU time) as a function of a size (such as the number of hosts),
+// and the estimate of the figure at the full size. Pure functions without I/O; thread-safe.
 #ifndef GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_FIT_HPP_
 
@@ -13,11 +13,11 @@
 
 // The reason why values can't be fitted.
 enum class FitProblem {
-  kTooFewPoints,       // fewer than three
-  kEqualSizes,         // all points have the same x
+  kTooFewPoints,       // fewer than three points
+  kEqualSizes,         // all points have the same size
   kListLengthsDiffer,  // the number of lists of runs differs from the number of sizes
-  kNoRuns,             // a point has no values
-  kInvalidNumber       // an infinity or NaN, or a negative x
+  kNoRuns,             // a point has no value
+  kInvalidNumber       // an infinite or NaN value or size, or a negative size
 };
 
 class FitError : public std::runtime_error {
@@ -29,26 +29,31 @@
   FitProblem problem_;
 };
 
-// Fits `runs[i]` (the figure's values at sizes[i], one per run) over `sizes` (not negative) and extrapolates
-// to `full`. Leaves role and figure empty. Offset and slope are never negative: a decline is fitted as a
-// constant.
+// Fits a curve to the values of a figure and estimates the figure at the size `full`. runs[i] contains the
+// values at sizes[i], one per run. Sizes must not be negative. Leaves the role and figure of the result
+// empty. Offset and slope are never negative: a figure that falls with the size is fitted by a constant.
+// Throws FitError.
 //
-// Chooses a straight line unless another form is clearly better. Chooses n log n or the square, whichever has
-// the smaller residual, if the line's residual is above 0.5% and the other form's is below three quarters of
-// it. Chooses a constant if the slope is within two standard errors of zero and the residual of the growing
-// form is not below three quarters of the constant's residual.
+// Chooses the growth model in two steps:
+// 1. The growing model is a straight line by default. The curved candidate is n log n or the square,
+// whichever has
+//    the smaller residual. It replaces the line if the residual of the line is above 0.5% and the residual of
+//    the candidate is below three quarters of the residual of the line.
+// 2. A constant replaces the growing model if the slope is within two standard errors of zero and the
+// residual of
+//    the growing model is at least three quarters of the residual of the constant.
 //
-// The interval of at_full is a prediction interval (95%, Student's t) for the mean of the same number of
-// runs. Two variances are computed: that of the points about the curve, and that of the runs about the mean
-// of their point. The second one is computed from absolute and from relative deviations, and the larger
-// result is used. Each variance gives an interval, and the wider one is used. Throws FitError.
+// The interval of at_full is a 95% prediction interval (Student's t) for the mean of the same number of runs.
+// It is the wider one of two intervals. One uses the variance of the points about the curve. The other uses
+// the variance of the runs about the mean of their point, computed from absolute and from relative
+// deviations; the larger of the two results counts.
 ScaleFit FitFigure(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full);
 
-// Fits every figure of every role over the points of the result that have it, ordered by role and figure.
-// Omits figures that can't be fitted.
+// Fits every figure of every role, using the points of the result that contain the figure. Returns the fits
+// ordered by role and figure, without the figures that can't be fitted.
 std::vector<ScaleFit> FitAllFigures(const ScaleResult& result);
 
-// The fitted value at size x, in the figure's unit.
+// Returns the fitted value at the size x, in the figure's unit.
 double ValueAt(const ScaleFit& fit, double x);
 
 }  // namespace gateway::lab
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -21,18 +21,19 @@
 constexpr std::string_view kMetricsCommand = "metrics\n";
 constexpr Millis kStartTimeoutMs = 15000;
 constexpr Millis kResponseTimeoutMs = 20000;
-constexpr Millis kPollPeriodMs = 20;                 // of the list service and the hollow processes
-constexpr Millis kReadyPollPeriodMs = 5;             // of real gateways that are starting
+constexpr Millis kPollPeriodMs = 20;      // for the list service and the processes of hollow gateways
+constexpr Millis kReadyPollPeriodMs = 5;  // for real gateways that are starting
 constexpr int kMaxGatewaysWithoutInitialList = 400;  // larger fleets of hollow gateways start with a list
-constexpr int kHollowAddressBase = 200;  // first of their last address octets in the address block of the run
+constexpr int kHollowAddressBase =
+    200;  // last address octet of the first hollow process, in the address block of the run
 constexpr std::uint16_t kControlPort = 3900;
-constexpr std::uint16_t kClosedPort = 9;
+constexpr std::uint16_t kClosedPort = 9;  // no process listens here
 constexpr std::uint64_t kSeedsPerRun = 100000;
-constexpr int kSpareWatchSlots = 2000;  // watches that the list service admits beyond one per gateway
+constexpr int kSpareWatchSlots = 2000;  // watches that the list service admits in addition to one per gateway
 constexpr std::uint16_t kIsolatedGatewayPort = 3000;
 
-// Returns the value of a counter in the Prometheus text format; 0 if it is missing.
-double CounterOf(const std::string& text, const std::string& name) {
+// Returns the value of a metric of the list service in the Prometheus text format; 0 if it is missing.
+double MetricOf(const std::string& text, const std::string& name) {
   const std::string line = "\nelderhead_registry_" + name + " ";
   const std::size_t at = text.find(line);
   return at == std::string::npos ? 0 : std::atof(text.c_str() + at + line.size());
@@ -41,7 +42,7 @@
 }  // namespace
 
 ListServiceCounts ParseListServiceCounts(const std::string& metrics) {
-  const auto counter = [&](const char* name) { return CounterOf(metrics, name); };
+  const auto counter = [&](const char* name) { return MetricOf(metrics, name); };
   ListServiceCounts counts;
   counts.calls = counter("calls_total");
   counts.list_calls = counter("list_calls_total");
@@ -74,7 +75,7 @@
       }) {}
 
 ScaleFleet::~ScaleFleet() {
-  logs_.clear();  // so that these exits are not recorded as unexpected
+  logs_.clear();  // the handler does not record the following exits as unexpected
   processes_.KillAll();
 }
 
@@ -93,7 +94,6 @@
   return last;
 }
 
-// The program under test does not run at this size if one of its processes exits on its own.
 void ScaleFleet::CheckAlive() const {
   if (unexpected_exits_.empty()) return;
   const auto& [pid, status] = *unexpected_exits_.begin();
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -1,6 +1,6 @@
-// The fleet of one point: the processes of the list service, the real gateways and the hollow gateways, and
-// the hosts, operators and clients that the measuring tool emulates. The destructor stops all processes.
-// Single-threaded.
+// The fleet of one point of a sweep. It consists of the processes of the list service, the real gateways and
+// the hollow gateways, and of the hosts, operators and clients that the measuring tool emulates. The
+// destructor stops all processes. Single-threaded.
 #ifndef GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_FLEET_HPP_
 
@@ -28,7 +28,7 @@
 
 namespace gateway::lab {
 
-// The program under test does not run at this size. what() contains its last log line.
+// A process under test exited on its own at this size. what() contains its exit status and its last log line.
 class PointRefusedError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -40,24 +40,25 @@
   std::string gateway;     // the gateway under test
 };
 
-// Counters of the list service.
+// Metrics of the list service. `list_calls` and `list_bytes_*` count only the calls that read the endpoint
+// list.
 struct ListServiceCounts {
   double calls = 0, list_calls = 0, complete_lists = 0, writes = 0, rejected = 0;
   double bytes_in = 0, bytes_out = 0, list_bytes_in = 0, list_bytes_out = 0;
   double watches = 0, revision = 0;
 };
 
-// Parses the response to /metrics. Missing counters are 0.
+// Parses the response to /metrics. Missing metrics are 0.
 ListServiceCounts ParseListServiceCounts(const std::string& metrics);
 
-// A process of the gateway under test.
+// One process of the gateway under test.
 struct RealGateway {
   pid_t pid = 0;
   tcp::endpoint address, management;
   Millis started_at = 0, ready_at = 0;  // base::MonotonicNow
 };
 
-// A process of hollow gateways.
+// One process that runs several hollow gateways.
 struct HollowProcess {
   pid_t pid = 0;
   tcp::endpoint control;
@@ -65,21 +66,21 @@
   Millis started_at = 0;
 };
 
-// Returns the list that the hollow gateways of a run start with. A small number of gateways starts without a
-// list and requests the complete one. A larger number starts with the list, like restarted gateways, because
-// the list service limits the rate of complete lists.
+// Returns the initial list of the hollow gateways: `list`, or null if there are at most 400 gateways. Without
+// an initial list, each gateway requests the complete list at its start. More gateways start with the list,
+// like restarted gateways, because the list service limits the rate of complete lists.
 nlohmann::json InitialHollowList(int gateways, const std::string& list);
 
 class ScaleFleet {
  public:
-  // `deadline` (base::MonotonicNow) bounds every wait.
+  // No wait continues after `deadline` (base::MonotonicNow).
   ScaleFleet(ScalePrograms programs, FleetSize size, std::uint64_t seed, Millis deadline);
   ~ScaleFleet();
 
   EventLoop& loop() { return loop_; }
   const FleetSize& size() const { return size_; }
 
-  // Returns the time until the list service answered.
+  // Returns the time from the start of the process until the list service answers.
   Millis StartListService();
   void KillListService();
   tcp::endpoint list_service_address() const { return addresses_.Registry(); }
@@ -89,26 +90,26 @@
   std::string FetchCompleteList();
   FleetMembers& members() { return *members_; }
 
-  // Starts a gateway outside the fleet whose list service never answers. It starts with `initial_list` as its
-  // list (null: without a list).
+  // Starts a gateway that is not part of the fleet and whose list service never answers. `initial_list` is
+  // its list at the start (null: none).
   pid_t StartIsolatedGateway(const nlohmann::json& initial_list);
   void Kill(pid_t pid);
   // Throws PointRefusedError if a process has exited on its own.
   void CheckAlive() const;
-  // Returns when all real gateways accept requests.
+  // Starts the real gateways and returns when all of them accept requests.
   void StartRealGateways();
   const std::vector<RealGateway>& real() const { return real_; }
   RequestLoad& requests() { return *requests_; }
   // Returns the size of a gateway's response to the management command 'metrics', in bytes.
   double ScrapeBytes(const RealGateway& gateway);
 
-  // Starts the hollow gateways `first` to first + count - 1 in new processes, with `initial_list` as their
-  // list (null: without a list). In the fleet, hollow gateways are numbered after the real gateways.
+  // Starts the hollow gateways `first` to first + count - 1 in new processes. `initial_list` is their list at
+  // the start (null: none). Hollow gateway 0 has the index after the last real gateway in the fleet.
   void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
-  // Waits until all gateways of the processes from number `from` on have a list. Returns the time since the
-  // start of the first of these processes. Throws ScaleTimeout.
+  // Waits until all gateways of the processes hollow()[from] and later have a list. Returns the time from the
+  // start of hollow()[from] until the last gateway has its list. Throws ScaleTimeout.
   Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
-  // Waits until no hollow gateway has an older revision. Throws ScaleTimeout.
+  // Waits until every hollow gateway has this revision of the list or a later one. Throws ScaleTimeout.
   void WaitForHollowRevision(std::int64_t revision, Millis timeout);
   const std::vector<HollowProcess>& hollow() const { return hollow_; }
   // Returns the revisions that the hollow gateways received since the previous call.
@@ -119,7 +120,7 @@
   std::filesystem::path PathOf(const std::string& name) const { return folder_.path() / name; }
   pid_t StartGateway(const std::string& name, const GatewayConfigInput& input);
   std::string LastLine(const std::string& log) const;
-  // Returns the body of a successful response; nullopt for another or no response.
+  // Returns the body of the response; nullopt if there is no response or if its status is not a success.
   std::optional<std::string> FetchBody(const tcp::endpoint& from, const std::string& target);
   HollowState StateOf(const HollowProcess& process);
   tcp::endpoint AddressInBlock(int last, std::uint16_t port) const;
@@ -136,9 +137,9 @@
   std::unique_ptr<RequestLoad> requests_;
   std::vector<RealGateway> real_;
   std::vector<HollowProcess> hollow_;
-  std::map<tcp::endpoint, std::shared_ptr<base::ClientConnection>> connections_;  // for FetchBody
-  std::map<pid_t, std::string> logs_;              // log files of processes that should be running
-  std::map<pid_t, std::string> unexpected_exits_;  // exit status by process
+  std::map<tcp::endpoint, std::shared_ptr<base::ClientConnection>> connections_;  // used by FetchBody
+  std::map<pid_t, std::string> logs_;              // log files of the processes that should be running
+  std::map<pid_t, std::string> unexpected_exits_;  // exit statuses of the processes that exited on their own
   pid_t list_service_pid_ = 0;
   int isolated_gateways_ = 0;
   Processes processes_;
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -13,9 +13,10 @@
 namespace gateway::lab {
 namespace {
 
-constexpr std::size_t kGnuplotColours = 8;  // colours of gnuplot before they repeat
+constexpr std::size_t kGnuplotColours = 8;  // gnuplot repeats its colours after this number of lines
 
-// Figures that share an axis, selected by prefix and suffix of their names.
+// Figures that one plot shows. A figure belongs to the group if its name has the prefix and one of the
+// suffixes.
 struct FigureGroup {
   std::string_view name;
   std::string_view label;
@@ -74,7 +75,7 @@
   return lines;
 }
 
-// The fitted curve as a gnuplot expression in x.
+// Returns the fitted curve as a gnuplot expression in x.
 std::string Expression(const ScaleFit& fit) {
   switch (fit.model) {
     case GrowthModel::kConstant: return fmt::format("{:.9g}", fit.offset);
@@ -91,7 +92,7 @@
   return title;
 }
 
-// The sizes on the axis. The axis is logarithmic, so they are positive.
+// The range of sizes on the x axis. The axis is logarithmic, so the range is positive.
 struct Range {
   double from = 1, to = 1;
 };
--- a/src/lab/scale/scale_plot.hpp
+++ b/src/lab/scale/scale_plot.hpp
@@ -9,9 +9,9 @@
 
 namespace gateway::lab {
 
-// Draws FOLDER/NAME-GROUP.svg with gnuplot for each group of figures (processor, bytes, memory ...) in the
-// result. Returns the files written. Blocking. Throws std::runtime_error if the folder can't be written or
-// gnuplot can't be run.
+// Draws one file FOLDER/NAME-GROUP.svg with gnuplot for each group of figures (processor, traffic, memory
+// ...) in the result. Returns the paths of the files. Blocking. Throws std::runtime_error if the folder can't
+// be written or gnuplot fails.
 std::vector<std::filesystem::path> WriteScalePlots(const ScaleResult& result,
                                                    const std::filesystem::path& folder);
 
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -16,12 +16,14 @@
     {GrowthModel::kNLogN, "n log n"},
     {GrowthModel::kQuadratic, "square"}};
 
-// A JSON value with its path in the file, for errors that name the field.
+constexpr std::string_view kExpectedGrowthModel = "should be constant, linear, n log n or square";
+
+// A JSON value with its path in the file. Errors name this path.
 class Field {
  public:
   Field(const json& value, std::string path) : value_(value), path_(std::move(path)) {}
 
-  // Returns a required member.
+  // Returns the member of this object. Throws ScaleFormatError if it is missing.
   Field Member(const std::string& name) const {
     RequireObject();
     const auto found = value_.find(name);
@@ -30,43 +32,48 @@
   }
 
   double Number() const {
-    if (!value_.is_number()) throw ScaleFormatError(path_, "should be a number");
+    if (!value_.is_number()) ThrowWrongType("should be a number");
     const double number = value_.get<double>();
     if (!std::isfinite(number)) throw ScaleFormatError(path_, "should be a finite number");
     return number;
   }
 
   std::uint64_t Count() const {
-    if (!value_.is_number_unsigned()) throw ScaleFormatError(path_, "should be a non-negative integer");
+    if (!value_.is_number_unsigned()) {
+      if (!value_.is_number()) ThrowWrongType("should be a non-negative integer");
+      throw ScaleFormatError(path_, "should be a non-negative integer, but is " + value_.dump());
+    }
     return value_.get<std::uint64_t>();
   }
 
   unsigned SmallCount() const {
     const std::uint64_t count = Count();
-    if (count > UINT32_MAX) throw ScaleFormatError(path_, "is too large");
+    if (count > UINT32_MAX)
+      throw ScaleFormatError(path_, fmt::format("should be at most {}, but is {}", UINT32_MAX, count));
     return static_cast<unsigned>(count);
   }
 
   bool Boolean() const {
-    if (!value_.is_boolean()) throw ScaleFormatError(path_, "should be true or false");
+    if (!value_.is_boolean()) ThrowWrongType("should be true or false");
     return value_.get<bool>();
   }
 
   std::string Text() const {
-    if (!value_.is_string()) throw ScaleFormatError(path_, "should be a string");
+    if (!value_.is_string()) ThrowWrongType("should be a string");
     return value_.get<std::string>();
   }
 
   GrowthModel ReadGrowthModel() const {
-    const auto model = GrowthModelFromName(Text());
-    if (!model) throw ScaleFormatError(path_, "should be constant, linear, n log n or square");
+    const std::string name = Text();
+    const auto model = GrowthModelFromName(name);
+    if (!model) throw ScaleFormatError(path_, fmt::format("{}, but is '{}'", kExpectedGrowthModel, name));
     return *model;
   }
 
   // Reads every element of an array.
   template <typename Read>
   auto List(Read read) const {
-    if (!value_.is_array()) throw ScaleFormatError(path_, "should be an array");
+    if (!value_.is_array()) ThrowWrongType("should be an array");
     std::vector<decltype(read(*this))> list;
     for (std::size_t i = 0; i < value_.size(); ++i) {
       list.push_back(read(Field(value_[i], fmt::format("{}[{}]", path_, i))));
@@ -86,8 +93,12 @@
   const std::string& path() const { return path_; }
 
  private:
+  [[noreturn]] void ThrowWrongType(const std::string& expected) const {
+    throw ScaleFormatError(path_.empty() ? "file" : path_,
+                           fmt::format("{}, but is of type {}", expected, value_.type_name()));
+  }
   void RequireObject() const {
-    if (!value_.is_object()) throw ScaleFormatError(path_.empty() ? "file" : path_, "should be an object");
+    if (!value_.is_object()) ThrowWrongType("should be an object");
   }
   std::string Join(const std::string& name) const { return path_.empty() ? name : path_ + "." + name; }
 
@@ -129,7 +140,9 @@
   std::map<GrowthModel, double> residuals;
   for (const auto& [name, value] : field.Map(ReadNumber)) {
     const auto model = GrowthModelFromName(name);
-    if (!model) throw ScaleFormatError(field.path() + "." + name, "is not a form of a fit");
+    if (!model)
+      throw ScaleFormatError(field.path() + "." + name,
+                             fmt::format("unknown growth model; {}", kExpectedGrowthModel));
     residuals.emplace(*model, value);
   }
   return residuals;
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -1,5 +1,6 @@
-// The result of a scale sweep: the costs of each role at each point of one axis, and the fits over these
-// points. Plain values without I/O. Thread-compatible.
+// The result of a scale sweep. A sweep varies one size of the fleet (the axis, such as the number of hosts)
+// and measures the costs of each role (gateway, list service ...) at several points. The result contains the
+// measured costs and the curves fitted to them. No I/O. Thread-compatible.
 #ifndef GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_RESULT_HPP_
 
@@ -14,7 +15,7 @@
 
 namespace gateway::lab {
 
-// How a cost y grows with the size x.
+// The function by which a cost y grows with the size x.
 enum class GrowthModel {
   kConstant,  // y = offset
   kLinear,    // y = offset + slope * x
@@ -25,12 +26,12 @@
 inline constexpr GrowthModel kAllGrowthModels[] = {GrowthModel::kConstant, GrowthModel::kLinear,
                                                    GrowthModel::kNLogN, GrowthModel::kQuadratic};
 
-// The name in files: "constant", "linear", "n log n" or "square".
+// The name of the model in result files: "constant", "linear", "n log n" or "square".
 std::string_view GrowthModelName(GrowthModel model);
 // Returns nullopt for an unknown name.
 std::optional<GrowthModel> GrowthModelFromName(std::string_view name);
 
-// The fitted value at one size and its 95% prediction interval, in the figure's unit.
+// The fitted value at the size x and its 95% prediction interval, in the figure's unit.
 struct FitEstimate {
   double x = 0;
   double value = 0;
@@ -38,14 +39,14 @@
   bool extrapolated = false;  // x exceeds the largest measured point
 };
 
-// The fit of one figure of one role over the axis.
+// The curve fitted to one figure of one role. A figure is a measured quantity, such as cpu_per_change_us.
 struct ScaleFit {
   std::string role, figure;
   GrowthModel model = GrowthModel::kLinear;
-  double offset = 0, slope = 0;             // never negative
-  double residual = 0;                      // root mean square divided by the mean of the figure
-  double r2 = 0;                            // share of the variance that the form explains
-  std::map<GrowthModel, double> residuals;  // of all forms
+  double offset = 0, slope = 0;  // never negative
+  double residual = 0;           // root mean square of the residuals, divided by the mean of the figure
+  double r2 = 0;  // share of the variance that the model explains (coefficient of determination)
+  std::map<GrowthModel, double> residuals;  // as `residual`, for every model that was fitted
   FitEstimate at_full;
 };
 
@@ -56,13 +57,13 @@
 
 // The values of all runs at one point.
 struct ScalePoint {
-  double value = 0;  // on the axis
+  double value = 0;  // the size, in the unit of the axis
   std::map<std::string, RoleFigures> roles;
 };
 
-// A point of the axis that was not measured, because the program under test did not run or a step timed out.
+// A point that was not measured, because a process under test exited or a step timed out.
 struct RefusedPoint {
-  double value = 0;
+  double value = 0;  // the size, in the unit of the axis
   std::string reason;
 };
 
@@ -76,14 +77,14 @@
 struct ScaleResult {
   std::string experiment, name, about;
   std::string axis, unit;
-  double full = 0;         // the size expected in two years
-  double largest = 0;      // the largest measured point
-  std::string limited_by;  // why `largest` is less than the expected size `full`; empty if it is not
+  double full = 0;         // the size expected in two years, in the unit of the axis
+  double largest = 0;      // the largest measured point, in the unit of the axis
+  std::string limited_by;  // why `largest` is less than `full`; empty if `largest` is not less
   std::uint64_t seed = 0;
   unsigned runs = 0;
   std::string revision;
   ScaleMachine machine;
-  std::map<std::string, double> fixed;  // sizes that are the same at all points
+  std::map<std::string, double> fixed;  // the sizes that the sweep does not vary, by name
   std::vector<ScalePoint> points;
   std::vector<RefusedPoint> refused;
   std::vector<ScaleFit> fits;
@@ -94,14 +95,14 @@
   std::string storm, experiment;
   std::uint64_t seed = 0;
   unsigned runs = 0;
-  std::map<std::string, double> fixed;  // sizes of the run
+  std::map<std::string, double> fixed;  // sizes of the fleet, by name
   double peak_bytes_per_s = 0;
   double peak_cpu_percent = 0;  // of one core
-  double peak_queue = 0;
-  double convergence_ms = 0;  // time until all gateways had the newest state
+  double peak_queue = 0;        // requests that the list service had not read yet
+  double convergence_ms = 0;    // time until all gateways had the latest list
 };
 
-// A file that is not a valid result. what() names the field, as in "points[2].roles: should be an object".
+// The file is not a valid result. what() names the field, for example "axis: missing".
 class ScaleFormatError : public std::runtime_error {
  public:
   ScaleFormatError(std::string field, const std::string& problem)
--- a/src/lab/scale/scale_sweep.cpp
+++ b/src/lab/scale/scale_sweep.cpp
@@ -91,7 +91,7 @@
         ReportProgress(run_label + ": " + refused.what());
         return RecordRefusedPoint(value, refused.what());
       } catch (const std::runtime_error& failed) {
-        // The previous runs of this point are complete and are kept.
+        // Keep the previous runs of this point, which are complete.
         ReportProgress(run_label + ": " + failed.what());
         if (point.roles.empty()) return RecordRefusedPoint(value, failed.what());
         break;
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -1,5 +1,5 @@
-// The sweep of one size over its points: measures each point in every run, then fits every figure. The
-// measurement is an interface, so that the sweep can be tested with synthetic costs.
+// Runs a sweep: measures each point of one size in every run, then fits a curve to every figure. The
+// measurement is an interface, so that tests can run a sweep with synthetic costs.
 #ifndef GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 #define GATEWAY_LAB_SCALE_SCALE_SWEEP_HPP_
 
@@ -19,26 +19,27 @@
 class ScaleMeasurer {
  public:
   virtual ~ScaleMeasurer() = default;
-  // Measures one run with the size of the axis set to `value`. Throws PointRefusedError if the program under
-  // test does not run at this size, and ScaleTimeout if a wait times out.
+  // Measures one run with the size of the axis set to `value`. Throws PointRefusedError if a process under
+  // test exits on its own, ScaleTimeout if a wait times out, and std::runtime_error if another step fails.
   virtual RoleMeasures Measure(double value, std::uint64_t seed) = 0;
 };
 
 struct SweepOptions {
   bool quick = false;
   int runs = 0;                                         // 0: as in the file, or one if quick
-  std::uint64_t seed = 0;                               // of the first run; 0: as in the file
-  Millis deadline = 0;                                  // base::MonotonicNow
+  std::uint64_t seed = 0;                               // seed of the first run; 0: as in the file
+  Millis deadline = 0;                                  // base::MonotonicNow; 0: none
   std::function<void(const std::string&)> on_progress;  // receives a line for each run; may be empty
 };
 
-// Measures the points one after the other, with all runs of each, and fits the figures. A point that is
-// refused or times out is recorded under `refused` and does not end the sweep. Points after the deadline are
-// not measured and are recorded under `refused` too.
+// Measures the points one after the other, with all runs of each point, and fits the figures. If the first
+// run of a point fails, or if a process under test exits in any run, records the point in `refused` and
+// continues with the next point. If a later run fails otherwise, keeps the previous runs of the point.
+// Records the points that remain at the deadline in `refused` without measuring them.
 ScaleResult RunSweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options);
 
-// Share of a core above which a process of the measuring tool counts as saturated, so that the point is
-// marked.
+// A process of the measuring tool that uses a larger share of a core than this is saturated. The result then
+// marks the point.
 inline constexpr double kSaturatedPercent = 90;
 
 }  // namespace gateway::lab
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr Millis kSamplePeriodMs = 100;
-constexpr Millis kMinRateIntervalMs = 40;  // shorter intervals give no reliable rate
+constexpr Millis kMinRateIntervalMs = 40;  // a rate over a shorter interval is not reliable
 constexpr Millis kMetricsTimeoutMs = 30000;
 constexpr Millis kConvergenceTimeoutMs = 60000;
 constexpr Millis kSettleBeforeOutageMs = 1000;
@@ -29,9 +29,9 @@
   double bytes_per_s = 0, cpu_percent = 0, queue = 0;
 };
 
-// Samples the list service ten times a second: CPU time and queue from the kernel, bytes from the service's
-// own metrics. At most one metrics request is pending, so that the sampler does not add load to a busy
-// service.
+// Samples the list service ten times a second: CPU time and request queue from the kernel, bytes from the
+// service's metrics. At most one metrics request is pending at a time, to limit the load that the sampler
+// adds to a busy service.
 class StormSampler {
  public:
   explicit StormSampler(ScaleFleet& fleet)
@@ -43,7 +43,7 @@
     RecordBytes(fleet_.FetchCounts());
     Sample();
   }
-  // Includes the last interval, so that a storm shorter than the sample period is measured.
+  // Takes a last sample, so that the peaks include a storm that is shorter than the sample period.
   Peaks Stop() {
     fleet_.loop().RunFor(kMinRateIntervalMs);
     running_ = false;
@@ -129,8 +129,8 @@
   fleet.WaitForHollowReady(kConvergenceTimeoutMs);
 }
 
-// Starts the gateways of all zones except one, and waits until they are ready. Then starts the gateways of
-// the remaining zone together and without a list.
+// Starts the gateways of all zones except one and waits until they are ready. Then starts the gateways of the
+// remaining zone together, without an initial list, and measures the time until they have the list.
 StormMeasures RunZoneStart(ScaleFleet& fleet) {
   const int all_gateways = fleet.size().gateways_hollow,
             zone_gateways = std::max(1, all_gateways / fleet.size().zones);
@@ -145,8 +145,8 @@
   return measures;
 }
 
-// Restarts the list service after an outage. Measures the time from the start of its process until every
-// gateway has a change that was sent immediately after the start.
+// Stops the list service and restarts it after `outage`. Measures the time from the start of the new process
+// until every gateway has a change that an operator sends once the list service answers.
 StormMeasures RunListServiceRestart(ScaleFleet& fleet, Millis outage) {
   StartHollowGatewaysAndWait(fleet, fleet.size().gateways_hollow);
   fleet.loop().RunFor(kSettleBeforeOutageMs);
--- a/tests/lab/scale_fit_test.cpp
+++ b/tests/lab/scale_fit_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the fits of a scale sweep, the JSON form of its result, and its plots.
+// Tests of the curve fits of a scale sweep, of its result as JSON, and of its plots.
 #include "lab/scale/scale_fit.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 constexpr double kFull = 25000;
 constexpr std::uint64_t kSeed = 1;
 
-// A cost function with known parameters, which a fit should recover.
+// A cost function with known parameters. The tests fit its values and compare the fit with these parameters.
 struct TrueCost {
   GrowthModel model = GrowthModel::kLinear;
   double offset = 0, slope = 0;
@@ -88,7 +88,7 @@
   EXPECT_EQ(fit.residuals.size(), std::size(kAllGrowthModels));
 }
 
-TEST(ScaleFit, ChoosesTheConstantFormIfTheCostDoesNotGrow) {
+TEST(ScaleFit, ChoosesTheConstantModelIfTheCostDoesNotGrow) {
   std::mt19937_64 random(kSeed);
   const ScaleFit fit = FitFigure(kSizes, NoisyRuns({GrowthModel::kConstant, 5, 0}, 0.02, 3, random), kFull);
   EXPECT_EQ(fit.model, GrowthModel::kConstant);
@@ -96,23 +96,23 @@
   EXPECT_EQ(FitFigure(kSizes, ExactRuns({GrowthModel::kConstant, 0, 0}), kFull).at_full.value, 0);
 }
 
-TEST(ScaleFit, KeepsAnInsignificantSlopeThatFitsClearlyBetter) {
-  // The values rise, but the slope is within two standard errors of zero. A constant fit would ignore the
-  // growth: its estimate at the full size would be the mean of the measured values.
+TEST(ScaleFit, KeepsAnInsignificantSlopeIfALineFitsClearlyBetterThanAConstant) {
+  // The values rise, but the slope is within two standard errors of zero. A constant would ignore the growth:
+  // its estimate at the full size would be the mean of the measured values.
   const ScaleFit fit = FitFigure({10, 100, 1000, 5000}, {{1.2}, {1.0}, {2.9}, {3.3}}, kFull);
   EXPECT_EQ(fit.model, GrowthModel::kLinear);
   EXPECT_GT(fit.at_full.value, 6);
 }
 
-TEST(ScaleFit, ChoosesALineForAQuadraticCostIfItsResidualIsSmall) {
+TEST(ScaleFit, ChoosesALineForAQuadraticCostIfTheResidualOfTheLineIsSmall) {
   const ScaleFit fit = FitFigure(kSizes, ExactRuns({GrowthModel::kQuadratic, 1000, 1e-7}), kFull);
   EXPECT_EQ(fit.model, GrowthModel::kLinear);
   EXPECT_LT(fit.residual, 0.005);
 }
 
 TEST(ScaleFit, NeverFitsANegativeCost) {
-  // An unconstrained line through the first values is negative at small sizes, and one through the second
-  // values is negative at the full size.
+  // Without constraints, the line through the rising values would be negative at small sizes, and the line
+  // through the falling values would be negative at the full size.
   const ScaleFit rising = FitFigure({10, 1000, 2000}, {{0.1}, {1}, {30}}, kFull);
   EXPECT_GE(rising.offset, 0);
   EXPECT_GE(rising.slope, 0);
@@ -122,9 +122,9 @@
   EXPECT_GE(falling.at_full.low, 0);
 }
 
-// The prediction interval should contain the true value in at least 95% of the sweeps. An interval that is
-// too narrow would understate the uncertainty of the estimate.
-TEST(ScaleFit, IntervalContainsTheTrueValueInMostSweeps) {
+// An interval that contains the true value in fewer than 95% of the sweeps is too narrow: it understates the
+// uncertainty of the estimate.
+TEST(ScaleFit, PredictionIntervalContainsTheTrueValueInAtLeast95PercentOfSweeps) {
   std::printf("seed %llu\n", static_cast<unsigned long long>(kSeed));
   std::mt19937_64 random(kSeed);
   const TrueCost true_cost{GrowthModel::kLinear, 400, 0.02};
@@ -136,13 +136,14 @@
     containing_sweeps +=
         fit.at_full.low <= true_cost.At(kFull) && true_cost.At(kFull) <= fit.at_full.high ? 1 : 0;
   }
-  std::printf("%d of %d within the interval, %d of the true form\n", containing_sweeps, kSweeps,
-              true_model_sweeps);
+  std::printf(
+      "of %d sweeps, the interval contains the true value in %d, and %d are fitted with the true model\n",
+      kSweeps, containing_sweeps, true_model_sweeps);
   EXPECT_GE(containing_sweeps, kSweeps * 95 / 100);
   EXPECT_GE(true_model_sweeps, kSweeps * 95 / 100);
 }
 
-TEST(ScaleFit, IntervalIsWiderForNoisierRuns) {
+TEST(ScaleFit, PredictionIntervalIsWiderForNoisierRuns) {
   std::mt19937_64 random(kSeed);
   const TrueCost true_cost{GrowthModel::kLinear, 400, 0.02};
   const ScaleFit quiet = FitFigure(kSizes, NoisyRuns(true_cost, 0.01, 3, random), kFull);
@@ -150,7 +151,7 @@
   EXPECT_GT(noisy.at_full.high - noisy.at_full.low, 3 * (quiet.at_full.high - quiet.at_full.low));
 }
 
-TEST(ScaleFit, ReportsWhyInvalidInputCannotBeFitted) {
+TEST(ScaleFit, ErrorGivesTheProblemOfInvalidInput) {
   EXPECT_EQ(ProblemOf({1, 2}, {{1}, {2}}), FitProblem::kTooFewPoints);
   EXPECT_EQ(ProblemOf({7, 7, 7}, {{1}, {2}, {3}}), FitProblem::kEqualSizes);
   EXPECT_EQ(ProblemOf({1, 2, 3}, {{1}, {2}}), FitProblem::kListLengthsDiffer);
@@ -164,14 +165,14 @@
   true_cost.model =
       *rc::gen::elementOf(std::vector<GrowthModel>(std::begin(kAllGrowthModels), std::end(kAllGrowthModels)));
   true_cost.slope = true_cost.model == GrowthModel::kConstant ? 0 : *rc::gen::inRange(1, 1000) * 1e-3;
-  // The offset is smaller than the part of the cost that grows, taken at the largest measured point.
+  // The offset is smaller than the growing part of the cost at the largest measured point.
   const double growth = true_cost.model == GrowthModel::kConstant ? 100 : true_cost.At(kSizes.back());
   true_cost.offset =
       growth * *rc::gen::inRange(0, 100) / 100 + (true_cost.model == GrowthModel::kConstant ? 1 : 0);
   return true_cost;
 }
 
-RC_GTEST_PROP(ScaleFitProperty, RecoversTheTrueFormFromRunsWithLowNoise, ()) {
+RC_GTEST_PROP(ScaleFitProperty, RecoversTheTrueModelFromRunsWithLowNoise, ()) {
   const TrueCost true_cost = DrawTrueCost();
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
   const ScaleFit fit = FitFigure(kSizes, NoisyRuns(true_cost, 0.002, 3, random), kFull);
@@ -184,7 +185,7 @@
   RC_ASSERT(std::abs(fit.slope - true_cost.slope) <= 0.02 * true_cost.slope);
 }
 
-RC_GTEST_PROP(ScaleFitProperty, IsInvariantToTheUnitOfTheFigure, ()) {
+RC_GTEST_PROP(ScaleFitProperty, ScalingAllValuesScalesTheFitByTheSameFactor, ()) {
   const TrueCost true_cost = DrawTrueCost();
   std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
   const double factor = std::pow(2.0, *rc::gen::inRange(-20, 20));
@@ -203,7 +204,7 @@
   RC_ASSERT(is_near(original.residual, rescaled.residual));
 }
 
-RC_GTEST_PROP(ScaleFitProperty, NeverFitsANegativeCostToArbitraryValues, ()) {
+RC_GTEST_PROP(ScaleFitProperty, NeverEstimatesANegativeCostForArbitraryValues, ()) {
   std::vector<RunValues> runs;
   for (std::size_t i = 0; i < kSizes.size(); ++i) runs.push_back({*rc::gen::inRange(-10, 1000) * 0.1});
   const ScaleFit fit = FitFigure(kSizes, runs, kFull);
@@ -233,8 +234,7 @@
         {kSizes[i], {{"gateway", {{"cpu_idle_percent", runs[i]}, {"memory_mb", {5, 6}}}}}});
   }
   result.points.front().roles["gateway"]["served_percent"] = {100, 100};  // not plotted
-  result.points.front().roles["gateway"]["ready_ms"] = {12,
-                                                        13};  // measured at one point only, so it has no fit
+  result.points.front().roles["gateway"]["ready_ms"] = {12, 13};  // measured at one point only: no fit
   result.refused = {{73000, "list index too large"}};
   result.fits = FitAllFigures(result);
   return result;
@@ -265,24 +265,27 @@
   EXPECT_EQ(read.refused.at(0).reason, "list index too large");
 }
 
-TEST(ScaleResult, ErrorNamesTheFieldOfAMalformedFile) {
+TEST(ScaleResult, ErrorOfAnInvalidFileNamesTheField) {
   EXPECT_EQ(ErrorAfter([](json& result) { result.erase("axis"); }), "axis: missing");
-  EXPECT_EQ(ErrorAfter([](json& result) { result["full"] = "many"; }), "full: should be a number");
-  EXPECT_EQ(ErrorAfter([](json& result) { result["seed"] = -1; }), "seed: should be a non-negative integer");
+  EXPECT_EQ(ErrorAfter([](json& result) { result["full"] = "many"; }),
+            "full: should be a number, but is of type string");
+  EXPECT_EQ(ErrorAfter([](json& result) { result["seed"] = -1; }),
+            "seed: should be a non-negative integer, but is -1");
   EXPECT_EQ(ErrorAfter([](json& result) { result["points"][2]["roles"] = 3; }),
-            "points[2].roles: should be an object");
+            "points[2].roles: should be an object, but is of type number");
   EXPECT_EQ(
       ErrorAfter([](json& result) { result["points"][1]["roles"]["gateway"]["memory_mb"][1] = nullptr; }),
-      "points[1].roles.gateway.memory_mb[1]: should be a number");
+      "points[1].roles.gateway.memory_mb[1]: should be a number, but is of type null");
   EXPECT_EQ(ErrorAfter([](json& result) { result["fits"][0]["form"] = "cubic"; }),
-            "fits[0].model: should be constant, linear, n log n or square");
+            "fits[0].form: should be constant, linear, n log n or square, but is 'cubic'");
   EXPECT_EQ(ErrorAfter([](json& result) { result["fits"][0]["residuals"]["cubic"] = 1; }),
-            "fits[0].residuals.cubic: is not a form of a fit");
-  EXPECT_EQ(ErrorAfter([](json& result) { result = json::array(); }), "file: should be an object");
+            "fits[0].residuals.cubic: unknown growth model; should be constant, linear, n log n or square");
+  EXPECT_EQ(ErrorAfter([](json& result) { result = json::array(); }),
+            "file: should be an object, but is of type array");
 }
 
-// The Python tool that writes the capacity page reads the same fixtures. This test fails if the C++ reader no
-// longer accepts the file format that the Python tool expects.
+// tools/capacity.py reads the same fixtures. This test fails if the C++ reader no longer accepts the file
+// format that the Python tool expects.
 TEST(ScaleResult, ReadsTheFixturesOfTheCapacityTool) {
   std::stringstream text;
   text << std::ifstream(FIXTURES "/capacity/docs/results/scale/hosts.json").rdbuf();
@@ -303,7 +306,7 @@
   EXPECT_THROW(StormsFromJson(json{{"storms", json::array({{{"storm", "zone_starts"}}})}}), ScaleFormatError);
 }
 
-TEST(ScalePlot, WritesOneFilePerGroupOfFigures) {
+TEST(ScalePlot, WritesOneFilePerGroupOfFiguresWithPointsAndFit) {
   const TemporaryFolder folder;
   const auto files = WriteScalePlots(Sample(), folder.path() / "it's");
   ASSERT_EQ(files.size(), 3U);
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -1,5 +1,5 @@
 // Tests of scale runs: experiment files, sweeps with synthetic costs, and small fleets of real processes. The
-// tests check invariants only. They check no speeds, because speeds depend on the machine.
+// tests check no absolute speeds or CPU times, because these depend on the machine.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -67,7 +67,7 @@
   return "";
 }
 
-TEST(ScaleExperiment, ReadsEveryScaleExperimentInTheRepository) {
+TEST(ScaleExperiment, ReadsEveryExperimentFileInTheRepository) {
   int files = 0;
   for (const auto& entry : std::filesystem::directory_iterator(EXPERIMENTS "/scale")) {
     const ScaleExperiment experiment = ReadScaleExperiment(entry.path().string(), kMachineLimits);
@@ -78,13 +78,15 @@
   EXPECT_EQ(files, 9);
 }
 
-TEST(ScaleExperiment, ErrorNamesTheFieldOfAMalformedFile) {
+TEST(ScaleExperiment, ErrorOfAnInvalidFileNamesTheFileAndTheField) {
   const std::vector<std::pair<std::string, std::string>> cases{
       {Replaced(kSweepFile, "axis = \"hosts\"", "axis = \"hostes\""), "axis: "},
       {Replaced(kSweepFile, "axis = \"hosts\"\n", ""), "axis: "},
-      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[1, 5, 100]"), "points: needs at least 4"},
-      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[1, 20, 5, 100]"), "points: must rise"},
-      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[10, 20, 50, 100]"), "points: must span two decades"},
+      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[1, 5, 100]"), "points: needs at least 4 points, but has 3"},
+      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[1, 20, 5, 100]"),
+       "points: must be in ascending order, but 5 follows 20"},
+      {Replaced(kSweepFile, "[1, 5, 20, 100]", "[10, 20, 50, 100]"),
+       "points: must span two decades (a factor of 100), but the range is 10 to 100"},
       {Replaced(kSweepFile, "[1, 5, 20, 100]", "[1, 5, 20, \"x\"]"), "points: must be an array of numbers"},
       {Replaced(kSweepFile, "full = 100", "full = 2000"), "limited_by: missing"},
       {Replaced(kSweepFile, "full = 100", "full = -1"), "full: "},
@@ -96,13 +98,13 @@
       {Replaced(kSweepFile, "name = \"small\"", "name = \"Small One\""), "name: "}};
   for (const auto& [text, field] : cases) {
     const std::string error = ErrorOf(text);
-    EXPECT_NE(error.find(field), std::string::npos) << "'" << error << "' does not name " << field;
+    EXPECT_NE(error.find(field), std::string::npos) << "'" << error << "' does not contain '" << field << "'";
     EXPECT_EQ(error.rfind("test.toml:", 0), 0U) << error;
   }
   EXPECT_EQ(ErrorOf(kSweepFile), "");
 }
 
-TEST(ScaleExperiment, ErrorForAFleetAboveTheLimitsNamesFieldEstimateAndLimit) {
+TEST(ScaleExperiment, ErrorForAFleetAboveALimitNamesTheFieldTheEstimateAndTheLimit) {
   const std::string memory = ErrorOf(Replaced(kSweepFile, "gateways_hollow = 3", "gateways_hollow = 900000"));
   EXPECT_NE(memory.find("fixed: "), std::string::npos) << memory;
   EXPECT_NE(memory.find("MB of memory; the limit is 12000 MB"), std::string::npos) << memory;
@@ -117,7 +119,7 @@
       << descriptors;
 }
 
-// Runs gatewayctl and returns its exit code and its complete output.
+// Runs gatewayctl and returns its exit code and its output (stdout and stderr).
 std::pair<int, std::string> RunProgram(const std::string& arguments) {
   const TemporaryFolder folder;
   const std::string output = (folder.path() / "output").string();
@@ -128,13 +130,14 @@
   return {WEXITSTATUS(status), text.str()};
 }
 
-TEST(ScaleCommand, RejectsAnOversizedFileBeforeStartingAnyProcess) {
+TEST(ScaleCommand, RejectsAFleetAboveTheLimitsBeforeStartingAnyProcess) {
   const TemporaryFolder folder;
   const std::filesystem::path good = folder.path() / "good.toml", oversized = folder.path() / "large.toml",
                               started = folder.path() / "started";
   std::ofstream(good) << kSweepFile;
   std::ofstream(oversized) << Replaced(kSweepFile, "gateways_hollow = 3", "gateways_hollow = 900000");
-  // The valid experiment comes first. If it were run, the gateway command would create the file `started`.
+  // The valid experiment is the first argument. If the tool ran it, the gateway command would create the file
+  // `started`.
   const auto [code, text] =
       RunProgram(fmt::format("lab scale {} {} --json-dir {} --gateway 'touch {}'", good.string(),
                              oversized.string(), folder.path().string(), started.string()));
@@ -145,7 +148,7 @@
   EXPECT_FALSE(std::filesystem::exists(folder.path() / "small.json"));
 }
 
-// Returns synthetic costs, which it computes by formulas instead of running processes.
+// A measurer that computes the costs of each role by a formula and starts no processes.
 class SyntheticCosts : public ScaleMeasurer {
  public:
   RoleMeasures Measure(double value, std::uint64_t seed) override {
@@ -166,7 +169,7 @@
 
 ScaleExperiment SmallSweep() { return ParseScaleExperiment(kSweepFile, "small.toml", kMachineLimits); }
 
-TEST(ScaleSweep, FitsTheSquareFormToAQuadraticCost) {
+TEST(ScaleSweep, FitsAQuadraticModelToAQuadraticCostAndALineToALinearCost) {
   ScaleExperiment experiment = SmallSweep();
   experiment.runs = 3;
   experiment.full = 1000;
@@ -179,7 +182,7 @@
   EXPECT_NEAR(FitOf(result, "linear").at_full.value, 2 + 0.05 * 1000, 3);
 }
 
-TEST(ScaleSweep, MeasuresAllRunsOfEachPointInOrder) {
+TEST(ScaleSweep, MeasuresThePointsInOrderWithAllRunsOfEach) {
   ScaleExperiment experiment = SmallSweep();
   experiment.runs = 2;
   experiment.seed = 7;
@@ -203,7 +206,7 @@
   EXPECT_NE(progress[7].find("the tool itself was saturated"), std::string::npos) << progress[7];
 }
 
-TEST(ScaleSweep, RecordsARefusedPointAndContinues) {
+TEST(ScaleSweep, KeepsTheOtherPointsIfOneIsRefused) {
   SyntheticCosts costs;
   costs.refused_from = 100;
   const ScaleResult result = RunSweep(SmallSweep(), costs, {});
@@ -215,7 +218,7 @@
   EXPECT_EQ(result.limited_by, "refused at the start: too many");
 }
 
-TEST(ScaleSweep, RecordsAllPointsAsRefusedIfTheDeadlineHasPassed) {
+TEST(ScaleSweep, MeasuresNoPointAfterTheDeadlineAndRecordsAllAsRefused) {
   SyntheticCosts costs;
   SweepOptions options;
   options.deadline = base::MonotonicNow() - 1;
@@ -224,14 +227,14 @@
   EXPECT_EQ(result.refused.size(), 4U);
 }
 
-TEST(ScaleFleet, ASweepAsProcessesHoldsAllFigures) {
+TEST(ScaleFleet, SweepWithRealProcessesReportsAllFigures) {
   ScaleExperiment experiment = SmallSweep();
   experiment.windows = {50, 300, 2500};
   experiment.points = {2, 20, 60, 200};
   FleetMeasurer measurer(experiment, kPrograms, /*quick=*/false, base::MonotonicNow() + kTestTimeoutMs);
   const ScaleResult result = RunSweep(experiment, measurer, {});
   ASSERT_TRUE(result.refused.empty()) << result.refused[0].reason;
-  // The result is written as JSON and parsed again, so that the file format is checked too.
+  // Writing the result as JSON and parsing it again also checks the file format.
   const ScaleResult parsed = FromJson(nlohmann::json::parse(ToJson(result).dump()));
   const std::map<std::string, std::vector<std::string>> expected{
       {"gateway",
@@ -262,12 +265,13 @@
     EXPECT_EQ(parsed.points[i].roles.at("gateway").at("served_percent"), RunValues{100});
     EXPECT_EQ(parsed.points[i].roles.at("load").at("changes_failed"), RunValues{0});
     EXPECT_EQ(parsed.points[i].roles.at("load").at("renewals_failed"), RunValues{0});
-    // An idle gateway calls the list service every 2 to 2.5 s, which is 0.4 to 0.5 calls per second. This
-    // rate does not depend on the machine's speed.
+    // A gateway without changes calls the list service every 2 to 2.5 s, which is 0.4 to 0.5 calls per
+    // second. This rate does not depend on the machine's speed.
     const double calls = parsed.points[i].roles.at("gateway").at("messages_out_per_s")[0];
     EXPECT_TRUE(calls > 0.3 && calls < 0.6) << calls;
   }
-  // The size of a list grows linearly with its number of hosts. It does not depend on the machine's speed.
+  // The size of a complete list in bytes grows linearly with the number of hosts. It does not depend on the
+  // machine's speed.
   const auto fit = std::ranges::find_if(parsed.fits, [](const ScaleFit& candidate) {
     return candidate.role == "list_service" && candidate.figure == "bytes_per_whole_list";
   });
@@ -276,7 +280,7 @@
   EXPECT_TRUE(fit->slope > 100 && fit->slope < 400) << fit->slope;
 }
 
-TEST(ScaleFleet, RecordsTheErrorOfAGatewayThatRefusesASize) {
+TEST(ScaleFleet, RecordsThePointAsRefusedIfAGatewayExitsAtTheStart) {
   ScaleExperiment experiment = SmallSweep();
   experiment.axis = ScaleAxis::kTenants;
   experiment.windows = {50, 100, 100};
@@ -291,7 +295,7 @@
       << result.refused[0].reason;
 }
 
-TEST(HollowGateways, LoadTheListServiceLikeRealGateways) {
+TEST(HollowGateways, CauseTheSameLoadOnTheListServiceAsRealGateways) {
   FleetSize size;
   size.hosts = 10;
   size.gateways_hollow = 5;
@@ -349,9 +353,9 @@
       [&](const char* name) { return std::string_view(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
 }
 
-// A hollow gateway that backs off differently from a real one would distort the load on the list service. The
-// real and the hollow gateway have the same seed, so they draw the same delays. They share one event loop, so
-// a slow machine delays both equally.
+// If a hollow gateway retried failed calls after other delays than a real one, it would cause a different
+// load on the list service. The real and the hollow gateway have the same seed, so they draw the same delays.
+// They share one event loop, so a slow machine delays both equally.
 TEST(HollowGateways, BackOffLikeRealGatewaysAfterFailedCalls) {
   constexpr Millis kToleranceMs = 150;
   boost::asio::io_context io(1);
@@ -368,7 +372,7 @@
   }
 }
 
-TEST(Storms, ReportPeaksAndTheTimeUntilAllGatewaysAreCurrent) {
+TEST(Storms, ReportPeakTrafficAndConvergenceTimeOfBothStorms) {
   ScaleExperiment experiment;
   experiment.file = "storms.toml";
   experiment.name = "storms";
