--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -1,4 +1,4 @@
-"""Tests of tools/capacity.py with a small set of synthetic results from tests/fixtures/capacity."""
+"""Tests of tools/capacity.py with the synthetic results in tests/fixtures/capacity."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CapacityTest(unittest.TestCase):
-    """Each test works on a copy of the fixture."""
+    """Runs the tool on a copy of the fixture, which each test can change."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -57,7 +57,7 @@
         self.assertEqual(len(rows), 1, f"rows that start with {start!r}: {rows}")
         return rows[0]
 
-    def test_figure_is_computed_and_names_its_sources(self) -> None:
+    def test_row_shows_the_computed_figure_and_its_sources(self) -> None:
         page = self.write_page()
         row = self.row(page, "| processor, % of a core | at rest |")
         self.assertIn("| 11 (10.5 to 11.5) |", row)
@@ -66,26 +66,26 @@
             "[`experiments/scale/hosts.toml`](results/scale/hosts.json), seed 1, 3 plays, extrapolated from 12,000",
             row,
         )
-        # 600 us per change and 8640 changes per day at ten times the mean rate: 600 us per second.
+        # 8640 changes per day at ten times the mean rate are 1 change/s. At 600 us each, they use 0.06% of a core.
         self.assertIn("| 0.06 (0.055 to 0.065) |", self.row(page, "|  | changes |"))
         self.assertIn("**assumed**: `peak_factor`", self.row(page, "|  | changes |"))
 
-    def test_form_other_than_a_line_is_shown(self) -> None:
-        def change_form(content: dict[str, Any]) -> None:
+    def test_n_log_n_fit_is_shown_with_the_logarithm(self) -> None:
+        def use_n_log_n_model(content: dict[str, Any]) -> None:
             content["fits"][2].update(form="n log n", slope=0.0001)
 
         self.assertIn("list_service cpu_rest_percent: 0.0012 · hosts, residual", self.write_page())
-        self.change_result(change_form)
+        self.change_result(use_n_log_n_model)
         row = self.row(self.write_page(), "| processor, % of a core | renewals |")
         self.assertIn(
             "| 25.3 (22.3 to 28.3) | list_service cpu_rest_percent: 0.0001 · hosts · ln(hosts), residual", row
         )
 
-    def test_growth_per_host_excludes_the_offset(self) -> None:
+    def test_cost_per_host_excludes_the_offset_of_the_fit(self) -> None:
         row = self.row(self.write_page(), "| renewals of a host, messages/s |")
         self.assertIn("| renewals | 0.3 | list_service messages_in_per_s: 2 + 0.3 · hosts", row)
 
-    def test_changed_slope_changes_the_page(self) -> None:
+    def test_doubled_slope_raises_the_figure_and_its_factor(self) -> None:
         before = self.write_page()
 
         def double_slope(content: dict[str, Any]) -> None:
@@ -108,7 +108,7 @@
         self.assertIn("Gateway: processor", original_first_rows[0])
         self.assertIn("List service: processor", changed_first_rows[0])
 
-    def test_misses_list_only_figures_above_the_budget(self) -> None:
+    def test_figures_are_listed_over_or_within_the_budget(self) -> None:
         page = self.write_page()
         over = page[page.index("### Over the budget") : page.index("### Nothing is built")]
         within = page[page.index("### Within the budget") :]
@@ -124,14 +124,14 @@
         self.assertIn("**at least 11.1", self.row(page, "|  | **together** |"))
         self.assertIn("| tenants |  |  | not measured |", page)
 
-    def test_without_results_all_measurements_are_shown_as_missing(self) -> None:
+    def test_without_results_all_measured_values_are_shown_as_not_measured(self) -> None:
         shutil.rmtree(self.root / "docs" / "results")
         page = self.write_page()
         self.assertIn("Nothing that was measured is over its budget.", page)
         self.assertIn("| **not measured** |", self.row(page, "|  | **together** |"))
         self.assertIn("- Gateway: processor: gateway cpu_per_change_us, sweep hosts; gateway cpu_rest", page)
 
-    def test_incomplete_sum_is_never_listed_within_the_budget(self) -> None:
+    def test_sum_with_an_unmeasured_term_is_not_listed_within_the_budget(self) -> None:
         self.change_text("capacity/assumptions.toml", "value = 1.9", "value = 100")
         page = self.write_page()
         self.assertNotIn("Gateway: processor", page[page.index("### Within the budget") :])
@@ -141,32 +141,32 @@
             page,
         )
 
-    def test_miss_names_its_missing_parts(self) -> None:
+    def test_figure_over_the_budget_names_its_unmeasured_terms(self) -> None:
         row = self.row(self.write_page(), "| 1 | Gateway: processor")
         self.assertIn("; without gateway cpu_rest_percent, sweep tenants |", row)
 
-    def test_missing_figure_of_a_sweep_is_shown_as_not_measured(self) -> None:
+    def test_figure_without_a_fit_is_shown_as_not_measured(self) -> None:
         self.change_result(lambda content: content["fits"].pop(0))
         row = self.row(self.write_page(), "| processor, % of a core | at rest |")
         self.assertIn("| not measured |", row)
 
-    def test_largest_accepted_size_is_between_two_points(self) -> None:
+    def test_largest_accepted_size_is_an_interval_up_to_the_refused_point(self) -> None:
         row = self.row(self.write_page(), "| hosts accepted, full size over the largest, times |")
         self.assertIn("| 2.08 (1 to 2.08) | ran at 12,000 hosts, not at 25,000: refused at the start |", row)
 
-    def test_sweep_limited_by_the_machine_gives_no_largest_size(self) -> None:
+    def test_largest_accepted_size_is_not_measured_if_no_point_was_refused(self) -> None:
         self.change_result(lambda content: content["refused"].clear())
         row = self.row(self.write_page(), "| hosts accepted, full size over the largest, times |")
         self.assertIn("| not measured |", row)
 
-    def test_unmeasured_storms_show_the_assumption(self) -> None:
+    def test_storms_show_measured_figures_or_the_assumption(self) -> None:
         page = self.write_page()
         self.assertIn("| A zone starts | gateways 400 | 12,000,000 | 88 | 40 | 2,100 |", page)
         self.assertIn("seed 1, 1 play |", self.row(page, "| A zone starts |"))
         self.assertIn("not played", self.row(page, "| Regions lose each other |"))
         self.assertIn("**assumed**: ten minutes apart", page)
 
-    def test_refused_points_and_saturation_of_the_tool_are_shown(self) -> None:
+    def test_page_shows_refused_points_and_saturation_of_the_measuring_tool(self) -> None:
         page = self.write_page()
         self.assertIn("- hosts: 25,000 hosts: refused at the start", page)
         self.assertIn("the measuring tool itself was saturated at 12,000", page)
@@ -209,7 +209,7 @@
             "sweep 'hosts': its full size is 25000 hosts, but assumptions.toml has 30000"
         )
 
-    def test_check_fails_for_an_edited_page(self) -> None:
+    def test_check_of_an_edited_page_fails_and_shows_the_line(self) -> None:
         lines = self.write_page().splitlines()
         self.assertEqual(self.run_tool("--check").returncode, 0)
         line = next(number for number, text in enumerate(lines, start=1) if "| 11 (10.5 to 11.5) |" in text)
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Generates docs/CAPACITY.md from its template, the assumptions and the committed results of scale sweeps.
+"""Generates docs/CAPACITY.md from its template, docs/capacity/assumptions.toml and docs/results/scale/.
 
     tools/capacity.py            writes the page
-    tools/capacity.py --check    writes nothing; exits with code 1 and prints the first differing line if the
-                                 page is not up to date
+    tools/capacity.py --check    writes nothing; if the page is not up to date, prints the first line that
+                                 differs and exits with code 1
 
-Exits with code 2 if an input is invalid; the message names the input.
+Exits with code 2 if an input file is invalid. The message names the file, the name or the field.
 """
 
 from __future__ import annotations
@@ -40,9 +40,13 @@
 
 
 def _parse_arguments(arguments: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Generates docs/CAPACITY.md from the committed results.")
+    parser = argparse.ArgumentParser(
+        description="Generates docs/CAPACITY.md from docs/capacity/ and docs/results/scale/."
+    )
     parser.add_argument(
-        "--check", action="store_true", help="compare the page with the results instead of writing it"
+        "--check",
+        action="store_true",
+        help="compare docs/CAPACITY.md with the page generated from the results, and write nothing",
     )
     parser.add_argument(
         "--root",
@@ -71,7 +75,7 @@
 
 
 def first_difference(current: str, expected: str) -> str | None:
-    """Describes the first line that differs; None if the texts are equal."""
+    """Returns a description of the first line that differs, or None if the texts are equal."""
     if current == expected:
         return None
     current_lines, expected_lines = current.split("\n"), expected.split("\n")
@@ -79,7 +83,7 @@
         if current_line != expected_line:
             return f"line {line}\n  current:  {current_line}\n  expected: {expected_line}"
     line = min(len(current_lines), len(expected_lines)) + 1
-    return f"line {line}\n  {len(current_lines)} lines, {len(expected_lines)} expected"
+    return f"line {line}\n  the page has {len(current_lines)} lines; {len(expected_lines)} lines are expected"
 
 
 if __name__ == "__main__":
--- a/tools/capacity_model/assumptions.py
+++ b/tools/capacity_model/assumptions.py
@@ -1,4 +1,4 @@
-"""Reads docs/capacity/assumptions.toml: sizes, budgets, assumptions, formulas and the rows of the tables."""
+"""Reads docs/capacity/assumptions.toml: sizes, budgets, assumed values, formulas and the rows of the tables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Number:
-    """A size or a budget given by operators, or an assumed value."""
+    """A size or a budget that operators specify, or an assumed value."""
 
     value: float
     unit: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Derived:
-    """A value computed from others."""
+    """A value computed from other values by a formula."""
 
     formula: str
     unit: str
@@ -36,9 +36,12 @@
 class Measured:
     """The source of a measured value in the results.
 
-    part is "at_full" (the value at the full size), "growth" (the same without the offset), "per_unit" (growth
-    divided by the full size) or "largest_accepted" (an interval from the largest point at which the program ran to
-    the first one at which it did not; role and figure are empty).
+    part selects what the value is:
+    "at_full": the fitted value at the full size.
+    "growth": the fitted value at the full size without the offset of the fit.
+    "per_unit": the growth divided by the full size.
+    "largest_accepted": the largest size at which the program runs, as the interval from the largest measured point
+    to the smallest refused point. role and figure are empty.
     """
 
     sweep: str
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Term:
-    """One summand of a figure."""
+    """One summand of a figure. `what` is its label in the table."""
 
     what: str
     formula: str
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Figure:
-    """A row of a role's table, and the remedy if the figure exceeds its allowance."""
+    """A resource in a role's table: the terms of its use, the allowed use, and the remedy if the use exceeds it."""
 
     resource: str
     unit: str
@@ -66,7 +69,7 @@
     cause: str = ""
     mechanism: str = ""
     cost: str = ""
-    built: bool = True  # planned parts are not compared with the budget in the list of misses
+    built: bool = True  # False: planned; the list of misses omits the figure
 
 
 @dataclass(frozen=True)
@@ -75,13 +78,13 @@
 
     id: str
     title: str
-    state: str  # description of the state that it holds
+    state: str  # description of the state that the component stores
     figures: list[Figure]
 
 
 @dataclass(frozen=True)
 class MissingPart:
-    """A requirement without an implementation, so that no factor can be computed."""
+    """A requirement that is not implemented, so that no ratio to its budget can be computed."""
 
     title: str
     budget: str
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True)
 class StormPlan:
-    """A storm on the page, and the assumption that is shown until the storm is measured."""
+    """A storm (all gateways call the list service at once) and the assumption to show until it is measured."""
 
     name: str
     title: str
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True)
 class Assumptions:
-    """The content of the file."""
+    """The content of docs/capacity/assumptions.toml."""
 
     sizes: dict[str, Number] = field(default_factory=dict)
     budgets: dict[str, Number] = field(default_factory=dict)
@@ -117,7 +120,7 @@
 
 
 def read_assumptions(path: Path) -> Assumptions:
-    """Reads the file. Raises CapacityError for a missing, unknown or duplicate key, naming the key."""
+    """Reads the file. Raises CapacityError, which names the key, for a missing, unknown or duplicate key."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
     except ValueError as error:
@@ -135,7 +138,7 @@
     known = {item.name for item in dataclasses.fields(Assumptions)}
     for key in content:
         if key not in known:
-            raise CapacityError(f"unknown table '{key}'")
+            raise CapacityError(f"unknown table '{key}'; known tables: {', '.join(sorted(known))}")
     return Assumptions(
         sizes=_table(Number, content, "sizes"),
         budgets=_table(Number, content, "budgets"),
@@ -150,7 +153,7 @@
 
 def _record(record_type: type[_Record], values: Any, location: str) -> _Record:
     if not isinstance(values, dict):
-        raise CapacityError(f"{location}: should be a table")
+        raise CapacityError(f"{location}: should be a table, but is of type {type(values).__name__}")
     fields = {item.name: item for item in dataclasses.fields(record_type)}
     for name in values:
         if name not in fields:
@@ -180,7 +183,7 @@
     location = f"{location}, figure '{values.get('resource', '')}'"
     terms = [_record(Term, term, location) for term in values.get("terms", [])]
     if not terms:
-        raise CapacityError(f"{location}: no terms")
+        raise CapacityError(f"{location}: needs at least one entry in 'terms'")
     return _record(Figure, {**values, "terms": terms}, location)
 
 
@@ -201,4 +204,6 @@
 def _require_parts(assumptions: Assumptions) -> None:
     for name, measured in assumptions.measured.items():
         if measured.part not in PARTS:
-            raise CapacityError(f"measured.{name}: part should be one of {', '.join(PARTS)}")
+            raise CapacityError(
+                f"measured.{name}: part should be one of {', '.join(PARTS)}, but is '{measured.part}'"
+            )
--- a/tools/capacity_model/errors.py
+++ b/tools/capacity_model/errors.py
@@ -1,5 +1,5 @@
-"""The error type that this tool reports to its user."""
+"""The error type for invalid input files."""
 
 
 class CapacityError(Exception):
-    """An invalid input. The text names the file, the name or the field."""
+    """An input file is invalid. The text names the file, the name or the field."""
--- a/tools/capacity_model/formula.py
+++ b/tools/capacity_model/formula.py
@@ -12,7 +12,7 @@
 
 
 def evaluate(formula: str, look_up: Callable[[str], Quantity]) -> Quantity:
-    """Evaluates a formula. `look_up` returns the quantity of a name or raises CapacityError."""
+    """Evaluates a formula. `look_up` returns the quantity of a name, or raises CapacityError for an unknown name."""
     try:
         tree = ast.parse(formula, mode="eval")
     except SyntaxError as error:
--- a/tools/capacity_model/misses.py
+++ b/tools/capacity_model/misses.py
@@ -1,4 +1,4 @@
-"""The list of misses: the ratio of each figure of the current design to its budget."""
+"""The section on misses: compares each figure of the current design with its budget."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def misses_section(model: Model) -> str:
-    """Lists the figures above their allowance by descending factor, then unknown ones and those within it."""
+    """Lists the figures over their budget, the missing parts, the unknown figures and the figures within budget.
+
+    The figures over and within their budget are sorted by descending ratio to the budget.
+    """
     comparable = [value for value in model.all_figures() if value.figure.built and value.allowed is not None]
     over = [value for value in comparable if _factor_value(value) > 1]
     within = [
--- a/tools/capacity_model/model.py
+++ b/tools/capacity_model/model.py
@@ -1,4 +1,4 @@
-"""Computes the quantities of the page: resolves names, sums terms and compares figures with allowances."""
+"""Computes the values of docs/CAPACITY.md: looks up names, sums terms and compares figures with their budgets."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True)
 class FigureValue:
-    """A figure with the values of its terms, their sum and its allowance."""
+    """A figure with the values of its terms, the sum of the known terms and the allowed value."""
 
     role: Role
     figure: Figure
     terms: list[TermValue]
     total: Quantity  # sum of the known terms
-    allowed: Quantity | None
+    allowed: Quantity | None  # None: no limit is specified
 
     @property
     def complete(self) -> bool:
@@ -36,12 +36,12 @@
 
     @property
     def known(self) -> bool:
-        """Whether any term is known. The total is then at least a lower bound."""
+        """Whether at least one term is known. The total is then a lower bound."""
         return any(term.value.known for term in self.terms)
 
     @property
     def factor(self) -> Quantity | None:
-        """The ratio of total to allowed; None if either is unknown."""
+        """The ratio of `total` to `allowed`; None if one of them is unknown."""
         if not self.known or self.allowed is None or not self.allowed.known:
             return None
         return combine("/", self.total, self.allowed)
@@ -73,13 +73,13 @@
         raise CapacityError(f"unknown name '{name}'")
 
     def fit_of(self, measured: Measured) -> tuple[Sweep, Fit] | None:
-        """Returns the sweep and the fit of a measured value, if they exist."""
+        """Returns the sweep and the fit of a measured value, or None if one of them does not exist."""
         sweep = self.results.sweeps.get(measured.sweep)
         fit = sweep.fit(measured.role, measured.figure) if sweep else None
         return (sweep, fit) if sweep and fit else None
 
     def figure_value(self, role: Role, figure: Figure) -> FigureValue:
-        """Computes a figure."""
+        """Computes the terms, the total and the allowed value of a figure."""
         terms = [TermValue(term, evaluate(term.formula, self.look_up)) for term in figure.terms]
         total = exact_quantity(0)
         for term in terms:
@@ -89,7 +89,7 @@
         return FigureValue(role, figure, terms, total, allowed)
 
     def all_figures(self) -> list[FigureValue]:
-        """Computes every figure of every role, in the order of the file."""
+        """Computes every figure of every role, in the order of assumptions.toml."""
         return [self.figure_value(role, figure) for role in self.assumptions.roles for figure in role.figures]
 
     def _derived(self, name: str) -> Quantity:
@@ -116,7 +116,7 @@
             return unmeasured_quantity(name)
         refused = sweep.first_refused()
         if refused is None and sweep.largest < sweep.full:
-            return unmeasured_quantity(name)  # the limits of the machine ended the sweep, not the program
+            return unmeasured_quantity(name)  # the machine, not the program, limited the sweep
         high = refused if refused is not None else sweep.largest
         return Quantity(sweep.largest, sweep.largest, high, measured=frozenset([name]))
 
--- a/tools/capacity_model/page.py
+++ b/tools/capacity_model/page.py
@@ -1,4 +1,4 @@
-"""Renders the page: fills the placeholders of the template and builds the tables of inputs."""
+"""Renders docs/CAPACITY.md: fills the placeholders of the template and builds the tables of sweeps and inputs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def render(template: str, model: Model) -> str:
-    """Fills every placeholder of the template. Raises CapacityError, which names an unknown one."""
+    """Fills every placeholder of the template. Raises CapacityError, which names the placeholder, if it is unknown."""
     blocks: dict[str, Callable[[], str]] = {
         "generated": _generated_notice,
         "misses": lambda: misses_section(model),
@@ -45,7 +45,7 @@
 
 
 def sweeps_table(model: Model) -> str:
-    """The table of sweeps that the page uses."""
+    """Returns the table of all measured sweeps, and of the sweeps that assumptions.toml uses but that do not exist."""
     rows = [
         ["sweep", "axis", "full", "largest measured", "limited by", "held fixed", "seed", "plays", "machine"]
     ]
@@ -70,7 +70,7 @@
 
 
 def refused_points(model: Model) -> str:
-    """The list of sizes at which the program did not run."""
+    """Returns the list of the refused points: the sizes at which the program did not run, with the reasons."""
     lines = [
         f"- {sweep.name}: {format_number(value)} {sweep.unit}: {reason}"
         for sweep in model.results.sweeps.values()
@@ -80,7 +80,7 @@
 
 
 def storms_table(model: Model) -> str:
-    """The table of storms: measured figures, or the assumption if a storm was not measured."""
+    """Returns the table of storms: the measured figures, or the assumption if a storm is not measured."""
     rows = [
         [
             "storm",
@@ -98,14 +98,14 @@
 
 
 def numbers_table(numbers: dict[str, Number]) -> str:
-    """The table of given or assumed numbers."""
+    """Returns the table of sizes, budgets or assumed values."""
     rows = [["name", "value", "unit", "about"]]
     rows += [[f"`{name}`", format_number(n.value), n.unit, n.about] for name, n in numbers.items()]
     return markdown_table(rows)
 
 
 def derived_table(model: Model) -> str:
-    """The table of computed numbers."""
+    """Returns the table of values that formulas compute."""
     rows = [["name", "value", "unit", "worked out as", "about"]]
     for name, derived in model.assumptions.derived.items():
         rows.append(
--- a/tools/capacity_model/quantity.py
+++ b/tools/capacity_model/quantity.py
@@ -1,4 +1,4 @@
-"""Numbers with an interval and their sources, and arithmetic on them."""
+"""Numbers with an uncertainty interval and the names of their sources, and arithmetic on these numbers."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True)
 class Quantity:
-    """A number with its interval. `missing` names the measurements that it depends on and that do not exist.
+    """A number with its interval and the names of its sources.
 
-    `assumed` and `measured` name the values that it was computed from.
+    `assumed` and `measured` name the assumed and measured values from which the number is computed. `missing` names
+    the measurements that the number needs but that do not exist.
     """
 
     value: float
@@ -23,7 +24,7 @@
 
     @property
     def known(self) -> bool:
-        """Whether all its inputs are measured or assumed."""
+        """Whether no measurement that the number needs is missing."""
         return not self.missing
 
     @property
@@ -33,12 +34,12 @@
 
 
 def exact_quantity(value: float) -> Quantity:
-    """Creates a quantity with an interval of no width and without sources."""
+    """Creates a quantity without uncertainty and without sources."""
     return Quantity(value, value, value)
 
 
 def unmeasured_quantity(name: str) -> Quantity:
-    """Creates the placeholder of a measurement that does not exist."""
+    """Creates the quantity for a measurement that does not exist. Its value is 0 and must not be used."""
     return Quantity(0, 0, 0, missing=frozenset([name]))
 
 
@@ -70,5 +71,5 @@
     if operator == "*":
         return left * right
     if right == 0:
-        raise CapacityError("division by zero")
+        raise CapacityError(f"division of {left:g} by zero")
     return left / right
--- a/tools/capacity_model/results.py
+++ b/tools/capacity_model/results.py
@@ -12,7 +12,7 @@
 from capacity_model.errors import CapacityError
 
 STORMS_FILE = "storms.json"
-_LOAD_ROLE = "load"  # resource usage of the measuring tool
+_LOAD_ROLE = "load"  # the role of the measuring tool in the results
 _SATURATED_FIGURE = "saturated"
 _BASIS_FUNCTIONS: dict[str, Callable[[float], float]] = {
     "constant": lambda x: 0.0,
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """The growth of one figure of one role over the sweep's axis, and its 95% interval at the full size."""
+    """The curve fitted to one figure of one role, and its 95% interval at the full size of the sweep."""
 
     role: str
     figure: str
@@ -34,16 +34,16 @@
     residual: float
     full: float
     interval_below: float  # distance from the value at the full size to the lower end of the interval
-    interval_above: float  # distance to the upper end
+    interval_above: float  # distance from the value at the full size to the upper end
 
     def value_at(self, size: float) -> float:
-        """Returns the fitted value at a size of the axis."""
+        """Returns the fitted value at a size, which is in the unit of the sweep's axis."""
         return self.offset + self.slope * _BASIS_FUNCTIONS[self.growth_model](size)
 
 
 @dataclass(frozen=True)
 class Sweep:
-    """One result file: a sweep of one size while all others are fixed."""
+    """One result file: measurements at several values of one size (the axis), with all other sizes fixed."""
 
     name: str
     experiment: str
@@ -63,11 +63,11 @@
     fits: list[Fit]
 
     def fit(self, role: str, figure: str) -> Fit | None:
-        """Returns the fit of a role's figure, if there is one."""
+        """Returns the fit of a role's figure, or None if there is no fit."""
         return next((f for f in self.fits if (f.role, f.figure) == (role, figure)), None)
 
     def first_refused(self) -> float | None:
-        """Returns the smallest size above the largest measured one at which the program did not run."""
+        """Returns the smallest refused size above the largest measured size, or None if there is none."""
         return min((value for value in self.refused if value > self.largest), default=None)
 
 
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True)
 class Results:
-    """All measured results."""
+    """All measured results, by the names of the sweeps and storms."""
 
     sweeps: dict[str, Sweep]
     storms: dict[str, Storm]
 
 
 def read_results(folder: Path) -> Results:
-    """Reads all results of the folder. A missing folder gives no results."""
+    """Reads all result files of the folder. Returns no results if the folder does not exist."""
     sweeps: dict[str, Sweep] = {}
     storms: dict[str, Storm] = {}
     for path in sorted(folder.glob("*.json")):
--- a/tools/capacity_model/role_table.py
+++ b/tools/capacity_model/role_table.py
@@ -1,15 +1,15 @@
-"""The table of one role, and formatting shared with the list of misses."""
+"""Builds the table of one role, and the texts that this table and the section on misses share."""
 
 from __future__ import annotations
 
 from capacity_model.assumptions import Role
 from capacity_model.model import FigureValue, Model, TermValue
-from capacity_model.sources import slopes_text, sources_text
+from capacity_model.sources import fits_text, sources_text
 from capacity_model.text import NOT_MEASURED, format_quantity, markdown_table
 
 
 def role_table(model: Model, role: Role) -> str:
-    """The table of one role at full size: one row per term, and a row for the sum of several terms."""
+    """Returns the table of one role at full size: one row per term, and a sum row if there are several terms."""
     rows = [["figure", "part", "at full size", "slope", "from", "allowed", "factor"]]
     rows.append(["state", role.state, "", "", "", "", ""])
     for figure in role.figures:
@@ -19,7 +19,7 @@
 
 
 def total_text(value: FigureValue) -> str:
-    """The sum of a figure's known terms, with "at least" if a term is unknown."""
+    """Returns the sum of a figure's known terms, with the prefix "at least" if a term is unknown."""
     if not value.known:
         return NOT_MEASURED
     text = format_quantity(value.total)
@@ -27,7 +27,7 @@
 
 
 def allowed_text(value: FigureValue) -> str:
-    """The allowance of a figure."""
+    """Returns the allowed value of a figure."""
     if value.allowed is None:
         return "nothing laid down"
     text = format_quantity(value.allowed)
@@ -35,7 +35,7 @@
 
 
 def factor_text(value: FigureValue) -> str:
-    """The ratio of a figure to its allowance."""
+    """Returns the ratio of a figure to its allowed value."""
     if value.allowed is None:
         return ""
     if value.factor is None:
@@ -62,7 +62,7 @@
         title,
         term.term.what,
         format_quantity(term.value),
-        slopes_text(model, term.value),
+        fits_text(model, term.value),
         sources_text(model, term.value),
         allowed,
         factor,
--- a/tools/capacity_model/sources.py
+++ b/tools/capacity_model/sources.py
@@ -1,4 +1,4 @@
-"""Describes the sources of a quantity: slopes, sweeps, assumptions and missing measurements."""
+"""Describes the sources of a quantity: fits, sweeps, assumed values and missing measurements."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from capacity_model.text import NOT_MEASURED, format_number
 
 
-def slopes_text(model: Model, value: Quantity) -> str:
+def fits_text(model: Model, value: Quantity) -> str:
     """Describes the fits that a value was computed from."""
     texts = []
     for name in sorted(value.measured):
@@ -23,7 +23,7 @@
 
 
 def sources_text(model: Model, value: Quantity) -> str:
-    """Describes experiments with seed and plays, assumed names and missing measurements."""
+    """Describes the experiments with their seeds and runs, the assumed values and the missing measurements."""
     texts = [_sweep_source_text(model, sweep) for sweep in _sweep_names(model, value)]
     texts += [f"**{NOT_MEASURED}**: {missing_text(model, name)}" for name in sorted(value.missing)]
     if value.assumed:
@@ -32,14 +32,14 @@
 
 
 def missing_text(model: Model, name: str) -> str:
-    """Describes a measurement that does not exist."""
+    """Describes the measurement `name`, which does not exist."""
     measured = model.assumptions.measured[name]
     figure = f"{measured.role} {measured.figure}".strip() or "the largest size that runs"
     return f"{figure}, sweep {measured.sweep}"
 
 
 def seed_and_runs_text(seed: int, runs: int) -> str:
-    """Describes seed and number of plays (runs)."""
+    """Describes the seed and the number of runs, which the page calls plays."""
     return f"seed {seed}, {runs} play" + ("s" if runs != 1 else "")
 
 
--- a/tools/capacity_model/text.py
+++ b/tools/capacity_model/text.py
@@ -6,11 +6,14 @@
 
 NOT_MEASURED = "not measured"
 _SIGNIFICANT_DIGITS = 3
-_MAX_EXACT_INTEGER = 1_000_000  # integers below this are not rounded
+_MAX_EXACT_INTEGER = 1_000_000  # integers below this value are shown with all digits
 
 
 def format_number(value: float) -> str:
-    """Formats with thousands separators: three significant digits, or an integer below a million exactly."""
+    """Formats a number with thousands separators.
+
+    Shows integers below a million with all digits and other numbers with three significant digits.
+    """
     if value == int(value) and abs(value) < _MAX_EXACT_INTEGER:
         return f"{int(value):,}"
     rounded = f"{value:.{_SIGNIFICANT_DIGITS}g}"
@@ -18,7 +21,7 @@
 
 
 def format_quantity(value: Quantity) -> str:
-    """Formats the number, with its interval if it has a width."""
+    """Formats the value, and its interval if the two ends differ when formatted."""
     if not value.known:
         return NOT_MEASURED
     if format_number(value.low) == format_number(value.high):
