--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -1,5 +1,6 @@
 #include "lab/scale/fleet_measurer.hpp"
 
+#include <fmt/format.h>
 #include <unistd.h>
 
 #include <algorithm>
@@ -234,7 +235,9 @@
     const auto [from, to] = MeasureWindow(windows_.window);
     const Window window{from, to};
     const double committed = members.changes_committed() - before;
-    if (committed <= 0) throw std::runtime_error("no change was committed in the window");
+    if (committed <= 0)
+      throw std::runtime_error(
+          fmt::format("no change was committed in the window of {:.0f} ms", windows_.window));
     RecordChangeCosts(window, committed / window.seconds());
   }
 
@@ -291,7 +294,7 @@
   void MeasureChangeDelays() {
     FleetMembers& members = fleet_.members();
     members.StopChanging();
-    fleet_.loop().RunUntil("the answer to the last change", kChangeTimeoutMs,
+    fleet_.loop().RunUntil("the response to the last change", kChangeTimeoutMs,
                            [&] { return members.all_changes_answered(); });
     const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
     if (!has_hollow() || committed.empty()) return;
@@ -303,7 +306,9 @@
       for (const CommittedChange& change : committed) {
         const auto found = std::ranges::find_if(
             arrivals, [&](const RevisionArrival& arrival) { return arrival.revision >= change.revision; });
-        if (found == arrivals.end()) throw std::runtime_error("a hollow gateway did not receive a change");
+        if (found == arrivals.end())
+          throw std::runtime_error(
+              fmt::format("a hollow gateway did not receive a change: revision {}", change.revision));
         delays.Add(static_cast<std::uint64_t>(std::max(0.0, kUsPerMs * (found->at - change.sent_at))));
       }
     }
--- a/src/lab/scale/scale_experiment.cpp
+++ b/src/lab/scale/scale_experiment.cpp
@@ -171,8 +171,9 @@
   }
   if (experiment.kind == ScaleKind::kSweep) ReadSweep(table, experiment);
   table.RejectUnknownKeys();
-  CheckResources(table, "fixed", "the fixed size", experiment.fixed, limits);
-  CheckResources(table, "quick_fixed", "the fixed size of a quick run", experiment.quick_fixed, limits);
+  CheckResources(table, "fixed", "the fleet of the fixed sizes", experiment.fixed, limits);
+  CheckResources(table, "quick_fixed", "the fleet of the fixed sizes of a quick run", experiment.quick_fixed,
+                 limits);
   if (experiment.kind == ScaleKind::kSweep) {
     CheckPoints(table, "points", experiment.points, experiment, limits);
     CheckPoints(table, "quick_points", experiment.quick_points, experiment, limits);
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -106,7 +106,8 @@
   std::optional<ClientConnection::Result> result;
   connection->Exchange(base::FormatGetRequest(target, "scale"), kResponseTimeoutMs,
                        [&](ClientConnection::Result got) { result = std::move(got); });
-  loop_.RunUntil("an answer to " + target, 2 * kResponseTimeoutMs, [&] { return result.has_value(); });
+  loop_.RunUntil("a response of " + Addresses::Text(from) + " to GET " + target, 2 * kResponseTimeoutMs,
+                 [&] { return result.has_value(); });
   CheckAlive();
   if (!result->ok()) return {};
   return std::move(result->response.body());
@@ -229,7 +230,7 @@
                                                        [&](error_code, std::size_t) { done = true; });
                              });
   });
-  loop_.RunUntil("the gateway's response to the management command", kResponseTimeoutMs,
+  loop_.RunUntil("the gateway's response to the management command 'metrics'", kResponseTimeoutMs,
                  [&] { return done; });
   return static_cast<double>(text.size());
 }
@@ -302,7 +303,9 @@
   for (const HollowProcess& process : hollow_) {
     const json body =
         json::parse(FetchBody(process.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
-    if (!body.is_array()) throw std::runtime_error("a process of hollow gateways did not answer");
+    if (!body.is_array())
+      throw std::runtime_error("a process of hollow gateways did not answer GET /news: " +
+                               Addresses::Text(process.control));
     std::ranges::move(RevisionArrivalsFromJson(body), std::back_inserter(all_arrivals));
   }
   return all_arrivals;
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -159,7 +159,7 @@
   FleetMembers& members = fleet.members();
   members.TakeCommittedChanges();
   members.SendChange();
-  fleet.loop().RunUntil("the answer to a change", kConvergenceTimeoutMs,
+  fleet.loop().RunUntil("the response to a change", kConvergenceTimeoutMs,
                         [&] { return members.all_changes_answered(); });
   const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
   if (committed.empty()) throw std::runtime_error("the list service refused a change after its restart");
@@ -196,8 +196,9 @@
   restart.storm = "list_service_returns";
   const auto report_progress = [&](const StormResult& result, int run) {
     if (!options.on_progress) return;
-    options.on_progress(fmt::format("{}: {}, run {} of {}: all gateways current after at most {:.0f} ms",
-                                    experiment.name, result.storm, run + 1, runs, result.convergence_ms));
+    options.on_progress(
+        fmt::format("{}: {}, run {} of {}: all gateways had the latest list after at most {:.0f} ms",
+                    experiment.name, result.storm, run + 1, runs, result.convergence_ms));
   };
   for (int run = 0; run < runs; ++run) {
     const std::uint64_t run_seed = seed + static_cast<std::uint64_t>(run);
