--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -22,6 +22,7 @@
 using nlohmann::json;
 namespace proxy = gateway::proxy;
 
+// The hollow gateways of this process, and the listener that answers the measuring tool.
 class HollowFleet {
  public:
   HollowFleet(boost::asio::io_context& io, const HollowProcessOptions& options)
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -14,11 +14,11 @@
 
 // Options of `gatewayctl lab hollow-gateways`.
 struct HollowProcessOptions {
-  // Configuration file in the format of NODE_CONFIG. Its `seed` and `selfIndex` apply to the first gateway;
-  // each further gateway has the next seed and the next index.
+  // Path of the configuration file, in the format of NODE_CONFIG. Its `seed` is the seed of the first
+  // gateway; each further gateway has the next seed. Its `selfIndex` is ignored.
   std::string config;
   int count = 1;
-  int first_index = 0;                     // index of the first gateway
+  int first_index = 0;  // index of the first gateway in the fleet; each further gateway has the next index
   boost::asio::ip::tcp::endpoint control;  // address on which the process serves the measuring tool
 };
 
@@ -32,7 +32,7 @@
   base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all gateways are ready
 };
 nlohmann::json ToJson(const HollowState& state);
-HollowState HollowStateFromJson(const nlohmann::json& json);
+HollowState HollowStateFromJson(const nlohmann::json& json_value);
 
 // The time at which a gateway received a revision of the list; base::MonotonicNow.
 struct RevisionArrival {
@@ -43,7 +43,7 @@
 // order.
 using RevisionArrivals = std::vector<std::vector<RevisionArrival>>;
 nlohmann::json ToJson(const RevisionArrivals& arrivals);
-RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& json);
+RevisionArrivals RevisionArrivalsFromJson(const nlohmann::json& json_value);
 
 }  // namespace gateway::lab
 
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -17,7 +17,7 @@
 
 using base::Millis;
 
-// The size of the fleet at one point and the load on it.
+// The sizes of the fleet at one point, and the load on the fleet.
 struct FleetSize {
   int hosts = 100;               // registered at the list service, with leases
   int gateways_real = 1;         // processes of the gateway program
@@ -33,7 +33,7 @@
   double complete_lists_per_s = 500;  // limit of the list service on responses with the complete list
 };
 
-// The size of the fleet that a sweep varies.
+// The value of FleetSize that a sweep varies.
 enum class ScaleAxis { kHosts, kGateways, kServices, kClasses, kTenants, kChanges, kRequests };
 
 // The durations of the phases at one point.
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -18,16 +18,14 @@
 constexpr double kRoundingResidual = 1e-9;    // a smaller residual is only a rounding error
 constexpr double kConfidenceLevel = 0.95;
 
-// The observation at one size: the value of the model's basis function at this size, and the mean of the
-// runs.
+// The value of the model's basis function at one size, and the mean of the runs at this size.
 struct Observation {
   double basis = 0;
   double mean = 0;
   double weight = 0;  // number of runs
 };
 
-// The parameters that are fitted. The constraints offset >= 0 and slope >= 0 may fix the other parameter at
-// 0.
+// The parameters that are fitted. The constraints offset >= 0 and slope >= 0 may set the other one to 0.
 enum class FittedParameters { kOffset, kSlope, kBoth };
 
 struct Curve {
--- a/src/lab/scale/scale_fit.hpp
+++ b/src/lab/scale/scale_fit.hpp
@@ -34,14 +34,11 @@
 // empty. Offset and slope are never negative: a figure that falls with the size is fitted by a constant.
 // Throws FitError.
 //
-// Chooses the growth model in two steps:
-// 1. The growing model is a straight line by default. The curved candidate is n log n or the square,
-// whichever has
-//    the smaller residual. It replaces the line if the residual of the line is above 0.5% and the residual of
-//    the candidate is below three quarters of the residual of the line.
-// 2. A constant replaces the growing model if the slope is within two standard errors of zero and the
-// residual of
-//    the growing model is at least three quarters of the residual of the constant.
+// First chooses the growing model. The default is a straight line. A curve (n log n or the square, whichever
+// has the smaller residual) replaces the line if the residual of the line is above 0.5% and the residual of
+// the curve is below three quarters of it. Then compares the growing model with a constant. The constant
+// replaces the growing model if the slope is within two standard errors of zero and the residual of the
+// growing model is at least three quarters of the residual of the constant.
 //
 // The interval of at_full is a 95% prediction interval (Student's t) for the mean of the same number of runs.
 // It is the wider one of two intervals. One uses the variance of the points about the curve. The other uses
--- a/src/lab/scale/scale_result.hpp
+++ b/src/lab/scale/scale_result.hpp
@@ -20,7 +20,7 @@
   kConstant,  // y = offset
   kLinear,    // y = offset + slope * x
   kNLogN,     // y = offset + slope * x * ln(x)
-  kSquare     // y = offset + slope * x * x
+  kQuadratic  // y = offset + slope * x * x
 };
 
 inline constexpr GrowthModel kAllGrowthModels[] = {GrowthModel::kConstant, GrowthModel::kLinear,
