--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -1,5 +1,6 @@
 #include "lab/scale/fleet_measurer.hpp"
 
+#include <fmt/format.h>
 #include <unistd.h>
 
 #include <algorithm>
@@ -15,14 +16,14 @@
 
 using nlohmann::json;
 
-constexpr int kCompleteListRequests = 8;  // sent in a row; the cost of one list is the mean
+constexpr int kCompleteListRequests = 8;  // sent one after the other; the cost of one list is their mean
 constexpr Millis kMaxWatchCallMs = 2500;  // longest duration of a watch call without changes
-constexpr Millis kStartCostDelayMs = 50;  // from readiness to reading the CPU time of the start
-constexpr Millis kIsolatedStartMs = 400;  // from start to reading, for a gateway that never becomes ready
-// The time in which all hollow gateways, which call the list service but forward no requests, must have
-// received a list.
+constexpr Millis kStartCostDelayMs = 50;  // from the readiness of a gateway until its CPU time is read
+constexpr Millis kIsolatedStartMs = 400;  // from the start of an isolated gateway until its CPU time is read
+// Timeout for the first list of every hollow gateway. Hollow gateways call the list service but forward no
+// requests.
 constexpr Millis kHollowReadyTimeoutMs = 60000;
-constexpr Millis kChangeTimeoutMs = 20000;  // until all gateways have the last change
+constexpr Millis kChangeTimeoutMs = 20000;  // timeout until all gateways have the last change
 
 constexpr double kUsPerMs = 1000;
 constexpr double kUsPerSecond = 1e6;
@@ -30,8 +31,8 @@
 // CPU times and counters at one time.
 struct Snapshot {
   Millis at = 0;
-  // CPU times: `tool` is this process, `real` the sum over all real gateways, `isolated` the gateway without
-  // a reachable list service, `hollow` by process.
+  // CPU times. `tool` is this process. `real` is the sum over all real gateways. `isolated` is the gateway
+  // without a reachable list service. `hollow` has one value for each process.
   Millis list_service = 0, tool = 0, real = 0, isolated = 0;
   std::vector<Millis> hollow;
   ListServiceCounts counts;
@@ -63,7 +64,7 @@
   }
 };
 
-// CPU time of one operation in us, from the share of a core and the rate of operations.
+// Returns the CPU time of one operation in us. `percent` is the share of a core that the operations use.
 double CostPerOperationUs(double percent, double per_second) {
   return per_second > 0 ? std::max(0.0, percent / 100 * kUsPerSecond / per_second) : 0;
 }
@@ -81,7 +82,7 @@
     MeasureListServiceAlone();
     StartIsolatedGateways();
     StartGateways();
-    MeasureRest();
+    MeasureUnloadedFleet();
     MeasureChanges();
     MeasureRequests();
     MeasureChangeDelays();
@@ -105,7 +106,7 @@
     snapshot.list_service = CpuTimeOf(fleet_.list_service());
     snapshot.tool = CpuTimeOf(getpid());
     for (const RealGateway& gateway : fleet_.real()) snapshot.real += CpuTimeOf(gateway.pid);
-    for (const HollowGroup& group : fleet_.hollow()) snapshot.hollow.push_back(CpuTimeOf(group.pid));
+    for (const HollowProcess& process : fleet_.hollow()) snapshot.hollow.push_back(CpuTimeOf(process.pid));
     if (isolated_gateway_pid_ != 0) snapshot.isolated = CpuTimeOf(isolated_gateway_pid_);
     if (has_real() && !fleet_.real().empty()) snapshot.requests = fleet_.requests().counts();
     return snapshot;
@@ -119,7 +120,7 @@
     return {std::move(from), std::move(to)};
   }
 
-  // Records the CPU load of the measuring tool, to detect that the tool is the bottleneck.
+  // Records the CPU load of the measuring tool, so that the result shows whether the tool was the bottleneck.
   void RecordToolLoad(const Window& window) {
     Figures& load = roles_["load"];
     double& tool = load["cpu_busiest_percent"];
@@ -134,16 +135,16 @@
     fleet_.members().RegisterAll();
   }
 
-  // Runs before the first renewal, so that no other work uses CPU.
+  // Runs before the first lease renewal, so that the list service does no other work.
   void MeasureCompleteLists() {
     complete_list_ =
-        fleet_.FetchCompleteList();  // the first request includes the encoding, so it is not measured
+        fleet_.FetchCompleteList();  // not measured: the service encodes the list at the first request
     const Millis before = CpuTimeOf(fleet_.list_service());
     const double bytes = fleet_.FetchCounts().bytes_out;
     for (int i = 0; i < kCompleteListRequests; ++i) fleet_.FetchCompleteList();
     ListServiceFigures()["cpu_per_whole_list_us"] =
         kUsPerMs * (CpuTimeOf(fleet_.list_service()) - before) / kCompleteListRequests;
-    // Includes the bytes of the first /metrics response.
+    // Includes the bytes of the first FetchCounts response, which `bytes` does not contain yet.
     ListServiceFigures()["bytes_per_whole_list"] =
         (fleet_.FetchCounts().bytes_out - bytes) / kCompleteListRequests;
   }
@@ -154,8 +155,8 @@
     ListServiceFigures()["cpu_idle_percent"] = Window{from, to}.Percent(&Snapshot::list_service);
   }
 
-  // Starts two gateways whose list service never answers. The one without a list gives the CPU time of a
-  // start; the one with the list keeps running and gives the CPU load of an idle gateway.
+  // Starts two gateways whose list service never answers. The gateway without a list gives the CPU time of a
+  // start. The gateway with the list continues to run and gives the CPU load of an idle gateway.
   void StartIsolatedGateways() {
     if (!has_real()) return;
     const pid_t gateway_without_list = fleet_.StartIsolatedGateway(nullptr);
@@ -186,36 +187,37 @@
     HollowGatewayFigures()["ready_ms"] = fleet_.WaitForHollowReady(kHollowReadyTimeoutMs);
   }
 
-  void MeasureRest() {
+  void MeasureUnloadedFleet() {
     if (gateways() == 0) return;
     fleet_.loop().RunFor(windows_.settle);
-    const auto [from, to] = MeasureWindow(windows_.rest);
+    const auto [from, to] = MeasureWindow(windows_.unloaded);
     const Window window{from, to};
-    list_service_rest_percent_ = ListServiceFigures()["cpu_rest_percent"] =
+    list_service_unloaded_percent_ = ListServiceFigures()["cpu_rest_percent"] =
         window.Percent(&Snapshot::list_service);
-    // A shorter window may contain no completed watch call, so its rates would be random.
-    const bool measures_traffic = windows_.rest >= kMaxWatchCallMs;
+    // A window shorter than a watch call may contain no complete call, so its rates would be random.
+    const bool measures_traffic = windows_.unloaded >= kMaxWatchCallMs;
     if (measures_traffic) {
       ListServiceFigures()["bytes_in_per_s"] = window.Rate(&ListServiceCounts::bytes_in);
       ListServiceFigures()["bytes_out_per_s"] = window.Rate(&ListServiceCounts::bytes_out);
       ListServiceFigures()["messages_in_per_s"] = ListServiceFigures()["messages_out_per_s"] =
           window.Rate(&ListServiceCounts::calls);
     }
-    rest_list_bytes_per_s_ = window.Rate(&ListServiceCounts::list_bytes_out);
+    unloaded_list_bytes_per_s_ = window.Rate(&ListServiceCounts::list_bytes_out);
     if (has_real()) {
-      real_rest_percent_ = RealGatewayFigures()["cpu_rest_percent"] =
+      real_unloaded_percent_ = RealGatewayFigures()["cpu_rest_percent"] =
           window.Percent(&Snapshot::real) / size_.gateways_real;
       RealGatewayFigures()["cpu_idle_percent"] = window.Percent(&Snapshot::isolated);
       if (measures_traffic) RecordTraffic(RealGatewayFigures(), window);
     }
     if (has_hollow()) {
-      hollow_rest_percent_ = HollowGatewayFigures()["cpu_rest_percent"] =
+      hollow_unloaded_percent_ = HollowGatewayFigures()["cpu_rest_percent"] =
           window.HollowPercent() / size_.gateways_hollow;
       if (measures_traffic) RecordTraffic(HollowGatewayFigures(), window);
     }
   }
 
-  // Records the traffic between one gateway and the list service. All gateways have an equal share.
+  // Records the traffic between one gateway and the list service: the total divided by the number of
+  // gateways.
   void RecordTraffic(Figures& figures, const Window& window) {
     figures["bytes_out_per_s"] = window.Rate(&ListServiceCounts::list_bytes_in) / gateways();
     figures["bytes_in_per_s"] = window.Rate(&ListServiceCounts::list_bytes_out) / gateways();
@@ -223,7 +225,7 @@
         window.Rate(&ListServiceCounts::list_calls) / gateways();
   }
 
-  // Starts the changes, which continue until MeasureChangeDelays.
+  // Starts the changes. MeasureChangeDelays stops them.
   void MeasureChanges() {
     if (gateways() == 0 || size_.changes_per_s <= 0) return;
     FleetMembers& members = fleet_.members();
@@ -233,11 +235,13 @@
     const auto [from, to] = MeasureWindow(windows_.window);
     const Window window{from, to};
     const double committed = members.changes_committed() - before;
-    if (committed <= 0) throw std::runtime_error("no change was committed in the window");
+    if (committed <= 0)
+      throw std::runtime_error(
+          fmt::format("no change was committed in the window of {:.0f} ms", windows_.window));
     RecordChangeCosts(window, committed / window.seconds());
   }
 
-  // Runs while changes continue.
+  // Runs while changes are sent.
   void MeasureRequests() {
     if (!has_real() || size_.requests_per_s <= 0) return;
     fleet_.requests().Start();
@@ -265,30 +269,32 @@
     const double service = window.Percent(&Snapshot::list_service);
     ListServiceFigures()["cpu_busy_percent"] = service;
     ListServiceFigures()["cpu_per_change_us"] =
-        CostPerOperationUs(service - list_service_rest_percent_, per_second);
+        CostPerOperationUs(service - list_service_unloaded_percent_, per_second);
     const double bytes =
-        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - rest_list_bytes_per_s_) / per_second;
+        std::max(0.0, window.Rate(&ListServiceCounts::list_bytes_out) - unloaded_list_bytes_per_s_) /
+        per_second;
     ListServiceFigures()["bytes_per_change"] = bytes;
     if (has_real()) {
       real_changing_percent_ = window.Percent(&Snapshot::real) / size_.gateways_real;
       RealGatewayFigures()["cpu_per_change_us"] =
-          CostPerOperationUs(real_changing_percent_ - real_rest_percent_, per_second);
+          CostPerOperationUs(real_changing_percent_ - real_unloaded_percent_, per_second);
       RealGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
     if (has_hollow()) {
       const double busy = window.HollowPercent() / size_.gateways_hollow;
       HollowGatewayFigures()["cpu_busy_percent"] = busy;
       HollowGatewayFigures()["cpu_per_change_us"] =
-          CostPerOperationUs(busy - hollow_rest_percent_, per_second);
+          CostPerOperationUs(busy - hollow_unloaded_percent_, per_second);
       HollowGatewayFigures()["bytes_per_change"] = bytes / gateways();
     }
   }
 
-  // Measures the delay from the request of each change to the first list with it at each hollow gateway.
+  // Measures, for each change and each hollow gateway, the delay from the operator's request until the
+  // gateway receives a list that contains the change.
   void MeasureChangeDelays() {
     FleetMembers& members = fleet_.members();
     members.StopChanging();
-    fleet_.loop().RunUntil("the answer to the last change", kChangeTimeoutMs,
+    fleet_.loop().RunUntil("the response to the last change", kChangeTimeoutMs,
                            [&] { return members.all_changes_answered(); });
     const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
     if (!has_hollow() || committed.empty()) return;
@@ -300,7 +306,9 @@
       for (const CommittedChange& change : committed) {
         const auto found = std::ranges::find_if(
             arrivals, [&](const RevisionArrival& arrival) { return arrival.revision >= change.revision; });
-        if (found == arrivals.end()) throw std::runtime_error("a hollow gateway did not receive a change");
+        if (found == arrivals.end())
+          throw std::runtime_error(
+              fmt::format("a hollow gateway did not receive a change: revision {}", change.revision));
         delays.Add(static_cast<std::uint64_t>(std::max(0.0, kUsPerMs * (found->at - change.sent_at))));
       }
     }
@@ -321,7 +329,7 @@
     }
     if (has_hollow()) {
       double memory = 0;
-      for (const HollowGroup& group : fleet_.hollow()) memory += ResidentMemoryOf(group.pid);
+      for (const HollowProcess& process : fleet_.hollow()) memory += ResidentMemoryOf(process.pid);
       HollowGatewayFigures()["memory_mb"] = memory / size_.gateways_hollow;
     }
     roles_["load"]["renewals_late"] = fleet_.members().renewals_skipped();
@@ -333,11 +341,11 @@
   const ScaleWindows windows_;
   ScaleFleet fleet_;
   RoleMeasures roles_;
-  std::string complete_list_;       // as it was before the gateways started
+  std::string complete_list_;       // fetched before the gateways start
   pid_t isolated_gateway_pid_ = 0;  // has the list but no reachable list service
   Millis start_cost_ms_ = 0;
-  double list_service_rest_percent_ = 0, real_rest_percent_ = 0, hollow_rest_percent_ = 0,
-         rest_list_bytes_per_s_ = 0, real_changing_percent_ = 0;
+  double list_service_unloaded_percent_ = 0, real_unloaded_percent_ = 0, hollow_unloaded_percent_ = 0,
+         unloaded_list_bytes_per_s_ = 0, real_changing_percent_ = 0;
 };
 
 }  // namespace
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -1,5 +1,7 @@
 #include "lab/scale/scale_fit.hpp"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
@@ -9,35 +11,37 @@
 namespace {
 
 constexpr std::size_t kMinPoints = 3;
-constexpr double kMaxResidualRatio = 0.75;    // a residual below this share of another one is clearly better
-constexpr double kMaxLinearResidual = 0.005;  // a line with a smaller residual is not replaced by a curve
-constexpr double kSlopeStandardErrors = 2;    // a slope above this many standard errors counts as growth
-constexpr double kRoundingResidual = 1e-9;    // a smaller residual is a rounding error
+// A curve fits clearly better than another one if its residual is below this share of the other residual.
+constexpr double kMaxResidualRatio = 0.75;
+constexpr double kMaxLinearResidual = 0.005;  // a line with a smaller residual is always good enough
+constexpr double kSlopeStandardErrors = 2;    // a slope of more standard errors is significant
+constexpr double kRoundingResidual = 1e-9;    // a smaller residual is only a rounding error
 constexpr double kConfidenceLevel = 0.95;
 
-// The observation at one size: the size transformed by a fit form, and the mean of the runs.
+// The value of the model's basis function at one size, and the mean of the runs at this size.
 struct Observation {
   double basis = 0;
   double mean = 0;
   double weight = 0;  // number of runs
 };
 
-// The parameters that are not fixed at 0 by the constraints offset >= 0 and slope >= 0.
+// The parameters that are fitted. The constraints offset >= 0 and slope >= 0 may set the other one to 0.
 enum class FittedParameters { kOffset, kSlope, kBoth };
 
 struct Curve {
-  FitForm form = FitForm::kLinear;
+  GrowthModel model = GrowthModel::kLinear;
   FittedParameters fitted = FittedParameters::kBoth;
   double offset = 0, slope = 0;
   double squared_residuals = 0;  // weighted sum of the squared residuals of the means
 };
 
-double Basis(FitForm form, double x) {
-  switch (form) {
-    case FitForm::kConstant: return 0;
-    case FitForm::kLinear: return x;
-    case FitForm::kNLogN: return x > 1 ? x * std::log(x) : 0;
-    case FitForm::kSquare: return x * x;
+// The basis function of the model: the fitted value is offset + slope * Basis(model, x).
+double Basis(GrowthModel model, double x) {
+  switch (model) {
+    case GrowthModel::kConstant: return 0;
+    case GrowthModel::kLinear: return x;
+    case GrowthModel::kNLogN: return x > 1 ? x * std::log(x) : 0;
+    case GrowthModel::kQuadratic: return x * x;
   }
   return 0;
 }
@@ -80,27 +84,27 @@
   return squared_residuals;
 }
 
-std::vector<Observation> MeanObservations(FitForm form, const std::vector<double>& sizes,
+std::vector<Observation> MeanObservations(GrowthModel model, const std::vector<double>& sizes,
                                           const std::vector<RunValues>& runs) {
   std::vector<Observation> observations;
   for (std::size_t i = 0; i < sizes.size(); ++i) {
     double sum = 0;
     for (const double value : runs[i]) sum += value;
     const auto count = static_cast<double>(runs[i].size());
-    observations.push_back({Basis(form, sizes[i]), sum / count, count});
+    observations.push_back({Basis(model, sizes[i]), sum / count, count});
   }
   return observations;
 }
 
-// Least squares under the constraints offset >= 0 and slope >= 0. With two parameters, the one that violates
-// its constraint can be set to zero and the other one fitted alone.
-Curve FitCurve(FitForm form, const std::vector<Observation>& observations) {
+// Least squares under the constraints offset >= 0 and slope >= 0. If one parameter would be negative, sets it
+// to zero and fits the other parameter alone.
+Curve FitCurve(GrowthModel model, const std::vector<Observation>& observations) {
   const Sums sums = WeightedSums(observations);
   Curve curve;
-  curve.form = form;
+  curve.model = model;
   curve.slope = sums.basis_squares > 0 ? sums.products / sums.basis_squares : 0;
   curve.offset = sums.value_mean - curve.slope * sums.basis_mean;
-  if (form == FitForm::kConstant || curve.slope <= 0) {
+  if (model == GrowthModel::kConstant || curve.slope <= 0) {
     curve.fitted = FittedParameters::kOffset;
     curve.slope = 0;
     curve.offset = std::max(0.0, sums.value_mean);
@@ -115,7 +119,7 @@
 
 double FittedParameterCount(const Curve& curve) { return curve.fitted == FittedParameters::kBoth ? 2 : 1; }
 
-// Root mean square of the residuals divided by the mean of the figure.
+// Returns the root mean square of the residuals divided by the mean of the figure.
 double RelativeResidual(const Curve& curve, const Sums& sums) {
   if (curve.squared_residuals <= 0) return 0;
   const double scale = std::abs(sums.value_mean);
@@ -123,9 +127,9 @@
   return std::sqrt(curve.squared_residuals / sums.weight) / scale;
 }
 
-// Whether the growth is significant: by an F test against the constant, or by a clearly smaller residual. The
-// F test rarely detects growth with few points. The second criterion is added because omitting a real slope
-// is a worse error here than reporting a spurious one.
+// Returns true if the growing curve is significantly better than the constant. One of two criteria is enough:
+// an F test, or a clearly smaller residual. The second criterion exists because the F test rarely detects
+// growth with few points, and omitting a real slope is a worse error here than reporting a spurious one.
 bool HasSignificantGrowth(const Curve& constant, const Curve& growing, std::size_t points) {
   if (growing.slope <= 0) return false;
   const double degrees = static_cast<double>(points) - FittedParameterCount(growing);
@@ -135,20 +139,20 @@
   return std::sqrt(growing.squared_residuals) < kMaxResidualRatio * std::sqrt(constant.squared_residuals);
 }
 
-const Curve& ChooseCurve(const std::vector<Curve>& curves, const std::map<FitForm, double>& residuals,
+const Curve& ChooseCurve(const std::vector<Curve>& curves, const std::map<GrowthModel, double>& residuals,
                          std::size_t points) {
-  const auto curve_of = [&](FitForm form) -> const Curve& {
+  const auto curve_of = [&](GrowthModel model) -> const Curve& {
     return *std::find_if(curves.begin(), curves.end(),
-                         [&](const Curve& curve) { return curve.form == form; });
+                         [&](const Curve& curve) { return curve.model == model; });
   };
-  const Curve& constant = curve_of(FitForm::kConstant);
-  const Curve& linear = curve_of(FitForm::kLinear);
-  const bool n_log_n = residuals.at(FitForm::kNLogN) <= residuals.at(FitForm::kSquare);
-  const Curve& curved = curve_of(n_log_n ? FitForm::kNLogN : FitForm::kSquare);
-  if (residuals.at(FitForm::kConstant) < kRoundingResidual) return constant;
-  const double line_residual = residuals.at(FitForm::kLinear);
+  const Curve& constant = curve_of(GrowthModel::kConstant);
+  const Curve& linear = curve_of(GrowthModel::kLinear);
+  const bool n_log_n = residuals.at(GrowthModel::kNLogN) <= residuals.at(GrowthModel::kQuadratic);
+  const Curve& curved = curve_of(n_log_n ? GrowthModel::kNLogN : GrowthModel::kQuadratic);
+  if (residuals.at(GrowthModel::kConstant) < kRoundingResidual) return constant;
+  const double line_residual = residuals.at(GrowthModel::kLinear);
   const bool use_curve =
-      line_residual > kMaxLinearResidual && residuals.at(curved.form) < kMaxResidualRatio * line_residual;
+      line_residual > kMaxLinearResidual && residuals.at(curved.model) < kMaxResidualRatio * line_residual;
   const Curve& growing = use_curve ? curved : linear;
   return HasSignificantGrowth(constant, growing, points) ? growing : constant;
 }
@@ -159,10 +163,10 @@
   double degrees = 1;
 };
 
-// Returns the variance of the runs about the mean of their point. Noise may be proportional to the figure and
-// is then larger at the full size than at the measured points. So the variance is computed twice: from the
-// deviations as they are, and from the deviations scaled by the ratio of `value` to the mean of their point.
-// The larger one is returned.
+// Returns the variance of the runs about the mean of their point, for an estimate of `value`. If noise is
+// proportional to the figure, it is larger at the full size than at the measured points. So the function
+// computes two variances, one from absolute deviations and one from deviations scaled by the ratio of `value`
+// to the mean of their point, and returns the larger one.
 Variance VarianceAboutPoints(const std::vector<RunValues>& runs, const std::vector<Observation>& means,
                              double value) {
   double absolute = 0, relative = 0, degrees = 0;
@@ -183,7 +187,7 @@
   return {curve.squared_residuals / degrees, degrees};
 }
 
-// The variance of the fitted curve at `basis`, in units of the variance of one run.
+// Returns the variance of the fitted curve at `basis`, divided by the variance of one run.
 double Leverage(const Curve& curve, const Sums& sums, double basis) {
   switch (curve.fitted) {
     case FittedParameters::kOffset: return 1 / sums.weight;
@@ -204,7 +208,7 @@
 FitEstimate Estimate(const Curve& curve, const std::vector<Observation>& means,
                      const std::vector<RunValues>& runs, double largest, double full) {
   const Sums sums = WeightedSums(means);
-  const double basis = Basis(curve.form, full);
+  const double basis = Basis(curve.model, full);
   FitEstimate estimate;
   estimate.x = full;
   estimate.extrapolated = full > largest;
@@ -222,28 +226,35 @@
 
 void CheckInput(const std::vector<double>& sizes, const std::vector<RunValues>& runs, double full) {
   if (sizes.size() != runs.size()) {
-    throw FitError(FitProblem::kLengthsDiffer, "the number of run lists should equal the number of sizes");
+    throw FitError(
+        FitProblem::kListLengthsDiffer,
+        fmt::format(
+            "the number of run lists should equal the number of sizes, but there are {} lists and {} sizes",
+            runs.size(), sizes.size()));
   }
   if (sizes.size() < kMinPoints) {
-    throw FitError(FitProblem::kTooFewPoints, "a fit needs at least three points");
+    throw FitError(FitProblem::kTooFewPoints,
+                   fmt::format("a fit needs at least three points, but has {}", sizes.size()));
   }
   const auto is_invalid = [](double x) { return !std::isfinite(x) || x < 0; };
   if (is_invalid(full) || std::any_of(sizes.begin(), sizes.end(), is_invalid)) {
-    throw FitError(FitProblem::kNotFinite, "sizes should be finite and not negative");
+    throw FitError(FitProblem::kInvalidNumber, "sizes should be finite and not negative");
   }
   for (const RunValues& values : runs) {
     if (values.empty()) throw FitError(FitProblem::kNoRuns, "a point has no values of any run");
     if (!std::all_of(values.begin(), values.end(), [](double y) { return std::isfinite(y); })) {
-      throw FitError(FitProblem::kNotFinite, "values should be finite");
+      throw FitError(FitProblem::kInvalidNumber, "values should be finite");
     }
   }
   if (std::all_of(sizes.begin(), sizes.end(), [&](double x) { return x == sizes.front(); })) {
-    throw FitError(FitProblem::kSameSize, "the points should have different sizes");
+    throw FitError(
+        FitProblem::kEqualSizes,
+        fmt::format("the points should have different sizes, but all have the size {:g}", sizes.front()));
   }
 }
 
 double CoefficientOfDetermination(const Curve& curve, const Sums& sums) {
-  if (sums.value_squares <= 0) return 1;  // nothing to explain
+  if (sums.value_squares <= 0) return 1;  // all means are equal: there is no variance to explain
   return std::max(0.0, 1 - curve.squared_residuals / sums.value_squares);
 }
 
@@ -274,17 +285,17 @@
   CheckInput(sizes, runs, full);
   std::vector<Curve> curves;
   ScaleFit fit;
-  for (const FitForm form : kAllFitForms) {
-    const auto observations = MeanObservations(form, sizes, runs);
-    curves.push_back(FitCurve(form, observations));
-    fit.residuals[form] = RelativeResidual(curves.back(), WeightedSums(observations));
+  for (const GrowthModel model : kAllGrowthModels) {
+    const auto observations = MeanObservations(model, sizes, runs);
+    curves.push_back(FitCurve(model, observations));
+    fit.residuals[model] = RelativeResidual(curves.back(), WeightedSums(observations));
   }
   const Curve& chosen = ChooseCurve(curves, fit.residuals, sizes.size());
-  const auto means = MeanObservations(chosen.form, sizes, runs);
-  fit.form = chosen.form;
+  const auto means = MeanObservations(chosen.model, sizes, runs);
+  fit.model = chosen.model;
   fit.offset = chosen.offset;
   fit.slope = chosen.slope;
-  fit.residual = fit.residuals.at(chosen.form);
+  fit.residual = fit.residuals.at(chosen.model);
   fit.r2 = CoefficientOfDetermination(chosen, WeightedSums(means));
   const double largest = *std::max_element(sizes.begin(), sizes.end());
   fit.at_full = Estimate(chosen, means, runs, largest, full);
@@ -300,12 +311,12 @@
       fit.figure = key.second;
       fits.push_back(std::move(fit));
     } catch (const FitError&) {
-      // Too few points have this figure: the result contains them without a fit.
+      // For example, too few points have this figure. The result then contains the points without a fit.
     }
   }
   return fits;
 }
 
-double ValueAt(const ScaleFit& fit, double x) { return fit.offset + fit.slope * Basis(fit.form, x); }
+double ValueAt(const ScaleFit& fit, double x) { return fit.offset + fit.slope * Basis(fit.model, x); }
 
 }  // namespace gateway::lab
--- a/src/lab/scale/scale_fleet.cpp
+++ b/src/lab/scale/scale_fleet.cpp
@@ -21,18 +21,19 @@
 constexpr std::string_view kMetricsCommand = "metrics\n";
 constexpr Millis kStartTimeoutMs = 15000;
 constexpr Millis kResponseTimeoutMs = 20000;
-constexpr Millis kPollPeriodMs = 20;                 // of the list service and the hollow processes
-constexpr Millis kReadyPollPeriodMs = 5;             // of real gateways that are starting
+constexpr Millis kPollPeriodMs = 20;      // for the list service and the processes of hollow gateways
+constexpr Millis kReadyPollPeriodMs = 5;  // for real gateways that are starting
 constexpr int kMaxGatewaysWithoutInitialList = 400;  // larger fleets of hollow gateways start with a list
-constexpr int kHollowAddressBase = 200;  // first of their last address octets in the address block of the run
+constexpr int kHollowAddressBase =
+    200;  // last address octet of the first hollow process, in the address block of the run
 constexpr std::uint16_t kControlPort = 3900;
-constexpr std::uint16_t kClosedPort = 9;
+constexpr std::uint16_t kClosedPort = 9;  // no process listens here
 constexpr std::uint64_t kSeedsPerRun = 100000;
-constexpr int kSpareWatchSlots = 2000;  // watches that the list service admits beyond one per gateway
+constexpr int kSpareWatchSlots = 2000;  // watches that the list service admits in addition to one per gateway
 constexpr std::uint16_t kIsolatedGatewayPort = 3000;
 
-// Returns the value of a counter in the Prometheus text format; 0 if it is missing.
-double CounterOf(const std::string& text, const std::string& name) {
+// Returns the value of a metric of the list service in the Prometheus text format; 0 if it is missing.
+double MetricOf(const std::string& text, const std::string& name) {
   const std::string line = "\nelderhead_registry_" + name + " ";
   const std::size_t at = text.find(line);
   return at == std::string::npos ? 0 : std::atof(text.c_str() + at + line.size());
@@ -41,13 +42,13 @@
 }  // namespace
 
 ListServiceCounts ParseListServiceCounts(const std::string& metrics) {
-  const auto counter = [&](const char* name) { return CounterOf(metrics, name); };
+  const auto counter = [&](const char* name) { return MetricOf(metrics, name); };
   ListServiceCounts counts;
   counts.calls = counter("calls_total");
   counts.list_calls = counter("list_calls_total");
-  counts.whole_lists = counter("whole_lists_total");
+  counts.complete_lists = counter("whole_lists_total");
   counts.writes = counter("writes_total");
-  counts.turned_away = counter("turned_away_total");
+  counts.rejected = counter("turned_away_total");
   counts.bytes_in = counter("bytes_received_total");
   counts.bytes_out = counter("bytes_sent_total");
   counts.list_bytes_in = counter("list_bytes_received_total");
@@ -74,7 +75,7 @@
       }) {}
 
 ScaleFleet::~ScaleFleet() {
-  logs_.clear();  // so that these exits are not recorded as unexpected
+  logs_.clear();  // the handler does not record the following exits as unexpected
   processes_.KillAll();
 }
 
@@ -93,7 +94,6 @@
   return last;
 }
 
-// The program under test does not run at this size if one of its processes exits on its own.
 void ScaleFleet::CheckAlive() const {
   if (unexpected_exits_.empty()) return;
   const auto& [pid, status] = *unexpected_exits_.begin();
@@ -106,7 +106,8 @@
   std::optional<ClientConnection::Result> result;
   connection->Exchange(base::FormatGetRequest(target, "scale"), kResponseTimeoutMs,
                        [&](ClientConnection::Result got) { result = std::move(got); });
-  loop_.RunUntil("an answer to " + target, 2 * kResponseTimeoutMs, [&] { return result.has_value(); });
+  loop_.RunUntil("a response of " + Addresses::Text(from) + " to GET " + target, 2 * kResponseTimeoutMs,
+                 [&] { return result.has_value(); });
   CheckAlive();
   if (!result->ok()) return {};
   return std::move(result->response.body());
@@ -118,7 +119,7 @@
                                 "whole_lists_per_s = {}\n[leases]\nterm_s = {}\n",
                                 Addresses::Text(addresses_.Registry()), PathOf("registry-state").string(),
                                 size_.gateways_real + size_.gateways_hollow + kSpareWatchSlots,
-                                size_.whole_lists_per_s, size_.lease_term / 1000));
+                                size_.complete_lists_per_s, size_.lease_term / 1000));
   ProcessSpec spec;
   spec.command = fmt::format("{} registry serve {}", programs_.gatewayctl, config.string());
   spec.log = PathOf("registry.log").string();
@@ -229,21 +230,21 @@
                                                        [&](error_code, std::size_t) { done = true; });
                              });
   });
-  loop_.RunUntil("the gateway's response to the management command", kResponseTimeoutMs,
+  loop_.RunUntil("the gateway's response to the management command 'metrics'", kResponseTimeoutMs,
                  [&] { return done; });
   return static_cast<double>(text.size());
 }
 
 void ScaleFleet::StartHollowGateways(int first, int count, const json& initial_list) {
-  const int processes = HollowProcesses(count);
+  const int processes = HollowProcessCount(count);
   for (int p = 0, started_count = 0; p < processes; ++p) {
     const int number = static_cast<int>(hollow_.size());
-    HollowGroup& group = hollow_.emplace_back();
-    group.gateways = (count - started_count) / (processes - p);
-    group.control = AddressInBlock(kHollowAddressBase + number, kControlPort);
+    HollowProcess& process = hollow_.emplace_back();
+    process.gateways = (count - started_count) / (processes - p);
+    process.control = AddressInBlock(kHollowAddressBase + number, kControlPort);
     GatewayConfigInput input;
     input.index = size_.gateways_real + first + started_count;
-    input.listen = group.control;
+    input.listen = process.control;
     input.list_service = addresses_.Registry();
     input.seed = seed_ * kSeedsPerRun + static_cast<std::uint64_t>(input.index);
     input.initial_list = initial_list;
@@ -253,18 +254,18 @@
     ProcessSpec spec;
     spec.command =
         fmt::format("{} lab hollow-gateways {} --count {} --first {} --control {}", programs_.gatewayctl,
-                    config.string(), group.gateways, input.index, Addresses::Text(group.control));
+                    config.string(), process.gateways, input.index, Addresses::Text(process.control));
     spec.log = PathOf(name + ".log").string();
-    group.started_at = base::MonotonicNow();
-    group.pid = processes_.Start(spec);
-    logs_[group.pid] = spec.log;
-    started_count += group.gateways;
+    process.started_at = base::MonotonicNow();
+    process.pid = processes_.Start(spec);
+    logs_[process.pid] = spec.log;
+    started_count += process.gateways;
   }
 }
 
-HollowState ScaleFleet::StateOf(const HollowGroup& group) {
+HollowState ScaleFleet::StateOf(const HollowProcess& process) {
   const json body =
-      json::parse(FetchBody(group.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
+      json::parse(FetchBody(process.control, "/state").value_or(""), nullptr, /*allow_exceptions=*/false);
   return body.is_object() ? HollowStateFromJson(body) : HollowState{};
 }
 
@@ -288,8 +289,8 @@
 
 void ScaleFleet::WaitForHollowRevision(std::int64_t revision, Millis timeout) {
   const Millis until = base::MonotonicNow() + timeout;
-  for (const HollowGroup& group : hollow_) {
-    while (StateOf(group).oldest_revision < revision) {
+  for (const HollowProcess& process : hollow_) {
+    while (StateOf(process).oldest_revision < revision) {
       if (base::MonotonicNow() > until)
         throw ScaleTimeout("timed out waiting for the latest revision at all hollow gateways");
       loop_.RunFor(kPollPeriodMs);
@@ -299,10 +300,12 @@
 
 RevisionArrivals ScaleFleet::TakeRevisionArrivals() {
   RevisionArrivals all_arrivals;
-  for (const HollowGroup& group : hollow_) {
+  for (const HollowProcess& process : hollow_) {
     const json body =
-        json::parse(FetchBody(group.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
-    if (!body.is_array()) throw std::runtime_error("a process of hollow gateways did not answer");
+        json::parse(FetchBody(process.control, "/news").value_or(""), nullptr, /*allow_exceptions=*/false);
+    if (!body.is_array())
+      throw std::runtime_error("a process of hollow gateways did not answer GET /news: " +
+                               Addresses::Text(process.control));
     std::ranges::move(RevisionArrivalsFromJson(body), std::back_inserter(all_arrivals));
   }
   return all_arrivals;
--- a/src/lab/scale/scale_plot.cpp
+++ b/src/lab/scale/scale_plot.cpp
@@ -13,9 +13,10 @@
 namespace gateway::lab {
 namespace {
 
-constexpr std::size_t kGnuplotColours = 8;  // colours of gnuplot before they repeat
+constexpr std::size_t kGnuplotColours = 8;  // gnuplot repeats its colours after this number of lines
 
-// Figures that share an axis, selected by prefix and suffix of their names.
+// Figures that one plot shows. A figure belongs to the group if its name has the prefix and one of the
+// suffixes.
 struct FigureGroup {
   std::string_view name;
   std::string_view label;
@@ -74,24 +75,24 @@
   return lines;
 }
 
-// The fitted curve as a gnuplot expression in x.
+// Returns the fitted curve as a gnuplot expression in x.
 std::string Expression(const ScaleFit& fit) {
-  switch (fit.form) {
-    case FitForm::kConstant: return fmt::format("{:.9g}", fit.offset);
-    case FitForm::kLinear: return fmt::format("{:.9g}+{:.9g}*x", fit.offset, fit.slope);
-    case FitForm::kNLogN: return fmt::format("{:.9g}+{:.9g}*x*log(x)", fit.offset, fit.slope);
-    case FitForm::kSquare: return fmt::format("{:.9g}+{:.9g}*x*x", fit.offset, fit.slope);
+  switch (fit.model) {
+    case GrowthModel::kConstant: return fmt::format("{:.9g}", fit.offset);
+    case GrowthModel::kLinear: return fmt::format("{:.9g}+{:.9g}*x", fit.offset, fit.slope);
+    case GrowthModel::kNLogN: return fmt::format("{:.9g}+{:.9g}*x*log(x)", fit.offset, fit.slope);
+    case GrowthModel::kQuadratic: return fmt::format("{:.9g}+{:.9g}*x*x", fit.offset, fit.slope);
   }
   return "0";
 }
 
 std::string Title(const Line& line) {
   std::string title = line.role + " " + line.figure;
-  if (line.fit != nullptr) title += fmt::format(" ({})", FitFormName(line.fit->form));
+  if (line.fit != nullptr) title += fmt::format(" ({})", GrowthModelName(line.fit->model));
   return title;
 }
 
-// The sizes on the axis. The axis is logarithmic, so they are positive.
+// The range of sizes on the x axis. The axis is logarithmic, so the range is positive.
 struct Range {
   double from = 1, to = 1;
 };
--- a/src/lab/scale/scale_result.cpp
+++ b/src/lab/scale/scale_result.cpp
@@ -10,17 +10,20 @@
 
 using nlohmann::json;
 
-constexpr std::pair<FitForm, std::string_view> kFormNames[] = {{FitForm::kConstant, "constant"},
-                                                               {FitForm::kLinear, "linear"},
-                                                               {FitForm::kNLogN, "n log n"},
-                                                               {FitForm::kSquare, "square"}};
+constexpr std::pair<GrowthModel, std::string_view> kGrowthModelNames[] = {
+    {GrowthModel::kConstant, "constant"},
+    {GrowthModel::kLinear, "linear"},
+    {GrowthModel::kNLogN, "n log n"},
+    {GrowthModel::kQuadratic, "square"}};
 
-// A JSON value with its path in the file, for errors that name the field.
+constexpr std::string_view kExpectedGrowthModel = "should be constant, linear, n log n or square";
+
+// A JSON value with its path in the file. Errors name this path.
 class Field {
  public:
   Field(const json& value, std::string path) : value_(value), path_(std::move(path)) {}
 
-  // Returns a required member.
+  // Returns the member of this object. Throws ScaleFormatError if it is missing.
   Field Member(const std::string& name) const {
     RequireObject();
     const auto found = value_.find(name);
@@ -29,43 +32,48 @@
   }
 
   double Number() const {
-    if (!value_.is_number()) throw ScaleFormatError(path_, "should be a number");
+    if (!value_.is_number()) ThrowWrongType("should be a number");
     const double number = value_.get<double>();
     if (!std::isfinite(number)) throw ScaleFormatError(path_, "should be a finite number");
     return number;
   }
 
   std::uint64_t Count() const {
-    if (!value_.is_number_unsigned()) throw ScaleFormatError(path_, "should be a non-negative integer");
+    if (!value_.is_number_unsigned()) {
+      if (!value_.is_number()) ThrowWrongType("should be a non-negative integer");
+      throw ScaleFormatError(path_, "should be a non-negative integer, but is " + value_.dump());
+    }
     return value_.get<std::uint64_t>();
   }
 
   unsigned SmallCount() const {
     const std::uint64_t count = Count();
-    if (count > UINT32_MAX) throw ScaleFormatError(path_, "is too large");
+    if (count > UINT32_MAX)
+      throw ScaleFormatError(path_, fmt::format("should be at most {}, but is {}", UINT32_MAX, count));
     return static_cast<unsigned>(count);
   }
 
   bool Boolean() const {
-    if (!value_.is_boolean()) throw ScaleFormatError(path_, "should be true or false");
+    if (!value_.is_boolean()) ThrowWrongType("should be true or false");
     return value_.get<bool>();
   }
 
   std::string Text() const {
-    if (!value_.is_string()) throw ScaleFormatError(path_, "should be a string");
+    if (!value_.is_string()) ThrowWrongType("should be a string");
     return value_.get<std::string>();
   }
 
-  FitForm Form() const {
-    const auto form = FitFormFromName(Text());
-    if (!form) throw ScaleFormatError(path_, "should be constant, linear, n log n or square");
-    return *form;
+  GrowthModel ReadGrowthModel() const {
+    const std::string name = Text();
+    const auto model = GrowthModelFromName(name);
+    if (!model) throw ScaleFormatError(path_, fmt::format("{}, but is '{}'", kExpectedGrowthModel, name));
+    return *model;
   }
 
   // Reads every element of an array.
   template <typename Read>
   auto List(Read read) const {
-    if (!value_.is_array()) throw ScaleFormatError(path_, "should be an array");
+    if (!value_.is_array()) ThrowWrongType("should be an array");
     std::vector<decltype(read(*this))> list;
     for (std::size_t i = 0; i < value_.size(); ++i) {
       list.push_back(read(Field(value_[i], fmt::format("{}[{}]", path_, i))));
@@ -85,8 +93,12 @@
   const std::string& path() const { return path_; }
 
  private:
+  [[noreturn]] void ThrowWrongType(const std::string& expected) const {
+    throw ScaleFormatError(path_.empty() ? "file" : path_,
+                           fmt::format("{}, but is of type {}", expected, value_.type_name()));
+  }
   void RequireObject() const {
-    if (!value_.is_object()) throw ScaleFormatError(path_.empty() ? "file" : path_, "should be an object");
+    if (!value_.is_object()) ThrowWrongType("should be an object");
   }
   std::string Join(const std::string& name) const { return path_.empty() ? name : path_ + "." + name; }
 
@@ -124,12 +136,14 @@
   return estimate;
 }
 
-std::map<FitForm, double> ReadResiduals(const Field& field) {
-  std::map<FitForm, double> residuals;
+std::map<GrowthModel, double> ReadResiduals(const Field& field) {
+  std::map<GrowthModel, double> residuals;
   for (const auto& [name, value] : field.Map(ReadNumber)) {
-    const auto form = FitFormFromName(name);
-    if (!form) throw ScaleFormatError(field.path() + "." + name, "is not a form of a fit");
-    residuals.emplace(*form, value);
+    const auto model = GrowthModelFromName(name);
+    if (!model)
+      throw ScaleFormatError(field.path() + "." + name,
+                             fmt::format("unknown growth model; {}", kExpectedGrowthModel));
+    residuals.emplace(*model, value);
   }
   return residuals;
 }
@@ -138,7 +152,7 @@
   ScaleFit fit;
   fit.role = field.Member("role").Text();
   fit.figure = field.Member("figure").Text();
-  fit.form = field.Member("form").Form();
+  fit.model = field.Member("form").ReadGrowthModel();
   fit.offset = field.Member("offset").Number();
   fit.slope = field.Member("slope").Number();
   fit.residual = field.Member("residual").Number();
@@ -165,7 +179,7 @@
   storm.peak_bytes_per_s = field.Member("peak_bytes_per_s").Number();
   storm.peak_cpu_percent = field.Member("peak_cpu_percent").Number();
   storm.peak_queue = field.Member("peak_queue").Number();
-  storm.all_current_ms = field.Member("all_current_ms").Number();
+  storm.convergence_ms = field.Member("all_current_ms").Number();
   return storm;
 }
 
@@ -185,8 +199,9 @@
 
 json FitToJson(const ScaleFit& fit) {
   json residuals = json::object();
-  for (const auto& [form, residual] : fit.residuals) residuals[std::string(FitFormName(form))] = residual;
-  return {{"role", fit.role},     {"figure", fit.figure},   {"form", FitFormName(fit.form)},
+  for (const auto& [model, residual] : fit.residuals)
+    residuals[std::string(GrowthModelName(model))] = residual;
+  return {{"role", fit.role},     {"figure", fit.figure},   {"form", GrowthModelName(fit.model)},
           {"offset", fit.offset}, {"slope", fit.slope},     {"residual", fit.residual},
           {"r2", fit.r2},         {"residuals", residuals}, {"at_full", EstimateToJson(fit.at_full)}};
 }
@@ -200,7 +215,7 @@
           {"peak_bytes_per_s", storm.peak_bytes_per_s},
           {"peak_cpu_percent", storm.peak_cpu_percent},
           {"peak_queue", storm.peak_queue},
-          {"all_current_ms", storm.all_current_ms}};
+          {"all_current_ms", storm.convergence_ms}};
 }
 
 template <typename Item>
@@ -212,16 +227,16 @@
 
 }  // namespace
 
-std::string_view FitFormName(FitForm form) {
-  for (const auto& [known, name] : kFormNames) {
-    if (known == form) return name;
+std::string_view GrowthModelName(GrowthModel model) {
+  for (const auto& [known, name] : kGrowthModelNames) {
+    if (known == model) return name;
   }
   return "";
 }
 
-std::optional<FitForm> FitFormFromName(std::string_view name) {
-  for (const auto& [form, known] : kFormNames) {
-    if (known == name) return form;
+std::optional<GrowthModel> GrowthModelFromName(std::string_view name) {
+  for (const auto& [model, known] : kGrowthModelNames) {
+    if (known == name) return model;
   }
   return std::nullopt;
 }
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr Millis kSamplePeriodMs = 100;
-constexpr Millis kMinRateIntervalMs = 40;  // shorter intervals give no reliable rate
+constexpr Millis kMinRateIntervalMs = 40;  // a rate over a shorter interval is not reliable
 constexpr Millis kMetricsTimeoutMs = 30000;
 constexpr Millis kConvergenceTimeoutMs = 60000;
 constexpr Millis kSettleBeforeOutageMs = 1000;
@@ -29,9 +29,9 @@
   double bytes_per_s = 0, cpu_percent = 0, queue = 0;
 };
 
-// Samples the list service ten times a second: CPU time and queue from the kernel, bytes from the service's
-// own metrics. At most one metrics request is pending, so that the sampler does not add load to a busy
-// service.
+// Samples the list service ten times a second: CPU time and request queue from the kernel, bytes from the
+// service's metrics. At most one metrics request is pending at a time, to limit the load that the sampler
+// adds to a busy service.
 class StormSampler {
  public:
   explicit StormSampler(ScaleFleet& fleet)
@@ -43,7 +43,7 @@
     RecordBytes(fleet_.FetchCounts());
     Sample();
   }
-  // Includes the last interval, so that a storm shorter than the sample period is measured.
+  // Takes a last sample, so that the peaks include a storm that is shorter than the sample period.
   Peaks Stop() {
     fleet_.loop().RunFor(kMinRateIntervalMs);
     running_ = false;
@@ -111,7 +111,7 @@
 
 struct StormMeasures {
   Peaks peaks;
-  Millis all_current = 0;
+  Millis convergence = 0;
 };
 
 // Starts a fleet whose hosts are registered and renew their leases.
@@ -129,8 +129,8 @@
   fleet.WaitForHollowReady(kConvergenceTimeoutMs);
 }
 
-// Starts the gateways of all zones except one, and waits until they are ready. Then starts the gateways of
-// the remaining zone together and without a list.
+// Starts the gateways of all zones except one and waits until they are ready. Then starts the gateways of the
+// remaining zone together, without an initial list, and measures the time until they have the list.
 StormMeasures RunZoneStart(ScaleFleet& fleet) {
   const int all_gateways = fleet.size().gateways_hollow,
             zone_gateways = std::max(1, all_gateways / fleet.size().zones);
@@ -140,13 +140,13 @@
   sampler.Start();
   fleet.StartHollowGateways(all_gateways - zone_gateways, zone_gateways, nullptr);
   StormMeasures measures;
-  measures.all_current = fleet.WaitForHollowReady(kConvergenceTimeoutMs, processes_before);
+  measures.convergence = fleet.WaitForHollowReady(kConvergenceTimeoutMs, processes_before);
   measures.peaks = sampler.Stop();
   return measures;
 }
 
-// Restarts the list service after an outage. Measures the time from the start of its process until every
-// gateway has a change that was sent immediately after the start.
+// Stops the list service and restarts it after `outage`. Measures the time from the start of the new process
+// until every gateway has a change that an operator sends once the list service answers.
 StormMeasures RunListServiceRestart(ScaleFleet& fleet, Millis outage) {
   StartHollowGatewaysAndWait(fleet, fleet.size().gateways_hollow);
   fleet.loop().RunFor(kSettleBeforeOutageMs);
@@ -159,22 +159,22 @@
   FleetMembers& members = fleet.members();
   members.TakeCommittedChanges();
   members.SendChange();
-  fleet.loop().RunUntil("the answer to a change", kConvergenceTimeoutMs,
+  fleet.loop().RunUntil("the response to a change", kConvergenceTimeoutMs,
                         [&] { return members.all_changes_answered(); });
   const std::vector<CommittedChange> committed = members.TakeCommittedChanges();
   if (committed.empty()) throw std::runtime_error("the list service refused a change after its restart");
   fleet.WaitForHollowRevision(committed.back().revision, kConvergenceTimeoutMs);
   StormMeasures measures;
-  measures.all_current = base::MonotonicNow() - restarted_at;
+  measures.convergence = base::MonotonicNow() - restarted_at;
   measures.peaks = sampler.Stop();
   return measures;
 }
 
-void KeepWorst(StormResult& result, const StormMeasures& measures) {
+void KeepLargest(StormResult& result, const StormMeasures& measures) {
   result.peak_bytes_per_s = std::max(result.peak_bytes_per_s, measures.peaks.bytes_per_s);
   result.peak_cpu_percent = std::max(result.peak_cpu_percent, measures.peaks.cpu_percent);
   result.peak_queue = std::max(result.peak_queue, measures.peaks.queue);
-  result.all_current_ms = std::max(result.all_current_ms, measures.all_current);
+  result.convergence_ms = std::max(result.convergence_ms, measures.convergence);
 }
 
 }  // namespace
@@ -189,22 +189,23 @@
   unmeasured.experiment = experiment.file;
   unmeasured.seed = seed;
   unmeasured.runs = static_cast<unsigned>(runs);
-  unmeasured.fixed = FixedFigures(size);
+  unmeasured.fixed = FixedSizes(size);
   unmeasured.fixed["outage_s"] = outage / 1000;
   StormResult zone_start = unmeasured, restart = unmeasured;
   zone_start.storm = "zone_starts";
   restart.storm = "list_service_returns";
   const auto report_progress = [&](const StormResult& result, int run) {
     if (!options.on_progress) return;
-    options.on_progress(fmt::format("{}: {}, run {} of {}: all gateways current after at most {:.0f} ms",
-                                    experiment.name, result.storm, run + 1, runs, result.all_current_ms));
+    options.on_progress(
+        fmt::format("{}: {}, run {} of {}: all gateways had the latest list after at most {:.0f} ms",
+                    experiment.name, result.storm, run + 1, runs, result.convergence_ms));
   };
   for (int run = 0; run < runs; ++run) {
     const std::uint64_t run_seed = seed + static_cast<std::uint64_t>(run);
-    KeepWorst(zone_start, RunZoneStart(*StartRegisteredFleet(programs, size, run_seed, options.deadline)));
+    KeepLargest(zone_start, RunZoneStart(*StartRegisteredFleet(programs, size, run_seed, options.deadline)));
     report_progress(zone_start, run);
-    KeepWorst(restart, RunListServiceRestart(
-                           *StartRegisteredFleet(programs, size, run_seed, options.deadline), outage));
+    KeepLargest(restart, RunListServiceRestart(
+                             *StartRegisteredFleet(programs, size, run_seed, options.deadline), outage));
     report_progress(restart, run);
   }
   return {std::move(zone_start), std::move(restart)};
--- a/tools/capacity_model/page.py
+++ b/tools/capacity_model/page.py
@@ -1,4 +1,4 @@
-"""Renders the page: fills the placeholders of the template and builds the tables of inputs."""
+"""Renders docs/CAPACITY.md: fills the placeholders of the template and builds the tables of sweeps and inputs."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from capacity_model.model import Model
 from capacity_model.results import Storm, Sweep
 from capacity_model.role_table import role_table
-from capacity_model.sources import plays_text
+from capacity_model.sources import seed_and_runs_text
 from capacity_model.text import NOT_MEASURED, format_number, format_quantity, markdown_table
 
 _PLACEHOLDER = re.compile(r"\{\{\s*([^}]*?)\s*\}\}")
 
 
 def render(template: str, model: Model) -> str:
-    """Fills every placeholder of the template. Raises CapacityError, which names an unknown one."""
+    """Fills every placeholder of the template. Raises CapacityError, which names the placeholder, if it is unknown."""
     blocks: dict[str, Callable[[], str]] = {
         "generated": _generated_notice,
         "misses": lambda: misses_section(model),
@@ -45,7 +45,7 @@
 
 
 def sweeps_table(model: Model) -> str:
-    """The table of sweeps that the page uses."""
+    """Returns the table of all measured sweeps, and of the sweeps that assumptions.toml uses but that do not exist."""
     rows = [
         ["sweep", "axis", "full", "largest measured", "limited by", "held fixed", "seed", "plays", "machine"]
     ]
@@ -59,7 +59,7 @@
                 sweep.limited_by,
                 ", ".join(f"{name} {format_number(value)}" for name, value in sorted(sweep.fixed.items())),
                 str(sweep.seed),
-                str(sweep.plays),
+                str(sweep.runs),
                 f"{sweep.cores} cores, {format_number(sweep.memory_mb)} MB",
             ]
         )
@@ -70,17 +70,17 @@
 
 
 def refused_points(model: Model) -> str:
-    """The list of sizes at which the program did not run."""
+    """Returns the list of the refused points: the sizes at which the program did not run, with the reasons."""
     lines = [
-        f"- {sweep.name}: {format_number(value)} {sweep.unit}: {why}"
+        f"- {sweep.name}: {format_number(value)} {sweep.unit}: {reason}"
         for sweep in model.results.sweeps.values()
-        for value, why in sorted(sweep.refused.items())
+        for value, reason in sorted(sweep.refused.items())
     ]
     return "\n".join(lines) if lines else "No sweep has a point that was refused."
 
 
 def storms_table(model: Model) -> str:
-    """The table of storms: measured figures, or the assumption if a storm was not measured."""
+    """Returns the table of storms: the measured figures, or the assumption if a storm is not measured."""
     rows = [
         [
             "storm",
@@ -98,14 +98,14 @@
 
 
 def numbers_table(numbers: dict[str, Number]) -> str:
-    """The table of given or assumed numbers."""
+    """Returns the table of sizes, budgets or assumed values."""
     rows = [["name", "value", "unit", "about"]]
     rows += [[f"`{name}`", format_number(n.value), n.unit, n.about] for name, n in numbers.items()]
     return markdown_table(rows)
 
 
 def derived_table(model: Model) -> str:
-    """The table of computed numbers."""
+    """Returns the table of values that formulas compute."""
     rows = [["name", "value", "unit", "worked out as", "about"]]
     for name, derived in model.assumptions.derived.items():
         rows.append(
@@ -151,5 +151,5 @@
         format_number(storm.peak_cpu_percent),
         format_number(storm.peak_queue),
         format_number(storm.all_current_ms),
-        f"[`{storm.experiment}`](results/scale/storms.json), {plays_text(storm.seed, storm.plays)}",
+        f"[`{storm.experiment}`](results/scale/storms.json), {seed_and_runs_text(storm.seed, storm.runs)}",
     ]
--- a/tools/capacity_model/results.py
+++ b/tools/capacity_model/results.py
@@ -12,7 +12,7 @@
 from capacity_model.errors import CapacityError
 
 STORMS_FILE = "storms.json"
-_LOAD_ROLE = "load"  # resource usage of the measuring tool
+_LOAD_ROLE = "load"  # the role of the measuring tool in the results
 _SATURATED_FIGURE = "saturated"
 _BASIS_FUNCTIONS: dict[str, Callable[[float], float]] = {
     "constant": lambda x: 0.0,
@@ -24,26 +24,26 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """The growth of one figure of one role over the sweep's axis, and its 95% interval at the full size."""
+    """The curve fitted to one figure of one role, and its 95% interval at the full size of the sweep."""
 
     role: str
     figure: str
-    form: str
+    growth_model: str
     offset: float
     slope: float
     residual: float
     full: float
     interval_below: float  # distance from the value at the full size to the lower end of the interval
-    interval_above: float  # distance to the upper end
+    interval_above: float  # distance from the value at the full size to the upper end
 
     def value_at(self, size: float) -> float:
-        """Returns the fitted value at a size of the axis."""
-        return self.offset + self.slope * _BASIS_FUNCTIONS[self.form](size)
+        """Returns the fitted value at a size, which is in the unit of the sweep's axis."""
+        return self.offset + self.slope * _BASIS_FUNCTIONS[self.growth_model](size)
 
 
 @dataclass(frozen=True)
 class Sweep:
-    """One result file: a sweep of one size while all others are fixed."""
+    """One result file: measurements at several values of one size (the axis), with all other sizes fixed."""
 
     name: str
     experiment: str
@@ -53,7 +53,7 @@
     largest: float
     limited_by: str
     seed: int
-    plays: int
+    runs: int
     revision: str
     cores: int
     memory_mb: float
@@ -63,11 +63,11 @@
     fits: list[Fit]
 
     def fit(self, role: str, figure: str) -> Fit | None:
-        """Returns the fit of a role's figure, if there is one."""
+        """Returns the fit of a role's figure, or None if there is no fit."""
         return next((f for f in self.fits if (f.role, f.figure) == (role, figure)), None)
 
     def first_refused(self) -> float | None:
-        """Returns the smallest size above the largest measured one at which the program did not run."""
+        """Returns the smallest refused size above the largest measured size, or None if there is none."""
         return min((value for value in self.refused if value > self.largest), default=None)
 
 
@@ -78,7 +78,7 @@
     name: str
     experiment: str
     seed: int
-    plays: int
+    runs: int
     fixed: dict[str, float]
     peak_bytes_per_s: float
     peak_cpu_percent: float
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True)
 class Results:
-    """All measured results."""
+    """All measured results, by the names of the sweeps and storms."""
 
     sweeps: dict[str, Sweep]
     storms: dict[str, Storm]
 
 
 def read_results(folder: Path) -> Results:
-    """Reads all results of the folder. A missing folder gives no results."""
+    """Reads all result files of the folder. Returns no results if the folder does not exist."""
     sweeps: dict[str, Sweep] = {}
     storms: dict[str, Storm] = {}
     for path in sorted(folder.glob("*.json")):
@@ -120,12 +120,12 @@
 
 def _fit(fit: dict[str, Any]) -> Fit:
     if fit["form"] not in _BASIS_FUNCTIONS:
-        raise CapacityError(f"fit of {fit['role']} {fit['figure']}: unknown form '{fit['form']}'")
+        raise CapacityError(f"fit of {fit['role']} {fit['figure']}: unknown growth model '{fit['form']}'")
     at_full = fit["at_full"]
     return Fit(
         role=fit["role"],
         figure=fit["figure"],
-        form=fit["form"],
+        growth_model=fit["form"],
         offset=fit["offset"],
         slope=fit["slope"],
         residual=fit["residual"],
@@ -149,7 +149,7 @@
         largest=content["largest"],
         limited_by=content["limited_by"],
         seed=content["seed"],
-        plays=content["plays"],
+        runs=content["plays"],
         revision=content["revision"],
         cores=content["machine"]["cores"],
         memory_mb=content["machine"]["memory_mb"],
@@ -165,7 +165,7 @@
         name=content["storm"],
         experiment=content["experiment"],
         seed=content["seed"],
-        plays=content["plays"],
+        runs=content["plays"],
         fixed=content["fixed"],
         peak_bytes_per_s=content["peak_bytes_per_s"],
         peak_cpu_percent=content["peak_cpu_percent"],
--- a/tools/capacity_model/sources.py
+++ b/tools/capacity_model/sources.py
@@ -1,4 +1,4 @@
-"""Describes the sources of a quantity: slopes, sweeps, assumptions and missing measurements."""
+"""Describes the sources of a quantity: fits, sweeps, assumed values and missing measurements."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from capacity_model.text import NOT_MEASURED, format_number
 
 
-def slopes_text(model: Model, value: Quantity) -> str:
+def fits_text(model: Model, value: Quantity) -> str:
     """Describes the fits that a value was computed from."""
     texts = []
     for name in sorted(value.measured):
@@ -23,7 +23,7 @@
 
 
 def sources_text(model: Model, value: Quantity) -> str:
-    """Describes experiments with seed and plays, assumed names and missing measurements."""
+    """Describes the experiments with their seeds and runs, the assumed values and the missing measurements."""
     texts = [_sweep_source_text(model, sweep) for sweep in _sweep_names(model, value)]
     texts += [f"**{NOT_MEASURED}**: {missing_text(model, name)}" for name in sorted(value.missing)]
     if value.assumed:
@@ -32,15 +32,15 @@
 
 
 def missing_text(model: Model, name: str) -> str:
-    """Describes a measurement that does not exist."""
+    """Describes the measurement `name`, which does not exist."""
     measured = model.assumptions.measured[name]
     figure = f"{measured.role} {measured.figure}".strip() or "the largest size that runs"
     return f"{figure}, sweep {measured.sweep}"
 
 
-def plays_text(seed: int, plays: int) -> str:
-    """Describes seed and number of plays (runs)."""
-    return f"seed {seed}, {plays} play" + ("s" if plays != 1 else "")
+def seed_and_runs_text(seed: int, runs: int) -> str:
+    """Describes the seed and the number of runs, which the page calls plays."""
+    return f"seed {seed}, {runs} play" + ("s" if runs != 1 else "")
 
 
 def _largest_accepted_text(sweep: Sweep) -> str:
@@ -51,10 +51,10 @@
 
 def _fit_text(measured: Measured, sweep: Sweep, fit: Fit) -> str:
     figure = f"{measured.role} {measured.figure}"
-    if fit.form == "constant":
+    if fit.growth_model == "constant":
         return f"{figure}: {format_number(fit.offset)}, constant over {sweep.axis}"
     size = {"linear": sweep.axis, "n log n": f"{sweep.axis} · ln({sweep.axis})", "square": f"{sweep.axis}²"}[
-        fit.form
+        fit.growth_model
     ]
     start = "" if fit.offset == 0 else f"{format_number(fit.offset)} + "
     return f"{figure}: {start}{format_number(fit.slope)} · {size}, residual {fit.residual:.1%}"
@@ -66,7 +66,7 @@
 
 def _sweep_source_text(model: Model, name: str) -> str:
     sweep = model.results.sweeps[name]
-    text = f"[`{sweep.experiment}`](results/scale/{name}.json), {plays_text(sweep.seed, sweep.plays)}"
+    text = f"[`{sweep.experiment}`](results/scale/{name}.json), {seed_and_runs_text(sweep.seed, sweep.runs)}"
     return (
         text + f", extrapolated from {format_number(sweep.largest)}" if sweep.largest < sweep.full else text
     )
