--- a/tests/proxy/hot_restart_test.cpp
+++ b/tests/proxy/hot_restart_test.cpp
@@ -34,7 +34,7 @@
     std::unique_ptr<Process> process;
   };
   Instance Start() {
-    Instance instance{FreeAddress(io), nullptr};
+    Instance instance{ReserveAddress(), nullptr};
     instance.process = std::make_unique<Process>(
         std::vector<std::pair<std::string, std::string>>{{"NODE_CONFIG", file.path},
                                                          {"NODE_LISTEN", ToText(listen)},
@@ -71,7 +71,7 @@
   FakeServer host{io}, discovery{io};
   // Requests with the ID "pending". The test responds to them.
   std::vector<FakeServer::ReceivedRequest> pending;
-  const tcp::endpoint listen = FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress();
   std::filesystem::path folder;
   const ConfigFile file{nlohmann::json{
       {"seed", "1f"},
@@ -208,10 +208,10 @@
       ::close(socket);
     }
     auto old = fixture.Start();
-    ASSERT_TRUE(fixture.BecomesReady(old));
+    ASSERT_TRUE(fixture.BecomesReady(old)) << old.process->StandardError();
     if (obstacle == "hung process") old.process->Suspend();
     auto next = fixture.Start();
-    EXPECT_TRUE(fixture.BecomesReady(next));
+    EXPECT_TRUE(fixture.BecomesReady(next)) << next.process->StandardError();
     if (obstacle == "hung process") {
       old.process->Kill();
     } else {
--- a/tests/proxy/process.hpp
+++ b/tests/proxy/process.hpp
@@ -4,22 +4,44 @@
 
 #include <signal.h>
 #include <sys/resource.h>
+#include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
+#include <string>
+#include <system_error>
+#include <utility>
+#include <vector>
 
+#include "base/file_descriptor.hpp"
 #include "peers.hpp"
 
 namespace gateway::proxy::testing {
 
-// Returns a loopback address with a free port. Another process may occupy the port after this returns.
-inline tcp::endpoint FreeAddress(asio::io_context& io) {
-  tcp::acceptor acceptor(io, Loopback());
-  return acceptor.local_endpoint();
+// Reserves a free port of the loopback address until the test process exits and returns the address. Without
+// the reservation another socket could take the port before the gateway binds it.
+//
+// The reserving socket does not listen, so connections are refused until the gateway listens. The gateway can
+// bind the port because both sockets set SO_REUSEADDR. The kernel assigns a bound port neither to a socket
+// that binds port 0 nor to an outgoing connection.
+inline tcp::endpoint ReserveAddress() {
+  static std::vector<base::FileDescriptor> reserving_sockets;
+  base::FileDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  tcp::endpoint address = Loopback();
+  socklen_t address_size = address.size();
+  const int enabled = 1;
+  if (!socket || ::setsockopt(socket.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) != 0 ||
+      ::bind(socket.get(), address.data(), address_size) != 0 ||
+      ::getsockname(socket.get(), address.data(), &address_size) != 0) {
+    throw std::system_error(errno, std::generic_category(), "ReserveAddress");
+  }
+  reserving_sockets.push_back(std::move(socket));
+  return address;
 }
 
 // A child process that runs the gateway program. The destructor kills it.
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -49,7 +49,7 @@
 TEST(Program, CompletesRequestsInFlightOnSigtermAndExitsWithCode0) {
   asio::io_context io;
   FakeServer host(io), discovery(io);
-  const tcp::endpoint listen = FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress();
   const nlohmann::json config = {
       {"seed", "1f"},
       {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())})},
@@ -85,7 +85,7 @@
 TEST(Program, WatchesTheDiscoveryAddressOfTheReloadedFile) {
   asio::io_context io;
   FakeServer first(io), second(io), discovery(io), new_discovery(io);
-  const tcp::endpoint listen = FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress();
   nlohmann::json config = {{"seed", "1f"},
                            {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", first.address())})},
                            {"settings", TestSettings()}};
@@ -151,7 +151,7 @@
   constexpr std::size_t kMaxClientConnections = (kSockets - 40) * 2 / 3;
   asio::io_context io;
   FakeServer host(io);
-  const tcp::endpoint listen = FreeAddress(io), management = FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress(), management = ReserveAddress();
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // refuses connections because it does not listen
   const nlohmann::json config = {
@@ -275,8 +275,8 @@
   host.serve = [](const FakeServer::ReceivedRequest& request) { request.Respond(200, "served"); };
   discovery.serve = failure.respond;
   if (!failure.listens) discovery.StopListening();
-  const tcp::endpoint listen = FreeAddress(io);
-  const tcp::endpoint discovery_address = failure.listens ? discovery.address() : FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress();
+  const tcp::endpoint discovery_address = failure.listens ? discovery.address() : ReserveAddress();
   const nlohmann::json config = {
       {"seed", "1f"},
       {"known", MakeEndpointList(1, true, {MakeEndpointEntry("h0", host.address())})},
@@ -311,7 +311,7 @@
   FakeServer host(io);
   tcp::acceptor discovery(io, tcp::v4());
   discovery.bind(Loopback());  // refuses connections because it does not listen
-  const tcp::endpoint listen = FreeAddress(io);
+  const tcp::endpoint listen = ReserveAddress();
   const ConfigFile file(nlohmann::json({{"seed", "1f"}, {"settings", TestSettings()}}).dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
