--- a/tests/simulator/policy_host_test.cpp
+++ b/tests/simulator/policy_host_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the policy host: its replies to batches of the simulator's wire, and the lines that it rejects.
+// Tests of the policy host: its replies to batches of the simulator, and the lines that it rejects.
 #include "simulator/policy_host.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   EXPECT_EQ(Process(host, {"TURN 1.5", "EOF_BATCH"}), "OK\n");
 }
 
-TEST(PolicyHost, RequestIsSentToAnEndpointOfTheListInTheSameBatch) {
+TEST(PolicyHost, RequestIsSentToAnEndpointListedInTheSameBatch) {
   PolicyHost host;
   const std::string reply =
       Process(host, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
@@ -32,7 +32,7 @@
 
 // Two instances use the same list number in one batch. If the numbers were resolved only at the end of the
 // batch, both instances would get the second list.
-TEST(PolicyHost, ReusedListNumberIsResolvedAtEachEvent) {
+TEST(PolicyHost, ListNumberReusedWithinABatchGivesEachInstanceItsOwnList) {
   PolicyHost host;
   const std::string reply =
       Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
@@ -43,8 +43,9 @@
   EXPECT_NE(reply.find("PASS_ON t/2 h2"), std::string::npos) << reply;
 }
 
-// An instance that is destroyed and recreated in one batch must not keep the endpoints of its predecessor.
-TEST(PolicyHost, InstanceRecreatedInOneBatchStartsWithoutState) {
+// An instance is destroyed and created again in one batch. The new instance must not know the endpoints of
+// the destroyed instance.
+TEST(PolicyHost, InstanceRecreatedInOneBatchStartsWithoutEndpoints) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
                  "REGISTRY 0 1 C", "EOF_BATCH"});
@@ -53,25 +54,26 @@
   EXPECT_EQ(reply.find("PASS_ON"), std::string::npos) << reply;
 }
 
-// Returns the reply lines of instance 0 for `rounds` batches. `others` is the number of other instances in
-// the process.
-std::string RepliesOfInstanceZero(int others, int rounds) {
+// Returns the reply lines of instance 0 to `batches` batches. The host runs `other_instances` instances in
+// addition to instance 0.
+std::string RepliesOfInstanceZero(int other_instances, int batches) {
   PolicyHost host;
   std::string replies;
-  for (int round = 0; round < rounds; ++round) {
-    host.ProcessLine("TURN " + std::to_string(10 * round));
-    for (int i = 0; i <= others; ++i) {
-      // Instance 0 is the last instance in a batch, so other instances run directly before and after it.
-      host.ProcessLine("INSTANCE " + std::to_string((i + 1) % (others + 1)));
-      if (round == 0) {
+  for (int batch = 0; batch < batches; ++batch) {
+    host.ProcessLine("TURN " + std::to_string(10 * batch));
+    for (int i = 0; i <= other_instances; ++i) {
+      // Each batch ends with instance 0, so other instances run directly before it and, in the next batch,
+      // directly after it.
+      host.ProcessLine("INSTANCE " + std::to_string((i + 1) % (other_instances + 1)));
+      if (batch == 0) {
         for (const char* line : {kCreate, "SNAPSHOT_ROWS 0 3", "ENTRY h1 z k 0 up 1 -",
                                  "ENTRY h2 z k 0 up 1 -", "ENTRY h3 z k 0 up 1 -", "REGISTRY 0 1 C"}) {
           host.ProcessLine(line);
         }
       }
-      const std::string id = "t/" + std::to_string(round);
-      host.ProcessLine("KNOCK " + id + " view - - 400 - 0");
-      if (round % 3 != 0) host.ProcessLine("FIRED sweep");
+      const std::string request = "t/" + std::to_string(batch);
+      host.ProcessLine("KNOCK " + request + " view - - 400 - 0");
+      if (batch % 3 != 0) host.ProcessLine("FIRED sweep");
     }
     host.ProcessLine("EOF_BATCH");
     const std::string reply = host.TakeReply();
@@ -89,10 +91,10 @@
   return replies;
 }
 
-TEST(PolicyHost, InstanceRepliesTheSameAloneAndWithOtherInstances) {
-  const std::string alone = RepliesOfInstanceZero(0, 60);
-  EXPECT_NE(alone.find("PASS_ON t/0 "), std::string::npos) << alone;
-  EXPECT_EQ(alone, RepliesOfInstanceZero(2, 60));
+TEST(PolicyHost, RepliesOfAnInstanceDoNotDependOnOtherInstances) {
+  const std::string replies_without_others = RepliesOfInstanceZero(0, 60);
+  EXPECT_NE(replies_without_others.find("PASS_ON t/0 "), std::string::npos) << replies_without_others;
+  EXPECT_EQ(replies_without_others, RepliesOfInstanceZero(2, 60));
 }
 
 // An instance is destroyed while an attempt is in flight, and then created again. The new instance must not
@@ -107,9 +109,11 @@
   EXPECT_EQ(reply.find("t/1"), std::string::npos) << reply;
 }
 
-class MalformedLine : public ::testing::TestWithParam<const char*> {};
+// The parameter is a line that is malformed, or that is not allowed inside a batch when instance 1 is
+// selected and no endpoint list has begun.
+class InvalidLine : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(MalformedLine, ThrowsWireError) {
+TEST_P(InvalidLine, ThrowsWireError) {
   PolicyHost host;
   Process(host, {"TURN 10", "INSTANCE 1", kCreate, "EOF_BATCH"});
   host.ProcessLine("TURN 11");
@@ -117,7 +121,7 @@
   EXPECT_THROW(host.ProcessLine(GetParam()), WireError) << GetParam();
 }
 
-INSTANTIATE_TEST_SUITE_P(Lines, MalformedLine,
+INSTANTIATE_TEST_SUITE_P(Lines, InvalidLine,
                          ::testing::Values("BOGUS 1", "TURN x", "TURN 12", "KNOCK t/1 view - - abc - 0",
                                            "KNOCK t/1", "COMPLETED t/1 0 h 99 1 5.0 -",
                                            "COMPLETED t/1 0 h 10 maybe 5.0 -", "ENTRY h z k 0 up 1 -",
