--- a/src/cli/call.cpp
+++ b/src/cli/call.cpp
@@ -61,18 +61,19 @@
   asio::ip::tcp::socket socket_{io_};
   const std::string request_;
   std::string response_;
-  error_code result_ = asio::error::timed_out;  // Finish() replaces this value
+  error_code result_ = asio::error::timed_out;  // unchanged if Finish() is not called within kCallTimeout
 };
 
 int CallGateway(const CallOptions& options) {
   const auto gateway = base::ParseSocketAddress(options.address);
   if (!gateway || gateway->port() == 0) {
-    throw std::invalid_argument("'" + options.address +
-                                "' is not an address and port, such as 127.0.0.1:3001");
+    throw std::invalid_argument("ADDRESS: '" + options.address +
+                                "' is not an address and port; expected an IP address with a port, such as "
+                                "127.0.0.1:3001");
   }
   ManagementCall call(options.command);
   if (const error_code error = call.Run(*gateway)) {
-    fmt::print(stderr, "gatewayctl: {}: {}\n", options.address, error.message());
+    fmt::print(stderr, "gatewayctl: the call to {} failed: {}\n", options.address, error.message());
     return kFailure;
   }
   std::string_view response = call.response();
@@ -87,14 +88,15 @@
 void AddCall(CLI::App& app, Command& selected) {
   const auto options = std::make_shared<CallOptions>();
   CLI::App* const call =
-      app.add_subcommand("call", "Sends a command to the management address of a gateway (NODE_MGMT)");
-  call->add_option("ADDRESS", options->address, "Management address and port")->required();
-  call->add_option("CALL", options->command, "Management command")
+      app.add_subcommand("call", "Sends a management command to a gateway and prints the response");
+  call->add_option("ADDRESS", options->address, "Management address and port of the gateway (its NODE_MGMT)")
+      ->required();
+  call->add_option("CALL", options->command, "Management command to send")
       ->required()
       ->check(CLI::IsMember({"check", "vars", "metrics", "drain-on", "drain-off"}));
   call->footer(
-      "Exit codes: 0 SUCCESS or metrics, 1 FAILURE or no response, 2 invalid arguments.\nExample: gatewayctl "
-      "call 127.0.0.1:3001 check");
+      "Exit codes: 0 the response is SUCCESS or complete metrics, 1 any other response or no complete "
+      "response within 5 s, 2 invalid arguments.\nExample: gatewayctl call 127.0.0.1:3001 check");
   SelectWhenGiven(*call, selected, [options] { return CallGateway(*options); });
 }
 
--- a/src/cli/call.hpp
+++ b/src/cli/call.hpp
@@ -8,8 +8,9 @@
 
 namespace gateway::cli {
 
-// Adds the subcommand. It returns kSuccess for a SUCCESS response or complete metrics, and kFailure for any
-// other response, a failed connection, or a response that is not complete within the timeout.
+// Adds the subcommand `call`. The subcommand returns kSuccess for a SUCCESS response or complete metrics, and
+// kFailure for any other response, a failed connection, or a response that is not complete within the
+// timeout.
 void AddCall(CLI::App& app, Command& selected);
 
 }  // namespace gateway::cli
--- a/src/cli/config.cpp
+++ b/src/cli/config.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 proxy::Config LoadGatewayConfig(const std::string& path) {
-  const auto variable = [&](const char* name) {
+  // Stands in for an environment in which only NODE_CONFIG is set.
+  const auto read_variable = [&](const char* name) {
     return std::string_view(name) == "NODE_CONFIG" ? path.c_str() : nullptr;
   };
   try {
-    return proxy::LoadConfig(variable);
+    return proxy::LoadConfig(read_variable);
   } catch (const base::ConfigError& error) {
     throw base::ConfigError(path + ": " + error.what());
   }
@@ -37,10 +38,11 @@
 
 int CheckGatewayConfig(const std::string& path) {
   const proxy::Config config = LoadGatewayConfig(path);
-  fmt::print("{}: gateway {} of {} in zone '{}': {} classes, {} tenants, {} hosts known, {} descriptors\n",
-             path, config.settings.gateway_index, config.settings.gateway_count, config.settings.zone,
-             config.settings.classes.size(), config.settings.tenants.size(), config.known.endpoints.size(),
-             config.sockets);
+  fmt::print(
+      "{}: gateway {} of {} in zone '{}': {} classes, {} tenants, {} known hosts, {} file descriptors\n",
+      path, config.settings.gateway_index, config.settings.gateway_count, config.settings.zone,
+      config.settings.classes.size(), config.settings.tenants.size(), config.known.endpoints.size(),
+      config.sockets);
   return kSuccess;
 }
 
@@ -49,9 +51,9 @@
   config->require_subcommand(1);
   config->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
   CLI::App* const check =
-      config->add_subcommand("check", "Validates an experiment (.toml) or a gateway configuration (.json)");
+      config->add_subcommand("check", "Checks that an experiment file (.toml) is valid and prints a summary");
   const auto path = std::make_shared<std::string>();
-  check->add_option("FILE", *path, "Configuration file")->required();
+  check->add_option("FILE", *path, "Experiment file (see experiments/)")->required();
   check->footer("Example: gatewayctl config check experiments/steady-3x12.toml");
   SelectWhenGiven(*check, selected, [path] { return CheckExperiment(*path); });
 }
--- a/src/cli/config.hpp
+++ b/src/cli/config.hpp
@@ -11,9 +11,9 @@
 
 void AddConfig(CLI::App& app, Command& selected);
 
-// Reads a gateway's configuration file as the gateway does at startup, but ignores the environment variables
-// that override its fields, and prints a summary. Throws base::ConfigError with a text that begins with the
-// path.
+// Reads and validates a gateway's configuration file as the gateway does at startup, and prints a summary.
+// Ignores the environment variables that override fields of the file. Throws base::ConfigError with a text
+// that begins with the path.
 int CheckGatewayConfig(const std::string& path);
 
 }  // namespace gateway::cli
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -53,7 +53,7 @@
   switch (kind) {
     case lab::Verdict::Kind::kPassed: return "held";
     case lab::Verdict::Kind::kViolated: return "BROKEN";
-    case lab::Verdict::Kind::kInconclusive: return "not judged";
+    case lab::Verdict::Kind::kInconclusive: return "inconclusive";
   }
   return "";
 }
@@ -63,7 +63,7 @@
 int PrintVerdicts(const std::vector<lab::Verdict>& verdicts) {
   int code = kSuccess;
   for (const lab::Verdict& verdict : verdicts) {
-    fmt::print("{:10} {}\n", VerdictWord(verdict.kind), verdict.text);
+    fmt::print("{:12} {}\n", VerdictWord(verdict.kind), verdict.text);
     if (verdict.kind == lab::Verdict::Kind::kViolated) code = kFailure;
     if (verdict.kind == lab::Verdict::Kind::kInconclusive && code == kSuccess) code = kInconclusive;
   }
@@ -96,25 +96,27 @@
   const auto options = std::make_shared<RunOptions>();
   options->lab.gatewayctl = programs.gatewayctl;
   options->lab.gateway = programs.gateway;
-  CLI::App* const run = lab.add_subcommand("run", "Runs an experiment and evaluates its bounds");
+  CLI::App* const run = lab.add_subcommand("run", "Runs an experiment and checks its bounds and rules");
   run->add_option("FILE", options->file, "Experiment file (see experiments/)")->required();
   run->add_option("--seed", options->lab.seed, "Seed of the schedule and of all random numbers")
       ->capture_default_str();
-  run->add_option("--repeat", options->lab.repeats, "Runs of each variant; each run uses the next seed")
+  run->add_option("--repeat", options->lab.repeats,
+                  "Number of runs of each variant; each run adds 1 to the seed of the run before")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
   run->add_option("--gateway", options->lab.gateway, "Command that starts the gateway under test")
       ->capture_default_str();
   run->add_option("--baseline", options->lab.earlier,
-                  "Command of an earlier build, run as the variant 'earlier'");
-  run->add_option("--json", options->json, "Write all figures and time series to this file");
-  run->add_option("--logs", options->lab.log_folder, "Keep the processes' logs in this folder");
+                  "Command that starts an earlier build of the gateway, run as the variant 'earlier'");
+  run->add_option("--json", options->json, "File to which all figures and time series are written as JSON");
+  run->add_option("--logs", options->lab.log_folder, "Folder in which the logs of all processes are kept");
   run->footer(std::string(kLabExitCodes) +
               "\nExample: gatewayctl lab run experiments/steady-3x12.toml --repeat 3 --json steady.json");
   SelectWhenGiven(*run, selected, [options] { return RunExperimentFile(*options); });
 }
 
-// Prints the schedule of an experiment. Checks the file if it is a gateway configuration in JSON instead.
+// Prints the schedule of an experiment. If the file name ends with .json, checks the file as a gateway
+// configuration instead.
 int PrintSchedule(const ScheduleOptions& options) {
   if (options.file.ends_with(".json")) return CheckGatewayConfig(options.file);
   const lab::Experiment experiment = lab::ReadExperiment(options.file);
@@ -126,10 +128,11 @@
 
 void AddSchedule(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<ScheduleOptions>();
-  CLI::App* const schedule = lab.add_subcommand("schedule", "Prints the arrivals and the timeline of faults");
+  CLI::App* const schedule =
+      lab.add_subcommand("schedule", "Prints the timeline of faults and the arrival of each request");
   schedule
       ->add_option("FILE", options->file,
-                   "Experiment file (.toml), or gateway configuration (.json) to check")
+                   "Experiment file (.toml). A gateway configuration (.json) is checked instead.")
       ->required();
   schedule->add_option("--seed", options->seed, "Seed of the schedule")->capture_default_str();
   schedule->footer("Example: gatewayctl lab schedule experiments/steady-3x12.toml --seed 2 | sha256sum");
@@ -147,9 +150,9 @@
 
 void AddCompare(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<ResultOptions>();
-  CLI::App* const compare = lab.add_subcommand("compare", "Compares two results");
-  compare->add_option("A", options->first, "A result of 'lab run --json'")->required();
-  compare->add_option("B", options->second, "A second result")->required();
+  CLI::App* const compare = lab.add_subcommand("compare", "Compares the figures of two results");
+  compare->add_option("A", options->first, "Result file of 'lab run --json'")->required();
+  compare->add_option("B", options->second, "Result file to compare with A")->required();
   compare->footer("Example: gatewayctl lab compare before.json after.json");
   SelectWhenGiven(*compare, selected, [options] { return CompareResults(*options); });
 }
@@ -164,8 +167,8 @@
   const auto result = std::make_shared<std::string>();
   const auto folder = std::make_shared<std::string>();
   CLI::App* const plot =
-      lab.add_subcommand("plot", "Plots a result over time and writes a report with all plots");
-  plot->add_option("RESULT", *result, "A result of 'lab run --json'")->required();
+      lab.add_subcommand("plot", "Plots the time series of a result and writes a report with all plots");
+  plot->add_option("RESULT", *result, "Result file of 'lab run --json'")->required();
   plot->add_option("DIR", *folder, "Folder for the plots and report.html")->required();
   plot->footer("Needs gnuplot (Debian: gnuplot-nox).\nExample: gatewayctl lab plot out.json report");
   SelectWhenGiven(*plot, selected, [result, folder] { return PlotResult(*result, *folder); });
@@ -181,20 +184,21 @@
 void AddRegistryLoad(CLI::App& lab, const ProgramPaths& programs, Command& selected) {
   const auto load = std::make_shared<lab::RegistryLoad>();
   load->program = programs.gatewayctl;
-  CLI::App* const registry =
-      lab.add_subcommand("registry", "Measures the load capacity of the list service on this machine's disk");
-  registry->add_option("--members", load->members, "Members that renew their leases")
+  CLI::App* const registry = lab.add_subcommand(
+      "registry", "Measures the list service under load, with its state on this machine's disk");
+  registry->add_option("--members", load->members, "Number of members that renew their leases")
       ->check(CLI::Range(1, 20000))
       ->capture_default_str();
-  registry->add_option("--watchers", load->watchers, "Watchers that wait for changes")
+  registry->add_option("--watchers", load->watchers, "Number of watchers that wait for changes")
       ->check(CLI::Range(1, 20000))
       ->capture_default_str();
-  registry->add_option("--changes", load->changes, "Changes whose delivery to all watchers is timed")
+  registry
+      ->add_option("--changes", load->changes, "Number of changes whose delivery to all watchers is measured")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
   registry
       ->add_option("--history", load->history,
-                   "Changes written to the log before the service is killed and its restart is timed")
+                   "Number of changes in the log when the service is killed and its restart is measured")
       ->check(CLI::Range(1000, 1000000))
       ->capture_default_str();
   registry->footer("Example: gatewayctl lab registry --watchers 5000");
@@ -204,11 +208,11 @@
 void AddStandIn(CLI::App& lab, Command& selected) {
   const auto options = std::make_shared<lab::StandInOptions>();
   CLI::App* const stand_in = lab.add_subcommand(
-      "stand-in", "Runs the simplest gateway, as a baseline or with a defect (used by the lab)");
+      "stand-in", "Runs a minimal gateway as a baseline or with a built-in defect (used by the lab)");
   stand_in->add_option("--policy", options->policy, "Load balancing policy")
       ->check(CLI::IsMember(lab::StandInPolicies()))
       ->capture_default_str();
-  stand_in->add_option("--fault", options->fault, "Defect of the gateway")
+  stand_in->add_option("--fault", options->fault, "Built-in defect of the gateway")
       ->check(CLI::IsMember(lab::StandInFaults()))
       ->capture_default_str();
   stand_in->footer("Example: gatewayctl lab run FILE --gateway 'gatewayctl lab stand-in --fault twice'");
@@ -219,10 +223,11 @@
 
 void AddLab(CLI::App& app, const ProgramPaths& programs, Command& selected) {
   CLI::App* const lab = app.add_subcommand(
-      "lab", "Runs experiments with fleets and faults on this machine's loopback interface");
+      "lab",
+      "Runs experiments on fleets of gateways with injected faults, on this machine's loopback interface");
   lab->require_subcommand(1);
   lab->footer("Example: gatewayctl lab run experiments/gateway-killed.toml --seed 3 --json out.json");
-  // In the order of the help text.
+  // The help text lists the subcommands in this order.
   AddRunExperiment(*lab, programs, selected);
   AddSchedule(*lab, selected);
   AddCompare(*lab, selected);
--- a/src/cli/lab.hpp
+++ b/src/cli/lab.hpp
@@ -9,9 +9,8 @@
 namespace gateway::cli {
 
 inline constexpr const char* kLabExitCodes =
-    "Exit codes: 0 all bounds held, 1 a bound or rule was violated, 2 invalid arguments, 3 a timing bound "
-    "could "
-    "not be evaluated.";
+    "Exit codes: 0 all bounds and rules held, 1 a bound or rule was violated, 2 invalid arguments, 3 a bound "
+    "could not be evaluated.";
 
 void AddLab(CLI::App& app, const ProgramPaths& programs, Command& selected);
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -26,14 +26,14 @@
 }
 
 void AddVersion(CLI::App& app, cli::Command& selected) {
-  CLI::App* const version = app.add_subcommand("version", "Prints the version");
+  CLI::App* const version = app.add_subcommand("version", "Prints the version of this program");
   cli::SelectWhenGiven(*version, selected, [] {
     fmt::print("elderhead {}\n", GATEWAY_VERSION);
     return cli::kSuccess;
   });
 }
 
-// In the order of the help text.
+// Adds the subcommands in the order in which the help text lists them.
 void AddSubcommands(CLI::App& app, const cli::ProgramPaths& programs, cli::Command& selected) {
   cli::AddLab(app, programs, selected);
   cli::AddConfig(app, selected);
@@ -47,7 +47,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"gatewayctl: lab and tools for a fleet of gateways"};
+  CLI::App app{"gatewayctl: tests, inspects and operates a fleet of gateways"};
   app.require_subcommand(1);
   app.footer(std::string(cli::kLabExitCodes) + "\nExample: gatewayctl lab run experiments/steady-3x12.toml");
   cli::Command selected;
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -66,15 +66,17 @@
   std::string body;
 };
 
-// Sends the request to one service after the other until a service responds with a status other than 503.
-// Returns a response with 503 only if it comes from the last service.
+// Sends the request to the services in turn until a service responds with a status other than 503. Returns a
+// 503 response only if the last service sent it. Prints an error and returns status 0 if no service responds.
 ServiceResponse SendRequest(const RegistryOptions& options, const std::string& method,
                             const std::string& target, const std::string& body = "",
                             double timeout_ms = kCallTimeoutMs) {
   for (const std::string& service : options.services) {
     const auto address = base::ParseSocketAddress(service);
     if (!address || address->port() == 0) {
-      throw std::invalid_argument("'" + service + "' is not an address and port, such as 127.0.0.1:8500");
+      throw std::invalid_argument("--service: '" + service +
+                                  "' is not an address and port; expected an IP address with a port, such as "
+                                  "127.0.0.1:8500");
     }
     boost::asio::io_context io(1);
     ServiceResponse response;
@@ -94,7 +96,7 @@
   return {};
 }
 
-// Sends the command as a command by an operator, with the preconditions from the options. Prints the result.
+// Sends the command on behalf of an operator, with the preconditions from the options, and prints the result.
 int SendCommand(const RegistryOptions& options, registry::Command command) {
   const std::string name = CallName(command.action);
   command.by_operator = true;
@@ -154,7 +156,8 @@
   if (response.status == 0) return kNoResponse;
   const json list = json::parse(response.body, nullptr, false);
   if (response.status != kHttpOk || !list.is_object() || !list.contains("members")) {
-    fmt::print(stderr, "gatewayctl: {}\n", response.body);
+    fmt::print(stderr, "gatewayctl: the list service responded with status {}: {}\n", response.status,
+               response.body);
     return kRejected;
   }
   if (options.json) {
@@ -166,7 +169,7 @@
   return kDone;
 }
 
-// Prints changes as they arrive, for `watch_seconds`. If `watch_seconds` is 0, there is no time limit.
+// Prints changes as they arrive, for `watch_seconds`, or without a time limit if `watch_seconds` is 0.
 int WatchMembers(const RegistryOptions& options) {
   ServiceResponse response = SendRequest(
       options, "GET",
@@ -177,7 +180,8 @@
     if (response.status == 0) return kNoResponse;
     const json list = json::parse(response.body, nullptr, false);
     if (response.status != kHttpOk || !list.is_object()) {
-      fmt::print(stderr, "gatewayctl: {}\n", response.body);
+      fmt::print(stderr, "gatewayctl: the list service responded with status {}: {}\n", response.status,
+                 response.body);
       return kRejected;
     }
     if (std::exchange(heading_pending, false)) PrintHeading();
@@ -207,7 +211,8 @@
   if (response.status == 0) return kNoResponse;
   const ordered_json status = ordered_json::parse(response.body, nullptr, false);
   if (response.status != kHttpOk || !status.is_object()) {
-    fmt::print(stderr, "gatewayctl: {}\n", response.body);
+    fmt::print(stderr, "gatewayctl: the list service responded with status {}: {}\n", response.status,
+               response.body);
     return kRejected;
   }
   if (options.json) {
@@ -220,10 +225,12 @@
   return kDone;
 }
 
-// Registers each member with the properties that it has in the newest of the lists. A file contains a
-// published list or the output of `gatewayctl state export` for the state folder of a gateway.
+// Registers all members of the given lists. If several lists contain a member, uses the entry from the list
+// with the highest revision. A file contains a published list, or the output of `gatewayctl state export` for
+// the state folder of a gateway.
 int RestoreMembers(const RegistryOptions& options) {
-  std::map<std::string, std::pair<registry::Revision, registry::Member>> newest;
+  // The newest entry of each member, with the revision of the list that contains the entry.
+  std::map<std::string, std::pair<registry::Revision, registry::Member>> newest_entries;
   for (const std::string& file : options.list_files) {
     std::ifstream stream(file);
     if (!stream) throw std::runtime_error("can't read '" + file + "'");
@@ -239,12 +246,12 @@
     const auto list = registry::ParseList(body, error);
     if (!list) throw std::runtime_error(file + ": " + error);
     for (const registry::Member& member : list->members) {
-      auto& entry = newest[member.id];
+      auto& entry = newest_entries[member.id];
       if (entry.second.id.empty() || entry.first < list->revision) entry = {list->revision, member};
     }
   }
   int code = kDone;
-  for (const auto& [id, entry] : newest) {
+  for (const auto& [id, entry] : newest_entries) {
     registry::Command command;
     command.member = entry.second;
     command.member.lease_duration = options.lease_seconds * kMillisPerSecond;
@@ -253,7 +260,7 @@
     command.action = registry::Action::kDrain;
     if (entry.second.draining) code = std::max(code, SendCommand(options, command));
   }
-  fmt::print("{} members from {} lists\n", newest.size(), options.list_files.size());
+  fmt::print("{} members found in {} lists\n", newest_entries.size(), options.list_files.size());
   return code;
 }
 
@@ -261,8 +268,8 @@
   registry::ServiceOptions options = registry::ReadServiceOptions(config_file);
   options.program = GATEWAY_VERSION;
   options.epoch = RandomHexToken();
-  // If a service has lost its state, the revisions must not go back. The Unix time in ms is higher than any
-  // earlier revision, if the service made fewer than 1,000 changes per second on average.
+  // After a service has lost its state, its revisions must still be higher than before. The Unix time in ms
+  // is higher than every earlier revision if the service made fewer than 1,000 changes per second on average.
   options.initial_revision = UnixMillis();
   std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit then fails as on a full disk
   std::signal(SIGPIPE, SIG_IGN);
@@ -278,7 +285,8 @@
   return kDone;
 }
 
-// Keeps the member of the configuration registered until SIGTERM or SIGINT.
+// Keeps the member that the configuration file describes registered until SIGTERM or SIGINT. Returns the exit
+// code of the agent.
 int RunAgent(const std::string& config_file, std::int64_t incarnation) {
   registry::AgentOptions options = registry::ReadAgentOptions(config_file);
   options.member.incarnation = incarnation >= 0 ? incarnation : UnixMillis();
@@ -328,9 +336,11 @@
     AddWatch();
     AddStatus();
     AddRegister();
-    AddWrite("drain", "Stops new requests to a member", "drain web-1", registry::Action::kDrain);
-    AddWrite("undrain", "Ends an operator's drain of a member", "undrain web-1", registry::Action::kUndrain);
-    AddWrite("remove", "Removes a member from the list, as confirmed by an operator", "remove web-1",
+    AddWrite("drain", "Marks a member as draining, so that gateways send it no new requests", "drain web-1",
+             registry::Action::kDrain);
+    AddWrite("undrain", "Ends the drain that an operator started with 'registry drain'", "undrain web-1",
+             registry::Action::kUndrain);
+    AddWrite("remove", "Removes a member from the list on behalf of an operator", "remove web-1",
              registry::Action::kRemove);
     AddSize();
     AddRestore();
@@ -344,23 +354,24 @@
     return *subcommand;
   }
 
-  // Adds a subcommand that sends requests to the service.
+  // Adds a subcommand that sends requests to the list service.
   CLI::App& AddServiceCall(const char* name, const char* description, const char* example, Command command) {
     CLI::App& subcommand = Add(name, description, example, std::move(command));
     subcommand
         .add_option("--service", options_->services,
-                    "Address and port of a list service; if several are given, they are tried in turn")
+                    "Addresses and ports of list services, tried in turn until one responds")
         ->capture_default_str();
-    subcommand.add_flag("--json", options_->json, "Print the JSON response of the service");
+    subcommand.add_flag("--json", options_->json, "Print JSON instead of text");
     return subcommand;
   }
 
-  // Adds a subcommand that changes a member, with options for the idempotency key and preconditions.
+  // Adds a subcommand that changes a member. It has options for the idempotency key and the preconditions.
   CLI::App& AddMemberChange(const char* name, const char* description, const char* example, Command command) {
     CLI::App& subcommand = AddServiceCall(name, description, example, std::move(command));
     subcommand.add_option("ID", options_->member_id, "ID of the member")->required();
-    subcommand.add_option("--key", options_->idempotency_key,
-                          "Idempotency key: a retry with the same key is not executed twice");
+    subcommand.add_option(
+        "--key", options_->idempotency_key,
+        "Idempotency key; the service does not execute a retry with the same key again (default: random)");
     subcommand.add_option("--if-revision", options_->if_revision,
                           "Fail if the member has changed since this revision");
     subcommand.add_option("--if-incarnation", options_->if_incarnation,
@@ -377,40 +388,42 @@
   void AddServe() {
     CLI::App& serve = Add("serve", "Runs the list service", "serve deploy/registry.toml",
                           [options = options_] { return RunService(options->config_file); });
-    serve.add_option("CONFIG", options_->config_file, "Configuration file (TOML)")->required();
+    serve.add_option("CONFIG", options_->config_file, "Configuration file of the service (TOML)")->required();
   }
 
   void AddMember() {
     CLI::App& member = Add(
         "member", "Runs the agent that keeps a server process registered until SIGTERM", "member web-1.toml",
         [options = options_] { return RunAgent(options->config_file, options->incarnation); });
-    member.add_option("CONFIG", options_->config_file, "Configuration file (TOML)")->required();
-    member.add_option("--incarnation", options_->incarnation,
-                      "Start time of the process, Unix time in ms (default: now)");
+    member.add_option("CONFIG", options_->config_file, "Configuration file of the agent (TOML)")->required();
+    member.add_option(
+        "--incarnation", options_->incarnation,
+        "Incarnation of the member: the start of its process in ms of Unix time (default: now)");
   }
 
   void AddMembers() {
-    AddServiceCall("members", "Lists the members", "members",
+    AddServiceCall("members", "Lists the members that the list service has registered", "members",
                    [options = options_] { return PrintList(*options, "/registry/members"); });
   }
 
   void AddHistory() {
-    CLI::App& history = AddServiceCall("history", "Lists the changes that the service retains",
+    CLI::App& history = AddServiceCall("history", "Lists the recent changes that the list service retains",
                                        "history --after 1764600000000",
                                        [options = options_] { return PrintHistory(*options); });
-    history.add_option("--after", options_->after, "Only changes after this revision");
+    history.add_option("--after", options_->after, "Print only changes after this revision");
   }
 
   void AddWatch() {
-    CLI::App& watch = AddServiceCall("watch", "Prints changes as they arrive", "watch --json",
+    CLI::App& watch = AddServiceCall("watch", "Prints changes of the members as they arrive", "watch --json",
                                      [options = options_] { return WatchMembers(*options); });
     watch.add_option("--after", options_->after,
-                     "Only changes after this revision (default: start with the complete list)");
-    watch.add_option("--for", options_->watch_seconds, "Duration in seconds (default: no limit)");
+                     "Print only changes after this revision (default: start with the complete list)");
+    watch.add_option("--for", options_->watch_seconds,
+                     "Duration of the watch in seconds (default: no limit)");
   }
 
   void AddStatus() {
-    AddServiceCall("status", "Prints the status of the service", "status",
+    AddServiceCall("status", "Prints the status of the list service", "status",
                    [options = options_] { return PrintStatus(*options); });
   }
 
@@ -423,33 +436,37 @@
         ->required();
     subcommand.add_option("--zone", options_->zone, "Zone of the member");
     subcommand.add_option("--kind", options_->machine_type, "Machine type of the member");
-    subcommand.add_option("--version", options_->version, "Version label of the member's software");
-    subcommand.add_option("--size", options_->size, "Size relative to other members")->capture_default_str();
-    subcommand.add_option("--incarnation", options_->incarnation,
-                          "Start time of the member's process, Unix time in ms");
+    subcommand.add_option("--version", options_->version, "Version of the member's software");
+    subcommand.add_option("--size", options_->size, "Capacity of the member relative to other members")
+        ->capture_default_str();
+    subcommand.add_option(
+        "--incarnation", options_->incarnation,
+        "Incarnation of the member: the start of its process in ms of Unix time (default: 0)");
     subcommand
-        .add_option("--term", options_->lease_seconds,
-                    "Duration of the lease in seconds; 0: no lease, listed until removed")
+        .add_option(
+            "--term", options_->lease_seconds,
+            "Duration of the lease in seconds; 0: no lease, the member stays listed until it is removed")
         ->capture_default_str();
   }
 
   void AddSize() {
-    CLI::App& size =
-        AddWrite("size", "Sets a member's relative size", "size web-1 0.5", registry::Action::kSetSize);
-    size.add_option("SIZE", options_->size, "Size relative to other members")->required();
+    CLI::App& size = AddWrite("size", "Sets the size of a member: its capacity relative to other members",
+                              "size web-1 0.5", registry::Action::kSetSize);
+    size.add_option("SIZE", options_->size, "Capacity of the member relative to other members")->required();
   }
 
   void AddRestore() {
     CLI::App& restore = AddServiceCall(
-        "restore", "Restores the members of a service that lost its disk, from the gateways' lists",
+        "restore", "Registers the members from the gateways' lists at a list service that lost its disk",
         "restore n1.json n2.json   # files from: gatewayctl state export DIR",
         [options = options_] { return RestoreMembers(*options); });
     restore
-        .add_option("FILES", options_->list_files, "Published lists, or output of 'gatewayctl state export'")
+        .add_option("FILES", options_->list_files,
+                    "Files with a published list or with the output of 'gatewayctl state export'")
         ->required();
     restore
         .add_option("--term", options_->lease_seconds,
-                    "Duration of the members' leases in seconds; 0: no lease")
+                    "Duration of each member's lease in seconds; 0: no lease")
         ->capture_default_str();
   }
 
@@ -461,7 +478,8 @@
 }  // namespace
 
 void AddRegistry(CLI::App& app, Command& selected) {
-  CLI::App* const registry = app.add_subcommand("registry", "Runs and controls the list service (registry)");
+  CLI::App* const registry =
+      app.add_subcommand("registry", "Runs the list service (registry) or sends requests to it");
   registry->require_subcommand(1);
   registry->footer(std::string(kRegistryExitCodes) +
                    "\nExample: gatewayctl registry members --service 127.0.0.1:8500");
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -29,7 +29,7 @@
 
 constexpr int kCrashLoopExitCode = 4;
 constexpr int kSignalExitCodeBase = 128;   // exit code after signal N: 128 + N
-constexpr int kParentExitedExitCode = 97;  // the parent of the forked child exited before the exec
+constexpr int kParentExitedExitCode = 97;  // the supervisor exited before the forked child called exec
 constexpr int kExecFailedExitCode = 98;    // the forked child could not execute /bin/sh
 constexpr double kMillisPerSecond = 1000;
 constexpr double kNanosPerMilli = 1e6;
@@ -90,7 +90,7 @@
   }
 }
 
-// One run of a gateway process, from its start to its exit.
+// One run of a gateway process, from its start to its exit. Times are on the monotonic clock.
 struct GatewayRun {
   pid_t pid = 0;
   int status = 0;  // the status from waitpid
@@ -102,7 +102,7 @@
  public:
   explicit GatewaySupervisor(std::string command) : command_(std::move(command)) {}
 
-  // Returns the exit code of this program.
+  // Runs the gateway and restarts it as supervisor_ decides. Returns the exit code of this program.
   int Run() {
     for (;;) {
       const GatewayRun run = RunGateway();
@@ -145,7 +145,8 @@
     return run;
   }
 
-  // Waits until `until`. Returns the termination signal that interrupted the wait, or 0.
+  // Waits until the monotonic clock reaches `until`. Returns the termination signal that interrupted the
+  // wait, or 0.
   int WaitForBackoff(Millis until) const {
     while (base::MonotonicNow() < until) {
       const int signal = WaitForSignal(signals_, std::max(0.0, until - base::MonotonicNow()));
@@ -173,7 +174,8 @@
   const sigset_t signals_ = BlockSignals();
   Supervisor supervisor_{{}};
   std::mt19937_64 random_{std::random_device{}()};
-  bool with_saved_state_ = true;  // whether the running process uses it, or the next process during a backoff
+  // Whether the running process, or during a backoff the next process, loads its saved state.
+  bool with_saved_state_ = true;
   bool termination_requested_ = false;
 };
 
@@ -184,8 +186,8 @@
   CLI::App* const run = app.add_subcommand("run", "Supervises one gateway and restarts it after a crash");
   run->add_option("--command", *command, "Shell command that starts the gateway")->capture_default_str();
   run->footer(
-      "Exit codes: the exit code of the command if it succeeded or was asked to terminate, 128 + N if "
-      "signal N ended it or arrived while no gateway ran, 4 after a crash loop.\n"
+      "Exit codes: the exit code of the command if it succeeds or exits after a termination signal, 128 + N "
+      "if signal N ends the command or arrives while no gateway runs, 4 after a crash loop.\n"
       "Example: NODE_CONFIG=n3.json gatewayctl run");
   SelectWhenGiven(*run, selected, [command] { return GatewaySupervisor(*command).Run(); });
 }
--- a/src/cli/scale.cpp
+++ b/src/cli/scale.cpp
@@ -26,7 +26,7 @@
 namespace gateway::cli {
 namespace {
 
-constexpr unsigned kDeadlineMarginSeconds = 15;  // from the deadline until SIGALRM ends a hanging process
+constexpr unsigned kDeadlineMarginSeconds = 15;  // time after the deadline until SIGALRM ends this process
 constexpr double kMillisPerSecond = 1000;
 
 struct ScaleOptions {
@@ -35,7 +35,7 @@
   std::string revision;
   bool quick = false;
   bool plots = true;
-  bool compare = false;    // run the standard comparison first
+  bool compare = false;    // run the comparison of hollow gateways with real ones first
   int runs = 0;            // runs of each point; 0: the value in the file
   std::uint64_t seed = 0;  // seed of the first run; 0: the value in the file
   lab::ScalePrograms programs;
@@ -102,7 +102,7 @@
             lab::StormsToJson(storms).dump(1) + "\n");
   for (const lab::StormResult& storm : storms) {
     fmt::print(
-        "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests queued; all up to date after "
+        "{:22} peak {:.4g} bytes/s, {:.0f}% of a core, {:.0f} requests queued; all gateways up to date after "
         "{:.0f} ms\n",
         storm.storm, storm.peak_bytes_per_s, storm.peak_cpu_percent, storm.peak_queue, storm.all_current_ms);
   }
@@ -147,8 +147,8 @@
 
 void ClearWatchdog() { alarm(0); }
 
-// Reads all experiments before the first experiment runs. Rejects experiments that exceed the limits of this
-// machine.
+// Reads the experiments of all files, so that an invalid file is reported before any experiment runs. Throws
+// base::ConfigError for an experiment that exceeds the limits of this machine.
 std::vector<lab::ScaleExperiment> ReadExperiments(const ScaleOptions& options) {
   const lab::ScaleLimits limits = lab::LimitsOfThisMachine();
   std::vector<lab::ScaleExperiment> experiments;
@@ -169,14 +169,17 @@
     const base::Millis deadline = started + experiment.time_limit;
     code = std::max(code, RunScaleExperiment(experiment, options, deadline));
     ClearWatchdog();
-    fmt::print("{}: {:.1f} s\n", experiment.name, (base::MonotonicNow() - started) / 1000);
+    fmt::print("{}: took {:.1f} s\n", experiment.name, (base::MonotonicNow() - started) / 1000);
   }
   return code;
 }
 
 int ServeHollowGateways(lab::HollowProcessOptions options, const std::string& control) {
   const auto address = base::ParseSocketAddress(control);
-  if (!address) throw std::invalid_argument("--control: '" + control + "' is not an address and port");
+  if (!address)
+    throw std::invalid_argument("--control: '" + control +
+                                "' is not an address and port; expected an IP address with a port, such as "
+                                "127.0.0.1:3900");
   options.control = *address;
   return lab::ServeHollowGateways(options);
 }
@@ -187,23 +190,30 @@
   const auto options = std::make_shared<ScaleOptions>();
   options->programs = {programs.gatewayctl, programs.gateway};
   CLI::App* const scale = lab.add_subcommand(
-      "scale", "Measures the resource usage of each role as the fleet grows and fits the slopes");
+      "scale",
+      "Measures the resource usage of each kind of process at several fleet sizes, and fits functions to it");
   scale->add_option("FILE", options->files, "Experiment files (see experiments/scale/)");
   scale->add_option("--json-dir", options->json_dir, "Folder for the results and plots")
       ->capture_default_str();
-  scale->add_option("--gateway", options->programs.gateway, "Command of the gateway")->capture_default_str();
-  scale->add_option("--plays", options->runs, "Runs of each point (default: the value in the file)")
+  scale->add_option("--gateway", options->programs.gateway, "Command that starts a gateway")
+      ->capture_default_str();
+  scale->add_option("--plays", options->runs, "Number of runs of each point (default: the value in the file)")
       ->check(CLI::Range(1, 100));
   scale->add_option("--seed", options->seed, "Seed of the first run (default: the value in the file)");
-  scale->add_option("--revision", options->revision, "Revision of the program, recorded in the results");
-  scale->add_flag("--quick", options->quick, "Fewer, smaller and shorter points with one run each");
-  scale->add_flag("--compare", options->compare,
-                  "First compare the load on the list service of hollow gateways with that of real ones");
-  scale->add_flag("!--no-plots", options->plots, "Don't write plots");
+  scale->add_option("--revision", options->revision,
+                    "Source revision of the program, to be recorded in the results");
+  scale->add_flag(
+      "--quick", options->quick,
+      "Run a short version: use quick_points, quick_fixed, quick_windows and quick_outage_s of the "
+      "file, and run each sweep point or storm once unless --plays is given");
+  scale->add_flag(
+      "--compare", options->compare,
+      "First compare the load that hollow gateways put on the list service with the load of real gateways");
+  scale->add_flag("!--no-plots", options->plots, "Write no plots");
   scale->footer(
-      "Exit codes: 0 measured, 1 nothing could be measured or hollow gateways differ from real ones, 2 "
-      "invalid arguments.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick --json-dir "
-      "/tmp/scale");
+      "Exit codes: 0 success, 1 no point of a sweep could be measured or hollow gateways differ from real "
+      "gateways, 2 invalid arguments.\nExample: gatewayctl lab scale experiments/scale/hosts.toml --quick "
+      "--json-dir /tmp/scale");
   SelectWhenGiven(*scale, selected, [options] { return RunScaleExperiments(*options); });
 }
 
@@ -211,16 +221,20 @@
   const auto options = std::make_shared<lab::HollowProcessOptions>();
   const auto control = std::make_shared<std::string>();
   CLI::App* const hollow = lab.add_subcommand(
-      "hollow-gateways", "Runs gateways that watch the list but forward no requests (used by the lab)");
+      "hollow-gateways",
+      "Runs gateways that watch the endpoint list but forward no requests (used by the lab)");
   hollow
-      ->add_option("CONFIG", options->config,
-                   "Configuration of the first gateway, in the form of NODE_CONFIG")
+      ->add_option(
+          "CONFIG", options->config,
+          "Configuration file (JSON) of the first gateway, as NODE_CONFIG names it for a real gateway")
       ->required();
-  hollow->add_option("--count", options->count, "Number of gateways")
+  hollow->add_option("--count", options->count, "Number of gateways to run")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
   hollow->add_option("--first", options->first_index, "Index of the first gateway")->capture_default_str();
-  hollow->add_option("--control", *control, "Address and port at which the lab queries this process")
+  hollow
+      ->add_option("--control", *control,
+                   "Address and port on which this process listens for requests of the lab")
       ->required();
   hollow->footer("Example: gatewayctl lab hollow-gateways n0.json --count 100 --control 127.0.0.1:3900");
   SelectWhenGiven(*hollow, selected, [options, control] { return ServeHollowGateways(*options, *control); });
--- a/src/cli/scale.hpp
+++ b/src/cli/scale.hpp
@@ -1,5 +1,5 @@
 // `gatewayctl lab scale`: runs sweeps, storms and the comparison of hollow gateways with real ones.
-// `gatewayctl lab hollow-gateways`: the process of hollow gateways that these experiments start.
+// `gatewayctl lab hollow-gateways`: the process with hollow gateways that these experiments start.
 #ifndef GATEWAY_CLI_SCALE_HPP_
 #define GATEWAY_CLI_SCALE_HPP_
 
--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::ordered_json;
 
-// Reads the folder without writing to it. Throws std::runtime_error if it can't be read.
+// Reads the folder without writing to it. Throws std::runtime_error if the folder can't be read.
 storage::Examination Examine(const std::string& folder) {
   storage::Examination examination;
   const auto files = storage::MakePosixFileSystem();
@@ -26,8 +26,8 @@
 const char* ConditionText(storage::StoreCondition condition) {
   switch (condition) {
     case storage::StoreCondition::kEmpty: return "no state";
-    case storage::StoreCondition::kComplete: return "whole";
-    case storage::StoreCondition::kCorrupt: return "damaged";
+    case storage::StoreCondition::kComplete: return "complete";
+    case storage::StoreCondition::kCorrupt: return "corrupt";
     case storage::StoreCondition::kOtherOwner: return "written by another owner";
     case storage::StoreCondition::kUnsupportedVersion: return "written by a newer version";
   }
@@ -38,7 +38,7 @@
   std::string line = fmt::format("{}: {}", folder, ConditionText(examination.condition));
   if (examination.manifest && !examination.manifest->owner.empty())
     line += fmt::format(", owner {}", examination.manifest->owner);
-  if (examination.snapshot) line += fmt::format(", snapshot up to {}", examination.snapshot->sequence);
+  if (examination.snapshot) line += fmt::format(", snapshot up to record {}", examination.snapshot->sequence);
   if (!examination.records.empty()) {
     line += fmt::format(", records {} to {}", examination.records.front().sequence,
                         examination.records.back().sequence);
@@ -61,7 +61,7 @@
          examination.condition == storage::StoreCondition::kEmpty;
 }
 
-// Prints a summary and a line for each file.
+// Prints a summary of the state and one line for each file in the folder.
 int InspectState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   fmt::print("{}\n", SummaryLine(folder, examination));
@@ -76,15 +76,15 @@
   return kSuccess;
 }
 
-// Prints the summary. Returns kFailure if the state is corrupt or was written by a newer version.
+// Prints a summary of the state. Returns kFailure if the state is corrupt or was written by a newer version.
 int VerifyState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   fmt::print("{}\n", SummaryLine(folder, examination));
   return IsIntact(examination) ? kSuccess : kFailure;
 }
 
-// Prints the snapshot and the records that the program would load, each as a line of JSON. Returns kFailure
-// if the state is corrupt or was written by a newer version.
+// Prints the snapshot and the records that a program would load from the folder at startup, each as a line of
+// JSON. Returns kFailure if the state is corrupt or was written by a newer version.
 int ExportState(const std::string& folder) {
   const storage::Examination examination = Examine(folder);
   if (examination.snapshot) {
@@ -101,7 +101,7 @@
   return IsIntact(examination) ? kSuccess : kFailure;
 }
 
-// A subcommand of `state`. Each takes a folder.
+// A subcommand of `state`. Its only argument is the folder with the saved state.
 struct StateSubcommand {
   const char* name;
   const char* description;
@@ -110,9 +110,9 @@
 };
 
 constexpr StateSubcommand kSubcommands[] = {
-    {"inspect", "Prints a summary of the state and its files",
+    {"inspect", "Prints a summary of the state and one line for each file",
      "gatewayctl state inspect /var/lib/elderhead/n3", InspectState},
-    {"verify", "Checks the integrity of the state and prints one line",
+    {"verify", "Checks the integrity of the state and prints the result in one line",
      "gatewayctl state verify /var/lib/elderhead/n3", VerifyState},
     {"export", "Prints the valid snapshot and records, one JSON object per line",
      "gatewayctl state export DIR | head -1", ExportState},
@@ -121,16 +121,18 @@
 }  // namespace
 
 void AddState(CLI::App& app, Command& selected) {
-  CLI::App* const state = app.add_subcommand("state", "Examines a saved state folder without writing to it");
+  CLI::App* const state =
+      app.add_subcommand("state", "Examines a folder with saved state, without writing to the folder");
   state->require_subcommand(1);
   state->footer("Example: gatewayctl state verify /var/lib/elderhead/n3");
   for (const StateSubcommand& subcommand : kSubcommands) {
     const auto folder = std::make_shared<std::string>();
     CLI::App* const command = state->add_subcommand(subcommand.name, subcommand.description);
     command->add_option("DIR", *folder, "Folder with the saved state")->required();
-    command->footer(std::string("Exit codes: 0 whole or empty, 1 damaged or written by a newer version, 2 "
-                                "unreadable.\nExample: ") +
-                    subcommand.example);
+    command->footer(
+        std::string("Exit codes: 0 the state is complete or empty, 1 it is corrupt or written by a newer "
+                    "version, 2 the folder can't be read.\nExample: ") +
+        subcommand.example);
     SelectWhenGiven(*command, selected, [run = subcommand.run, folder] { return run(*folder); });
   }
 }
--- a/src/cli/subcommand.hpp
+++ b/src/cli/subcommand.hpp
@@ -1,4 +1,4 @@
-// Utilities of all subcommands: selection of a subcommand by the command line, exit codes, and file reading.
+// Utilities of all subcommands: selection of the subcommand to run, exit codes, and file reading.
 #ifndef GATEWAY_CLI_SUBCOMMAND_HPP_
 #define GATEWAY_CLI_SUBCOMMAND_HPP_
 
@@ -10,13 +10,14 @@
 namespace gateway::cli {
 
 // Runs a subcommand with the options from the command line and returns the exit code of the program. Throws
-// base::ConfigError for an invalid file and other exceptions if the subcommand can't be executed.
+// base::ConfigError for an invalid configuration file, and other exceptions if the subcommand can't be
+// executed for another reason.
 using Command = std::function<int()>;
 
 inline constexpr int kSuccess = 0;
-inline constexpr int kFailure = 1;     // a bound or rule was violated, or a gateway responded with a failure
-inline constexpr int kUsageError = 2;  // invalid arguments or files
-inline constexpr int kInconclusive = 3;  // this machine was too slow to evaluate a timing bound
+inline constexpr int kFailure = 1;       // the subcommand ran and reports a failure, such as a violated bound
+inline constexpr int kUsageError = 2;    // invalid arguments or files, or an unexpected error
+inline constexpr int kInconclusive = 3;  // a bound could not be evaluated (lab::Verdict)
 
 // The programs that subcommands start.
 struct ProgramPaths {
@@ -30,7 +31,7 @@
   subcommand.callback([&selected, command = std::move(command)] { selected = command; });
 }
 
-// Returns the content of a file. Throws std::runtime_error if it can't be read.
+// Returns the content of a file. Throws std::runtime_error if the file can't be read.
 std::string ReadFile(const std::string& path);
 
 }  // namespace gateway::cli
