--- a/src/base/supervisor.cpp
+++ b/src/base/supervisor.cpp
@@ -6,7 +6,7 @@
 namespace gateway::base {
 namespace {
 
-constexpr int kMaxDoublings = 30;  // keeps the power of two finite; far above the maximum backoff
+constexpr int kMaxDoublings = 30;  // keeps the power of two finite; the maximum backoff is reached earlier
 
 }  // namespace
 
@@ -14,12 +14,15 @@
   if (exit.expected) return {Action::kStop, 0};
   if (IsCrashLoop(exit.now)) return {Action::kStopCrashLoop, 0};
   consecutive_crashes_ = exit.run_duration >= options_.healthy_run_duration ? 1 : consecutive_crashes_ + 1;
-  // A run without the saved state gives no information about the state, so it does not change the count.
+  // A run without the saved state does not show whether the state is corrupt, so it does not change the
+  // count.
   if (exit.with_saved_state) {
-    crashes_on_saved_state_ = exit.run_duration < options_.bad_state_window ? crashes_on_saved_state_ + 1 : 0;
+    crashes_with_saved_state_ =
+        exit.run_duration < options_.corrupt_state_window ? crashes_with_saved_state_ + 1 : 0;
   }
-  if (crashes_on_saved_state_ < options_.bad_state_threshold) return {Action::kRestart, Backoff(jitter)};
-  crashes_on_saved_state_ = 0;  // only the next start omits the saved state
+  if (crashes_with_saved_state_ < options_.corrupt_state_threshold)
+    return {Action::kRestart, Backoff(jitter)};
+  crashes_with_saved_state_ = 0;  // only the next start omits the saved state
   return {Action::kRestartWithoutState, Backoff(jitter)};
 }
 
--- a/src/base/supervisor.hpp
+++ b/src/base/supervisor.hpp
@@ -12,18 +12,18 @@
 class Supervisor {
  public:
   struct Options {
-    // Backoff between the first crash and the restart. The backoff doubles with each consecutive crash.
+    // Delay between the first crash and the restart. The delay doubles with each consecutive crash.
     Millis initial_backoff = 200;
     Millis maximum_backoff = 30000;
-    // A crash after a run of at least this duration counts as a first crash again.
+    // A crash that ends a run of at least this duration counts as a first crash again.
     Millis healthy_run_duration = 10000;
     // If the process crashes this many times within the window, it is in a crash loop and is not restarted.
     int crash_loop_threshold = 8;
     Millis crash_loop_window = 120000;
     // If the process crashes this many times in a row, each time within the window after a start with the
     // saved state, the state may be corrupt. The process is then restarted once without the saved state.
-    int bad_state_threshold = 2;
-    Millis bad_state_window = 5000;
+    int corrupt_state_threshold = 2;
+    Millis corrupt_state_window = 5000;
   };
 
   struct ProcessExit {
@@ -42,8 +42,8 @@
 
   explicit Supervisor(Options options) : options_(options) {}
 
-  // Decides what to do after the process has exited. `jitter` is uniform in [0, 1] and reduces the backoff to
-  // a value between half and all of it.
+  // Decides what to do after the process has exited. `jitter` is a random number, uniform in [0, 1]. The
+  // backoff is multiplied by (1 + jitter) / 2, a factor between 0.5 and 1.
   Decision OnProcessExit(const ProcessExit& exit, double jitter);
 
  private:
@@ -51,9 +51,10 @@
   Millis Backoff(double jitter) const;
 
   const Options options_;
-  std::deque<Millis> crashes_;      // times of the crashes within the crash loop window
-  int consecutive_crashes_ = 0;     // crashes without a healthy run between them
-  int crashes_on_saved_state_ = 0;  // consecutive crashes, each soon after a start with the saved state
+  std::deque<Millis> crashes_;   // times of the crashes within the crash loop window
+  int consecutive_crashes_ = 0;  // crashes without a healthy run between them
+  // Consecutive crashes, each within corrupt_state_window after a start with the saved state.
+  int crashes_with_saved_state_ = 0;
 };
 
 }  // namespace gateway::base
