--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -24,9 +24,9 @@
 inline Millis MonotonicNow() { return internal::SinceEpoch<std::chrono::steady_clock>(); }
 
 // Returns the time of the monotonic clock shifted to Unix time, in ms. The offset between the monotonic clock
-// and the system clock is computed once, at the first call in this process. A point in Unix time that others
-// report, such as the start of an endpoint, therefore keeps its relation to this clock even if the system
-// clock is set.
+// and the system clock is computed once, at the first call in this process. A Unix time that another process
+// reports, such as the start time of an endpoint, therefore stays comparable with this clock even if the
+// system clock is adjusted.
 inline Millis UnixAlignedNow() {
   static const Millis offset = internal::SinceEpoch<std::chrono::system_clock>() - MonotonicNow();
   return MonotonicNow() + offset;
@@ -36,7 +36,8 @@
 // follows every change of the system clock and may go backwards.
 inline Millis UnixNow() { return internal::SinceEpoch<std::chrono::system_clock>(); }
 
-// Converts a duration to the type of Asio's timers, which have no fractions. A negative duration becomes 0.
+// Converts a duration to an integer number of microseconds, as Asio's timers require. A negative duration
+// becomes 0.
 inline std::chrono::microseconds TimerDuration(Millis duration) {
   constexpr double kMicrosPerMilli = 1000;
   return std::chrono::microseconds(duration > 0 ? static_cast<std::int64_t>(duration * kMicrosPerMilli) : 0);
--- a/src/base/file_descriptor.hpp
+++ b/src/base/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// An owning file descriptor.
+// A class that owns a file descriptor.
 #ifndef GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
 #define GATEWAY_BASE_FILE_DESCRIPTOR_HPP_
 
@@ -8,7 +8,8 @@
 
 namespace gateway::base {
 
-// Closes its descriptor when it is destroyed or assigned to. Empty by default.
+// Owns at most one file descriptor. Closes the descriptor when the object is destroyed or assigned to. A
+// default-constructed object is empty: it owns no descriptor.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -24,7 +25,7 @@
   ~FileDescriptor() { Close(); }
 
   explicit operator bool() const { return fd_ >= 0; }
-  // Returns -1 if empty.
+  // Returns the descriptor, or -1 if this object is empty.
   int get() const { return fd_; }
   // Transfers ownership to the caller and leaves this object empty.
   int Release() { return std::exchange(fd_, -1); }
--- a/src/base/histogram.hpp
+++ b/src/base/histogram.hpp
@@ -12,8 +12,8 @@
 
 namespace gateway::base {
 
-// Counts integers from 0 to 2^41 - 1 with a relative error of at most 1/32. Larger values are counted as 2^41
-// - 1. Takes 9.3 KB. Not thread-safe.
+// Counts integers from 0 to 2^41 - 1 with a relative error of at most 1/32. Larger values are counted as
+// 2^41 - 1. An object takes 9.3 KB. Not thread-safe.
 class Histogram {
  public:
   void Add(std::uint64_t value, std::uint64_t times = 1) {
@@ -50,11 +50,12 @@
     return max_;
   }
 
-  // Returns whether at least 10 values lie above the quantile. With fewer values, Quantile() is a poor
-  // estimate.
+  // Returns whether at least 10 values lie above the given quantile. With fewer values above the quantile,
+  // Quantile() is a poor estimate.
   bool SupportsQuantile(double quantile) const { return static_cast<double>(count_) * (1 - quantile) >= 10; }
 
-  // Returns the number of values up to `value`, with the resolution of the buckets.
+  // Returns the number of values in the buckets whose upper end is at most `value`. Values of the bucket that
+  // contains `value` are therefore not counted, unless `value` is the upper end of this bucket.
   std::uint64_t CountAtMost(std::uint64_t value) const {
     std::uint64_t cumulative_count = 0;
     for (std::size_t i = 0; i < kBuckets && UpperEnd(i) <= value; ++i) cumulative_count += counts_[i];
--- a/src/base/http_client.hpp
+++ b/src/base/http_client.hpp
@@ -18,7 +18,7 @@
 
 namespace gateway::base {
 
-// The largest body that a message may have, in bytes.
+// The maximum size of a message body.
 inline constexpr std::size_t kMaxHttpBodyBytes = 64 << 20;
 
 using tcp = boost::asio::ip::tcp;
@@ -41,6 +41,7 @@
   struct Result {
     Failure failure = Failure::kNone;
     HttpResponse response;  // complete if `failure` is kNone, otherwise empty
+    // Returns whether the response is complete and has status 200.
     bool ok() const { return failure == Failure::kNone && response.result_int() == 200; }
   };
   using ResultCallback = std::function<void(Result)>;
@@ -50,7 +51,7 @@
 
   // Sends `request`, the complete text of a request with its header, and reads the response. Connects first
   // if the connection has not been established. Calls `on_result` exactly once, at the latest after
-  // `timeout`. Calls `on_written`, if given, when the last byte of the request has been passed to the system,
+  // `timeout`. Calls `on_written`, if given, when the last byte of the request has been passed to the kernel,
   // and never after `on_result`. usable() must be true.
   void Exchange(std::string request, Millis timeout, ResultCallback on_result,
                 std::function<void()> on_written = {});
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -39,7 +39,7 @@
 }
 
 // Adds the "name number" pairs of a summary line as fields. A word without a number, such as "reset" in
-// "hosts 7 | reset new 1 reused 2", becomes a prefix of the names up to the next bar: reset_new.
+// "hosts 7 | reset new 1 reused 2", becomes a prefix of the names up to the next '|': reset_new.
 void AddNumberFields(std::string_view text, ordered_json& record) {
   std::string name;
   std::string prefix;
@@ -85,7 +85,8 @@
     }
   }
   if (event == "counts") AddNumberFields(text.substr(std::min(text.size(), text.find(": ") + 2)), record);
-  // Texts received from peers may contain invalid UTF-8, which JSON does not allow.
+  // Texts received from peers may contain invalid UTF-8, which JSON does not allow. Invalid bytes are
+  // replaced.
   return record.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
--- a/src/base/socket_address.hpp
+++ b/src/base/socket_address.hpp
@@ -1,4 +1,4 @@
-// The text form of socket addresses in configurations, endpoint lists and management commands.
+// Parses and formats socket addresses in configurations, endpoint lists and management commands.
 #ifndef GATEWAY_BASE_SOCKET_ADDRESS_HPP_
 #define GATEWAY_BASE_SOCKET_ADDRESS_HPP_
 
@@ -24,7 +24,7 @@
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
-// Returns the form that ParseSocketAddress() reads.
+// Returns the address as text in the format that ParseSocketAddress() reads.
 inline std::string FormatSocketAddress(const boost::asio::ip::tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
--- a/src/base/spelling.cpp
+++ b/src/base/spelling.cpp
@@ -7,8 +7,8 @@
 namespace gateway::base {
 namespace {
 
-constexpr std::size_t kMaxDistance = 3;
-constexpr std::size_t kLettersPerEdit = 3;  // one edit is accepted for each group of this many letters
+constexpr std::size_t kMaxDistance = 3;     // edits
+constexpr std::size_t kLettersPerEdit = 3;  // each group of this many letters allows one edit
 
 // Computes the Levenshtein distance, one row of the table at a time.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
--- a/src/base/spelling.hpp
+++ b/src/base/spelling.hpp
@@ -9,8 +9,8 @@
 namespace gateway::base {
 
 // Returns the word in `words` with the smallest edit distance to `typed`. If several words have this
-// distance, returns the first of them. Returns an empty string if the distance is greater than three, or
-// greater than one and greater than a third of the length of `typed`.
+// distance, returns the first of them. Returns an empty string if the distance exceeds the limit. The limit
+// is a third of the length of `typed`, but at least one edit and at most three edits.
 std::string NearestWord(std::string_view typed, const std::vector<std::string>& words);
 
 }  // namespace gateway::base
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -21,8 +21,8 @@
                      region.begin.column, reason);
 }
 
-// Adds the keys of `base` that `table` does not have. Moves the values, because copies lose their location in
-// the file.
+// Adds the keys of `base` that `table` does not have, and removes the key "extends". Moves the values,
+// because copies of values lose their location in the file.
 void AddMissingKeys(toml::table& table, toml::table&& base) {
   for (auto&& [key, value] : base) {
     value.visit([&, &name = key](auto& node) { table.insert(name, std::move(node)); });
@@ -42,7 +42,7 @@
   std::shared_ptr<const toml::table> root;
   const toml::table* table;
   std::string file;
-  std::vector<std::string> known_keys;  // requested by getters
+  std::vector<std::string> known_keys;  // keys that getters have requested
 
   bool IsKnown(const std::string& key) const {
     return std::find(known_keys.begin(), known_keys.end(), key) != known_keys.end();
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -39,12 +39,14 @@
   // Reads a string. Errors use `name` in place of the file name.
   static TomlTable FromText(std::string_view text, const std::string& name);
 
+  // Returns whether the table has the key. RejectUnknownKeys() then accepts the key.
   bool Has(const std::string& key);
 
   double Number(const std::string& key, Range range = {});
   double Number(const std::string& key, double fallback, Range range = {});
 
-  // Returns a duration in ms that the file specifies in seconds. `seconds` is the valid range in seconds.
+  // Returns the duration in ms. The file specifies the duration in seconds, and `seconds` is its valid range
+  // in seconds.
   Millis Seconds(const std::string& key, Millis fallback, Range seconds = {});
 
   int Integer(const std::string& key, int fallback, int minimum, int maximum);
@@ -65,6 +67,7 @@
   // Returns a table of non-negative numbers, or an empty one if the file does not have the key.
   std::map<std::string, double> NumberTable(const std::string& key);
 
+  // Returns nullopt if the file does not have the key.
   std::optional<TomlTable> Table(const std::string& key);
 
   // Returns an array of tables, [[key]], or an empty one if the file does not have the key.
@@ -75,7 +78,7 @@
   void RejectUnknownKeys() const;
 
   // Throws ConfigError with the location of the key, or with the location of the table if the table does not
-  // have the key. Used for rules that only the caller knows.
+  // have the key. Callers use it to report violations of their own rules.
   [[noreturn]] void Fail(const std::string& key, const std::string& reason) const;
 
  private:
