--- a/src/simulator/action_codec.cpp
+++ b/src/simulator/action_codec.cpp
@@ -6,7 +6,7 @@
 namespace gateway::simulator {
 namespace {
 
-constexpr int kDecimals = 3;
+constexpr int kDecimals = 3;                  // of all numbers on the wire
 constexpr std::size_t kMaxNumberLength = 32;  // characters; numbers on the wire are much shorter
 
 void AppendNumber(std::string& out, double value) {
--- a/src/simulator/action_codec.hpp
+++ b/src/simulator/action_codec.hpp
@@ -1,5 +1,5 @@
-// Encodes policy actions and reports of the policy host as the lines that the simulator reads. Each function
-// appends one line with its line feed.
+// Encodes policy actions and messages of the policy host as lines for the simulator. Each function appends
+// one line, which ends with a line feed.
 #ifndef GATEWAY_SIMULATOR_ACTION_CODEC_HPP_
 #define GATEWAY_SIMULATOR_ACTION_CODEC_HPP_
 
@@ -18,7 +18,8 @@
 // Selects the instance that the following lines belong to.
 void AppendInstance(std::string& reply, std::int64_t instance);
 
-// Reports that the instance threw an exception with this text while it handled an event.
+// Reports that the selected instance threw an exception while it handled an event. `text` is the exception's
+// text.
 void AppendFailure(std::string& reply, std::string_view text);
 
 // Marks the reply to a batch as complete.
--- a/src/simulator/event_codec.cpp
+++ b/src/simulator/event_codec.cpp
@@ -41,7 +41,7 @@
     case 60: return policy::AttemptResult::kReset;
     case 70: return policy::AttemptResult::kCancelled;
     case 80: return policy::AttemptResult::kNotSent;
-    default: throw WireError("unknown rc " + std::string(code));
+    default: throw WireError("rc: unknown attempt result " + std::string(code));
   }
 }
 
@@ -49,7 +49,7 @@
   if (health == "up") return policy::EndpointState::kUp;
   if (health == "draining") return policy::EndpointState::kDraining;
   if (health == "removed") return policy::EndpointState::kRemoved;
-  throw WireError("unknown health '" + std::string(health) + "'");
+  throw WireError("health: expected 'up', 'draining' or 'removed', got '" + std::string(health) + "'");
 }
 
 policy::EndpointListEvent::Kind ToEndpointListKind(std::string_view kind) {
@@ -57,7 +57,7 @@
   if (kind == "X") return Kind::kFailure;
   if (kind == "D") return Kind::kDelta;
   if (kind == "F" || kind == "C") return Kind::kSnapshot;
-  throw WireError("unknown list kind '" + std::string(kind) + "'");
+  throw WireError("kind: expected 'X', 'D', 'F' or 'C', got '" + std::string(kind) + "'");
 }
 
 // Returns the values of a load report, with NaN for each value that the endpoint did not report.
@@ -126,7 +126,7 @@
   request.tenant = fields.Optional(3);
   request.key = fields.Optional(4);
   request.time_left = fields.Number<double>(5, "graceMs");
-  fields.NumberOr<unsigned>(7, "opts", 0);  // the value is validated, but no decision uses it
+  fields.NumberOr<unsigned>(7, "opts", 0);  // validated only; the policy does not use the value
   return request;
 }
 
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -1,8 +1,9 @@
 // Decodes the lines that the simulator sends into policy events. Only this file and action_codec know the
-// message words of the wire and the names of its values.
+// message words of the wire and the names of the values in a line.
 //
-// A caller first determines the type of a line, then checks that this type is allowed in the current state,
-// and then calls the decoder for the type. Decoders throw WireError if a value is missing or malformed.
+// A caller first determines the message type of a line, then checks that this type is allowed in the current
+// state, and then calls the decoder for this type. Decoders throw WireError if a value is missing or
+// malformed.
 #ifndef GATEWAY_SIMULATOR_EVENT_CODEC_HPP_
 #define GATEWAY_SIMULATOR_EVENT_CODEC_HPP_
 
@@ -35,7 +36,7 @@
   kUnknown,
 };
 
-// Returns the message type that `word` denotes on the wire, or kUnknown if there is none.
+// Returns the message type that `word` denotes on the wire, or kUnknown if `word` denotes no message type.
 MessageType ToMessageType(std::string_view word);
 
 // Returns the wire's word for a message type, for error texts. `type` must not be kUnknown.
@@ -68,7 +69,7 @@
 EndpointListUpdate DecodeEndpointListUpdate(const LineFields& fields);
 policy::ResponseStarted DecodeResponseStarted(const LineFields& fields);
 
-// Validate messages that no decision uses, and discard the content of the messages.
+// These functions validate messages that the policy does not use, and discard their content.
 void CheckProbeResult(const LineFields& fields);
 void CheckPeerMessage(const LineFields& fields);
 
--- a/src/simulator/line_codec.cpp
+++ b/src/simulator/line_codec.cpp
@@ -20,7 +20,7 @@
 bool ParseFlag(std::string_view text, std::string_view name) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
-  throw WireError(std::string(name) + " is not a boolean: '" + std::string(text) + "'");
+  throw WireError(std::string(name) + " is not a boolean (1, 0, true or false): '" + std::string(text) + "'");
 }
 
 void LineFields::Assign(std::string_view line) {
--- a/src/simulator/line_codec.hpp
+++ b/src/simulator/line_codec.hpp
@@ -1,6 +1,6 @@
-// Parses the fields of one line of the simulator's wire. A line consists of a message word and positional
-// values, separated by single spaces. "-" stands for an absent value; absent values at the end of a line may
-// be omitted.
+// Parses the fields of one line of the simulator's wire protocol. A line consists of a message word and
+// positional values, separated by single spaces. "-" stands for an absent value; absent values at the end of
+// a line may be omitted.
 #ifndef GATEWAY_SIMULATOR_LINE_CODEC_HPP_
 #define GATEWAY_SIMULATOR_LINE_CODEC_HPP_
 
@@ -21,11 +21,12 @@
   using std::runtime_error::runtime_error;
 };
 
-// Splits `text` at each separator and replaces the content of `parts`. An empty text has one empty part.
+// Splits `text` at each separator and replaces the content of `parts` with the parts. An empty text yields
+// one empty part.
 void Split(std::string_view text, char separator, std::vector<std::string_view>& parts);
 
-// Parses all of `text` as a number. Throws WireError, which refers to the value as `name`, if it is not a
-// number or not finite.
+// Parses `text`, which must consist of one finite number. Otherwise throws a WireError that refers to the
+// value as `name`.
 template <typename T>
 T ParseNumber(std::string_view text, std::string_view name) {
   T value{};
@@ -37,16 +38,17 @@
   return value;
 }
 
-// Parses "1" or "true", "0" or "false". Throws WireError, which refers to the value as `name`, for any other
-// text.
+// Returns true for "1" and "true", and false for "0" and "false". For any other text, throws a WireError that
+// refers to the value as `name`.
 bool ParseFlag(std::string_view text, std::string_view name);
 
-// The fields of one line. They are views into the line, which must outlive them. Index 0 is the message word.
-// Getters throw WireError, which refers to the value as `name`.
+// The fields of one line. Index 0 is the message word. The fields are views into the line, so the line must
+// outlive them. Getters throw a WireError that refers to the value as `name` if the value is missing or
+// malformed.
 class LineFields {
  public:
-  // Replaces the fields with those of `line`, which has no line feed. A carriage return at its end is
-  // ignored.
+  // Replaces the fields with the fields of `line`. `line` must not contain a line feed. A carriage return at
+  // the end of `line` is ignored.
   void Assign(std::string_view line);
 
   std::string_view word() const { return parts_.front(); }
@@ -69,7 +71,8 @@
 
   bool Flag(std::size_t index, std::string_view name) const { return ParseFlag(Required(index, name), name); }
 
-  // Returns all fields from `index` on, unchanged. `index` must not exceed the number of fields.
+  // Returns all fields from `index` on. A field with an absent value is "-". `index` must not exceed the
+  // number of fields.
   std::vector<std::string_view> From(std::size_t index) const;
 
  private:
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,6 +1,6 @@
-// simulator_adapter: runs policies for the simulator. Reads the wire protocol from standard input and writes
-// replies to standard output. Exits with 0 at the end of the input. On an error it prints one line to
-// standard error, with the number of the input line, and exits with 1.
+// simulator_adapter: runs policies for the simulator. Reads lines of the wire protocol from standard input
+// and writes replies to standard output. Exits with 0 at the end of the input, and with 1 after an error.
+// Prints an error as one line on standard error, with the number of the input line if this line is invalid.
 #include <unistd.h>
 
 #include <cerrno>
@@ -16,14 +16,17 @@
 
 constexpr std::size_t kChunkBytes = 64 * 1024;
 
-// Reports that standard output is closed because the simulator has exited. No error message is printed.
+// Thrown if standard output can't be written because the simulator has exited. The program then exits without
+// an error message.
 class OutputClosed : public std::exception {};
 
+// Returns the number of bytes read into `chunk`, or 0 at the end of the input.
 std::size_t ReadInput(std::string& chunk) {
   for (;;) {
     const ssize_t count = read(STDIN_FILENO, chunk.data(), chunk.size());
     if (count >= 0) return static_cast<std::size_t>(count);
-    if (errno != EINTR) throw std::runtime_error(std::string("standard input: ") + std::strerror(errno));
+    if (errno != EINTR)
+      throw std::runtime_error(std::string("can't read standard input: ") + std::strerror(errno));
   }
 }
 
@@ -36,10 +39,10 @@
   }
 }
 
-// Splits the input into lines, passes them to the policy host and writes its replies.
+// Splits the input into lines, passes the lines to the policy host and writes the replies of the host.
 class LineProcessor {
  public:
-  // Throws std::runtime_error, with the line number in its text, if a line is malformed.
+  // Throws std::runtime_error with the line number if the policy host rejects a line.
   void Process(std::string_view input) {
     pending_ += input;
     std::size_t start = 0;
@@ -50,7 +53,8 @@
     pending_.erase(0, start);
   }
 
-  // Throws std::runtime_error if the input ends inside a line or a batch.
+  // Must be called at the end of the input. Throws std::runtime_error if the input ends inside a line or a
+  // batch.
   void Finish() {
     if (!pending_.empty()) Fail(line_number_ + 1, "input ends inside a line");
     if (host_.InBatch()) Fail(line_number_, "input ends inside a batch");
@@ -71,7 +75,7 @@
   }
 
   gateway::simulator::PolicyHost host_;
-  std::string pending_;  // the start of a line that has not been received completely
+  std::string pending_;  // received bytes of a line whose line feed has not been received
   unsigned long long line_number_ = 0;
 };
 
--- a/src/simulator/policy_host.cpp
+++ b/src/simulator/policy_host.cpp
@@ -13,7 +13,9 @@
 std::string Quoted(std::string_view word) { return "'" + std::string(word) + "'"; }
 
 std::size_t CheckedListNumber(std::size_t list, std::size_t count) {
-  if (list >= count) throw WireError("list number must be at most " + std::to_string(count - 1));
+  if (list >= count)
+    throw WireError("list number must be at most " + std::to_string(count - 1) + ", not " +
+                    std::to_string(list));
   return list;
 }
 
@@ -42,9 +44,9 @@
                     Quoted(fields_.word()));
   }
   if (type == MessageType::kBeginBatch) {
-    if (in_batch_) throw WireError(std::string(fields_.word()) + " inside a batch");
+    if (in_batch_) throw WireError(std::string(fields_.word()) + " is not allowed inside a batch");
   } else if (!in_batch_) {
-    throw WireError(Quoted(fields_.word()) + " outside a batch");
+    throw WireError(Quoted(fields_.word()) + " is not allowed outside a batch");
   }
 }
 
@@ -69,14 +71,15 @@
 }
 
 void PolicyHost::AddEndpoint() {
-  if (entries_left_ == 0) throw WireError(std::string(fields_.word()) + " outside a list");
+  if (entries_left_ == 0)
+    throw WireError(std::string(fields_.word()) + " is not allowed outside an endpoint list");
   lists_[open_list_].push_back(DecodeEndpoint(fields_));
   --entries_left_;
 }
 
 void PolicyHost::ProcessEvent(MessageType type) {
   if (!selected_) {
-    throw WireError(Quoted(fields_.word()) + " before any " +
+    throw WireError(Quoted(fields_.word()) + " is not allowed before " +
                     std::string(WireWord(MessageType::kSelectInstance)));
   }
   if (type == MessageType::kCreateInstance) return CreateInstance();
@@ -93,7 +96,7 @@
     case MessageType::kProbeResult: return CheckProbeResult(fields_);
     case MessageType::kPeerMessage: return CheckPeerMessage(fields_);
     case MessageType::kDestroyInstance: policies_.erase(*selected_); return;
-    default: throw WireError("unknown message " + Quoted(fields_.word()));
+    default: throw WireError("unknown message word " + Quoted(fields_.word()));
   }
 }
 
--- a/src/simulator/settings_codec.cpp
+++ b/src/simulator/settings_codec.cpp
@@ -13,9 +13,9 @@
 
 using Path = std::vector<std::string_view>;  // the parts of a key, separated by dots
 
-constexpr std::size_t kMaxListItems = 10000;  // limits the memory that an invalid index can allocate
+constexpr std::size_t kMaxListItems = 10000;  // limits the memory that a large index can allocate
 
-// Sets one field of T from the value of a key.
+// A function that sets one field of T from the value of `key`.
 template <typename T>
 struct FieldParser {
   std::string_view key;
@@ -35,7 +35,7 @@
   }
 }
 
-// Sets the field that `key` names. Does nothing if there is no such field.
+// Sets the field that `key` names. Does nothing if no parser has this key.
 template <typename T, std::size_t N>
 void ParseKnownField(const FieldParser<T> (&parsers)[N], T& target, std::string_view key,
                      std::string_view value) {
@@ -118,12 +118,14 @@
     {"report.fields", ParseLoadReportFields},
 };
 
-// Returns the element of a list whose items arrive one by one, such as "categories.2.sloMs". Grows the list
-// if necessary.
+// Returns the item with the given index, such as 2 in "categories.2.sloMs". Adds items to the list if the
+// list has no item with this index yet.
 template <typename T>
 T& ItemAt(std::vector<T>& items, std::string_view index_text) {
   const auto index = ParseNumber<std::size_t>(index_text, "list index");
-  if (index >= kMaxListItems) throw WireError("list index too large: " + std::string(index_text));
+  if (index >= kMaxListItems)
+    throw WireError("list index too large: " + std::string(index_text) + ", must be less than " +
+                    std::to_string(kMaxListItems));
   if (index >= items.size()) items.resize(index + 1);
   return items[index];
 }
@@ -146,13 +148,13 @@
   for (const std::string_view pair : pairs) {
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) {
-      throw WireError("setting without '=': '" + std::string(pair) + "'");
+      throw WireError("setting is not KEY=VALUE: '" + std::string(pair) + "'");
     }
     const std::string_view key = pair.substr(0, equals);
     const std::string_view value = pair.substr(equals + 1);
     if (value.empty() || value == "-") continue;
     Split(key, '.', path);
-    if (path.back() == "count") continue;  // not needed, since a list grows when its items arrive
+    if (path.back() == "count") continue;  // not needed, because ItemAt() grows the lists
     ParseSetting(settings, path, key, value);
   }
   return settings;
--- a/src/simulator/settings_codec.hpp
+++ b/src/simulator/settings_codec.hpp
@@ -1,5 +1,5 @@
-// Parses the policy's settings from the keys of the platform. The simulator and the gateway's configuration
-// file use the same keys and units, so the settings from both sources are parsed here.
+// Parses the policy's settings from KEY=VALUE pairs. The simulator and the gateway's configuration file use
+// the same keys and units, so both use this parser.
 #ifndef GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 #define GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 
@@ -11,9 +11,9 @@
 namespace gateway::simulator {
 
 // Parses KEY=VALUE pairs, such as "limits.maxAttempts=3" or "categories.0.sloMs=500". Ignores unknown keys. A
-// setting with an empty or absent ("-") value keeps its default. Throws WireError for a pair without '=' or a
-// value of the wrong type, and policy::SettingsError for an unknown enum value. Doesn't validate the
-// settings; the constructor of policy::Policy does.
+// setting whose value is empty or "-" keeps its default. Throws WireError for a pair without '=' or a
+// value of the wrong type, and policy::SettingsError for an unknown enum value. The settings are not
+// validated here but in the constructor of policy::Policy.
 policy::Settings ParseSettings(const std::vector<std::string_view>& pairs);
 
 }  // namespace gateway::simulator
