--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -17,23 +17,24 @@
 
   EndpointInfo server;
   server.id = "10.0.0.7:8080";
+  // The first argument of Handle() is the current time in ms.
   policy.Handle(0, EndpointListEvent{EndpointListEvent::Kind::kSnapshot, {server}}, actions);
 
   Request request;
   request.id = "r1";
   request.class_name = "page";
-  request.time_left = 1000;
+  request.time_left = 1000;  // ms
   actions.clear();
   policy.Handle(5, request, actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::cout << "send " << send->request << " to " << send->endpoint << "\n";
-      AttemptOutcome outcome;  // what the gateway reports after the server has responded
+      AttemptOutcome outcome;  // the gateway reports it to the policy after the server has responded
       outcome.request = send->request;
       outcome.endpoint = send->endpoint;
       outcome.result = AttemptResult::kServed;
       outcome.request_finished = true;
-      outcome.latency = 31;
+      outcome.latency = 31;  // ms
       std::vector<Action> further_actions;
       policy.Handle(36, outcome, further_actions);
       std::cout << "served\n";
