--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -30,7 +30,7 @@
 constexpr int kRejected = 1;
 constexpr int kNoResponse = 3;
 constexpr const char* kRegistryExitCodes =
-    "Exit codes: 0 success, 1 rejected by the service, 2 invalid arguments, 3 no service responded.";
+    "Exit codes: 0 success, 1 the service rejected the request, 2 invalid arguments, 3 no service responded.";
 
 constexpr unsigned kHttpOk = 200;
 constexpr unsigned kHttpServiceUnavailable = 503;
