--- a/src/cli/state.cpp
+++ b/src/cli/state.cpp
@@ -26,8 +26,8 @@
 const char* ConditionText(storage::StoreCondition condition) {
   switch (condition) {
     case storage::StoreCondition::kEmpty: return "no state";
-    case storage::StoreCondition::kComplete: return "complete";
-    case storage::StoreCondition::kCorrupt: return "corrupt";
+    case storage::StoreCondition::kComplete: return "whole";
+    case storage::StoreCondition::kCorrupt: return "damaged";
     case storage::StoreCondition::kOtherOwner: return "written by another owner";
     case storage::StoreCondition::kUnsupportedVersion: return "written by a newer version";
   }
@@ -130,7 +130,7 @@
     CLI::App* const command = state->add_subcommand(subcommand.name, subcommand.description);
     command->add_option("DIR", *folder, "Folder with the saved state")->required();
     command->footer(
-        std::string("Exit codes: 0 the state is complete or empty, 1 it is corrupt or written by a newer "
+        std::string("Exit codes: 0 the state is whole or empty, 1 it is damaged or written by a newer "
                     "version, 2 the folder can't be read.\nExample: ") +
         subcommand.example);
     SelectWhenGiven(*command, selected, [run = subcommand.run, folder] { return run(*folder); });
