--- a/src/proxy/discovery/watch_position.cpp
+++ b/src/proxy/discovery/watch_position.cpp
@@ -18,7 +18,8 @@
                                                           std::to_string(position.revision)};
   }
   if (!list.complete && !position.epoch.empty() && !same_epoch) {
-    return ListError{ListError::Kind::kOtherEpoch, "the delta belongs to another epoch"};
+    return ListError{ListError::Kind::kOtherEpoch, "the delta belongs to epoch '" + list.epoch +
+                                                       "', expected epoch '" + position.epoch + "'"};
   }
   return std::nullopt;
 }
