--- a/include/gateway/settings.hpp
+++ b/include/gateway/settings.hpp
@@ -31,7 +31,7 @@
   Millis latency_objective = 0;  // a response within this time has the value `priority_weight`
   Millis deadline = 0;           // total timeout of a client, including all of its own retries
   double priority_weight = 1;    // relative to the other classes
-  double late_weight = 0;        // share of priority_weight that a response after latency_objective has
+  double late_weight = 0;        // value of a response after latency_objective, as a share of priority_weight
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
   Millis deduplication_window = 0;  // kIdempotencyKey: repeats are dropped this long after the first attempt
@@ -55,12 +55,13 @@
   int max_attempts = 3;                  // per request, including the first attempt
   int streams_per_connection = 1;        // maximum concurrent attempts on one connection
   bool can_cancel_attempts = false;      // the gateway supports Cancel
-  double warm_up_initial_fraction = 1;   // share of the full capacity that a started endpoint has, in (0, 1]
-  Millis warm_up_duration = 0;           // time from an endpoint's start until it has its full capacity
-  double overload_factor = 3;            // a warming endpoint fails at this multiple of its current capacity
-  bool endpoints_cache_keys = false;     // a request is faster at an endpoint that recently served its key
-  bool send_retry_after = false;         // the policy sets Reject::retry_after
-  Millis maximum_retry_after = 0;        // longest Reject::retry_after that clients respect
+  // Capacity of an endpoint at its start, as a share of its full capacity; in (0, 1].
+  double warm_up_initial_fraction = 1;
+  Millis warm_up_duration = 0;        // time from an endpoint's start until it has its full capacity
+  double overload_factor = 3;         // a warming endpoint fails at this multiple of its current capacity
+  bool endpoints_cache_keys = false;  // an endpoint responds faster if it recently served the same key
+  bool send_retry_after = false;      // the policy sets Reject::retry_after
+  Millis maximum_retry_after = 0;     // longest Reject::retry_after that clients respect
   std::vector<std::string> load_report_fields;  // names of the values in AttemptOutcome::load, in this order
 };
 
--- a/src/policy/admission_rate.hpp
+++ b/src/policy/admission_rate.hpp
@@ -48,7 +48,8 @@
   // Returns the smoothed share of outcomes that were not within the objective.
   double failure_rate() const { return failure_rate_; }
   double SentPerSecond() const { return sent_rate_.Rate(); }
-  // Returns the decayed sum of the sent attempts. Soon after the start, the sum is less than SentPerSecond().
+  // Returns the estimate of SentPerSecond() without the correction for the time before the start. Soon after
+  // the start, it is lower than SentPerSecond().
   double sent_decayed_sum() const { return sent_rate_.decayed_sum(); }
 
   void Export(LearnedState& state) const;
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -15,8 +15,10 @@
 constexpr double kBaseLatencyDriftShare = 0.001;
 // Until a machine type has this number of samples, its base latency is its long-term latency.
 constexpr int kMinimumBaseLatencySamples = 20;
-// Multiple of the base latency up to which an endpoint counts as not queueing. The tolerance is higher if
-// endpoints cache keys, since the latency then also depends on the key.
+// Highest ratio of the current latency to the base latency at which no queueing is assumed, so that the
+// latency does not lower the limit of the endpoint. The ratio is the geometric mean of the ratios of the
+// endpoint and of its machine type. The tolerance is higher if endpoints cache keys, since the latency then
+// also depends on the key.
 constexpr double kLatencyTolerance = 1.1;
 constexpr double kKeyCachingLatencyTolerance = 2;
 constexpr double kMinimumGradient = 0.2;        // minimum of the factor that lowers a limit
@@ -25,11 +27,11 @@
 constexpr double kInitialLimitWithReports = 2;  // attempts; low, since load reports soon show free capacity
 constexpr double kMinimumLimit = 1;             // attempts, sum over all gateways
 
-// Utilization that is kept free, multiplied by the square root of the gateway count.
+// The utilization that is kept free is this value times the square root of the gateway count.
 constexpr double kUtilizationReserve = 0.07;
 constexpr double kUtilizationGain = 4;  // relative decrease of a limit per unit of excess utilization
 constexpr double kUtilizationSampleWeight = 0.3;
-constexpr double kMaximumUtilization = 1.1;    // higher values count as this one, since reports are noisy
+constexpr double kMaximumUtilization = 1.1;    // limits higher reports, since reports are noisy
 constexpr double kBusyUtilization = 0.6;       // endpoints are busy if their machine type reaches this value
 constexpr double kBusyShareBeyondQuota = 0.3;  // share of a busy endpoint's slots for requests beyond quota
 
--- a/src/policy/rate_estimator.hpp
+++ b/src/policy/rate_estimator.hpp
@@ -43,7 +43,7 @@
   static constexpr double kMinimumObservedShare = 0.05;  // bounds the estimate soon after the start
 
   double decayed_sum_ = 0;
-  double observed_share_ = 0;  // share of the decay window since the start, in [0, 1]
+  double observed_share_ = 0;  // share of the decay window that lies after the start, in [0, 1]
 };
 
 }  // namespace gateway::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kRetriesPerRequest = 0.1;
 constexpr double kMaximumRetryTokens = 20;
-constexpr Millis kMaximumTransitMs = 100;  // maximum time from sending a request to its arrival
+constexpr Millis kMaximumTransitMs = 100;  // maximum time of a request from the gateway to the endpoint
 
 }  // namespace
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,12 +8,17 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kSafeOverloadShare = 0.7;  // share of the overload factor that the credit rate may reach
+// The credit rate is proportional to this share of the overload factor. At the full factor, a warming
+// endpoint would fail.
+constexpr double kSafeOverloadShare = 0.7;
 constexpr double kMaximumCreditAttempts = 1;
 constexpr Millis kThroughputTimeConstantMs = 10000;
-// Weights of prior estimates, in ms of endpoint time.
-constexpr Millis kArrivalPriorMs = 500;        // weight of the arrival rate in the mean service rate
-constexpr Millis kMachineTypePriorMs = 20000;  // weight of the mean service rate in a machine type's rate
+// The prior of the mean service rate is the arrival rate, divided by weight among the endpoints of the
+// subset. It counts as much as observing each of these endpoints for this time.
+constexpr Millis kArrivalPriorMs = 500;
+// The prior of a machine type's service rate is the mean service rate. It counts as much as observing one
+// endpoint of weight 1 for this time.
+constexpr Millis kMachineTypePriorMs = 20000;
 
 }  // namespace
 
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -10,7 +10,8 @@
 namespace gateway::policy {
 namespace {
 
-constexpr Millis kMaximumSweepIntervalMs = 10000;  // a longer interval, as after a pause, counts as this time
+// A longer interval between two sweeps, for example after a pause, is counted as this time.
+constexpr Millis kMaximumSweepIntervalMs = 10000;
 
 }  // namespace
 
--- a/src/proxy/admin/management.cpp
+++ b/src/proxy/admin/management.cpp
@@ -25,8 +25,8 @@
 constexpr Millis kResponseTimeoutMs = 2000;
 // The time for which a connection stays open even if the server is at its limit of connections.
 constexpr Millis kMinLifetimeMs = 50;
-// The delay of the next accept after a failed accept, or at the limit of connections while no connection has
-// been open for kMinLifetimeMs.
+// The delay before the next accept if an accept has failed, or if the limit of connections is reached and all
+// connections were accepted less than kMinLifetimeMs ago.
 constexpr Millis kAcceptRetryDelayMs = 20;
 
 }  // namespace
--- a/src/proxy/client/accept_queue.hpp
+++ b/src/proxy/client/accept_queue.hpp
@@ -20,7 +20,7 @@
 
 // Computes an upper bound on the time for which a connection has waited in a listener's accept queue. No
 // system call returns the time at which a connection was queued, so the bound is the time since the queue was
-// last known to be empty. Times are those of Now().
+// last known to be empty. Times are on the clock of Now().
 class AcceptQueueDelay {
  public:
   // Records the state of the queue at `now`. `pending` is true if connections are pending, or may become
--- a/src/proxy/client/body_progress.hpp
+++ b/src/proxy/client/body_progress.hpp
@@ -21,7 +21,7 @@
 
 // Tracks how fast a client sends the body of one request. Counts only the time during which the gateway waits
 // for data from the client; time during which the gateway does not read is not counted. A state machine
-// without I/O; times are those of Now().
+// without I/O; times are on the clock of Now().
 class BodyProgress {
  public:
   // Starts to track a body at `now`. The grace period is kBodyGraceMs, or the unused part of the head timeout
--- a/src/proxy/client/client_connection.hpp
+++ b/src/proxy/client/client_connection.hpp
@@ -95,8 +95,9 @@
   bool IsSettled(Millis now) { return now - phase_entered_at_ > kSettleTimeMs && IsIdle(); }
   // Whether a part of a request was read and no further data of the request has arrived.
   bool IsRequestStalled();
-  // Whether the connection can end soon without waiting for an endpoint: it waits for a request, reads a
-  // request, or is closing. False for a shed connection that is closing.
+  // Whether the connection can end soon without waiting for an endpoint. True while the connection waits for
+  // a request or reads one. Also true while it lingers after its last response, unless the connection was
+  // shed.
   bool IsReclaimable() const;
   // The start of the current phase. For an idle connection, this is the time at which it became idle.
   Millis phase_entered_at() const { return phase_entered_at_; }
--- a/src/proxy/client/client_listener.cpp
+++ b/src/proxy/client/client_listener.cpp
@@ -34,7 +34,7 @@
 void ClientListener::Resume() {
   if (accepting_ || !acceptor_.is_open()) return;
   const bool may_accept = delegate_.MayAccept();
-  if (accepting_) return;  // MayAccept has closed a connection, which has called Resume already
+  if (accepting_) return;  // MayAccept has closed a connection, and the close has called Resume
   if (!may_accept) {
     queue_delay_.Observe(Now(), /*pending=*/true);
     return ResumeAfter(kNoRoomRetryMs);
--- a/src/proxy/client/connection_table.hpp
+++ b/src/proxy/client/connection_table.hpp
@@ -15,7 +15,7 @@
 
 // Owns the client connections. At the connection limit, an idle or stalled connection is evicted for each new
 // client. If no connection has been reclaimable for some time, new clients are shed: they receive the
-// response 503. Times are those of Now().
+// response 503. Times are on the clock of Now().
 class ConnectionTable {
  public:
   explicit ConnectionTable(std::size_t limit) : limit_(limit) {}
--- a/src/proxy/client/drain_state.hpp
+++ b/src/proxy/client/drain_state.hpp
@@ -15,7 +15,8 @@
 constexpr Millis kDrainRequestTimeoutMs = 1700;
 
 // Records whether the gateway drains, and since when. During a drain, every response closes its connection,
-// and idle connections are closed after a delay. A state machine without I/O; times are those of Now().
+// and idle connections are closed after a delay. A state machine without I/O; times are on the clock of
+// Now().
 class DrainState {
  public:
   // Begins a drain. Has no effect if a drain is active.
--- a/src/proxy/discovery/discovery_client.cpp
+++ b/src/proxy/discovery/discovery_client.cpp
@@ -31,11 +31,11 @@
 // call.
 constexpr Millis kMinCallIntervalMs = 100;
 constexpr Millis kMaxFailoverDelayMs = 200;
-// The timeout of the call at the former address, from the change of the address. Discovery closes its
-// connections at the former address within this time.
+// The timeout of the call at the former address, measured from the change of the address. Discovery closes
+// its connections at the former address within this time.
 constexpr Millis kFormerCallTimeoutMs = 1500;
 constexpr Millis kProbeTimeoutMs = 1000;
-// The share of the probe interval by which a random jitter lengthens or shortens it at most.
+// The maximum random change of the probe interval, up or down, as a share of the interval.
 constexpr double kProbeJitterShare = 0.25;
 
 }  // namespace
@@ -117,8 +117,8 @@
   StartCallAfter(kMinCallIntervalMs - (Now() - call->started_at()));
 }
 
-// Calls the next service, unless every service has failed in turn. A short random delay prevents that all
-// gateways of a fleet switch to the next service at the same time. After every service has failed, the
+// Calls the next service, unless every service has failed in turn. A short random delay prevents all gateways
+// of a fleet from switching to the next service at the same time. After every service has failed, the
 // observer decides when to begin a new watch.
 void DiscoveryClient::WatchCallFailed(const ListError& error) {
   const Millis started_at = call_->started_at();
--- a/src/proxy/discovery/discovery_client.hpp
+++ b/src/proxy/discovery/discovery_client.hpp
@@ -51,9 +51,9 @@
     // The services that publish the list, in the order in which the client tries them; at least one.
     std::vector<boost::asio::ip::tcp::endpoint> services;
     WatchPosition position;  // the position from which the first call continues
-    // Whether `position` is known to come from these services. A position that was loaded from disk is not:
-    // the services may have restarted their revision count since then. In that case the client accepts a
-    // first list of any revision.
+    // Whether `position` is known to come from these services. False for a position that was loaded from
+    // disk, because the services may have restarted their revision count since the save. If false, the client
+    // accepts a first list of any revision.
     bool position_is_current = true;
     std::uint64_t seed = 0;  // seed of the jitter
     // The following options apply only if there are several services.
--- a/src/proxy/discovery/mass_removal_guard.hpp
+++ b/src/proxy/discovery/mass_removal_guard.hpp
@@ -1,5 +1,5 @@
-// Detects lists that remove many endpoints at once. It prevents that a list service that has lost its data
-// empties the gateway's list.
+// Detects lists that remove many endpoints at once. Otherwise, a list service that has lost its data could
+// empty the gateway's list.
 #ifndef GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 #define GATEWAY_PROXY_DISCOVERY_MASS_REMOVAL_GUARD_HPP_
 
--- a/src/proxy/gateway.hpp
+++ b/src/proxy/gateway.hpp
@@ -34,7 +34,7 @@
 class Gateway final : private ManagedGateway {
  public:
   // Begins to listen and to watch the endpoint list. If another process of the same gateway is running, uses
-  // the state that this process transfers; otherwise loads the state from the state folder. Throws
+  // the state that the other process transfers; otherwise loads the state from the state folder. Throws
   // std::exception if the settings are invalid or an address can't be used.
   Gateway(boost::asio::io_context& io, const Config& config);
 
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -16,7 +16,7 @@
 // The policy must respond this long before the client's timeout, because responses take time to arrive and
 // timers may fire late.
 constexpr Millis kResponseMarginMs = 10;
-// The forwarder times out a request without a response this long before the client's timeout.
+// If a request has no response yet, the forwarder responds with 504 this long before the client's timeout.
 constexpr Millis kTimeoutMarginMs = 4;
 constexpr Millis kMaxUploadMs = 1200000;  // longer than the largest body takes at kMinBodyBytesPerMs
 const char* const kLoadReportField = "Srv-Load";
--- a/src/proxy/restart/successor_acceptor.cpp
+++ b/src/proxy/restart/successor_acceptor.cpp
@@ -94,8 +94,8 @@
   return true;
 }
 
-// Posts the release to the event loop, because a method of the channel, which has called this function, still
-// runs.
+// Posts the release to the event loop, because a channel method has called this function and is still
+// running.
 void SuccessorAcceptor::ReleaseCandidate(bool is_successor) {
   asio::post(io_, [this, alive = alive_, is_successor, released = candidate_.get()] {
     if (!*alive || candidate_.get() != released) return;
--- a/src/proxy/upstream/upstream_connection.cpp
+++ b/src/proxy/upstream/upstream_connection.cpp
@@ -23,7 +23,8 @@
 constexpr Millis kStreamTimeoutMs = 30000;
 // The time within which an endpoint must read a part of a streamed request.
 constexpr Millis kEndpointReadTimeoutMs = 5000;
-// If the timer fires earlier than this time before it is due, the event belongs to a wait that was replaced.
+// A timer event that occurs more than this time before timer_due_ belongs to a previous wait, which
+// SetTimer has replaced.
 constexpr Millis kTimerToleranceMs = 1;
 
 }  // namespace
--- a/src/proxy/upstream/upstream_pool.hpp
+++ b/src/proxy/upstream/upstream_pool.hpp
@@ -26,7 +26,7 @@
   // The limit on connections to all endpoints together, see SetConnectionLimit.
   std::size_t connection_limit = 256;
   // Limit on the buffered bytes of response bodies, for all connections together. While it is exceeded,
-  // bodies are streamed that would otherwise be buffered.
+  // the pool streams bodies that it would otherwise buffer.
   std::size_t response_budget_bytes = 16 * 1024 * 1024;
 };
 
--- a/src/proxy/upstream/upstream_request.hpp
+++ b/src/proxy/upstream/upstream_request.hpp
@@ -24,7 +24,7 @@
   std::shared_ptr<const HttpRequest> request;
   // The part of the body that follows the buffered part; null if the buffered body is complete.
   std::shared_ptr<BodySource> remaining_body;
-  // If the response has not arrived by this time, the attempt ends with kTimedOut. A time of Now().
+  // If the response has not arrived by this time on the clock of Now(), the attempt ends with kTimedOut.
   Millis deadline = 0;
   // Called when a new connection was established. Returns whether the request should still be sent. If not,
   // the attempt ends with kNotSent. The callback may cancel the attempt, and must then return false.
