--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -47,8 +47,8 @@
   // Attempts for which no target was available.
   std::uint64_t unroutable() const { return unroutable_; }
 
-  // Attempts whose connection the gateway closed without forwarding them. Counts only first attempts on a new
-  // connection.
+  // Attempts that the gateway did not forward before it closed their connection. Counts only the first
+  // attempt on each connection.
   std::uint64_t closed_unprocessed() const { return closed_unprocessed_; }
 
   // Attempts that got no response because a fault killed or stopped the gateway. They do not count as lost.
--- a/src/lab/evaluation.cpp
+++ b/src/lab/evaluation.cpp
@@ -59,7 +59,8 @@
     name += fmt::format(" / {}'s {}", bound.baseline, bound.figure);
     if (baseline.count == 0 || baseline.mean == 0) {
       return {Verdict::Kind::kInconclusive,
-              fmt::format("{}: '{}' has no value, or the value 0, to compare with", name, bound.baseline)};
+              fmt::format("{}: no ratio, because the baseline '{}' has no value or the value 0", name,
+                          bound.baseline)};
     }
     value = estimate.mean / baseline.mean;
   }
--- a/src/lab/evaluation.hpp
+++ b/src/lab/evaluation.hpp
@@ -15,8 +15,8 @@
   enum class Kind {
     kPassed,
     kViolated,
-    // A run of another variant failed, the baseline has no value to compare with, or the lab itself was too
-    // late for a figure that depends on speed.
+    // A run of a variant other than the gateway under test failed, the baseline of a ratio has no value or
+    // the value 0, or the lab itself was too late for a figure that depends on speed.
     kInconclusive,
   };
   Kind kind = Kind::kPassed;
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -36,7 +36,7 @@
 struct HostWarmUp {
   double initial_fraction = 0.2;  // capacity at the start, as a share of the full capacity
   Millis duration = 10000;        // time until the host has its full capacity
-  double overload_factor = 2.5;   // the host crashes if it receives more work than this times its capacity
+  double overload_factor = 2.5;   // the host crashes if received work / capacity exceeds this ratio
   Millis overload_window = 3000;  // length of the window in which received work and capacity are compared
 };
 
@@ -71,7 +71,7 @@
   std::vector<std::string> zones{"a"};
   Millis list_delay = 500;              // time from a change of the list to its watch event
   Millis front_detection_delay = 1500;  // time until the front balancer detects an unresponsive gateway
-  Millis drain_grace = 500;    // after its notification, a gateway may send to a draining host for this time
+  Millis drain_grace = 500;    // time after the notification in which a gateway may send to a draining host
   int max_attempts = 3;        // limit on the attempts for one request
   int max_descriptors = 1024;  // limit on the file descriptors of a gateway
   int memory_mb = 192;         // memory limit in the configuration of a gateway
@@ -80,7 +80,7 @@
   bool saves_state = false;            // each gateway has a state folder that is kept over restarts
   Millis sync_delay = 0;               // additional duration of each sync of a gateway's state
   bool uses_registry_process = false;  // run the project's list service instead of emulating one
-  Millis lease_term = 3000;            // of the hosts' leases at the project's list service
+  Millis lease_term = 3000;            // duration of the hosts' leases at the project's list service
   Millis lease_grace = 1500;           // time from the suspicion of a host to its removal
   bool peer_network = false;           // gateways can send each other datagrams
   Millis ready_within = 30000;         // the run fails if a gateway is not ready within this time
@@ -161,7 +161,8 @@
   std::vector<TrafficClass> classes;
   Traffic traffic;
   std::vector<Fault> faults;  // ordered by time
-  // Variants to compare with: random, round_robin, least_inflight, direct, no_fault, no_state.
+  // Variants with which the gateway under test is compared: random, round_robin, least_inflight, direct,
+  // no_fault, no_state.
   std::vector<std::string> baselines;
   std::vector<Bound> bounds;
 
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kSeedsPerGateway = 1000;
-constexpr int kSeedShift = 20;  // the lower bits of a process's seed number the processes of a run
+constexpr int kSeedShift = 20;  // the bits below are the number of the process in the run
 
 json Classes(const Experiment& experiment) {
   json classes = json::array();
--- a/src/lab/gateway_processes.hpp
+++ b/src/lab/gateway_processes.hpp
@@ -22,8 +22,8 @@
 
 namespace gateway::lab {
 
-// Gateways are numbered from 0. Must be used in the thread of the io_context. A process that ends without a
-// fault that ends it counts as a violation.
+// Gateways are numbered from 0. Must be used in the thread of the io_context. The end of a
+// process counts as a violation unless a fault has caused it.
 class GatewayProcesses {
  public:
   // The referenced objects must outlive this object.
--- a/src/lab/host_model.hpp
+++ b/src/lab/host_model.hpp
@@ -82,7 +82,7 @@
   const std::optional<Millis> started_at_;
   double speed_factor_ = 1;
   Millis now_ = 0;
-  double service_per_job_ = 0;  // work in ms that is done for a job that executes from the start of the model
+  double service_per_job_ = 0;  // work in ms that a job would have got if it had executed since the start
   std::unordered_map<Job, JobState> jobs_;
   std::set<std::pair<double, Job>> executing_;  // ordered by finish_service
   std::deque<Job> queue_;                       // ended jobs are skipped when they reach the front
--- a/src/lab/list_service.cpp
+++ b/src/lab/list_service.cpp
@@ -12,8 +12,8 @@
 using nlohmann::json;
 
 constexpr Millis kMaxWatchTimeout = 60000;  // the limit that PROTOCOL sets
-// A gateway that could poll the list for this time after a change counts as notified: 5 s for a long poll,
-// plus 2 s (PROTOCOL, "Figures").
+// A gateway counts as notified of a change if it could reach the list service for this long after the change:
+// 5 s for a long poll, plus 2 s (PROTOCOL, "Figures").
 constexpr Millis kNotificationTimeout = 7000;
 
 // Returns the value of a key in the query string, or `fallback` if the key is absent.
--- a/src/lab/list_service.hpp
+++ b/src/lab/list_service.hpp
@@ -112,7 +112,7 @@
   std::vector<ListedHost> hosts_;
   std::int64_t revision_ = 1;
   bool down_ = false;
-  Millis restored_at_ = 0;                            // when the emulation was last up again
+  Millis restored_at_ = 0;                            // when SetDown(false) was last called; 0: never
   std::vector<std::unique_ptr<Listener>> listeners_;  // by gateway
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
   std::vector<std::shared_ptr<Watch>> watches_;
--- a/src/lab/peer_network.hpp
+++ b/src/lab/peer_network.hpp
@@ -17,9 +17,10 @@
 
 namespace gateway::lab {
 
-// For each ordered pair of gateways A and B, the lab opens a socket at the address of A, at a port for
-// B. Gateway A sends its datagrams for B to this socket, and receives the datagrams of B from this
-// socket. Gateways are numbered from 0. Must be used in the thread of the io_context.
+// For each ordered pair of gateways A and B, the lab opens a UDP socket. The socket has the IP address of
+// gateway A and a port that stands for gateway B (see Addresses::Peer). Gateway A sends its datagrams for B
+// to this socket. The lab forwards the datagrams of B to gateway A from the same socket. Gateways are
+// numbered from 0. Must be used in the thread of the io_context.
 class PeerNetwork {
  public:
   // `addresses` must outlive the network. Throws std::runtime_error if a socket can't be opened.
@@ -47,7 +48,7 @@
   static constexpr std::size_t kMaxDatagramBytes = 256;  // PROTOCOL, "Between gateways"
   static constexpr std::size_t kBufferBytes = 2048;
 
-  // The socket at the owner's address to which the owner sends datagrams for the other gateway.
+  // The lab's socket for one pair. The gateway `owner` sends its datagrams for the gateway `other` to it.
   struct PeerSocket {
     explicit PeerSocket(boost::asio::io_context& io) : socket(io) {}
     int owner = 0;
--- a/src/lab/recorder.cpp
+++ b/src/lab/recorder.cpp
@@ -14,7 +14,7 @@
 constexpr Millis kBaselineLength = 5000;    // the baseline is measured in this time before a fault
 constexpr Millis kRecoveryWindow = 1000;    // length of each window that is compared with the baseline
 constexpr double kRecoveredShare = 0.95;    // a window below this share of the baseline has not recovered
-constexpr std::uint64_t kMinArrivals = 20;  // no share is computed of fewer arrivals
+constexpr std::uint64_t kMinArrivals = 20;  // with fewer arrivals, no share is computed
 constexpr double kMicrosPerMilli = 1000;
 
 std::uint64_t ToMicros(Millis time) {
@@ -109,7 +109,7 @@
   return sum.arrived < kMinArrivals ? -1 : Ratio(sum.in_objective, sum.arrived);
 }
 
-// Whether another fault begins after the recovery window of `fault` and at the latest at `by`.
+// Whether another fault begins after the recovery window of `fault`, but not later than `by`.
 bool Recorder::NextFaultBegins(const Fault& fault, Millis by) const {
   return std::any_of(experiment_.faults.begin(), experiment_.faults.end(), [&](const Fault& next) {
     return next.at > fault.at + kRecoveryWindow && next.at <= by;
@@ -130,7 +130,7 @@
   return recovered;
 }
 
-// Returns how many more requests would have met their objective with the share before the fault.
+// Returns how many more requests would have met their objective if the share had stayed at `share_before`.
 double Recorder::MissedInObjective(Millis start, Millis end, double share_before) const {
   double missed = 0;
   for (auto i = static_cast<std::size_t>(start / kFineWindow); i < fine_windows_.size(); ++i) {
--- a/src/lab/registry_process.hpp
+++ b/src/lab/registry_process.hpp
@@ -52,7 +52,7 @@
   // Changes of a host.
   void StopRenewing(int host);  // the host's process has ended, so its lease expires
   void Restart(int host, std::int64_t incarnation);
-  // Both send an operator's request and retry it until the service answers it.
+  // Drain and Remove send an operator's request and retry it until the service answers it.
   void Drain(int host);
   void Remove(int host);
 
--- a/src/lab/scale/fleet_measurer.cpp
+++ b/src/lab/scale/fleet_measurer.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr int kCompleteListRequests = 8;  // sent one after the other; the cost of one list is their mean
+constexpr int kCompleteListRequests = 8;  // sent one after the other, to get the mean cost of one
 constexpr Millis kMaxWatchCallMs = 2500;  // longest duration of a watch call without changes
 constexpr Millis kStartCostDelayMs = 50;  // from the readiness of a gateway until its CPU time is read
 constexpr Millis kIsolatedStartMs = 400;  // from the start of an isolated gateway until its CPU time is read
--- a/src/lab/scale/scale_experiment.hpp
+++ b/src/lab/scale/scale_experiment.hpp
@@ -38,9 +38,11 @@
 
 // The durations of the phases at one point.
 struct ScaleWindows {
-  Millis settle = 300;     // waiting time between a change of the load and the next window
-  Millis window = 1000;    // duration of each window except `unloaded`
-  Millis unloaded = 1000;  // the window without changes and requests; a watch call takes up to 2500 ms
+  Millis settle = 300;   // waiting time between a change of the load and the next window
+  Millis window = 1000;  // duration of each window except `unloaded`
+  // Duration of the window without changes and requests. A watch call takes up to 2500 ms, so the traffic is
+  // measured only in a window that is at least as long.
+  Millis unloaded = 1000;
 };
 
 enum class ScaleKind {
--- a/src/lab/scale/scale_fit.cpp
+++ b/src/lab/scale/scale_fit.cpp
@@ -25,7 +25,8 @@
   double weight = 0;  // number of runs
 };
 
-// The parameters that are fitted. The constraints offset >= 0 and slope >= 0 may set the other one to 0.
+// The parameters that are fitted. A parameter that is not fitted is 0, because the model is constant or
+// because of the constraints offset >= 0 and slope >= 0.
 enum class FittedParameters { kOffset, kSlope, kBoth };
 
 struct Curve {
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -67,8 +67,8 @@
 };
 
 // Returns the initial list of the hollow gateways: `list`, or null if there are at most 400 gateways. Without
-// an initial list, each gateway requests the complete list at its start. More gateways start with the list,
-// like restarted gateways, because the list service limits the rate of complete lists.
+// an initial list, each gateway requests the complete list at its start. In a larger fleet, the gateways
+// start with the list, like restarted gateways, because the list service limits the rate of complete lists.
 nlohmann::json InitialHollowList(int gateways, const std::string& list);
 
 class ScaleFleet {
@@ -103,11 +103,13 @@
   // Returns the size of a gateway's response to the management command 'metrics', in bytes.
   double ScrapeBytes(const RealGateway& gateway);
 
-  // Starts the hollow gateways `first` to first + count - 1 in new processes. `initial_list` is their list at
-  // the start (null: none). Hollow gateway 0 has the index after the last real gateway in the fleet.
+  // Starts `count` hollow gateways in new processes. Hollow gateways are numbered from 0, and `first` is the
+  // number of the first one to start. In the fleet, the index of hollow gateway n is n plus the number of
+  // real gateways. Each gateway starts with `initial_list` as its endpoint list (null: without a list).
   void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
-  // Waits until all gateways of the processes hollow()[from] and later have a list. Returns the time from the
-  // start of hollow()[from] until the last gateway has its list. Throws ScaleTimeout.
+  // Waits for the processes in hollow(), starting at index `from`, until each of their gateways has received
+  // a list with hosts. Returns the time from the start of the process hollow()[from] until the last gateway
+  // received its list; 0 if there is no such process. Throws ScaleTimeout.
   Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
   // Waits until every hollow gateway has this revision of the list or a later one. Throws ScaleTimeout.
   void WaitForHollowRevision(std::int64_t revision, Millis timeout);
--- a/src/lab/scale/scale_sweep.hpp
+++ b/src/lab/scale/scale_sweep.hpp
@@ -34,12 +34,12 @@
 
 // Measures the points one after the other, with all runs of each point, and fits the figures. If the first
 // run of a point fails, or if a process under test exits in any run, records the point in `refused` and
-// continues with the next point. If a later run fails otherwise, keeps the previous runs of the point.
-// Records the points that remain at the deadline in `refused` without measuring them.
+// continues with the next point. If a later run fails for another reason, keeps the previous runs of the
+// point. Records the points that remain at the deadline in `refused` without measuring them.
 ScaleResult RunSweep(const ScaleExperiment& experiment, ScaleMeasurer& measurer, const SweepOptions& options);
 
-// A process of the measuring tool that uses a larger share of a core than this is saturated. The result then
-// marks the point.
+// If a process of the measuring tool uses more than this percentage of a core, the process is saturated and
+// the result marks the point.
 inline constexpr double kSaturatedPercent = 90;
 
 }  // namespace gateway::lab
--- a/src/lab/scale/storms.cpp
+++ b/src/lab/scale/storms.cpp
@@ -146,7 +146,7 @@
 }
 
 // Stops the list service and restarts it after `outage`. Measures the time from the start of the new process
-// until every gateway has a change that an operator sends once the list service answers.
+// until every gateway has received a change, which an operator sends as soon as the list service answers.
 StormMeasures RunListServiceRestart(ScaleFleet& fleet, Millis outage) {
   StartHollowGatewaysAndWait(fleet, fleet.size().gateways_hollow);
   fleet.loop().RunFor(kSettleBeforeOutageMs);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -15,7 +15,7 @@
 constexpr int kRandomMembersPerMessage = 2;
 constexpr double kSeedPingPeriods = 10;  // interval between two pings of seed addresses, in protocol periods
 constexpr double kIntervalJitter = 0.25;
-constexpr int kEarlySyncs = 4;                // number of first syncs that are one protocol period apart
+constexpr int kEarlySyncs = 4;                // the first syncs after the start, one protocol period apart
 constexpr std::size_t kSyncsPerSeedSync = 4;  // on average, one of this many syncs goes to a seed address
 
 std::string CheckedName(std::string name) {
--- a/src/registry/agent_state.hpp
+++ b/src/registry/agent_state.hpp
@@ -15,7 +15,8 @@
  public:
   AgentAction next_action() const;
 
-  // Handles the error code that the registry returned for an action; kNone if the action succeeded.
+  // Handles the result of an action. `code` is the registry's error code, or ErrorCode::kNone if the action
+  // succeeded.
   void OnResult(AgentAction action, ErrorCode code);
   // Handles the result of a health check. The member is unhealthy after `failure_threshold` consecutive
   // failures.
--- a/src/registry/command.hpp
+++ b/src/registry/command.hpp
@@ -31,7 +31,8 @@
   // Empty if there is no key.
   std::string idempotency_key;
   bool by_operator = false;  // false if the member's own process sent the command
-  Member member;             // used: `id` by all actions, `size` by kSetSize, all properties by kRegister
+  // All actions use `id`. kSetSize also uses `size`, and kRegister uses all properties.
+  Member member;
   // Preconditions. The command fails if the member changed after the revision `if_revision`, or if the
   // incarnation of the listed process is not `if_incarnation`.
   std::optional<Revision> if_revision;
--- a/src/registry/durable_catalog.cpp
+++ b/src/registry/durable_catalog.cpp
@@ -68,8 +68,9 @@
 void DurableCatalog::LoadSnapshot(const storage::Snapshot& snapshot) {
   std::string error;
   if (snapshot.version > kSnapshotVersion) {
-    error = fmt::format("it was written by a newer program: it has version {}, expected at most {}",
-                        snapshot.version, kSnapshotVersion);
+    error =
+        fmt::format("a newer program wrote it: its format version is {}, the newest supported version is {}",
+                    snapshot.version, kSnapshotVersion);
   } else {
     catalog_ = Catalog::FromSnapshot(snapshot.payload, options_.retention, error);
   }
--- a/src/registry/durable_catalog.hpp
+++ b/src/registry/durable_catalog.hpp
@@ -29,10 +29,11 @@
   virtual void OnApplied(const Command& command, const CommandResult& result) = 0;
   // Called when the command was not applied, before its proposer gets the error.
   virtual void OnRejected(const Command& command) = 0;
-  // Called when the storage accepts writes again. `changed` contains the members that the records recovered
-  // from the log have changed.
+  // Called when the storage accepts writes again. `changed` contains the members that were changed by
+  // records recovered from the log.
   virtual void OnReopened(const std::vector<const Member*>& changed) = 0;
-  // Called if a batch has increased the revision, after the proposers of all its commands got their results.
+  // Called after a batch or a recovery that has increased the revision. The proposers of the batch already
+  // have their results.
   virtual void OnNewRevision() = 0;
 };
 
@@ -56,8 +57,8 @@
   const std::string& storage_error() const { return storage_error_; }
   // Returns the size of the log since the last snapshot.
   std::uint64_t log_bytes() const { return log_bytes_; }
-  // Return the numbers of commands and batches written since the start, and the durations of writing a batch
-  // in microseconds.
+  // Return totals since the start: the number of commands written, the number of batches written, and a
+  // histogram of the time to write a batch, in microseconds.
   std::uint64_t commands_written() const { return commands_written_; }
   std::uint64_t batches_written() const { return batches_written_; }
   const base::Histogram& commit_time_us() const { return commit_time_us_; }
--- a/src/registry/list_cache.cpp
+++ b/src/registry/list_cache.cpp
@@ -8,8 +8,8 @@
 namespace gateway::registry {
 namespace {
 
-// If a delta has more entries than the full list has members, plus this number, the delta is assumed to be
-// longer than the full list.
+// A delta may have this many more entries than the full list has members. A delta with even more entries is
+// not sent, because its encoding is assumed to be longer than that of the full list.
 constexpr std::size_t kMaxChangesBeyondMembers = 64;
 constexpr std::size_t kMaxCachedDeltas = 64;
 
--- a/src/registry/self_preservation.hpp
+++ b/src/registry/self_preservation.hpp
@@ -20,7 +20,8 @@
   double max_expired_fraction = 0.25;
   int min_expired = 3;
   base::Millis window = 60000;
-  // After this time, members are removed even if many leases have expired.
+  // Maximum duration of self-preservation. Afterwards, members are removed even if many leases are still
+  // expired.
   base::Millis max_duration = 3600000;
 };
 
--- a/src/simulator/settings_codec.hpp
+++ b/src/simulator/settings_codec.hpp
@@ -1,5 +1,5 @@
-// Parses the policy's settings from the keys of the platform. The simulator and the gateway's configuration
-// file use the same keys and units, so the settings from both sources are parsed here.
+// Parses the policy's settings, which come from the simulator or from the gateway's configuration file. Both
+// use the same keys and units.
 #ifndef GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 #define GATEWAY_SIMULATOR_SETTINGS_CODEC_HPP_
 
--- a/src/storage/file_system.hpp
+++ b/src/storage/file_system.hpp
@@ -15,7 +15,7 @@
 // Result of an operation. The default value is success.
 struct [[nodiscard]] Status {
   std::error_code code;  // set if a system call failed
-  std::string what;      // the failed call and its path; without a code, the complete message
+  std::string what;      // if `code` is set: the failed call and its path; otherwise the complete message
   bool ok() const { return !code && what.empty(); }
   std::string Text() const { return code ? what + ": " + code.message() : what; }
 };
--- a/src/storage/segment.cpp
+++ b/src/storage/segment.cpp
@@ -48,8 +48,8 @@
   return decoded;
 }
 
-// Returns whether the record with the sequence `missing` had been synced, according to a valid record after
-// the offset. Tries to decode a record at each offset where the sequences of a record are plausible.
+// Returns whether a valid record after the offset shows that the record with the sequence `missing` had been
+// synced. Tries to decode a record at each offset at which both sequence fields have plausible values.
 bool WasSynced(std::string_view bytes, std::size_t offset, Sequence missing) {
   for (; offset + kRecordHeaderBytes <= bytes.size(); ++offset) {
     const auto durable = ReadLittleEndian<Sequence>(bytes, offset + kDurableOffset);
