--- a/include/gateway/events.hpp
+++ b/include/gateway/events.hpp
@@ -55,7 +55,7 @@
   int attempt = 0;  // index among the request's Sends, from 0
   std::string endpoint;
   AttemptResult result = AttemptResult::kServed;
-  bool request_finished = false;  // the gateway has delivered an answer to the client
+  bool request_finished = false;  // the client needs no further answer
   Millis latency = 0;             // from the Send to the outcome
   std::vector<double> load;       // load report in the order of Settings::load_report_fields; may be empty
   bool request_buffered = true;   // the gateway still stores the complete request and can send it again
--- a/include/gateway/settings.hpp
+++ b/include/gateway/settings.hpp
@@ -40,7 +40,7 @@
 // A tenant and its quota. Requests beyond the quota have lower priority.
 struct TenantSettings {
   std::string name;
-  double quota_per_second = 0;  // guaranteed requests per second over all gateways; 0 = unlimited
+  double quota_per_second = 0;  // requests per second within quota, over all gateways; 0 = unlimited
 };
 
 // All settings of a Policy.
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -33,9 +33,8 @@
 // Writes one record with one system call in the calling thread, which blocks only if standard error blocks.
 // Does not limit the rate of records; callers must. `part` names the component of the program and `event` the
 // kind of record; both are fixed words. `text` describes the event completely for a human reader, without a
-// line feed. If `event` is
-// "counts", the "name number" pairs of `text` also become fields of the JSON record. A record that can't be
-// written is dropped.
+// line feed. If `event` is "counts", the "name number" pairs of `text` also become fields of the JSON record.
+// A record that can't be written is dropped.
 void Log(Level level, std::string_view part, std::string_view event, std::string_view text,
          std::initializer_list<LogField> fields = {});
 
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -58,7 +58,7 @@
   Millis warm_up = 2000;    // initial time that is excluded from goodput and latency
   bool bursty = false;      // the rate of the Poisson arrivals switches between high and low at random times
   double burst_factor = 2;  // ratio of the high rate to the mean rate
-  Millis burst_length = 500;  // mean time at the high rate; the time at the low rate follows from `rate`
+  Millis burst_length = 500;              // mean time at the high rate; `burst_factor` gives the low one
   std::map<std::string, double> tenants;  // traffic share by name; empty: one tenant
   double skew = 0;       // in each zone, the first gateway gets 1 + skew times the traffic of any other
   int max_retries = 2;   // limit on the client's retries of one request
@@ -98,7 +98,7 @@
 enum class FaultKind {
   kKillGateway,       // SIGKILL; started again after the duration
   kStopGateway,       // SIGSTOP, then SIGCONT after the duration
-  kTerminateGateway,  // SIGTERM; started again once the process has ended and the duration has passed
+  kTerminateGateway,  // SIGTERM; started again when the duration has passed since its end
   kReplaceGateway,    // starts a new process; SIGTERM to the old process when the new process is ready
   kListDown,          // the emulated list service refuses connections
   kListKill,          // registry: SIGKILL; started again after the duration
--- a/src/lab/gateway_config.cpp
+++ b/src/lab/gateway_config.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kSeedsPerGateway = 1000;
-constexpr int kSeedShift = 20;  // the bits below are the number of the process in the run
+constexpr int kSeedShift = 20;  // room for the process numbers of a run: seeds of runs never collide
 
 json Classes(const Experiment& experiment) {
   json classes = json::array();
--- a/src/lab/scale/hollow_process.hpp
+++ b/src/lab/scale/hollow_process.hpp
@@ -27,7 +27,7 @@
 
 // The response to GET /state.
 struct HollowState {
-  int gateways = 0, ready = 0;       // a gateway is ready if it has received a list with hosts
+  int gateways = 0, ready = 0;       // ready: a call has been answered and the gateway knows hosts
   std::int64_t oldest_revision = 0;  // the lowest revision in use at any gateway
   base::Millis all_ready_at = 0;     // base::MonotonicNow; 0: not all gateways are ready
 };
--- a/src/lab/scale/scale_fleet.hpp
+++ b/src/lab/scale/scale_fleet.hpp
@@ -107,9 +107,9 @@
   // number of the first one to start. In the fleet, the index of hollow gateway n is n plus the number of
   // real gateways. Each gateway starts with `initial_list` as its endpoint list (null: without a list).
   void StartHollowGateways(int first, int count, const nlohmann::json& initial_list);
-  // Waits for the processes in hollow(), starting at index `from`, until each of their gateways has received
-  // a list with hosts. Returns the time from the start of the process hollow()[from] until the last gateway
-  // received its list; 0 if there is no such process. Throws ScaleTimeout.
+  // Waits for the processes in hollow(), starting at index `from`, until all of their gateways are ready.
+  // Returns the time from the start of the process hollow()[from] until the last gateway became ready; 0 if
+  // there is no such process. Throws ScaleTimeout.
   Millis WaitForHollowReady(Millis timeout, std::size_t from = 0);
   // Waits until every hollow gateway has this revision of the list or a later one. Throws ScaleTimeout.
   void WaitForHollowRevision(std::int64_t revision, Millis timeout);
--- a/src/membership/membership_options.hpp
+++ b/src/membership/membership_options.hpp
@@ -19,7 +19,7 @@
   // Lifeguard's beta: ratio of the maximum to the minimum suspicion timeout. The maximum applies while no
   // other member has confirmed the suspicion.
   double max_suspicion_multiplier = 6;
-  int expected_confirmations = 3;  // Lifeguard's k: after this many, the minimum timeout applies
+  int expected_confirmations = 3;  // Lifeguard's k: independent confirmations until the minimum applies
   int max_local_health = 8;        // Lifeguard's S: the worst local health score
   // Interval between exchanges of the complete state. Shortly after the start, and while no other member is
   // known, the interval is one protocol period instead.
--- a/src/policy/upstream_controller.cpp
+++ b/src/policy/upstream_controller.cpp
@@ -41,7 +41,7 @@
   table_.RemoveUnreferenced();
 }
 
-// Resets the learned state of an endpoint whose process has restarted.
+// Resets the learned state of a new endpoint or of an endpoint whose process has restarted.
 void UpstreamController::ResetEndpoint(Endpoint& endpoint, Millis started_at, Millis now) {
   slow_start_.BeginWarmUp(endpoint.slow_start, started_at, random_.Uniform(), now);
   limits_.Reset(endpoint.concurrency, subset_.gateways_per_endpoint());
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -25,7 +25,8 @@
   virtual void Execute(const policy::Fail& fail) = 0;
   virtual void Execute(const policy::Cancel& cancel) = 0;
 
-  // Returns whether the request needs no response, because it already has one or is no longer active.
+  // Returns whether the request needs no response, because it already has one, its client has disconnected,
+  // or it is no longer active.
   virtual bool IsFinished(const std::string& request) const = 0;
 
   // Called after the actions of each event have been executed. `request` is the ID of the request if the
--- a/src/registry/catalog.hpp
+++ b/src/registry/catalog.hpp
@@ -44,7 +44,7 @@
   // Returns whether ChangedSince() supports this revision.
   bool HasHistorySince(Revision after) const { return after >= oldest_revision() && after <= revision_; }
   // Returns the revision of the last removal by operators, or 0 if there was none. Gateways accept a list
-  // that lacks many members of the previous list only if operators have removed these members.
+  // that lacks many members of the previous list only if operators have removed a member since that list.
   Revision last_operator_removal() const { return last_operator_removal_; }
   const std::map<std::string, Member>& members() const { return members_; }
   // Returns null if the member is not listed. The pointer is valid until the next Apply().
--- a/src/registry/session.cpp
+++ b/src/registry/session.cpp
@@ -16,7 +16,7 @@
 using base::TimerDuration;
 using boost::system::error_code;
 
-constexpr Millis kFirstRequestTimeout = 10000;  // from the accepted connection to its first request
+constexpr Millis kFirstRequestTimeout = 10000;  // from accept to the complete first request
 constexpr Millis kIdleTimeout = 75000;          // from a response to the next complete request
 constexpr Millis kWriteTimeout = 5000;          // time within which a client must read a response
 constexpr std::size_t kMaxBodyBytes = 64 << 10;
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -80,7 +80,8 @@
 // The calls of a hundred gateways fail at the same time, and the list service can serve about twenty calls
 // per second. Therefore the repeated calls must be spread evenly. The first calls of gateways that start at
 // the same time must be spread too, but over one second at most: the initial list of a gateway may be
-// outdated, and later changes must take effect within 6 s of the start.
+// outdated, and each change must take effect within 6 s after it was made, even if it was made before the
+// start.
 TEST(ListPollingTest, SpreadsCallsOfGatewaysThatStartTogether) {
   Settings settings = MakeSettings();
   settings.poll_endpoint_list = true;
--- a/tests/proxy/gateway_test.cpp
+++ b/tests/proxy/gateway_test.cpp
@@ -26,8 +26,8 @@
   return info;
 }
 
-// If the gateway lost or changed a header field or a body, it would break hosts and clients. It changes only
-// the value of Req-Deadline: the host receives the remaining time.
+// If the gateway lost or changed a header field or a body, it would break hosts and clients. Of the
+// fields that they rely on, it changes only Req-Deadline: the host receives the remaining time.
 TEST(Gateway, ForwardsARequestAndItsResponseUnchangedExceptTheDeadline) {
   GatewayHarness harness;
   const auto client = harness.Connect();
