--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -68,7 +68,7 @@
   MachineTypes machine_types_;
   std::map<std::string, Zone> zones_;
   EndpointRing ring_;
-  std::set<Endpoint*> measured_;            // endpoints with a latency sample
+  std::set<Endpoint*> measured_;            // endpoints that had a latency sample, even if since reset
   std::set<Endpoint*> removal_candidates_;  // endpoints marked as not up; some may be up again
   mutable std::vector<Millis> latencies_;   // reused buffer of MedianLatency()
   int own_zone_up_count_ = 0;
--- a/src/proxy/policy_driver.hpp
+++ b/src/proxy/policy_driver.hpp
@@ -37,8 +37,8 @@
 
 class PolicyDriver {
  public:
-  // `requests` and `io` must outlive the driver. The driver calls `watch_list` to begin a watch of the
-  // endpoint list.
+  // `requests` and `io` must outlive the last call of the driver. The driver calls `watch_list` to begin a
+  // watch of the endpoint list.
   PolicyDriver(boost::asio::io_context& io, const policy::Settings& settings, std::uint64_t seed,
                RequestActions& requests, std::function<void()> watch_list);
 
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Runs all checks of the project: code format and line length, tests of the CI scripts, the capacity page, the
+# Runs all checks of the project: code format and line length, tests of the check scripts, the capacity page, the
 # build command of the deploy file, the linter, the tests in Release mode and with sanitizers, the fuzzer, the
 # consumer example with an installed copy, and the adapter process. Can be started from any folder and leaves
 # its build folders build*/ in the checkout.
@@ -30,7 +30,7 @@
 black --check tools tests/*.py
 mypy tools/capacity.py tools/capacity_model tests/capacity_test.py
 
-step "tests of the CI scripts"
+step "tests of the check scripts"
 bash tests/ctest_known_red_test.sh
 bash tests/regression_test.sh
 
