--- a/tests/play.sh
+++ b/tests/play.sh
@@ -1,5 +1,7 @@
 #!/bin/bash
-# Builds the program and the lab and plays an experiment (rules-restart by default): bash tests/play.sh [NAME] [options of lab run]
+# Builds the gateway and gatewayctl and runs an experiment (default: rules-restart).
+#
+#   bash tests/play.sh [NAME] [options of gatewayctl lab run]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 name=${1:-rules-restart}
