--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -14,7 +14,7 @@
   echo "$build/compile_commands.json is missing: configure with -DCMAKE_EXPORT_COMPILE_COMMANDS=ON" >&2
   exit 2
 fi
-# Filters out the counts of suppressed warnings in third-party headers.
+# The grep removes the lines in which clang-tidy counts suppressed warnings of third-party headers.
 find src -name '*.cpp' -print0 | sort -z |
   xargs -0 -n 1 -P "${LINT_JOBS:-$(nproc)}" clang-tidy --quiet -p "$build" \
     2> >(grep -v '^[0-9]* warnings\? generated\.$' >&2)
--- a/tests/regression.sh
+++ b/tests/regression.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Runs panels of the operators' benches one after the other and fails if any of them reports a broken rule, a
-# crash or a failed gate. A failure does not stop the remaining panels. Not part of CI: it needs the
-# operators' kit next to the repository.
+# Runs panels of the operators' benches one after the other. Fails if a panel reports a broken rule, a crash
+# or a failed gate, or prints no score. The remaining panels run even after a failure. CI does not run this
+# script, because it needs the operators' kit next to the repository.
 #
 #   bash tests/regression.sh [--full] [fleet|later|ops|mass|brink|other|sites|lbsim ...]
 #
 # Runs all panels in quick mode by default.
-#   brink: few gateways and situations with little margin, with the seeds in $BRINK_SEEDS
+#   brink: runs with few gateways and little margin, one run for each seed in $BRINK_SEEDS
 #   other: the mass panel on the kit's other deployments
 #   sites: the mass and brink panels on the project's own deployments in deploy/sites/; copies the files that
 #          the bench requires next to a deployment into that folder
--- a/tests/regression_test.sh
+++ b/tests/regression_test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Tests regression.sh with a fake bench: it must report each kind of failure and pass if the bench passes.
-# Does not need the operators' kit.
+# Tests regression.sh with a fake bench, so the operators' kit is not needed. regression.sh must report each
+# kind of failure, and must pass if the bench passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 kit=$(mktemp -d)
