--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -245,8 +245,8 @@
   EXPECT_GE(merge_time, 0);
 }
 
-// When a paused member resumes, all of its timeouts have elapsed. It must not suspect other members because
-// it missed their messages.
+// When a paused member resumes, all of its timeouts have elapsed. It must not suspect other members, although
+// it has missed their messages.
 TEST(Membership, PausedMemberDoesNotSuspectOthers) {
   SimulatedNetwork net(30);
   ASSERT_GE(net.RunUntilConverged(60000), 0);
--- a/tests/policy/fake_gateway.hpp
+++ b/tests/policy/fake_gateway.hpp
@@ -113,7 +113,8 @@
   }
 
   // Serves `count` requests one after the other, each in `latency` ms, so that the estimates converge.
-  // Returns the number of requests by endpoint id. Counts a request that is not sent immediately under "".
+  // Returns the number of requests by endpoint id. The count for the empty id is the number of requests that
+  // were not sent on arrival.
   std::map<std::string, int> ServeRequests(int count, Millis latency = 50,
                                            const std::string& class_name = "view") {
     std::map<std::string, int> sent_by_endpoint;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -261,7 +261,7 @@
   }
 }
 
-// Client requests serve as probes of ejected endpoints. Only few requests may be used as probes, and the
+// Client requests serve as probes of ejected endpoints. Only a few requests may be used as probes, and the
 // timeout of a probe must leave time for a retry at another endpoint. If the only endpoint is ejected, it
 // must be probed until it recovers.
 TEST(OutlierDetectionTest, ProbesUseFewRequestsAndLeaveTimeForARetry) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -100,8 +100,8 @@
 
 // Each gateway uses a subset of the endpoints. The total load that a warming endpoint receives from all
 // gateways must be about its warm-up fraction times the load of a warm endpoint. Otherwise the gateways
-// overload the endpoint or leave it idle. A gateway that has just started has no responses of warm endpoints,
-// and uses the rate of arriving requests instead.
+// overload the endpoint or leave it idle. A gateway that has just started has received no responses
+// of warm endpoints, so it derives the service rate of an endpoint from the rate of arriving requests.
 TEST(SlowStartTest, TotalAttemptsOfGatewaysWithSubsetsMatchTheWarmUpFraction) {
   Settings settings = MakeSettings();  // the warm-up fraction grows from 0.2 to 1 within 10 s
   settings.gateway_count = 100;
--- a/tests/proxy/accept_queue_test.cpp
+++ b/tests/proxy/accept_queue_test.cpp
@@ -125,8 +125,8 @@
   EXPECT_GE(hosts.received_deadlines().front(), kDeadlineMs - elapsed_ms - kToleranceMs);
 }
 
-// The system reports the time of the last received data only for a TCP connection. The function must return
-// nothing for an invalid descriptor and for a socket of another protocol.
+// The system reports the time of the last received data only for a TCP connection. TimeSinceLastReceived must
+// return no value for an invalid descriptor and for a socket of another protocol.
 TEST(TimeSinceLastReceived, IsUnknownWithoutATcpConnection) {
   EXPECT_EQ(proxy::TimeSinceLastReceived(-1), std::nullopt);
   asio::io_context io;
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -182,7 +182,7 @@
   for (const std::size_t size : {std::size_t{0}, std::size_t{1000}, std::size_t{300000}}) {
     for (const bool http10_client : {false, true}) {
       const std::string body = MakeBody(size);
-      // Pairs of a response and whether the host closes the connection after it.
+      // Each pair contains a response, and true if the host closes the connection after the response.
       const std::vector<std::pair<std::string, bool>> responses = {
           {"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n" + body, false},
           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunked(body, 999, "Later: x\r\n"),
--- a/tests/proxy/operations_test.cpp
+++ b/tests/proxy/operations_test.cpp
@@ -172,8 +172,8 @@
   const std::string path = ::testing::TempDir() + "gateway-state-" + std::to_string(getpid());
 };
 
-// Returns the configuration of a gateway that saves its state. The gateway listens on free ports, so its name
-// alone identifies the owner of the state.
+// Returns the configuration of a gateway that saves its state. The state belongs to the gateway with this
+// name and client address. The configured port is 0 in these tests, so only the name distinguishes gateways.
 nlohmann::json MakeStateConfiguration(const StateFolder& folder, const std::string& name = "n1") {
   return {{"state_dir", folder.path}, {"name", name}};
 }
@@ -224,8 +224,8 @@
   }
 }
 
-// A gateway must start and serve even if its state files are damaged or truncated, or if the path of the
-// state folder is a file.
+// A gateway must start and serve even if its state files are damaged or truncated, or if a file is at the
+// path of the state folder.
 TEST(SavedState, IsIgnoredIfUnreadable) {
   const StateFolder folder;
   enum class Damage { kOverwrittenFiles, kTruncatedFiles, kFileInPlaceOfFolder };
--- a/tests/registry/lease_table_test.cpp
+++ b/tests/registry/lease_table_test.cpp
@@ -84,7 +84,7 @@
   simulation.Run(20000, [](int) { return true; });
   simulation.Run(600000, [&](int i) { return !disconnected(i); });
   EXPECT_EQ(simulation.catalog.members().size(), 60u);
-  // Zones a, b and c, and the entry for all zones together.
+  // The result contains zones a, b and c, and the entry for all zones together.
   EXPECT_EQ(simulation.leases.zones_in_self_preservation().size(), 4u);
   // When the members renew again, self-preservation ends. Members that resume their renewals later than
   // others must not be removed.
--- a/tests/simulator/policy_host_test.cpp
+++ b/tests/simulator/policy_host_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the policy host: its replies to batches of the simulator's wire, and the lines that it rejects.
+// Tests of the policy host: its replies to batches in the simulator's wire format, and the lines that it
+// rejects.
 #include "simulator/policy_host.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/storage/store_fixture.hpp
+++ b/tests/storage/store_fixture.hpp
@@ -1,5 +1,5 @@
-// Helpers of the store tests: a store in memory. The payload of each record depends on its sequence, so that
-// tests can verify it.
+// Helpers of the store tests: a store in memory. The payload of each record depends on the record's sequence
+// number, so that tests can verify the payload.
 #ifndef GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 #define GATEWAY_TESTS_STORAGE_STORE_FIXTURE_HPP_
 
